--- /dev/null
+++ b/tests/golden_test.cpp
@@ -0,0 +1,547 @@
+// What goes over the wire and onto the disk, byte for byte as it is stored in tests/golden (see the README there).
+#include <gtest/gtest.h>
+
+#include "consensus/messages.hpp"
+#include "golden_files.hpp"
+#include "hints/hints.hpp"
+#include "state_machine/delta.hpp"
+#include "state_machine/replicated_state.hpp"
+#include "storage/record_format.hpp"
+#include "transport/access_messages.hpp"
+#include "transport/avro.hpp"
+#include "transport/peer_link.hpp"
+
+using namespace zc;
+using golden::Case;
+namespace {
+const std::string kSender = "10.0.0.4#77";
+
+// --- how each kind of value is encoded and decoded ---
+
+/// A record without anything around it.
+template <class T>
+Case recordCase(const std::string& file, const T& value) {
+  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+    auto decoded = avro::decode<T>(bytes);
+    if (!decoded)
+      return tl::unexpected(decoded.error());
+    return avro::encode(std::move(*decoded));
+  };
+  return {file, [value] { return avro::encode(value); }, again, golden::weaknessOf(value)};
+}
+/// The consensus's own messages, without their frame.
+template <class T>
+Case consensusCase(const std::string& file, const T& message) {
+  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+    const auto decoded = decodeMessage(bytes);
+    if (!decoded)
+      return tl::unexpected(decoded.error());
+    if (!std::holds_alternative<T>(*decoded))
+      return fault(0, "decoded as another message");
+    return encodeMessage(*decoded);
+  };
+  return {file, [message] { return encodeMessage(message); }, again, golden::weaknessOf(message)};
+}
+Outcome<Envelope> onlyEnvelopeIn(std::string frames) {
+  std::string pieces;
+  auto envelopes = unframe(frames, &pieces);
+  if (!envelopes)
+    return tl::unexpected(envelopes.error());
+  if (envelopes->size() != 1 || !frames.empty() || !pieces.empty())
+    return fault(0, "not one whole frame");
+  return std::move(envelopes->front());
+}
+/// A whole frame: head, type, sender, fields.
+template <class T>
+Case frameCase(const std::string& file, const T& message) {
+  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+    const auto envelope = onlyEnvelopeIn(bytes);
+    if (!envelope)
+      return tl::unexpected(envelope.error());
+    const auto decoded = unpack<T>(*envelope);
+    if (!decoded)
+      return tl::unexpected(decoded.error());
+    return frameOf(pack(*decoded, envelope->sender));
+  };
+  return {file, [message] { return frameOf(pack(message, kSender)); }, again, golden::weaknessOf(message)};
+}
+Case diskCase(const std::string& file, const DiskRecord& record, std::string weakValue) {
+  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+    const auto decoded = decodeRecord(bytes);
+    if (!decoded)
+      return tl::unexpected(decoded.error());
+    return encodeRecord(*decoded);
+  };
+  return {file, [record] { return encodeRecord(record); }, again, std::move(weakValue)};
+}
+Case configCase(const std::string& file, const ClusterConfig& config) {
+  const auto again = [](const std::string& text) -> Outcome<std::string> { return encodeConfig(decodeConfig(text)); };
+  return {file, [config] { return encodeConfig(config); }, again, ""};
+}
+/// A snapshot that `held` restores; `encodeHeld` then writes it again.
+Case snapshotCase(const std::string& file, std::function<std::string()> encode, const ReplicatedState& held,
+                  const std::function<std::string(const ReplicatedState&)>& encodeHeld) {
+  const auto again = [held, encodeHeld](const std::string& bytes) -> Outcome<std::string> {
+    auto copy = held;
+    if (auto restored = copy.restore(bytes); !restored)
+      return tl::unexpected(restored.error());
+    return encodeHeld(copy);
+  };
+  return {file, std::move(encode), again, ""};
+}
+
+// --- values: no field at its default, no two of one type alike ---
+
+Entry entryNumbered(std::int64_t serial) {
+  const auto text = std::to_string(serial);
+  return {.num = 5000000000 + serial,
+          .term = 60000 + serial,
+          .kind = static_cast<std::int32_t>(serial),
+          .base = 7000 + serial,
+          .opId = "10.0.0.4#77/00000000000000ff." + text + "@" + text,
+          .digest = "digest-" + text,
+          .blob = "blob-" + text,
+          .omitted = true};
+}
+const std::vector<Entry> kEntries{entryNumbered(1), entryNumbered(2)};
+std::vector<Grant> grants(const std::string& label, double from) {
+  return {{.label = label + "-1", .rate = from + 0.25, .burst = from + 0.5},
+          {.label = label + "-2", .rate = from + 1.25, .burst = from + 1.5}};
+}
+
+std::vector<Case> consensusCases() {
+  return {
+      consensusCase("consensus_vote_request.hex", VoteRequest{.term = 301,
+                                                              .preVote = true,
+                                                              .transferredTerm = 299,
+                                                              .endedLeaseTerm = 288,
+                                                              .lastNumber = 5000000001,
+                                                              .lastTerm = 277}),
+      consensusCase("consensus_vote_response.hex", VoteResponse{.term = 301, .preVote = true}),
+      consensusCase("consensus_append_entries.hex", AppendEntries{.term = 301,
+                                                                  .previousNumber = 4999999999,
+                                                                  .previousTerm = 300,
+                                                                  .commitNumber = 4999999998,
+                                                                  .heartbeatId = 70002,
+                                                                  .leaderHasLease = true,
+                                                                  .entries = kEntries}),
+      consensusCase(
+          "consensus_append_entries_response.hex",
+          AppendEntriesResponse{.term = 301, .heartbeatId = 70002, .matchedNumber = 4999999997, .mismatch = true}),
+      consensusCase("consensus_append_entries_response_of_newcomer.hex",
+                    AppendEntriesResponse{.term = 301, .heartbeatId = 70002, .matchedNumber = -1, .mismatch = true}),
+      consensusCase("consensus_install_snapshot.hex", InstallSnapshot{.term = 301,
+                                                                      .lastNumber = 5000000003,
+                                                                      .lastTerm = 300,
+                                                                      .config = "10.0.0.4#77 10.0.0.5#0",
+                                                                      .state = "applied state",
+                                                                      .commitNumber = 5000000009}),
+      consensusCase("consensus_transfer_leadership.hex", TransferLeadership{.term = 301}),
+      consensusCase("consensus_join_request.hex", JoinRequest{.member = "10.0.0.6#123", .forwarded = true}),
+      consensusCase("consensus_leave_request.hex", LeaveRequest{.term = 301, .requestId = 987654321}),
+      consensusCase("consensus_leave_response.hex", LeaveResponse{.term = 302, .requestId = 987654322}),
+      consensusCase("consensus_entry_body.hex", EntryBody{.digest = "digest-3", .body = "large body"}),
+  };
+}
+
+/// The frame around a consensus message.
+Case consensusFrameCase() {
+  const auto frame = [] {
+    return frameOf({MessageType::consensus, kSender, encodeMessage(VoteResponse{.term = 301, .preVote = true})});
+  };
+  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+    const auto envelope = onlyEnvelopeIn(bytes);
+    if (!envelope)
+      return tl::unexpected(envelope.error());
+    return frameOf(*envelope);
+  };
+  return {"frame_consensus.hex", frame, again, ""};
+}
+std::vector<Case> frameCases() {
+  return {
+      consensusFrameCase(),
+      frameCase("frame_submit_entry.hex", SubmitEntry{.entry = entryNumbered(3)}),
+      frameCase("frame_submit_receipt.hex", SubmitReceipt{.accepted = true}),
+      frameCase("frame_read_index_question.hex", ReadIndexQuestion{.question = 4001}),
+      frameCase("frame_read_index_answer.hex",
+                ReadIndexAnswer{.question = 4002, .underLease = true, .commitNumber = 5000000004}),
+      frameCase("frame_heartbeat_batch.hex",
+                HeartbeatBatch{.number = 41, .runners = {{.id = "i-1", .ageMs = 250}, {.id = "i-2", .ageMs = 1200}}}),
+      frameCase("frame_heartbeat_receipt.hex", HeartbeatReceipt{.number = 42}),
+      frameCase("frame_agent_state.hex",
+                AgentState{.appliedNumber = 5000000005, .view = {"10.0.0.7/core", "10.0.0.8/core"}}),
+      frameCase("frame_cluster_standing.hex", ClusterStanding{.term = 301,
+                                                              .leader = "10.0.0.5#0",
+                                                              .voters = {"10.0.0.4#77", "10.0.0.5#0", "10.0.0.6#123"},
+                                                              .commitNumber = 5000000006,
+                                                              .view = {"10.0.0.9/core"}}),
+      frameCase("frame_follow_log.hex",
+                FollowLog{.appliedNumber = 5000000007, .heldDigest = "digest-held", .refetch = true}),
+      frameCase("frame_feed_entries.hex",
+                FeedEntries{.term = 301, .newestNumber = 5000000008, .entries = {entryNumbered(4), entryNumbered(5)}}),
+      frameCase("frame_feed_snapshot.hex", FeedSnapshot{.term = 301, .number = 5000000009, .state = "partial state"}),
+      frameCase("frame_body_ahead.hex", BodyAhead{.digest = "digest-4", .body = "another large body"}),
+      frameCase("frame_lease_question.hex", LeaseQuestion{.question = 4003,
+                                                          .demand = grants("demand", 10),
+                                                          .holds = grants("holds", 20),
+                                                          .load = grants("load", 30),
+                                                          .attempts = grants("attempts", 40),
+                                                          .outliersVersion = 51}),
+      frameCase("frame_lease_answer.hex", LeaseAnswer{.question = 4004,
+                                                      .granted = true,
+                                                      .commitNumber = 5000000010,
+                                                      .accessMachines = 12,
+                                                      .grants = grants("grants", 50),
+                                                      .outliersVersion = 52,
+                                                      .outliers = grants("outliers", 60)}),
+      frameCase("frame_quota_draw.hex", QuotaDraw{.question = 4005, .waiting = grants("waiting", 70)}),
+      frameCase("frame_quota_drawn.hex", QuotaDrawn{.question = 4006, .granted = true, .grants = grants("grants", 80)}),
+      frameCase("frame_opening_question.hex",
+                OpeningQuestion{.question = 4007, .opening = -6148914691236517206, .tenantMark = 1311768467463790320}),
+      frameCase("frame_opening_answer.hex",
+                OpeningAnswer{.question = 4008, .access = {"10.1.0.4:8405", "10.1.0.5:8405"}}),
+  };
+}
+
+DiskRecord fullRecord() {
+  return {.seq = 901,
+          .term = 301,
+          .lastLedTerm = 288,
+          .self = "10.0.0.4#77",
+          .votedFor = "10.0.0.5#0",
+          .full = true,
+          .snapshotNumber = 5000000000,
+          .snapshotTerm = 277,
+          .snapshotConfig = "10.0.0.4#77 10.0.0.5#0|10.0.0.5#0 10.0.0.6#123",
+          .state = "applied state",
+          .fromNumber = 5000000011,
+          .entries = kEntries};
+}
+DiskRecord incrementalRecord() {
+  return {.seq = 902,
+          .term = 302,
+          .lastLedTerm = 289,
+          .self = "10.0.0.4#78",
+          .votedFor = "10.0.0.6#123",
+          .fromNumber = 5000000012,
+          .entries = {entryNumbered(3)}};
+}
+std::vector<Case> diskCases() {
+  return {
+      diskCase("disk_record_full.hex", fullRecord(), golden::weaknessOf(fullRecord())),
+      // Its defaults are what makes it incremental.
+      diskCase("disk_record_incremental.hex", incrementalRecord(), ""),
+      diskCase("disk_record_without_entries.hex", {.seq = 903, .term = 303, .self = "10.0.0.4#79"}, ""),
+      configCase("cluster_config.txt", {.voters = {"10.0.0.4#77", "10.0.0.5#0", "10.0.0.6#123"}}),
+      configCase("cluster_config_joint.txt",
+                 {.voters = {"10.0.0.4#77", "10.0.0.5#0"}, .nextVoters = {"10.0.0.5#0", "10.0.0.6#123"}}),
+      {"disk_record_name.txt", [] { return recordName(901); },
+       [](const std::string& name) -> Outcome<std::string> { return recordName(recordSequence(name).value_or(0)); },
+       ""},
+  };
+}
+
+// --- the replicated state ---
+
+std::string configurationText(int version, const std::string& changed) {
+  std::string routes;
+  for (const auto* label : {"first", "second", "third", "fourth"})
+    routes += std::string(routes.empty() ? "" : ",") + R"({"label":")" + label +
+              R"(","authority":"h.example","pathPrefix":"/)" + label +
+              R"(/","routeType":"safe","expiryMs":20000,"targetService":"s"})";
+  return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[)" + routes +
+         R"(],"serviceTable":[{"label":"s"}],"subscribers":[{"label":")" + changed + R"("}]})";
+}
+const std::string kFirstText = configurationText(3, "tina");
+const std::string kSecondText = configurationText(5, "tom");
+Runner runner(int serial, RunnerState state) {
+  const auto text = std::to_string(serial);
+  return {.id = "i-" + text,
+          .service = "service-" + text,
+          .address = "10.0.2." + text + ":80",
+          .zone = "zone-" + text,
+          .capacity = 100 + serial,
+          .sequence = 200 + serial,
+          .state = static_cast<std::int32_t>(state)};
+}
+Closure closure(int serial, bool doorsShut) {
+  const auto text = std::to_string(serial);
+  return {.place = "place-" + text, .note = "note-" + text, .share = 10 * serial, .doorsShut = doorsShut};
+}
+ReplicatedState stateAfter(std::vector<Entry> writes) {
+  ReplicatedState copy;
+  std::int64_t number = 5000000000;
+  for (auto& write : writes) {
+    write.num = ++number;
+    write.term = 301;
+    copy.apply(write);
+  }
+  return copy;
+}
+Entry firstWrite() {
+  return configurationOp(0, 3, kFirstText, "operator/1");
+}
+ReplicatedState firstState() {
+  return stateAfter({firstWrite()});
+}
+ReplicatedState laterState() {
+  return stateAfter(
+      {firstWrite(), changeOp(3, 5, kSecondText, "operator/2", firstState().state()),
+       configurationOp(3, 7, "loses its race", "operator/3"), runnerOp(runner(1, RunnerState::inService), "runner/i-1"),
+       runnerOp(runner(2, RunnerState::draining), "runner/i-2"),
+       runnerOp(runner(3, RunnerState::inService), "runner/i-3"),
+       runnerOp(runner(3, RunnerState::gone), "runner/i-3/gone"), closureOp(closure(4, true), false, "closure/4"),
+       closureOp(closure(5, false), false, "closure/5")});
+}
+std::string snapshotFor(const ReplicatedState& copy, const std::string& held) {
+  return copy.snapshotFor(held.empty() ? held : digestOf(held));
+}
+std::vector<Case> snapshotCases() {
+  const auto wholeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
+  const auto forNobody = [](const ReplicatedState& copy) { return snapshotFor(copy, ""); };
+  const auto forFirst = [](const ReplicatedState& copy) { return snapshotFor(copy, kFirstText); };
+  const auto forSecond = [](const ReplicatedState& copy) { return snapshotFor(copy, kSecondText); };
+  return {
+      snapshotCase(
+          "snapshot_of_nothing.hex", [] { return ReplicatedState{}.snapshot(); }, {}, wholeOf),
+      snapshotCase(
+          "snapshot_whole.hex", [] { return laterState().snapshot(); }, {}, wholeOf),
+      snapshotCase(
+          "snapshot_access_whole.hex", [] { return snapshotFor(laterState(), ""); }, {}, forNobody),
+      snapshotCase(
+          "snapshot_access_same_configuration.hex", [] { return snapshotFor(laterState(), kSecondText); },
+          stateAfter({configurationOp(0, 5, kSecondText, "operator/2")}), forSecond),
+      snapshotCase(
+          "snapshot_access_difference.hex", [] { return snapshotFor(laterState(), kFirstText); }, firstState(),
+          forFirst),
+  };
+}
+
+// --- format 1 of the snapshot, which is read and never written ---
+
+struct TakenFormat1 {
+  std::int64_t version = 0;
+  std::string digest;
+  template <class V>
+  void fields(V& v) {
+    v("version", version), v("digest", digest);
+  }
+};
+struct OperationFormat1 {
+  std::string opId;
+  std::int32_t verdict = 0;
+  template <class V>
+  void fields(V& v) {
+    v("opId", opId), v("verdict", verdict);
+  }
+};
+struct SnapshotFormat1 {
+  bool partial = false;
+  std::string difference;
+  std::int64_t appliedTo = 0, term = 0, version = 0;
+  std::string configuration, digest;
+  std::vector<TakenFormat1> taken;
+  std::vector<Runner> runners;
+  std::vector<std::string> gone;
+  std::vector<OperationFormat1> done;
+  std::vector<Closure> closures;
+  template <class V>
+  void fields(V& v) {
+    v("partial", partial), v("difference", difference), v("appliedTo", appliedTo), v("term", term);
+    v("version", version), v("configuration", configuration), v("digest", digest), v("taken", taken);
+    v("runners", runners), v("gone", gone), v("done", done), v("closures", closures);
+  }
+};
+SnapshotFormat1 snapshotFormat1() {
+  return {.appliedTo = 5000000009,
+          .term = 301,
+          .version = 5,
+          .configuration = kSecondText,
+          .digest = digestOf(kSecondText),
+          .taken = {{.version = 3, .digest = digestOf(kFirstText)}, {.version = 5, .digest = digestOf(kSecondText)}},
+          .runners = {runner(1, RunnerState::inService), runner(2, RunnerState::draining)},
+          .gone = {"i-3", "i-4"},
+          .done = {{.opId = "operator/1@3", .verdict = 200}, {.opId = "operator/3@7", .verdict = 412}},
+          .closures = {closure(4, true), closure(5, false)}};
+}
+SnapshotFormat1 partialSnapshotFormat1() {
+  auto snapshot = snapshotFormat1();
+  snapshot.partial = true;
+  snapshot.configuration.clear();
+  snapshot.difference = deltaOf(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText));
+  return snapshot;
+}
+/// What a copy that holds the first configuration holds after a snapshot, in today's format.
+Outcome<std::string> inTodaysFormat(const std::string& snapshot) {
+  auto copy = firstState();
+  if (auto restored = copy.restore(snapshot); !restored)
+    return tl::unexpected(restored.error());
+  return copy.snapshot();
+}
+std::vector<Case> snapshotFormat1Cases() {
+  const auto written = [] { return avro::encode(snapshotFormat1()); };
+  const auto partial = [] { return avro::encode(partialSnapshotFormat1()); };
+  const auto read = [](const std::string& snapshot) {
+    return inTodaysFormat(snapshot).value_or("could not be restored");
+  };
+  const auto wholeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
+  return {
+      {"snapshot_format1.hex", written, {}, ""},
+      {"snapshot_format1_partial.hex", partial, {}, ""},
+      snapshotCase(
+          "snapshot_format1_restored.hex",
+          [=] { return read(golden::stored("snapshot_format1.hex").value_or(written())); }, {}, wholeOf),
+      snapshotCase(
+          "snapshot_format1_partial_restored.hex",
+          [=] { return read(golden::stored("snapshot_format1_partial.hex").value_or(partial())); }, {}, wholeOf),
+  };
+}
+
+std::vector<Case> writeCases() {
+  const auto on = firstState();
+  return {
+      recordCase("delta_fields.hex",
+                 Delta{.base = "digest of the base",
+                       .result = "digest of the result",
+                       .runs = {{.from = 11, .length = 12, .text = "one"}, {.from = 13, .length = 14, .text = "two"}}}),
+      {"delta_of_configurations.hex",
+       [] { return deltaOf(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText)); },
+       [](const std::string& delta) -> Outcome<std::string> {
+         const auto text = applyDelta(kFirstText, digestOf(kFirstText), delta, digestOf(kSecondText));
+         if (!text)
+           return tl::unexpected(text.error());
+         return deltaOf(kFirstText, digestOf(kFirstText), *text, digestOf(*text));
+       },
+       ""},
+      recordCase("entry.hex", entryNumbered(1)),
+      recordCase("runner.hex", runner(2, RunnerState::draining)),
+      recordCase("closure.hex", closure(4, true)),
+      // Entries as the calls make them: `weakValue` does not apply, most of their fields are filled in later.
+      {"write_configuration.hex", [] { return avro::encode(firstWrite()); }, {}, ""},
+      {"write_difference.hex",
+       [on] { return avro::encode(changeOp(3, 5, kSecondText, "operator/2", on.state())); },
+       {},
+       ""},
+      {"write_runner_gone.hex",
+       [] { return avro::encode(runnerOp(runner(3, RunnerState::gone), "runner/i-3/gone")); },
+       {},
+       ""},
+      {"write_closure.hex", [] { return avro::encode(closureOp(closure(4, true), false, "closure/4")); }, {}, ""},
+      {"write_closure_open.hex",
+       [] { return avro::encode(closureOp(closure(4, true), true, "closure/4/open")); },
+       {},
+       ""},
+  };
+}
+
+// --- hints between partner sites ---
+
+HintKey hintKey() {
+  return *HintKey::from("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f");
+}
+/// What a site tells first (everything) and then (what has changed).
+std::vector<std::string> toldInTurn() {
+  constexpr Instant now{1000s};
+  constexpr std::int64_t epoch = 2937;
+  HintTable table(hintKey(), {.most = 8, .fill = 4}, 7);
+  const auto sendFromTwoTenants = [&](std::uint64_t opening) {
+    for (const std::uint64_t tenant : {1, 2})
+      (void)table.elsewhere(now, epoch, opening, tenant);
+  };
+  sendFromTwoTenants(42);
+  std::vector<std::string> told{avro::encode(table.news(now, epoch))};
+  (void)table.heard(now, epoch, {.epoch = epoch, .known = 1, .version = 9, .added = {5}});
+  sendFromTwoTenants(43);
+  told.push_back(avro::encode(table.news(now, epoch)));
+  return told;
+}
+Outcome<std::string> againAsHints(const std::string& bytes) {
+  const auto news = avro::decode<HintNews>(bytes);
+  if (!news)
+    return tl::unexpected(news.error());
+  return avro::encode(*news);
+}
+std::vector<Case> hintCases() {
+  return {
+      recordCase("hint_news.hex", HintNews{.epoch = 2937,
+                                           .known = 71,
+                                           .base = 72,
+                                           .version = 73,
+                                           .added = {-6148914691236517206, 1311768467463790320},
+                                           .gone = {-5, 6}}),
+      {"hint_news_whole.hex", [] { return toldInTurn().at(0); }, againAsHints, ""},
+      {"hint_news_changes.hex", [] { return toldInTurn().at(1); }, againAsHints, ""},
+      {"hint_digest.txt", [] { return std::to_string(hintKey().digest(42, 2937)); }, {}, ""},
+      {"hint_seal.txt", [] { return hintKey().seal("sealed text"); },
+       [](const std::string& seal) -> Outcome<std::string> {
+         return hintKey().fits("sealed text", seal) ? seal : "does not fit";
+       },
+       ""},
+  };
+}
+
+// --- a frame in pieces ---
+
+/// Pieces as a link sends a large frame: a head, one byte that tells whether it is the last, a part of the frame.
+std::string inPieces(const std::string& frame, std::size_t pieceSize) {
+  std::string pieces;
+  for (std::size_t at = 0; at < frame.size(); at += pieceSize) {
+    const auto part = frame.substr(at, pieceSize);
+    pieces += std::string(3, '\0') + static_cast<char>(part.size() + 2) + '\x03';
+    pieces += at + pieceSize < frame.size() ? '\0' : '\x01';
+    pieces += part;
+  }
+  return pieces;
+}
+std::vector<Case> pieceCases() {
+  const auto pieces = [] {
+    return inPieces(frameOf(pack(BodyAhead{.digest = "digest-4", .body = "in several pieces"}, kSender)), 20);
+  };
+  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+    const auto envelope = onlyEnvelopeIn(bytes);
+    if (!envelope)
+      return tl::unexpected(envelope.error());
+    return inPieces(frameOf(*envelope), 20);
+  };
+  return {{"pieces_body_ahead.hex", pieces, again, ""}};
+}
+
+std::vector<Case> allCases() {
+  std::vector<Case> all;
+  for (const auto& part : {consensusCases(), frameCases(), pieceCases(), diskCases(), snapshotCases(),
+                           snapshotFormat1Cases(), writeCases(), hintCases()})
+    all.insert(all.end(), part.begin(), part.end());
+  return all;
+}
+std::string testName(const testing::TestParamInfo<Case>& info) {
+  return info.param.name();
+}
+class GoldenBytes : public testing::TestWithParam<Case> {};
+}  // namespace
+
+TEST_P(GoldenBytes, AreWrittenAndReadAsStored) {
+  golden::check(GetParam());
+}
+INSTANTIATE_TEST_SUITE_P(All, GoldenBytes, testing::ValuesIn(allCases()), testName);
+
+TEST(GoldenFiles, EveryFileHasATest) {
+  std::set<std::string> tested{"core_closures.json", "core_status.json"};  // golden_calls_test.cpp
+  for (const auto& each : allCases())
+    tested.insert(each.file);
+  for (const auto& file : golden::files())
+    EXPECT_TRUE(tested.contains(file) || file.starts_with("calls_")) << file;
+}
+TEST(GoldenFiles, EveryMessageTypeHasAFrame) {
+  std::set<MessageType> framed;
+  for (const auto& each : frameCases())
+    if (const auto envelope = onlyEnvelopeIn(each.encode()))
+      framed.insert(envelope->type);
+  EXPECT_EQ(framed.size(), static_cast<std::size_t>(kLastMessageType));
+}
+TEST(GoldenFiles, EveryConsensusMessageIsStored) {
+  std::set<std::size_t> stored;
+  for (const auto& each : consensusCases())
+    if (const auto message = decodeMessage(each.encode()))
+      stored.insert(message->index());
+  EXPECT_EQ(stored.size(), std::variant_size_v<ConsensusMessage>);
+}
