--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -78,19 +78,19 @@
     return 2;
   }
   const std::string kind = args[2];
-  auto text = zc::readFile(args[3]);
+  auto text = zinccleat::config::readFile(args[3]);
   std::string wrong;
   if (!text)
-    wrong = text.error().text;
+    wrong = text.error().message;
   else if (kind == "settings") {
-    if (auto s = zc::parseSettings(*text); !s)
-      wrong = s.error().text;
+    if (auto s = zinccleat::config::parseSettings(*text); !s)
+      wrong = s.error().message;
   } else if (kind == "configuration") {
-    if (auto c = zc::parseConfiguration(*text); !c)
-      wrong = c.error().text;
+    if (auto c = zinccleat::config::parseConfiguration(*text); !c)
+      wrong = c.error().message;
   } else if (kind == "runbook") {
-    if (auto b = zc::parseRunbook(*text, zc::sampleValues(*text)); !b)
-      wrong = b.error().text;
+    if (auto b = zinccleat::operations::parseRunbook(*text, zinccleat::operations::sampleValues(*text)); !b)
+      wrong = b.error().message;
   } else {
     std::fprintf(stderr, "zinccleat check: unknown kind '%s'\n", kind.c_str());
     return 2;
@@ -128,7 +128,7 @@
   const std::vector<std::string> rest(
       args.begin() + std::min<std::ptrdiff_t>(2, static_cast<std::ptrdiff_t>(args.size())), args.end());
   if (sub == "status")
-    quit(zc::statusCommand(rest, absl::GetFlag(FLAGS_json)));
+    quit(zinccleat::operations::statusCommand(rest, absl::GetFlag(FLAGS_json)));
   if (sub == "runbook") {
     if (rest.size() != 1) {
       std::fprintf(stderr, "zinccleat runbook: wants one FILE\n");
@@ -139,7 +139,7 @@
       std::replace(s.begin(), s.end(), '+', ',');
     // A bare name means one of those that come with the program.
     const auto file = rest[0].find_first_of("./") == std::string::npos ? "runbooks/" + rest[0] + ".run" : rest[0];
-    quit(zc::runbookCommand(file, sets, absl::GetFlag(FLAGS_dry)));
+    quit(zinccleat::operations::runbookCommand(file, sets, absl::GetFlag(FLAGS_dry)));
   }
   if (sub == "trial") {
     const int seconds = absl::GetFlag(FLAGS_seconds);
@@ -147,17 +147,17 @@
       std::fprintf(stderr, "zinccleat trial: --seconds is 3 to 600\n");
       return 2;
     }
-    quit(zc::trial("/proc/self/exe", seconds));
+    quit(zinccleat::simulation::trial("/proc/self/exe", seconds));
   }
   if (sub == "scale-run") {
-    auto text = rest.empty() ? zc::Outcome<std::string>("{}") : zc::readFile(rest[0]);
-    auto plan = text ? zc::parsePlan(*text, absl::GetFlag(FLAGS_set))
-                     : zc::Outcome<zc::ScaleRunPlan>(tl::unexpected(text.error()));
+    auto text = rest.empty() ? zinccleat::Result<std::string>("{}") : zinccleat::config::readFile(rest[0]);
+    auto plan = text ? zinccleat::simulation::parsePlan(*text, absl::GetFlag(FLAGS_set))
+                     : zinccleat::Result<zinccleat::simulation::ScaleRunPlan>(tl::unexpected(text.error()));
     if (!plan) {
-      std::fprintf(stderr, "zinccleat scale-run: %s\n", plan.error().text.c_str());
+      std::fprintf(stderr, "zinccleat scale-run: %s\n", plan.error().message.c_str());
       return 2;
     }
-    quit(zc::runAtScale(*plan, "/proc/self/exe", absl::GetFlag(FLAGS_json)));
+    quit(zinccleat::simulation::runAtScale(*plan, "/proc/self/exe", absl::GetFlag(FLAGS_json)));
   }
   if (sub != "proxy" && sub != "agent" && sub != "controller") {
     std::fprintf(stderr, "zinccleat: unknown subcommand '%s'\n%s\n", sub.c_str(), kUsage);
@@ -165,14 +165,16 @@
   }
   auto path = absl::GetFlag(FLAGS_settings);
   if (path.empty())
-    path = zc::settingsPath();
-  auto s = zc::loadSettings(path);
+    path = zinccleat::config::settingsPath();
+  auto s = zinccleat::config::loadSettings(path);
   if (!s) {
-    std::fprintf(stderr, "zinccleat %s: %s\n", sub.c_str(), s.error().text.c_str());
+    std::fprintf(stderr, "zinccleat %s: %s\n", sub.c_str(), s.error().message.c_str());
     return 2;
   }
-  zc::ring::name(s->node + "/" + sub);
-  zc::ring::verbose(absl::GetFlag(FLAGS_verbose));
-  const int rc = sub == "proxy" ? zc::runProxy(*s) : sub == "agent" ? zc::runAgent(*s) : zc::runController(*s);
+  zinccleat::log::setNodeName(s->node + "/" + sub);
+  zinccleat::log::setVerbose(absl::GetFlag(FLAGS_verbose));
+  const int rc = sub == "proxy"   ? zinccleat::proxy_daemon::runProxy(*s)
+                 : sub == "agent" ? zinccleat::agent::runAgent(*s)
+                                  : zinccleat::controller::runController(*s);
   quit(rc);
 }
--- a/libs/agent/include/agent/port.hpp
+++ b/libs/agent/include/agent/port.hpp
@@ -1,4 +1,4 @@
 #pragma once
-namespace zc {
-constexpr int kTenderPort = 1;  // where the agent listens for its proxy: an offset into the internal ports
+namespace zinccleat::agent {
+constexpr int kAgentPortOffset = 1;  // where the agent listens for its proxy: an offset into the internal ports
 }
--- a/libs/agent/src/agent.cpp
+++ b/libs/agent/src/agent.cpp
@@ -12,7 +12,7 @@
 #include "transport/partial_view.hpp"
 #include "transport/peer_link.hpp"
 
-namespace zc {
+namespace zinccleat::agent {
 namespace {
 constexpr auto kState = 1000ms;  // a state message when nothing else was response
 constexpr auto kRefetch = 150ms;
@@ -28,34 +28,36 @@
 
 class Agent {
  public:
-  explicit Agent(const Settings& s) : s_(s), self_(s.ip + "#agent"), view_(s.ip + "/access", kView, drawSeed()) {}
+  explicit Agent(const config::Settings& s)
+      : s_(s), self_(s.ip + "#agent"), view_(s.ip + "/access", kView, randomSeed()) {}
 
-  Outcome<void> start() {
+  Result<void> start() {
     for (auto& x : s_.seeds)
       view_.add(hostOf(x) + "/core");
-    auto ep = parseEndpoint("127.0.0.1:" + std::to_string(s_.portFirst + kTenderPort));
+    auto ep = runtime::parseEndpoint("127.0.0.1:" + std::to_string(s_.portFirst + kAgentPortOffset));
     if (!ep)
       return tl::unexpected(ep.error());
-    auto ok = listen(*ep, [this](tcp::socket sock) {
-      auto l = std::make_shared<PeerLink>(
-          std::move(sock), [this](const PeerLinkPtr& link, const Envelope& envelope) { onProxy(link, envelope); },
-          [](const PeerLinkPtr&) {});
+    auto ok = transport::listen(*ep, [this](tcp::socket sock) {
+      auto l = std::make_shared<transport::PeerLink>(
+          std::move(sock),
+          [this](const transport::PeerLinkPtr& link, const transport::Envelope& envelope) { onProxy(link, envelope); },
+          [](const transport::PeerLinkPtr&) {});
       l->start();
     });
     if (!ok)
       return ok;
     chooseLinks();
-    EventLoop::get().every(kLinksEvery, [this] { chooseLinks(); });
-    EventLoop::get().every(kState, [this] {
+    runtime::EventLoop::get().callEvery(kLinksEvery, [this] { chooseLinks(); });
+    runtime::EventLoop::get().callEvery(kState, [this] {
       for (auto& [ip, m] : dialers_)
         m->send(stateMessage());
       receipts_ = 0;
     });
-    EventLoop::get().every(kRefetch, [this] { refetch(false); });
+    runtime::EventLoop::get().callEvery(kRefetch, [this] { refetch(false); });
     return {};
   }
   bool feedsProxy() const { return proxy_ && proxy_->open(); }
-  void reread(const Settings& s) {
+  void reread(const config::Settings& s) {
     s_.seeds = s.seeds;
     for (auto& x : s_.seeds)
       view_.add(hostOf(x) + "/core");
@@ -63,12 +65,12 @@
   }
 
  private:
-  Envelope stateMessage() {
-    AgentState state;
-    state.appliedNumber = queue_.applied();
+  transport::Envelope stateMessage() {
+    transport::AgentState state;
+    state.lastApplied = queue_.applied();
     if (++states_ % kViewEvery == 1)
       state.view = view_.sample();
-    return pack(state, self_);
+    return transport::pack(state, self_);
   }
   // Links go to the leader and to a few other members, each node's own choice, so that their number does not grow
   // with the core; while none is up, to every member and every core machine ever heard of.
@@ -77,17 +79,17 @@
     auto others = voters_;
     std::sort(others.begin(), others.end(), [this](auto& a, auto& b) { return hash64(a, rank_) > hash64(b, rank_); });
     if (!leader_.empty())
-      want.insert(addressOf(leader_));
+      want.insert(consensus::addressOf(leader_));
     for (auto& x : others)
       if (want.size() < kOthers + 1)
-        want.insert(addressOf(x));
+        want.insert(consensus::addressOf(x));
     bool up = false;
     for (auto& [ip, m] : dialers_)
       up = up || (m->up() && want.contains(ip));
     // Why also without a lease: those we know may all be on the smaller side of a cut.
     if (want.empty() || !up || Clock::now() - lastLease_ > kNoLease) {
       for (auto& x : voters_)
-        want.insert(addressOf(x));
+        want.insert(consensus::addressOf(x));
       for (auto& x : s_.seeds)
         want.insert(hostOf(x));
       for (auto& n : view_.all())
@@ -97,14 +99,15 @@
     for (auto& ip : want) {
       if (dialers_.contains(ip))
         continue;
-      auto ep = parseEndpoint(ip + ":" + std::to_string(s_.portFirst));
+      auto ep = runtime::parseEndpoint(ip + ":" + std::to_string(s_.portFirst));
       if (!ep)
         continue;
-      dialers_[ip] = std::make_unique<Dialer>(
-          *ep, [this](const PeerLinkPtr& link, const Envelope& envelope) { onCore(link, envelope); },
-          [this, ip](const PeerLinkPtr& l) {
+      dialers_[ip] = std::make_unique<transport::Dialer>(
+          *ep,
+          [this](const transport::PeerLinkPtr& link, const transport::Envelope& envelope) { onCore(link, envelope); },
+          [this, ip](const transport::PeerLinkPtr& l) {
             l->send(stateMessage());
-            if (ip == addressOf(leader_))
+            if (ip == consensus::addressOf(leader_))
               follow(l, false);
           });
     }
@@ -114,19 +117,19 @@
       else
         ++it;
   }
-  Dialer* toLeader() {
+  transport::Dialer* toLeader() {
     if (leader_.empty())
       return nullptr;
-    const auto it = dialers_.find(addressOf(leader_));
+    const auto it = dialers_.find(consensus::addressOf(leader_));
     return it == dialers_.end() ? nullptr : it->second.get();
   }
-  void follow(const PeerLinkPtr& link, bool refetch) {
-    FollowLog message;
+  void follow(const transport::PeerLinkPtr& link, bool refetch) {
+    transport::FollowLog message;
     // A copy that a difference did not fit asks for all of it.
-    message.appliedNumber = copy_.damaged() ? 0 : queue_.applied();
-    message.heldDigest = copy_.state().digest;
+    message.lastApplied = copy_.damaged() ? 0 : queue_.applied();
+    message.cachedDigest = copy_.state().digest;
     message.refetch = refetch;
-    link->send(pack(message, self_));
+    link->send(transport::pack(message, self_));
     lastFollow_ = Clock::now();
     following_ = true;
   }
@@ -140,29 +143,32 @@
     if (auto* m = toLeader(); m && m->up())
       follow(m->link(), true);
   }
-  void onCore(const PeerLinkPtr& link, const Envelope& envelope) {
+  void onCore(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
     if (!envelope.sender.empty())
-      view_.add(addressOf(envelope.sender) + "/core");
-    receive<ClusterStanding>(link, envelope, [this](const ClusterStanding& standing) { onStanding(standing); });
-    receive<FeedEntries>(link, envelope, [&](FeedEntries feed) {
+      view_.add(consensus::addressOf(envelope.sender) + "/core");
+    transport::receive<transport::ClusterStatus>(
+        link, envelope, [this](const transport::ClusterStatus& standing) { onStanding(standing); });
+    transport::receive<transport::FeedEntries>(link, envelope, [&](transport::FeedEntries feed) {
       if (feed.term >= term_)  // else fenced: a leader of an older term
         onEntries(link, std::move(feed));
     });
-    receive<FeedSnapshot>(link, envelope, [&](const FeedSnapshot& feed) {
+    transport::receive<transport::FeedSnapshot>(link, envelope, [&](const transport::FeedSnapshot& feed) {
       if (feed.term >= term_)
         onSnapshot(link, feed);
     });
-    receive<BodyAhead>(link, envelope, [this](BodyAhead ahead) {
+    transport::receive<transport::BodyAhead>(link, envelope, [this](transport::BodyAhead ahead) {
       queue_.body(ahead.digest, std::move(ahead.body));
       drain();
     });
-    receive<LeaseAnswer>(link, envelope, [this](const LeaseAnswer& answer) { onLease(answer); });
-    const bool forProxy = envelope.type == MessageType::leaseAnswer || envelope.type == MessageType::quotaDrawn ||
-                          envelope.type == MessageType::openingAnswer;
+    transport::receive<transport::LeaseResponse>(link, envelope,
+                                                 [this](const transport::LeaseResponse& answer) { onLease(answer); });
+    const bool forProxy = envelope.type == transport::MessageType::leaseResponse ||
+                          envelope.type == transport::MessageType::quotaTokenResponse ||
+                          envelope.type == transport::MessageType::prefixLookupResponse;
     if (forProxy && feedsProxy())
       proxy_->send(envelope);
   }
-  void onStanding(const ClusterStanding& standing) {
+  void onStanding(const transport::ClusterStatus& standing) {
     view_.merge(standing.view);
     if (standing.term < term_)
       return;
@@ -174,7 +180,7 @@
     }
     if (newLeader) {
       leader_ = standing.leader;
-      ring::note("follows " + leader_ + " in term " + std::to_string(term_));
+      log::debug("follows " + leader_ + " in term " + std::to_string(term_));
       following_ = false;
       chooseLinks();
     }
@@ -183,19 +189,19 @@
     if (auto* dialer = toLeader(); dialer && dialer->up())
       follow(dialer->link(), false);
   }
-  void onEntries(const PeerLinkPtr& link, FeedEntries feed) {
+  void onEntries(const transport::PeerLinkPtr& link, transport::FeedEntries feed) {
     for (auto& entry : feed.entries)
       queue_.offer(std::move(entry));
-    newest_ = std::max(newest_, feed.newestNumber);
+    newest_ = std::max(newest_, feed.newestIndex);
     drain();
     countReceipt(link);
   }
-  void onSnapshot(const PeerLinkPtr& link, const FeedSnapshot& feed) {
+  void onSnapshot(const transport::PeerLinkPtr& link, const transport::FeedSnapshot& feed) {
     // Never back in number.
     if (feed.number < queue_.applied() || (feed.number == queue_.applied() && !copy_.damaged()))
       return;
     if (auto restored = copy_.restore(feed.state); !restored) {
-      ring::alarm("snapshot declined: " + restored.error().text);
+      log::error("snapshot declined: " + restored.error().message);
       copy_.damage();
       return refetch(true);
     }
@@ -207,25 +213,25 @@
     drain();
     countReceipt(link);
   }
-  void countReceipt(const PeerLinkPtr& link) {
+  void countReceipt(const transport::PeerLinkPtr& link) {
     if (++receipts_ < kStateAfter)
       return;
     link->send(stateMessage());
     receipts_ = 0;
   }
-  void onLease(const LeaseAnswer& answer) {
+  void onLease(const transport::LeaseResponse& answer) {
     if (!answer.granted)
       return;
-    newest_ = std::max(newest_, answer.commitNumber);
+    newest_ = std::max(newest_, answer.commitIndex);
     lastLease_ = Clock::now();
-    if (queue_.applied() < answer.commitNumber)
+    if (queue_.applied() < answer.commitIndex)
       refetch(true);
   }
   void drain() {
-    std::vector<Entry> fresh;
+    std::vector<transport::LogEntry> fresh;
     while (auto e = queue_.next()) {
       if (copy_.apply(*e).damaged)
-        ring::alarm("a difference did not fit: the whole is asked for"), refetch(true);
+        log::error("a difference did not fit: the whole is asked for"), refetch(true);
       tail_.push_back(*e);
       if (tail_.size() > kTail)
         tail_.pop_front();
@@ -233,93 +239,95 @@
     }
     if (fresh.empty() || !feedsProxy())
       return;
-    FeedEntries feed;
-    feed.newestNumber = queue_.applied();
+    transport::FeedEntries feed;
+    feed.newestIndex = queue_.applied();
     feed.entries = std::move(fresh);
-    proxy_->send(pack(feed));
+    proxy_->send(transport::pack(feed));
     proxyHolds_ = copy_.state().digest;
   }
   void sendSnapshot() {
-    FeedSnapshot feed;
-    feed.number = copy_.state().num;
+    transport::FeedSnapshot feed;
+    feed.number = copy_.state().index;
     feed.state = copy_.snapshotFor(proxyHolds_);
-    proxy_->send(pack(feed));
+    proxy_->send(transport::pack(feed));
     proxyHolds_ = copy_.state().digest;
   }
-  void onProxy(const PeerLinkPtr& link, const Envelope& envelope) {
-    receive<FollowLog>(link, envelope, [&](const FollowLog& message) { onFollow(link, message); });
-    const bool forLeader = envelope.type == MessageType::leaseQuestion || envelope.type == MessageType::quotaDraw ||
-                           envelope.type == MessageType::openingQuestion;
+  void onProxy(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+    transport::receive<transport::FollowLog>(link, envelope,
+                                             [&](const transport::FollowLog& message) { onFollow(link, message); });
+    const bool forLeader = envelope.type == transport::MessageType::leaseRequest ||
+                           envelope.type == transport::MessageType::quotaTokenRequest ||
+                           envelope.type == transport::MessageType::prefixLookupRequest;
     if (!forLeader)
       return;
     auto* leader = toLeader();
     if (!leader || !leader->up())
-      return link->send(pack(ClusterStanding{}));  // a sign of life: there is nobody to ask
+      return link->send(transport::pack(transport::ClusterStatus{}));  // a sign of life: there is nobody to ask
     auto passedOn = envelope;
     passedOn.sender = self_;
     leader->send(passedOn);
   }
-  void onFollow(const PeerLinkPtr& link, const FollowLog& message) {
+  void onFollow(const transport::PeerLinkPtr& link, const transport::FollowLog& message) {
     if (proxy_ && proxy_ != link)
       proxy_->end();
     proxy_ = link;
-    proxyHolds_ = message.heldDigest;
+    proxyHolds_ = message.cachedDigest;
     if (message.refetch)  // it asks for all of it
       return copy_.damaged() ? void() : sendSnapshot();
-    FeedEntries feed;
+    transport::FeedEntries feed;
     for (auto& entry : tail_)
-      if (entry.num > message.appliedNumber)
+      if (entry.index > message.lastApplied)
         feed.entries.push_back(entry);
-    const bool behind = message.appliedNumber < queue_.applied();
-    const bool tailReaches = !feed.entries.empty() && feed.entries.front().num == message.appliedNumber + 1;
+    const bool behind = message.lastApplied < queue_.applied();
+    const bool tailReaches = !feed.entries.empty() && feed.entries.front().index == message.lastApplied + 1;
     if (behind && !tailReaches)
       return sendSnapshot();
-    feed.newestNumber = queue_.applied();
+    feed.newestIndex = queue_.applied();
     proxyHolds_ = copy_.state().digest;
-    link->send(pack(feed));
+    link->send(transport::pack(feed));
   }
 
-  Settings s_;
+  config::Settings s_;
   std::string self_;
-  PartialView view_;
-  std::map<std::string, std::unique_ptr<Dialer>> dialers_;
+  transport::PartialView view_;
+  std::map<std::string, std::unique_ptr<transport::Dialer>> dialers_;
   std::vector<std::string> voters_;
   std::string leader_;
   std::int64_t term_ = 0, newest_ = 0;
-  Instant lastFollow_{}, lastLease_{};
-  const std::uint64_t rank_ = drawSeed();
+  TimePoint lastFollow_{}, lastLease_{};
+  const std::uint64_t rank_ = randomSeed();
   bool following_ = false;
   int receipts_ = 0, states_ = 0;
-  Queue queue_;
-  ReplicatedState copy_;
-  std::deque<Entry> tail_;
-  PeerLinkPtr proxy_;
+  consensus::EntryQueue queue_;
+  state_machine::ReplicatedState copy_;
+  std::deque<transport::LogEntry> tail_;
+  transport::PeerLinkPtr proxy_;
   std::string proxyHolds_;  // digest of the configuration that the proxy has, once it has read what was sent
 };
 }  // namespace
 
-int runAgent(const Settings& s) {
-  EventLoop loop;
+int runAgent(const config::Settings& s) {
+  runtime::EventLoop loop;
   Agent t(s);
   if (auto r = t.start(); !r) {
-    ring::say("agent: " + r.error().text);
+    log::info("agent: " + r.error().message);
     return 1;
   }
-  watchLifecycle(settingsPath(), {[&] {
-                                    // The proxy ends its work inside the grace; the agent outlasts it.
-                                    const auto end = Clock::now() + s.timers.grace * 9 / 10;
-                                    loop.every(100ms, [&, end] {
-                                      if (Clock::now() >= end || !t.feedsProxy())
-                                        loop.stop();
-                                    });
-                                  },
-                                  [&] {
-                                    if (auto n = loadSettings(settingsPath()))
-                                      t.reread(*n);
-                                    else
-                                      ring::alarm(n.error().text);
-                                  }});
+  runtime::watchLifecycle(config::settingsPath(), {[&] {
+                                                     // The proxy ends its work inside the grace; the agent outlasts it.
+                                                     const auto end = Clock::now() + s.timers.grace * 9 / 10;
+                                                     loop.callEvery(100ms, [&, end] {
+                                                       if (Clock::now() >= end || !t.feedsProxy())
+                                                         loop.stop();
+                                                     });
+                                                   },
+                                                   [&] {
+                                                     if (auto n = config::loadSettings(config::settingsPath()))
+                                                       t.reread(*n);
+                                                     else
+                                                       log::error(n.error().message);
+                                                   }});
   loop.run();
   return 0;
 }
-}  // namespace zc
+}  // namespace zinccleat::agent
--- a/libs/balancing/include/balancing/admission.hpp
+++ b/libs/balancing/include/balancing/admission.hpp
@@ -3,22 +3,22 @@
 // Pure.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::balancing {
 class AdmissionControl {
  public:
   // The first event of an answer came, this much of its aim after the request (or the aim went by without one).
-  void first(const std::string& service, bool late, Instant now);
+  void first(const std::string& service, bool late, TimePoint now);
   // draw: 0 to 1. Ranks under 5 go before those above; nobody is turned away beyond three in four.
-  bool allows(const std::string& service, int precedence, double draw, Instant now);
+  bool allows(const std::string& service, int precedence, double draw, TimePoint now);
   double level(const std::string& service) const;
 
  private:
   struct ServiceLoad {
     double level = 0;
     int late = 0, all = 0;
-    Instant at{};
+    TimePoint at{};
   };
-  void turn(ServiceLoad& s, Instant now);
+  void turn(ServiceLoad& s, TimePoint now);
   std::unordered_map<std::string, ServiceLoad> loads_;
 };
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/include/balancing/budget.hpp
+++ b/libs/balancing/include/balancing/budget.hpp
@@ -3,13 +3,13 @@
 // however many they are; what is saved beyond that comes from the window's slack, which all nodes share.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::balancing {
 class Budget {
  public:
   // ratio: earned a request, below the rule's own. fresh: how long that lasts, at most a quarter of the rule's window.
-  Budget(double ratio, Span fresh) : ratio_(ratio), slot_(fresh / kSlots) {}
-  void earn(const std::string& service, Instant now);
-  bool spend(const std::string& service, Instant now);
+  Budget(double ratio, Duration fresh) : ratio_(ratio), slot_(fresh / kSlots) {}
+  void earn(const std::string& service, TimePoint now);
+  bool spend(const std::string& service, TimePoint now);
   // This node's part of the slack: 0 until it is known how many share it. Where it is under one, as many nodes as it
   // allows save one and the others none; draw (0 to 1) is the node's own, drawn once.
   void share(double most, double draw);
@@ -21,9 +21,9 @@
     double earned[kSlots] = {};
     std::int64_t turn = 0;  // the slot of the newest
   };
-  TokenBucket& at(const std::string& service, Instant now);
+  TokenBucket& at(const std::string& service, TimePoint now);
   double ratio_, most_ = 0;
-  Span slot_;
+  Duration slot_;
   std::unordered_map<std::string, TokenBucket> buckets_;
 };
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/include/balancing/runner_observer.hpp
+++ b/libs/balancing/include/balancing/runner_observer.hpp
@@ -3,21 +3,21 @@
 // (controller/outliers). Judged against peers, never against a figure from the configuration. Pure.
 #pragma once
 #include "transport/messages.hpp"
-namespace zc {
+namespace zinccleat::balancing {
 class RunnerObserver {
  public:
   // The answer to a prompt of so many tokens (0: none) began after `took`. True: no slower than peers are.
   // blamed: it was counted as slow while it was waited for.
-  bool began(const std::string& runner, const std::string& service, std::int64_t tokens, Span took,
+  bool began(const std::string& runner, const std::string& service, std::int64_t tokens, Duration took,
              bool blamed = false);
   void failed(const std::string& runner) { seen_[runner].bad += 1; }
   void slow(const std::string& runner) { seen_[runner].bad += slowWeight; }
   // Of a slow answer, beside one that failed: a queue explains some of it.
   static constexpr double slowWeight = 0.5;
   // Beyond this a runner that still says nothing is counted as slow. Max: too few answers seen to tell.
-  Span patience(const std::string& service, std::int64_t tokens) const;
+  Duration patience(const std::string& service, std::int64_t tokens) const;
   // Since the last call: runner, attempts that went well, that did not; at most `most` of them, the worst first.
-  std::vector<Grant> report(std::size_t most);
+  std::vector<transport::Grant> report(std::size_t most);
 
  private:
   struct Seen {
@@ -31,4 +31,4 @@
   std::unordered_map<std::string, Seen> seen_;
   std::unordered_map<std::string, Usual> usual_;
 };
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/admission.cpp
+++ b/libs/balancing/src/admission.cpp
@@ -1,6 +1,6 @@
 #include "balancing/admission.hpp"
 
-namespace zc {
+namespace zinccleat::balancing {
 namespace {
 constexpr auto kTurn = 150ms;
 constexpr int kFew = 6;          // fewer answers than this say nothing
@@ -8,7 +8,7 @@
 constexpr double kCalm = 0.25;   // this share late: fewer
 constexpr double kUp = 0.12, kDown = 0.03, kMost = 0.75;
 }  // namespace
-void AdmissionControl::turn(ServiceLoad& s, Instant now) {
+void AdmissionControl::turn(ServiceLoad& s, TimePoint now) {
   if (now - s.at < kTurn)
     return;
   // Why slowly down: whoever was turned away comes back.
@@ -26,13 +26,13 @@
     s.at = now;
   }
 }
-void AdmissionControl::first(const std::string& service, bool late, Instant now) {
+void AdmissionControl::first(const std::string& service, bool late, TimePoint now) {
   auto& s = loads_[service];
   ++s.all;
   s.late += late;
   turn(s, now);
 }
-bool AdmissionControl::allows(const std::string& service, int precedence, double draw, Instant now) {
+bool AdmissionControl::allows(const std::string& service, int precedence, double draw, TimePoint now) {
   auto& s = loads_[service];
   turn(s, now);
   if (s.level <= 0)
@@ -44,4 +44,4 @@
   const auto it = loads_.find(service);
   return it == loads_.end() ? 0 : it->second.level;
 }
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/budget.cpp
+++ b/libs/balancing/src/budget.cpp
@@ -2,8 +2,8 @@
 
 #include <cmath>
 
-namespace zc {
-Budget::TokenBucket& Budget::at(const std::string& service, Instant now) {
+namespace zinccleat::balancing {
+Budget::TokenBucket& Budget::at(const std::string& service, TimePoint now) {
   auto& p = buckets_[service];
   const auto turn = now.time_since_epoch() / std::chrono::duration_cast<Clock::duration>(slot_);
   if (turn - p.turn > kSlots)
@@ -17,11 +17,11 @@
   p.saved = std::min(p.saved, most_);
   return p;
 }
-void Budget::earn(const std::string& s, Instant now) {
+void Budget::earn(const std::string& s, TimePoint now) {
   auto& p = at(s, now);
   p.earned[p.turn % kSlots] += ratio_;
 }
-bool Budget::spend(const std::string& s, Instant now) {
+bool Budget::spend(const std::string& s, TimePoint now) {
   auto& p = at(s, now);
   double all = p.saved;
   for (double e : p.earned)
@@ -41,4 +41,4 @@
 void Budget::share(double most, double draw) {
   most_ = most >= 1 ? most : draw < most ? 1 : 0;
 }
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/partner.cpp
+++ b/libs/balancing/src/partner.cpp
@@ -1,10 +1,10 @@
 #include "balancing/partner.hpp"
 
-namespace zc {
+namespace zinccleat::balancing {
 namespace {
 constexpr double kShare = 0.25, kStart = 2, kMemory = 400;
 }
-bool PartnerTrust::allows(Instant now) {
+bool PartnerTrust::allows(TimePoint now) {
   if (all_ > kMemory)
     all_ /= 2, gone_ /= 2;
   ++all_;
@@ -13,4 +13,4 @@
   ++gone_;
   return true;
 }
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/quota.cpp
+++ b/libs/balancing/src/quota.cpp
@@ -1,6 +1,6 @@
 #include "balancing/quota.hpp"
 
-namespace zc {
+namespace zinccleat::balancing {
 namespace {
 constexpr auto kBetweenDraws = 60ms;
 constexpr auto kCount = 300ms;
@@ -9,7 +9,7 @@
 bool QuotaGrants::busy(const TokenBucket& p) {
   return p.steady >= kSteady;
 }
-void QuotaGrants::drawn(const std::vector<Grant>& gs, Instant asked) {
+void QuotaGrants::drawn(const std::vector<transport::Grant>& gs, TimePoint asked) {
   for (auto& g : gs) {
     auto& p = buckets_[g.label];
     // Why from the asking: the purse counts them from its answer, which came later.
@@ -21,24 +21,24 @@
     p.heard = std::max(p.heard, asked);
   }
 }
-void QuotaGrants::loose(const std::vector<Grant>& gs, Instant now) {
+void QuotaGrants::loose(const std::vector<transport::Grant>& gs, TimePoint now) {
   heard_ = now;
   for (auto& g : gs) {
     auto& p = buckets_[g.label];
-    if (now - p.freed > looseLife)
+    if (now - p.freed > immediateTokenLifetime)
       p.free = 0;
     p.free += g.rate;
     p.freed = p.heard = now;
     p.hint = g.burst;
   }
 }
-bool QuotaGrants::take(const std::string& label, Instant now) {
+bool QuotaGrants::take(const std::string& label, TimePoint now) {
   ++buckets_[label].asked;
   return retake(label, now);
 }
-bool QuotaGrants::retake(const std::string& label, Instant now) {
+bool QuotaGrants::retake(const std::string& label, TimePoint now) {
   auto& p = buckets_[label];
-  if (now - p.freed > looseLife)
+  if (now - p.freed > immediateTokenLifetime)
     p.free = 0;
   if (now - p.told > life)
     p.tokens = 0;
@@ -49,7 +49,7 @@
   from -= 1;
   return true;
 }
-bool QuotaGrants::low(const std::string& label, Instant now) {
+bool QuotaGrants::low(const std::string& label, TimePoint now) {
   const auto& p = buckets_[label];
   if (!busy(p))
     return false;
@@ -65,25 +65,25 @@
   if (p.unasked > 0)
     --p.unasked;
 }
-std::vector<Grant> QuotaGrants::unasked() {
-  std::vector<Grant> out;
+std::vector<transport::Grant> QuotaGrants::unasked() {
+  std::vector<transport::Grant> out;
   for (auto& [l, p] : buckets_)
     if (p.unasked > 0)
       out.push_back({l, 0, static_cast<double>(std::exchange(p.unasked, 0))});
   return out;
 }
-Span QuotaGrants::hint(const std::string& label, Instant now) const {
+Duration QuotaGrants::hint(const std::string& label, TimePoint now) const {
   const auto it = buckets_.find(label);
   // Why longer without news: nobody gives tokens out just now, and a second refusal is worse than a late answer.
   const bool news = it != buckets_.end() && now - it->second.heard < 700ms;
   const double s = news ? it->second.hint : 0.5;
-  return Span(static_cast<std::int64_t>(std::clamp(s, 0.1, 1.0) * 1000));
+  return Duration(static_cast<std::int64_t>(std::clamp(s, 0.1, 1.0) * 1000));
 }
-Span QuotaGrants::until(const std::string& label) const {
+Duration QuotaGrants::until(const std::string& label) const {
   const auto it = buckets_.find(label);
-  return Span(static_cast<std::int64_t>((it == buckets_.end() ? 0.05 : it->second.hint) * 1000));
+  return Duration(static_cast<std::int64_t>((it == buckets_.end() ? 0.05 : it->second.hint) * 1000));
 }
-std::vector<Grant> QuotaGrants::demand(Instant now) {
+std::vector<transport::Grant> QuotaGrants::demand(TimePoint now) {
   const auto dt = now - counted_;
   if (dt >= kCount) {
     const double s = std::min(5.0, std::chrono::duration<double>(dt).count());
@@ -101,17 +101,17 @@
     }
     counted_ = now;
   }
-  std::vector<Grant> out;
+  std::vector<transport::Grant> out;
   for (auto& [l, p] : buckets_)
     if (busy(p))
       out.push_back({l, p.perS, 0});
   return out;
 }
-std::vector<Grant> QuotaGrants::holds(Instant now) const {
-  std::vector<Grant> out;
+std::vector<transport::Grant> QuotaGrants::holds(TimePoint now) const {
+  std::vector<transport::Grant> out;
   for (auto& [l, p] : buckets_)
     if (busy(p) && now - p.told <= life && p.tokens > 0)
       out.push_back({l, p.tokens, 0});
   return out;
 }
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/runner_observer.cpp
+++ b/libs/balancing/src/runner_observer.cpp
@@ -3,7 +3,7 @@
 #include <bit>
 #include <cmath>
 
-namespace zc {
+namespace zinccleat::balancing {
 namespace {
 constexpr int kFew = 6;           // answers before anything is called usual
 constexpr double kFarSlower = 3;  // times the usual, and
@@ -14,15 +14,15 @@
 int RunnerObserver::bucketOf(std::int64_t tokens) {
   return std::min(23, static_cast<int>(std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(0, tokens)))));
 }
-Span RunnerObserver::patience(const std::string& service, std::int64_t tokens) const {
+Duration RunnerObserver::patience(const std::string& service, std::int64_t tokens) const {
   const auto it = usual_.find(service);
   const int b = bucketOf(tokens);
   if (it == usual_.end() || it->second.count[b] < kFew)
-    return Span::max();
+    return Duration::max();
   const auto& u = it->second;
-  return Span(static_cast<std::int64_t>(std::max(u.ms[b] * kFarSlower + kGrain, u.ms[b] + kSpreads * u.spread[b])));
+  return Duration(static_cast<std::int64_t>(std::max(u.ms[b] * kFarSlower + kGrain, u.ms[b] + kSpreads * u.spread[b])));
 }
-bool RunnerObserver::began(const std::string& runner, const std::string& service, std::int64_t tokens, Span took,
+bool RunnerObserver::began(const std::string& runner, const std::string& service, std::int64_t tokens, Duration took,
                            bool blamed) {
   const bool slow = took > patience(service, tokens);
   auto& u = usual_[service];
@@ -46,8 +46,8 @@
     s.good += 1;
   return !slow;
 }
-std::vector<Grant> RunnerObserver::report(std::size_t most) {
-  std::vector<Grant> out;
+std::vector<transport::Grant> RunnerObserver::report(std::size_t most) {
+  std::vector<transport::Grant> out;
   for (auto& [id, s] : seen_)
     out.push_back({id, s.good, s.bad});
   seen_.clear();
@@ -56,4 +56,4 @@
     out.resize(most);
   return out;
 }
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-namespace zc {
+namespace zinccleat::balancing {
 namespace {
 constexpr auto kReportLife = 1500ms;    // older news of a load counts for nothing
 constexpr double kReadAgain = 4;        // how much dearer a part read again is than the same prompt waiting
@@ -10,7 +10,7 @@
 constexpr double kOtherZone = 700;      // in tokens
 constexpr double kOtherRegion = 30000;  // in tokens: far away, so only when the near ones are clearly busy
 }  // namespace
-void RunnerPool::follow(const std::vector<Runner>& runners) {
+void RunnerPool::follow(const std::vector<state_machine::Runner>& runners) {
   for (auto& d : runners_)
     d.present = false;
   for (auto& r : runners) {
@@ -34,22 +34,22 @@
     d.address = r.address;
     d.zone = r.zone;
     d.capacity = static_cast<int>(r.capacity);
-    d.draining = r.at() == RunnerState::draining;
+    d.draining = r.at() == state_machine::RunnerState::draining;
     d.present = true;
   }
-  setClosing(std::move(closing_));
+  setZoneDrains(std::move(zoneDrains_));
   for (auto it = byId_.begin(); it != byId_.end();)
     if (!runners_[it->second].present)
       it = byId_.erase(it);
     else
       ++it;
 }
-void RunnerPool::setClosing(std::map<std::string, Closing> zones) {
-  closing_ = std::move(zones);
+void RunnerPool::setZoneDrains(std::map<std::string, ZoneDrainLevel> zones) {
+  zoneDrains_ = std::move(zones);
   for (auto& d : runners_) {
-    const auto it = closing_.find(d.zone);
-    d.closedShare = it == closing_.end() ? 0 : it->second.share;
-    d.moveStreams = it != closing_.end() && it->second.moveStreams;
+    const auto it = zoneDrains_.find(d.zone);
+    d.drainPercent = it == zoneDrains_.end() ? 0 : it->second.share;
+    d.migrateStreams = it != zoneDrains_.end() && it->second.migrateStreams;
   }
 }
 int RunnerPool::inFlightIn(const std::set<std::string>& zones) const {
@@ -59,7 +59,7 @@
       n += d.inFlight;
   return n;
 }
-void RunnerPool::loadReported(int i, std::string_view load, Instant now) {
+void RunnerPool::loadReported(int i, std::string_view load, TimePoint now) {
   int v[3] = {0, 0, 0};
   const char* p = load.data();
   const char* e = p + load.size();
@@ -81,7 +81,7 @@
   d.unreadAtReport = d.unread;
   d.reportedAt = now;
 }
-double RunnerPool::load(int i, Instant now) const {
+double RunnerPool::load(int i, TimePoint now) const {
   const auto& d = runners_[static_cast<std::size_t>(i)];
   const double slots = std::max(1, d.reportedSlots > 0 ? d.reportedSlots : d.capacity);
   double n = d.inFlight;
@@ -89,7 +89,7 @@
     n = std::max<double>(d.inFlight, d.reportedRunning + d.reportedWaiting + (d.inFlight - d.inFlightAtReport));
   return n / slots;
 }
-void RunnerPool::recordFailure(int i, Instant now) {
+void RunnerPool::recordFailure(int i, TimePoint now) {
   auto& d = at(i);
   d.failures = std::min(d.failures + 1, 4);
   d.backoffUntil = now + 300ms * (1 << d.failures);
@@ -107,14 +107,14 @@
   --d.unread;
   d.unreadTokens -= tokens;
 }
-void RunnerPool::setEjected(const std::vector<Grant>& runners) {
+void RunnerPool::setEjected(const std::vector<transport::Grant>& runners) {
   for (auto& d : runners_)
     d.ejected = 0;
   for (auto& g : runners)
     if (const auto it = byId_.find(g.label); it != byId_.end())
       runners_[static_cast<std::size_t>(it->second)].ejected = g.rate;
 }
-int RunnerPool::choose(const RunnerQuery& query, Instant now) {
+int RunnerPool::choose(const RunnerQuery& query, TimePoint now) {
   std::vector<int> good;
   std::vector<int> shunned;
   std::vector<int> closing;
@@ -132,7 +132,7 @@
     // Why so few, and only what may be repeated: whoever returns from an illness is not proven well yet.
     else if (d.ejected >= 1 || (d.ejected > 0 && (!query.repeatable || d.inFlight > 0 || rng_() % kTryOneIn)))
       shunned.push_back(i);
-    else if (turn < d.closedShare)
+    else if (turn < d.drainPercent)
       closing.push_back(i);
     else
       good.push_back(i);
@@ -151,7 +151,7 @@
 // Every node ranks the runners of a shared part alike, so the part is read at one place without a word between
 // them. Leaving that place is charged what reading the part again costs, so it happens only when the place has
 // clearly more prompts to read first.
-int RunnerPool::chooseEngine(const RunnerQuery& query, const std::vector<int>& good, Instant now) {
+int RunnerPool::chooseEngine(const RunnerQuery& query, const std::vector<int>& good, TimePoint now) {
   int home = -1;
   std::uint64_t top = 0;
   // A part's home is sought in the client's own region while that has a runner.
@@ -194,7 +194,7 @@
   // Zones that nobody has named are taken as near: a guess must not shut a runner out.
   return x == regions_.end() || y == regions_.end() || x->second == y->second;
 }
-int RunnerPool::choosePlain(const RunnerQuery& query, const std::vector<int>& good, Instant now) {
+int RunnerPool::choosePlain(const RunnerQuery& query, const std::vector<int>& good, TimePoint now) {
   int best = -1;
   double least = 0;
   for (int i : good) {
@@ -227,4 +227,4 @@
   }
   return out;
 }
-}  // namespace zc
+}  // namespace zinccleat::balancing
--- a/libs/config/include/config/calls.hpp
+++ b/libs/config/include/config/calls.hpp
@@ -1,19 +1,19 @@
 // The calls of runners, after api/control.yaml.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
-struct Beat {
+namespace zinccleat::config {
+struct RunnerHeartbeat {
   std::string id, service, address, zone;
   std::int64_t capacity = 0, sequence = 0, warmupLeftMs = 0;
   bool draining = false;
 };
-Outcome<Beat> parseBeat(std::string_view id, std::string_view text);
-struct ClosureCall {
+Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view text);
+struct ZoneDrainCall {
   std::string place, note;
   std::int32_t share = 0;
-  bool doorsShut = false, open = false, force = false;
+  bool notAccepting = false, open = false, force = false;
   double calmBelowPerS = 0;  // 0: no bound
 };
-Outcome<ClosureCall> parseClosure(std::string_view text);
+Result<ZoneDrainCall> parseZoneDrainCall(std::string_view text);
 std::string quoteJson(std::string_view s);
-}  // namespace zc
+}  // namespace zinccleat::config
--- a/libs/config/include/config/configuration.hpp
+++ b/libs/config/include/config/configuration.hpp
@@ -1,7 +1,7 @@
 // The operator's configuration: read in full, checked in full, or refused.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::config {
 enum class RouteType { safe, unsafe, stream };
 struct Target {
   int service = 0;  // index into Configuration::services
@@ -10,7 +10,7 @@
 struct Route {
   std::string label, authority, pathPrefix;
   RouteType type = RouteType::unsafe;
-  Span expiry{0}, aim{0}, gapTarget{0};
+  Duration expiry{0}, latencyTarget{0}, gapTarget{0};
   int precedence = 5, maxAttempts = 1;
   bool keyless = false, affinity = false, resume = false;
   std::vector<Target> targets;
@@ -32,7 +32,7 @@
 };
 struct Limits {
   std::size_t maxHeaderBytes = 16384, maxBodyBytes = 4194304;
-  Span headerTimer{3000}, idleTimer{15000};
+  Duration headerTimer{3000}, idleTimer{15000};
 };
 struct Configuration {
   std::int64_t version = 0;
@@ -45,5 +45,5 @@
   int find(std::string_view host, std::string_view path) const;  // -1: none fits
   int subscriberOf(std::string_view key) const;                  // -1: unknown
 };
-Outcome<std::shared_ptr<const Configuration>> parseConfiguration(std::string_view text);
-}  // namespace zc
+Result<std::shared_ptr<const Configuration>> parseConfiguration(std::string_view text);
+}  // namespace zinccleat::config
--- a/libs/config/include/config/json.hpp
+++ b/libs/config/include/config/json.hpp
@@ -2,7 +2,7 @@
 #include <simdjson.h>
 
 #include "runtime/common.hpp"
-namespace zc::json {
+namespace zinccleat::json {
 using Elem = simdjson::dom::element;
 using Obj = simdjson::dom::object;
 using Arr = simdjson::dom::array;
@@ -68,11 +68,11 @@
     if (e.get(out))
       blame("no true or false in", k);
   }
-  void ms(const Obj& o, std::string_view k, Span& out, double unit = 1) {
+  void ms(const Obj& o, std::string_view k, Duration& out, double unit = 1) {
     double d = -1;
     num(o, k, d);
     if (d >= 0)
-      out = Span(static_cast<std::int64_t>(d * unit));
+      out = Duration(static_cast<std::int64_t>(d * unit));
   }
   bool object(const Obj& o, std::string_view k, Obj& out, bool need = false) {
     Elem e;
@@ -95,4 +95,4 @@
     return true;
   }
 };
-}  // namespace zc::json
+}  // namespace zinccleat::json
--- a/libs/config/include/config/settings.hpp
+++ b/libs/config/include/config/settings.hpp
@@ -1,10 +1,10 @@
 // The settings file a process is told its place by.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::config {
 struct Timers {
-  Span contact{3000}, ack{4000}, drain{2000}, configApply{2000}, revoke{5000}, revertSlack{250}, lossSlack{200};
-  Span grace{8000}, sync{4000}, addressHold{2000}, quotaWindow{5000}, retryWindow{10000};
+  Duration contact{3000}, ack{4000}, drain{2000}, configApply{2000}, revoke{5000}, revertSlack{250}, lossSlack{200};
+  Duration grace{8000}, sync{4000}, addressHold{2000}, quotaWindow{5000}, retryWindow{10000};
   bool revokedFail = true;
   double retryRatio = 0.2, retrySlack = 50, quotaExcess = 0.1, quotaSlack = 20;
 };
@@ -20,14 +20,14 @@
   unsigned short portFirst = 0, portLast = 0;
   std::vector<std::string> seeds;
   bool initialAttach = false, quorumMember = false;
-  Span heartbeat{1200};
+  Duration heartbeat{1200};
   int memoryMb = 0, fdLimit = 0;
   int tolerateMachines = 1;            // `faultTolerance.machines`: members of the core that may be lost at once
   std::optional<PartnerSite> partner;  // none: no hints, in or out
   Timers timers;
 };
-Outcome<Settings> parseSettings(std::string_view text);
-Outcome<Settings> loadSettings(const std::string& path);
+Result<Settings> parseSettings(std::string_view text);
+Result<Settings> loadSettings(const std::string& path);
 std::string settingsPath();
-Outcome<std::string> readFile(const std::string& path);
-}  // namespace zc
+Result<std::string> readFile(const std::string& path);
+}  // namespace zinccleat::config
--- a/libs/config/src/calls.cpp
+++ b/libs/config/src/calls.cpp
@@ -4,14 +4,14 @@
 
 #include "config/json.hpp"
 
-namespace zc {
-Outcome<Beat> parseBeat(std::string_view id, std::string_view text) {
+namespace zinccleat::config {
+Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view text) {
   json::Text doc(text);
   json::Obj o;
   if (!doc.object(o))
-    return fault(400, "heartbeat is no JSON object");
+    return makeError(ErrorCode::invalidArgument, "heartbeat is no JSON object");
   json::Reader r;
-  Beat b;
+  RunnerHeartbeat b;
   b.id = std::string(id);
   std::string state;
   r.text(o, "targetService", b.service, true);
@@ -23,29 +23,29 @@
   r.whole(o, "warmupLeftMs", b.warmupLeftMs);
   b.draining = state == "draining";
   if (!r.wrong.empty())
-    return fault(400, "heartbeat: " + r.wrong);
+    return makeError(ErrorCode::invalidArgument, "heartbeat: " + r.wrong);
   if (b.id.empty())
-    return fault(400, "heartbeat without an id");
+    return makeError(ErrorCode::invalidArgument, "heartbeat without an id");
   return b;
 }
-Outcome<ClosureCall> parseClosure(std::string_view text) {
+Result<ZoneDrainCall> parseZoneDrainCall(std::string_view text) {
   json::Text doc(text);
   json::Obj o;
   if (!doc.object(o))
-    return fault(400, "closure is no JSON object");
+    return makeError(ErrorCode::invalidArgument, "closure is no JSON object");
   json::Reader r;
-  ClosureCall c;
+  ZoneDrainCall c;
   r.text(o, "place", c.place, true);
   r.text(o, "note", c.note);
   r.whole(o, "share", c.share);
-  r.flag(o, "doorsShut", c.doorsShut);
+  r.flag(o, "doorsShut", c.notAccepting);
   r.flag(o, "open", c.open);
   r.flag(o, "force", c.force);
   r.num(o, "calmBelowPerS", c.calmBelowPerS);
   if (c.share < 0 || c.share > 100)
     r.blame("no percentage in", "share");
   if (!r.wrong.empty())
-    return fault(400, "closure: " + r.wrong);
+    return makeError(ErrorCode::invalidArgument, "closure: " + r.wrong);
   return c;
 }
 std::string quoteJson(std::string_view s) {
@@ -64,4 +64,4 @@
   }
   return out + "\"";
 }
-}  // namespace zc
+}  // namespace zinccleat::config
--- a/libs/config/src/configuration.cpp
+++ b/libs/config/src/configuration.cpp
@@ -4,7 +4,7 @@
 
 #include "config/json.hpp"
 
-namespace zc {
+namespace zinccleat::config {
 namespace {
 std::string lower(std::string_view s) {
   std::string out(s);
@@ -51,9 +51,9 @@
     r.blame("unknown routeType", type);
   r.ms(o, "expiryMs", m.expiry);
   // Why a missing one counts as 0: a route without a time-out would be held for ever.
-  if (m.expiry <= Span{0})
+  if (m.expiry <= Duration{0})
     r.blame("no time in", "expiryMs");
-  r.ms(o, "targetLatencyMs", m.aim);
+  r.ms(o, "targetLatencyMs", m.latencyTarget);
   r.ms(o, "gapTargetMs", m.gapTarget);
   r.whole(o, "precedence", m.precedence);
   r.whole(o, "maxAttempts", m.maxAttempts);
@@ -114,15 +114,16 @@
   return it == keys.end() ? -1 : it->second;
 }
 
-Outcome<std::shared_ptr<const Configuration>> parseConfiguration(std::string_view text) {
+Result<std::shared_ptr<const Configuration>> parseConfiguration(std::string_view text) {
   simdjson::dom::parser parser;
   simdjson::padded_string padded(text);
   json::Elem doc;
   if (auto e = parser.parse(padded).get(doc))
-    return fault(400, std::string("configuration is no JSON: ") + simdjson::error_message(e));
+    return makeError(ErrorCode::invalidArgument,
+                     std::string("configuration is no JSON: ") + simdjson::error_message(e));
   json::Obj o;
   if (doc.get(o))
-    return fault(400, "configuration is no JSON object");
+    return makeError(ErrorCode::invalidArgument, "configuration is no JSON object");
   json::Reader r;
   auto cfg = std::make_shared<Configuration>();
   r.whole(o, "configVersion", cfg->version, true);
@@ -136,7 +137,7 @@
   if (r.array(o, "serviceTable", arr, true))
     for (auto e : arr) {
       if (e.get(sub))
-        return fault(400, "no object in 'serviceTable'");
+        return makeError(ErrorCode::invalidArgument, "no object in 'serviceTable'");
       Service s;
       readService(r, sub, s);
       if (!services.emplace(s.label, static_cast<int>(cfg->services.size())).second)
@@ -147,7 +148,7 @@
   if (r.array(o, "routeTable", arr, true))
     for (auto e : arr) {
       if (e.get(sub))
-        return fault(400, "no object in 'routeTable'");
+        return makeError(ErrorCode::invalidArgument, "no object in 'routeTable'");
       Route m;
       readRoute(r, sub, services, m);
       if (!places.emplace(m.authority, m.pathPrefix).second)
@@ -158,7 +159,7 @@
   if (r.array(o, "subscribers", arr))
     for (auto e : arr) {
       if (e.get(sub))
-        return fault(400, "no object in 'subscribers'");
+        return makeError(ErrorCode::invalidArgument, "no object in 'subscribers'");
       Subscriber s;
       r.text(sub, "label", s.label, true);
       r.whole(sub, "precedence", s.precedence);
@@ -177,10 +178,10 @@
       cfg->subscribers.push_back(std::move(s));
     }
   if (!r.wrong.empty())
-    return fault(400, "configuration: " + r.wrong);
+    return makeError(ErrorCode::invalidArgument, "configuration: " + r.wrong);
   for (auto& [host, list] : cfg->byHost)
     std::sort(list.begin(), list.end(),
               [&](int a, int b) { return cfg->routes[a].pathPrefix.size() > cfg->routes[b].pathPrefix.size(); });
   return cfg;
 }
-}  // namespace zc
+}  // namespace zinccleat::config
--- a/libs/config/src/settings.cpp
+++ b/libs/config/src/settings.cpp
@@ -7,11 +7,11 @@
 #include "config/json.hpp"
 #include "runtime/event_loop.hpp"
 
-namespace zc {
-Outcome<std::string> readFile(const std::string& path) {
+namespace zinccleat::config {
+Result<std::string> readFile(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   if (!in)
-    return fault(0, "cannot read '" + path + "'");
+    return makeError(ErrorCode::invalidArgument, "cannot read '" + path + "'");
   std::ostringstream ss;
   ss << in.rdbuf();
   return ss.str();
@@ -20,15 +20,15 @@
   const char* p = std::getenv("ZINCCLEAT_CONFIG");
   return p && *p ? p : "/etc/zinccleat/node.json";
 }
-Outcome<Settings> parseSettings(std::string_view text) {
+Result<Settings> parseSettings(std::string_view text) {
   simdjson::dom::parser parser;
   simdjson::padded_string padded(text);
   json::Elem doc;
   if (auto e = parser.parse(padded).get(doc))
-    return fault(0, std::string("settings are no JSON: ") + simdjson::error_message(e));
+    return makeError(ErrorCode::invalidArgument, std::string("settings are no JSON: ") + simdjson::error_message(e));
   json::Obj o;
   if (doc.get(o))
-    return fault(0, "settings are no JSON object");
+    return makeError(ErrorCode::invalidArgument, "settings are no JSON object");
   json::Reader r;
   Settings s;
   r.text(o, "nodeName", s.node, true);
@@ -72,7 +72,7 @@
       std::string_view v;
       if (e.get(v))
         r.blame("no text in", "seedNodes");
-      else if (!parseEndpoint(v))
+      else if (!runtime::parseEndpoint(v))
         r.blame("no IP number and port in seedNodes:", v);
       else
         s.seeds.emplace_back(v);
@@ -96,7 +96,7 @@
         return;
       for (auto e : list) {
         std::string_view v;
-        if (e.get(v) || !parseEndpoint(v))
+        if (e.get(v) || !runtime::parseEndpoint(v))
           r.blame("no IP numbers and ports in", k);
         else
           to.emplace_back(v);
@@ -129,13 +129,13 @@
     r.num(sub, "quotaSlack", t.quotaSlack);
   }
   if (!r.wrong.empty())
-    return fault(0, "settings: " + r.wrong);
+    return makeError(ErrorCode::invalidArgument, "settings: " + r.wrong);
   return s;
 }
-Outcome<Settings> loadSettings(const std::string& path) {
+Result<Settings> loadSettings(const std::string& path) {
   auto text = readFile(path);
   if (!text)
     return tl::unexpected(text.error());
   return parseSettings(*text);
 }
-}  // namespace zc
+}  // namespace zinccleat::config
--- a/libs/consensus/include/consensus/cluster_config.hpp
+++ b/libs/consensus/include/consensus/cluster_config.hpp
@@ -6,7 +6,7 @@
 // of an Understandable Consensus Algorithm", section 6.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::consensus {
 // A member is one life of a disk: "ADDRESS#NONCE". A machine whose disk was lost comes back under a new identity, so
 // no vote and no acknowledgement is ever given twice under one name.
 using MemberId = std::string;
@@ -53,4 +53,4 @@
   const T current = ofHalf(voters);
   return joint() ? std::min(current, ofHalf(nextVoters)) : current;
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/include/consensus/disk_record.hpp
+++ b/libs/consensus/include/consensus/disk_record.hpp
@@ -1,7 +1,7 @@
 // What a member of the replicated log keeps on its disk: one record for each change of what must survive a restart.
 #pragma once
 #include "transport/messages.hpp"
-namespace zc {
+namespace zinccleat::consensus {
 // Records are numbered without gaps. A full record holds everything; any other one holds what came on top of the one
 // before it. Term, vote and identity stand in every record.
 struct DiskRecord {
@@ -11,18 +11,18 @@
   std::string self;              // this disk's identity
   std::string votedFor;          // who got this member's vote in `term`; empty: nobody
   bool full = false;
-  // A full record's snapshot: the applied state up to and with `snapshotNumber`.
-  std::int64_t snapshotNumber = 0, snapshotTerm = 0;
+  // A full record's snapshot: the applied state up to and with `snapshotIndex`.
+  std::int64_t snapshotIndex = 0, snapshotTerm = 0;
   std::string snapshotConfig;  // see `encodeConfig`
   std::string state;
-  // Entries that replace everything at and after `fromNumber`; 0: none.
-  std::int64_t fromNumber = 0;
-  std::vector<Entry> entries;
+  // Entries that replace everything at and after `fromIndex`; 0: none.
+  std::int64_t fromIndex = 0;
+  std::vector<transport::LogEntry> entries;
   template <class V>
   void fields(V& v) {
     v("seq", seq), v("term", term), v("lastLedTerm", lastLedTerm), v("self", self), v("votedFor", votedFor);
-    v("full", full), v("snapshotNumber", snapshotNumber), v("snapshotTerm", snapshotTerm);
-    v("snapshotConfig", snapshotConfig), v("state", state), v("fromNumber", fromNumber), v("entries", entries);
+    v("full", full), v("snapshotIndex", snapshotIndex), v("snapshotTerm", snapshotTerm);
+    v("snapshotConfig", snapshotConfig), v("state", state), v("fromIndex", fromIndex), v("entries", entries);
   }
 };
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/include/consensus/membership_policy.hpp
+++ b/libs/consensus/include/consensus/membership_policy.hpp
@@ -5,7 +5,7 @@
 // bears at each step stands as a table in docs/consensus.md, with a test for each row.
 #pragma once
 #include "consensus/cluster_config.hpp"
-namespace zc {
+namespace zinccleat::consensus {
 enum class VoterHealth {
   healthy,
   silent,     // has not been heard for `RaftOptions::silentAfter`
@@ -21,4 +21,4 @@
 // machines than this only follow.
 std::vector<MemberId> chooseVoters(const std::vector<VoterStatus>& voters, const std::vector<MemberId>& learners,
                                    std::size_t mostVoters);
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/include/consensus/messages.hpp
+++ b/libs/consensus/include/consensus/messages.hpp
@@ -5,7 +5,7 @@
 
 #include "consensus/cluster_config.hpp"
 #include "transport/messages.hpp"
-namespace zc {
+namespace zinccleat::consensus {
 // A candidate asks for a vote, or (pre-vote) whether it would get one.
 struct VoteRequest {
   std::int64_t term = 0;  // the term that the candidate stands for; with `preVote` one that it has not entered yet
@@ -14,11 +14,11 @@
   std::int64_t transferredTerm = 0;
   // The candidate led this term in an earlier life of its process, so that term's lease is void; 0: it did not.
   std::int64_t endedLeaseTerm = 0;
-  std::int64_t lastNumber = 0, lastTerm = 0;  // the end of the candidate's log
+  std::int64_t lastLogIndex = 0, lastTerm = 0;  // the end of the candidate's log
   template <class V>
   void fields(V& v) {
     v("term", term), v("preVote", preVote), v("transferredTerm", transferredTerm);
-    v("endedLeaseTerm", endedLeaseTerm), v("lastNumber", lastNumber), v("lastTerm", lastTerm);
+    v("endedLeaseTerm", endedLeaseTerm), v("lastLogIndex", lastLogIndex), v("lastTerm", lastTerm);
   }
 };
 // A vote granted. A refusal is not answered.
@@ -30,18 +30,18 @@
     v("term", term), v("preVote", preVote);
   }
 };
-// Entries after `previousNumber`, or none: a heartbeat. Whoever follows it promises the leader's lease.
+// Entries after `prevLogIndex`, or none: a heartbeat. Whoever follows it promises the leader's lease.
 struct AppendEntries {
   std::int64_t term = 0;
-  std::int64_t previousNumber = 0, previousTerm = 0;
-  std::int64_t commitNumber = 0;
+  std::int64_t prevLogIndex = 0, prevLogTerm = 0;
+  std::int64_t commitIndex = 0;
   std::int64_t heartbeatId = 0;  // answered, so that the leader knows since when it was promised its lease
   bool leaderHasLease = false;
-  std::vector<Entry> entries;
+  std::vector<transport::LogEntry> entries;
   template <class V>
   void fields(V& v) {
-    v("term", term), v("previousNumber", previousNumber), v("previousTerm", previousTerm);
-    v("commitNumber", commitNumber), v("heartbeatId", heartbeatId), v("leaderHasLease", leaderHasLease);
+    v("term", term), v("prevLogIndex", prevLogIndex), v("prevLogTerm", prevLogTerm);
+    v("commitIndex", commitIndex), v("heartbeatId", heartbeatId), v("leaderHasLease", leaderHasLease);
     v("entries", entries);
   }
 };
@@ -50,23 +50,23 @@
   std::int64_t heartbeatId = 0;  // of the message answered; 0: sent when a sync ended
   // Up to here the log is the leader's and on the disk. With `mismatch`: send what comes after this number; below 0
   // the sender holds nothing yet, not even the configuration.
-  std::int64_t matchedNumber = 0;
+  std::int64_t matchIndex = 0;
   bool mismatch = false;
   template <class V>
   void fields(V& v) {
-    v("term", term), v("heartbeatId", heartbeatId), v("matchedNumber", matchedNumber), v("mismatch", mismatch);
+    v("term", term), v("heartbeatId", heartbeatId), v("matchIndex", matchIndex), v("mismatch", mismatch);
   }
 };
 struct InstallSnapshot {
   std::int64_t term = 0;
-  std::int64_t lastNumber = 0, lastTerm = 0;  // the last entry that the snapshot covers
-  std::string config;                         // see `encodeConfig`
+  std::int64_t lastLogIndex = 0, lastTerm = 0;  // the last entry that the snapshot covers
+  std::string config;                           // see `encodeConfig`
   std::string state;
-  std::int64_t commitNumber = 0;
+  std::int64_t commitIndex = 0;
   template <class V>
   void fields(V& v) {
-    v("term", term), v("lastNumber", lastNumber), v("lastTerm", lastTerm), v("config", config), v("state", state);
-    v("commitNumber", commitNumber);
+    v("term", term), v("lastLogIndex", lastLogIndex), v("lastTerm", lastTerm), v("config", config), v("state", state);
+    v("commitIndex", commitIndex);
   }
 };
 // The leader of `term` has given up its lease: the receiver stands for election at once.
@@ -119,5 +119,5 @@
 // One byte for the type, then the Avro record.
 std::string encodeMessage(const ConsensusMessage& message);
 // Fails on an unknown type or a record that does not parse.
-Outcome<ConsensusMessage> decodeMessage(std::string_view bytes);
-}  // namespace zc
+Result<ConsensusMessage> decodeMessage(std::string_view bytes);
+}  // namespace zinccleat::consensus
--- a/libs/consensus/include/consensus/raft_node.hpp
+++ b/libs/consensus/include/consensus/raft_node.hpp
@@ -6,7 +6,7 @@
 #pragma once
 #include "consensus/disk_record.hpp"
 #include "consensus/messages.hpp"
-namespace zc {
+namespace zinccleat::consensus {
 enum class Role { learner, follower, candidate, leader };
 
 // Faults that a test plants to show that its checks would find them. Never set outside of tests.
@@ -19,19 +19,19 @@
   bool newcomerIsAddedOnly = false;
 };
 struct RaftOptions {
-  Span heartbeatInterval{120};
-  Span lease{500};            // a follower promises its leader to elect nobody else for so long
-  Span leaseMargin{80};       // the leader stops relying on the promise so much sooner
-  Span electionTimeout{550};  // longer than the lease
-  Span electionTimeoutSpread{300};
-  Span tickInterval{50};       // how often `tick` is called
-  Span syncStalledAfter{700};  // a sync this old makes a leader hand over, if another member has synced more
-  Span silentAfter{2500};      // a voter not heard for so long may be replaced or removed
-  Span voteRetry{100};         // a pre-vote without a majority is asked again
-  Span resendAfter{400};       // entries without an acknowledgement are sent again
-  Span joinInterval{500};
-  Span leaveInterval{100};
-  Span persistRetry{300};         // a record that the disk refused is handed to it again
+  Duration heartbeatInterval{120};
+  Duration lease{500};            // a follower promises its leader to elect nobody else for so long
+  Duration leaseMargin{80};       // the leader stops relying on the promise so much sooner
+  Duration electionTimeout{550};  // longer than the lease
+  Duration electionTimeoutSpread{300};
+  Duration tickInterval{50};       // how often `tick` is called
+  Duration syncStalledAfter{700};  // a sync this old makes a leader hand over, if another member has synced more
+  Duration silentAfter{2500};      // a voter not heard for so long may be replaced or removed
+  Duration voteRetry{100};         // a pre-vote without a majority is asked again
+  Duration resendAfter{400};       // entries without an acknowledgement are sent again
+  Duration joinInterval{500};
+  Duration leaveInterval{100};
+  Duration persistRetry{300};     // a record that the disk refused is handed to it again
   std::size_t largeBody = 16384;  // bytes; bodies above this are sent ahead by the node that took the write
   std::size_t mostVoters = 9;     // further machines only follow: each write would wait for more syncs
   // Whether the applied state could be restored from a snapshot's text; a snapshot that fails it is not installed.
@@ -50,7 +50,7 @@
 };
 // The entry is committed; entries come in order, each once in a life, after the snapshot below them.
 struct ApplyEntry {
-  Entry entry;
+  transport::LogEntry entry;
 };
 // Replaces the applied state.
 struct RestoreSnapshot {
@@ -62,55 +62,55 @@
 class RaftNode {
  public:
   // `self`: this disk's identity. `seed`: of the election jitter.
-  RaftNode(MemberId self, RaftOptions options, std::uint64_t seed, Instant now);
+  RaftNode(MemberId self, RaftOptions options, std::uint64_t seed, TimePoint now);
   ~RaftNode();
   RaftNode(const RaftNode& other);
   RaftNode& operator=(const RaftNode& other);
 
   // Start with exactly one of: the founders, on the first start of the whole system; the records that the disk
   // held; or neither, with an empty disk: a learner.
-  void found(const std::vector<MemberId>& founders, Instant now);
-  void recover(const std::vector<DiskRecord>& records, Instant now);
+  void found(const std::vector<MemberId>& founders, TimePoint now);
+  void recover(const std::vector<DiskRecord>& records, TimePoint now);
   // Addresses to ask where no configuration is known.
   void setSeeds(std::vector<std::string> addresses);
 
-  void tick(Instant now);
-  void receive(Instant now, const MemberId& from, ConsensusMessage message);
+  void tick(TimePoint now);
+  void receive(TimePoint now, const MemberId& from, ConsensusMessage message);
   // Appends a write. False: this member is not the leader, or the write's large body is not here.
-  bool submit(Instant now, Entry entry);
+  bool submit(TimePoint now, transport::LogEntry entry);
   // The disk has taken a record (`ok`), or refused it: it will be handed over again.
-  void persisted(Instant now, std::int64_t ticket, bool ok);
+  void persisted(TimePoint now, std::int64_t ticket, bool ok);
   // Replaces the log up to `number` by the applied state at that number.
-  void compact(std::int64_t number, std::string state, Instant now);
+  void compact(std::int64_t number, std::string state, TimePoint now);
   // Gives the leadership away, where there is a member to take it.
-  void transferLeadership(Instant now);
+  void transferLeadership(TimePoint now);
   // Begins to leave for good: hands the leadership over and asks the leader until `mayExit`.
-  void leave(Instant now);
+  void leave(TimePoint now);
   std::vector<RaftAction> takeActions();
 
   Role role() const;
   std::int64_t term() const;
   MemberId leader() const;  // empty: unknown
-  std::int64_t commitNumber() const;
-  std::int64_t firstNumber() const;  // the oldest entry still in the log
+  std::int64_t commitIndex() const;
+  std::int64_t firstIndex() const;  // the oldest entry still in the log
   // Whether this member is the leader, holds a valid lease and has committed an entry of its own term.
-  bool hasLease(Instant now) const;
+  bool hasLease(TimePoint now) const;
   // Whether a majority has been in touch within the lease: the leader by its own lease, others by their leader's.
-  bool inContactWithMajority(Instant now) const;
+  bool inContactWithMajority(TimePoint now) const;
   // Whether the others can do without this member, after `leave`.
   bool mayExit() const;
   const ClusterConfig& config() const;
   // All voters of the newest configuration.
   std::vector<MemberId> voters() const;
-  const Entry* entryAt(std::int64_t number) const;  // null: not in the log
+  const transport::LogEntry* entryAt(std::int64_t number) const;  // null: not in the log
   bool diskStalled() const;
   const MemberId& self() const;
   std::int64_t snapshotsRefused() const;
   // All that decides how this member goes on, with times relative to `now`: equal texts behave alike. For tests.
-  std::string fingerprint(Instant now) const;
+  std::string fingerprint(TimePoint now) const;
 
  private:
   struct Core;
   std::unique_ptr<Core> core_;
 };
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/cluster_config.cpp
+++ b/libs/consensus/src/cluster_config.cpp
@@ -1,6 +1,6 @@
 #include "consensus/cluster_config.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 namespace {
 constexpr char kHalves = '|', kNames = ' ';
 
@@ -67,4 +67,4 @@
     config.nextVoters = splitNames(text.substr(split + 1));
   return config;
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -1,8 +1,8 @@
 // Elections: pre-vote, votes on the disk before they are told, leases that bind voters, leadership transfer.
 #include "raft_core.hpp"
 
-namespace zc {
-void RaftNode::Core::tickElection(Instant now) {
+namespace zinccleat::consensus {
+void RaftNode::Core::tickElection(TimePoint now) {
   const bool asking = role == Role::candidate && preVoting;
   if (asking && now < electionAt && now - lastVoteRequestAt >= options.voteRetry) {
     lastVoteRequestAt = now;
@@ -12,7 +12,7 @@
     startPreVote(now);
 }
 // Asks whether an election would be won, without entering a new term: a member that was cut off unsettles nobody.
-void RaftNode::Core::startPreVote(Instant now) {
+void RaftNode::Core::startPreVote(TimePoint now) {
   armElection(now);
   if (!isVoter() || diskStalled())
     return;
@@ -24,7 +24,7 @@
   requestVotes(0);
   winIfElected(now);
 }
-void RaftNode::Core::startElection(Instant now) {
+void RaftNode::Core::startElection(TimePoint now) {
   armElection(now);
   const bool transferred = std::exchange(transferAccepted, false);
   if (!isVoter() || diskStalled())
@@ -34,7 +34,7 @@
   ++currentTerm;
   votedFor = self;
   leader.clear();
-  matchedNumber = 0;
+  matchIndex = 0;
   votes.clear();  // its own counts once it is on the disk
   setRole(Role::candidate);
   ownVoteTicket = termTicket = persist(0, {});
@@ -47,13 +47,13 @@
   request.transferredTerm = transferredTerm;
   if (restarted && lastLedTerm > 0 && lastLedTerm == request.term - 1)
     request.endedLeaseTerm = lastLedTerm;
-  request.lastNumber = log.lastNumber();
+  request.lastLogIndex = log.lastLogIndex();
   request.lastTerm = log.lastTerm();
   for (const auto& voter : log.config().allVoters())
     if (voter != self)
       send(voter, request, after);
 }
-void RaftNode::Core::winIfElected(Instant now) {
+void RaftNode::Core::winIfElected(TimePoint now) {
   if (role != Role::candidate)
     return;
   if (!log.config().hasQuorum([&](const MemberId& voter) { return votes.contains(voter); }))
@@ -62,7 +62,7 @@
     return startElection(now);
   becomeLeader(now);
 }
-void RaftNode::Core::becomeLeader(Instant now) {
+void RaftNode::Core::becomeLeader(TimePoint now) {
   setRole(Role::leader);
   lastLedTerm = currentTerm;
   restarted = false;
@@ -71,10 +71,10 @@
   peers.clear();
   heartbeatSentAt.clear();
   // An entry of its own term: with it, all entries of earlier terms become committed.
-  Entry entry;
-  entry.kind = static_cast<std::int32_t>(OpKind::takeOver);
-  entry.blob = self;
-  firstNumberOfTerm = log.lastNumber() + 1;
+  transport::LogEntry entry;
+  entry.kind = static_cast<std::int32_t>(transport::OperationKind::noOp);
+  entry.body = self;
+  firstIndexOfTerm = log.lastLogIndex() + 1;
   for (const auto& voter : log.config().allVoters())
     if (voter != self)
       trackPeer(now, voter);
@@ -82,7 +82,7 @@
   heartbeat(now);
 }
 // Whether a promise to another leader forbids this vote.
-bool RaftNode::Core::boundByLease(Instant now, const VoteRequest& request) const {
+bool RaftNode::Core::boundByLease(TimePoint now, const VoteRequest& request) const {
   if (role == Role::leader)
     return leaseValid(now);
   if (now >= leasePromisedUntil)
@@ -94,12 +94,12 @@
   // promise to a later leader is given only once that term is on the disk (`acknowledge`), and then the terms differ.
   return !(request.endedLeaseTerm > 0 && request.endedLeaseTerm == currentTerm);
 }
-void RaftNode::Core::onPreVoteRequest(Instant now, const MemberId& from, const VoteRequest& request) {
+void RaftNode::Core::onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
   if (request.term <= currentTerm)
     return tellTerm(from);
   if (boundByLease(now, request))
     return;
-  if (log.isUpToDate(request.lastTerm, request.lastNumber))
+  if (log.isUpToDate(request.lastTerm, request.lastLogIndex))
     send(from, VoteResponse{request.term, true});
 }
 // A candidate behind in terms learns of it. Why: of two voters that are left, one with the newer term and one with the
@@ -111,7 +111,7 @@
 }
 // Votes are given whatever this member's configuration says of the candidate or of itself: its configuration may be
 // the older one, and only the candidate's decides whose votes count.
-void RaftNode::Core::onVoteRequest(Instant now, const MemberId& from, const VoteRequest& request) {
+void RaftNode::Core::onVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
   if (role == Role::leader && !log.config().isVoter(from))
     trackPeer(now, from);  // it was removed and does not know
   if (request.preVote)
@@ -120,7 +120,7 @@
     return tellTerm(from);
   if (boundByLease(now, request))
     return;
-  const bool upToDate = log.isUpToDate(request.lastTerm, request.lastNumber);
+  const bool upToDate = log.isUpToDate(request.lastTerm, request.lastLogIndex);
   if (request.term > currentTerm)
     enterTerm(now, request.term, upToDate ? from : MemberId{});
   if (!upToDate || role == Role::leader || !(votedFor.empty() || votedFor == from))
@@ -134,7 +134,7 @@
   const auto after = options.faults.voteBeforeSync ? 0 : persistence.newestTicket();
   send(from, VoteResponse{currentTerm, false}, after);
 }
-void RaftNode::Core::onVoteResponse(Instant now, const MemberId& from, const VoteResponse& response) {
+void RaftNode::Core::onVoteResponse(TimePoint now, const MemberId& from, const VoteResponse& response) {
   if (role != Role::candidate || response.preVote != preVoting)
     return;
   if (response.term != (preVoting ? currentTerm + 1 : currentTerm))
@@ -142,11 +142,11 @@
   votes.insert(from);
   winIfElected(now);
 }
-void RaftNode::Core::onTransferLeadership(Instant now, const TransferLeadership& message) {
+void RaftNode::Core::onTransferLeadership(TimePoint now, const TransferLeadership& message) {
   if (message.term != currentTerm || role != Role::follower || diskStalled())
     return;
   leasePromisedUntil = {};
   transferAccepted = true;
   startElection(now);
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -1,9 +1,9 @@
 // Following a leader: its entries, its snapshots, and the promise of its lease.
 #include "raft_core.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 // Whoever speaks with the leader's voice in this term or a higher one is followed, and promised its lease.
-bool RaftNode::Core::followLeader(Instant now, const MemberId& from, std::int64_t term, bool leaderHasLease) {
+bool RaftNode::Core::followLeader(TimePoint now, const MemberId& from, std::int64_t term, bool leaderHasLease) {
   if (term > currentTerm)
     enterTerm(now, term);
   if (role == Role::leader)
@@ -24,10 +24,10 @@
   AppendEntriesResponse response;
   response.term = currentTerm;
   response.heartbeatId = heartbeat;
-  response.matchedNumber = std::min(matchedNumber, persistedNumber);
+  response.matchIndex = std::min(matchIndex, persistedIndex);
   send(leader, response, after);
 }
-void RaftNode::Core::onAppendEntries(Instant now, const MemberId& from, AppendEntries message) {
+void RaftNode::Core::onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message) {
   AppendEntriesResponse mismatch;
   mismatch.mismatch = true;
   if (message.term < currentTerm)
@@ -37,72 +37,72 @@
   mismatch.term = currentTerm;
   mismatch.heartbeatId = message.heartbeatId;
   if (log.holdsNothing()) {
-    mismatch.matchedNumber = -1;
+    mismatch.matchIndex = -1;
     return send(from, mismatch, termTicket);
   }
   skipBelowSnapshot(message);
-  if (log.termAt(message.previousNumber) != message.previousTerm) {
+  if (log.termAt(message.prevLogIndex) != message.prevLogTerm) {
     // Too far ahead: go on from our end. Another term there: go on from what is committed, and so equal.
-    mismatch.matchedNumber = message.previousNumber > log.lastNumber() ? log.lastNumber() : commitNumber;
+    mismatch.matchIndex = message.prevLogIndex > log.lastLogIndex() ? log.lastLogIndex() : commitIndex;
     return send(from, mismatch, termTicket);
   }
   const auto withoutBody = takeEntries(message);
-  commitUpTo(std::min(message.commitNumber, matchedNumber));
+  commitUpTo(std::min(message.commitIndex, matchIndex));
   acknowledge(message.heartbeatId, termTicket);
   if (!withoutBody)
     return;
   mismatch.heartbeatId = 0;
-  mismatch.matchedNumber = *withoutBody - 1;
+  mismatch.matchIndex = *withoutBody - 1;
   send(from, mismatch);
 }
 // What lies below our snapshot is committed and so equal: it is skipped.
 void RaftNode::Core::skipBelowSnapshot(AppendEntries& message) const {
   const auto base = log.snapshot().number;
-  if (message.previousNumber >= base)
+  if (message.prevLogIndex >= base)
     return;
-  std::erase_if(message.entries, [&](const Entry& entry) { return entry.num <= base; });
-  message.previousNumber = base;
-  message.previousTerm = log.snapshot().term;
-  if (!message.entries.empty() && message.entries.front().num != base + 1)
+  std::erase_if(message.entries, [&](const transport::LogEntry& entry) { return entry.index <= base; });
+  message.prevLogIndex = base;
+  message.prevLogTerm = log.snapshot().term;
+  if (!message.entries.empty() && message.entries.front().index != base + 1)
     message.entries.clear();
 }
 // Appends what is new, replacing what another leader left. Returns the number of the first entry whose body is
 // neither in the message nor here; nothing from it on was taken.
 std::optional<std::int64_t> RaftNode::Core::takeEntries(AppendEntries& message) {
-  std::vector<Entry> added;
+  std::vector<transport::LogEntry> added;
   std::optional<std::int64_t> withoutBody;
-  auto last = message.previousNumber;
+  auto last = message.prevLogIndex;
   for (auto& entry : message.entries) {
-    if (log.termAt(entry.num) == entry.term) {
-      last = entry.num;
+    if (log.termAt(entry.index) == entry.term) {
+      last = entry.index;
       continue;
     }
     if (!fillBody(entry)) {
-      withoutBody = entry.num;
+      withoutBody = entry.index;
       break;
     }
-    if (entry.num <= log.lastNumber()) {
-      must(entry.num > commitNumber, "a committed entry is never replaced");
-      log.truncateFrom(entry.num);
-      persistedNumber = std::min(persistedNumber, entry.num - 1);
+    if (entry.index <= log.lastLogIndex()) {
+      checkInvariant(entry.index > commitIndex, "a committed entry is never replaced");
+      log.truncateFrom(entry.index);
+      persistedIndex = std::min(persistedIndex, entry.index - 1);
     }
-    last = entry.num;
+    last = entry.index;
     log.append(entry);
     added.push_back(std::move(entry));
   }
-  matchedNumber = std::max(matchedNumber, last);
+  matchIndex = std::max(matchIndex, last);
   if (added.empty())
     return withoutBody;
-  const auto first = added.front().num;
+  const auto first = added.front().index;
   persist(first, std::move(added));
   followConfig();
   return withoutBody;
 }
-void RaftNode::Core::onInstallSnapshot(Instant now, const MemberId& from, InstallSnapshot message) {
+void RaftNode::Core::onInstallSnapshot(TimePoint now, const MemberId& from, InstallSnapshot message) {
   if (message.term < currentTerm)
     return;
   const auto config = decodeConfig(message.config);
-  const bool valid = message.lastNumber == 0 || !options.snapshotIsValid || options.snapshotIsValid(message.state);
+  const bool valid = message.lastLogIndex == 0 || !options.snapshotIsValid || options.snapshotIsValid(message.state);
   if (config.empty() || !valid) {
     ++snapshotsRefused;
     return;
@@ -110,18 +110,18 @@
   if (!followLeader(now, from, message.term, leaderHadLease))
     return;
   // Why the log stays where it agrees: what lies above the snapshot may have been counted on already.
-  const bool agrees = log.termAt(message.lastNumber) == message.lastTerm;
-  if (!log.holdsNothing() && (message.lastNumber <= commitNumber || agrees)) {
-    matchedNumber = std::max(matchedNumber, std::max(commitNumber, message.lastNumber));
-    commitUpTo(message.lastNumber);
+  const bool agrees = log.termAt(message.lastLogIndex) == message.lastTerm;
+  if (!log.holdsNothing() && (message.lastLogIndex <= commitIndex || agrees)) {
+    matchIndex = std::max(matchIndex, std::max(commitIndex, message.lastLogIndex));
+    commitUpTo(message.lastLogIndex);
     return acknowledge(0, termTicket);
   }
-  log.reset({message.lastNumber, message.lastTerm, config, std::move(message.state)});
-  commitNumber = message.lastNumber;
-  matchedNumber = message.lastNumber;
-  persistedNumber = 0;
+  log.reset({message.lastLogIndex, message.lastTerm, config, std::move(message.state)});
+  commitIndex = message.lastLogIndex;
+  matchIndex = message.lastLogIndex;
+  persistedIndex = 0;
   followConfig();
   emitRestore();
   persistAll();
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/leader.cpp
+++ b/libs/consensus/src/leader.cpp
@@ -2,7 +2,7 @@
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 namespace {
 constexpr std::size_t kMostBytesPerMessage = 1U << 20;
 constexpr std::size_t kEntryOverhead = 100;  // bytes of an entry besides its body, roughly
@@ -11,7 +11,7 @@
 constexpr int kSnapshotResendFactor = 4;
 }  // namespace
 
-void RaftNode::Core::tickLeader(Instant now) {
+void RaftNode::Core::tickLeader(TimePoint now) {
   if (leaseValid(now))
     lastQuorumAt = now;
   else if (now - lastQuorumAt > options.lease + options.electionTimeout)
@@ -22,35 +22,35 @@
   if (role == Role::leader && now - lastHeartbeatAt >= options.heartbeatInterval)
     heartbeat(now);
 }
-void RaftNode::Core::stepDown(Instant now) {
+void RaftNode::Core::stepDown(TimePoint now) {
   leader.clear();
   setRole(idleRole());
   armElection(now);
 }
-bool RaftNode::Core::submit(Instant now, Entry entry) {
+bool RaftNode::Core::submit(TimePoint now, transport::LogEntry entry) {
   if (role != Role::leader || !fillBody(entry))
     return false;
   // A write sent again while the first is still on its way is that first write.
-  for (auto number = commitNumber + 1; number <= log.lastNumber(); ++number)
-    if (log.at(number)->opId == entry.opId)
+  for (auto number = commitIndex + 1; number <= log.lastLogIndex(); ++number)
+    if (log.at(number)->operationId == entry.operationId)
       return true;
   appendAsLeader(now, std::move(entry));
   replicate(now);
   return true;
 }
-void RaftNode::Core::appendAsLeader(Instant now, Entry entry) {
+void RaftNode::Core::appendAsLeader(TimePoint now, transport::LogEntry entry) {
   entry.term = currentTerm;
-  entry.num = log.lastNumber() + 1;
-  const bool changesConfig = entry.op() == OpKind::members;
+  entry.index = log.lastLogIndex() + 1;
+  const bool changesConfig = entry.op() == transport::OperationKind::members;
   log.append(entry);
   if (changesConfig)
     for (const auto& voter : log.config().allVoters())
       if (voter != self && !peers.contains(voter))
         trackPeer(now, voter);
-  const auto number = entry.num;
+  const auto number = entry.index;
   persist(number, {std::move(entry)});
 }
-void RaftNode::Core::heartbeat(Instant now) {
+void RaftNode::Core::heartbeat(TimePoint now) {
   lastHeartbeatAt = now;
   heartbeatSentAt[++heartbeatId] = now;
   while (heartbeatSentAt.size() > kHeartbeatsRemembered)
@@ -58,27 +58,27 @@
   for (auto& [peer, progress] : peers)
     sendTo(now, peer, progress, true);
 }
-void RaftNode::Core::replicate(Instant now) {
+void RaftNode::Core::replicate(TimePoint now) {
   for (auto& [peer, progress] : peers)
     sendTo(now, peer, progress, false);
 }
-void RaftNode::Core::sendTo(Instant now, const MemberId& peer, PeerProgress& progress, bool heartbeatDue) {
-  const bool unacknowledged = progress.matchedNumber + 1 < progress.nextNumber;
+void RaftNode::Core::sendTo(TimePoint now, const MemberId& peer, PeerProgress& progress, bool heartbeatDue) {
+  const bool unacknowledged = progress.matchIndex + 1 < progress.nextIndex;
   if (unacknowledged && now - std::max(progress.progressAt, progress.sentAt) > options.resendAfter) {
-    progress.sendWholeUpTo = std::max(progress.sendWholeUpTo, progress.nextNumber - 1);
-    progress.nextNumber = progress.matchedNumber + 1;
+    progress.sendWholeUpTo = std::max(progress.sendWholeUpTo, progress.nextIndex - 1);
+    progress.nextIndex = progress.matchIndex + 1;
     progress.sentAt = now;
   }
-  if (progress.nextNumber <= log.snapshot().number) {
+  if (progress.nextIndex <= log.snapshot().number) {
     const bool waiting =
         progress.snapshotUnderWay && now - progress.sentAt < options.resendAfter * kSnapshotResendFactor;
     if (!waiting)
       return sendSnapshot(now, peer, progress);
     if (heartbeatDue)
-      sendEntries(peer, log.lastNumber(), {});
+      sendEntries(peer, log.lastLogIndex(), {});
     return;
   }
-  const auto previous = progress.nextNumber - 1;
+  const auto previous = progress.nextIndex - 1;
   auto entries = nextEntries(progress);
   if (entries.empty() && !heartbeatDue)
     return;
@@ -86,43 +86,44 @@
     progress.sentAt = now;
   sendEntries(peer, previous, std::move(entries));
 }
-void RaftNode::Core::sendSnapshot(Instant now, const MemberId& peer, PeerProgress& progress) {
+void RaftNode::Core::sendSnapshot(TimePoint now, const MemberId& peer, PeerProgress& progress) {
   InstallSnapshot message;
   message.term = currentTerm;
-  message.lastNumber = log.snapshot().number;
+  message.lastLogIndex = log.snapshot().number;
   message.lastTerm = log.snapshot().term;
   message.config = encodeConfig(log.snapshot().config);
   message.state = log.snapshot().state;
-  message.commitNumber = commitNumber;
+  message.commitIndex = commitIndex;
   progress.snapshotUnderWay = true;
   progress.sentAt = now;
   send(peer, std::move(message));
 }
 // Takes as many entries as fit one message and counts them as sent.
-std::vector<Entry> RaftNode::Core::nextEntries(PeerProgress& progress) const {
-  std::vector<Entry> entries;
+std::vector<transport::LogEntry> RaftNode::Core::nextEntries(PeerProgress& progress) const {
+  std::vector<transport::LogEntry> entries;
   std::size_t bytes = 0;
-  while (progress.nextNumber <= log.lastNumber() && bytes < kMostBytesPerMessage) {
-    entries.push_back(*log.at(progress.nextNumber));
+  while (progress.nextIndex <= log.lastLogIndex() && bytes < kMostBytesPerMessage) {
+    entries.push_back(*log.at(progress.nextIndex));
     auto& entry = entries.back();
     // The node that took a large write has sent its body ahead; only the numbered entry goes from here.
-    const bool takenElsewhere = entry.opId.rfind(self + "/", 0) != 0;
-    const bool sentAhead = entry.blob.size() > options.largeBody && !entry.digest.empty() && takenElsewhere;
-    if (sentAhead && progress.nextNumber > progress.sendWholeUpTo) {
-      entry.blob.clear();
+    const bool takenElsewhere = entry.operationId.rfind(self + "/", 0) != 0;
+    const bool sentAhead = entry.body.size() > options.largeBody && !entry.digest.empty() && takenElsewhere;
+    if (sentAhead && progress.nextIndex > progress.sendWholeUpTo) {
+      entry.body.clear();
       entry.omitted = true;
     }
-    bytes += entry.blob.size() + kEntryOverhead;
-    ++progress.nextNumber;
+    bytes += entry.body.size() + kEntryOverhead;
+    ++progress.nextIndex;
   }
   return entries;
 }
-void RaftNode::Core::sendEntries(const MemberId& peer, std::int64_t previous, std::vector<Entry> entries) {
+void RaftNode::Core::sendEntries(const MemberId& peer, std::int64_t previous,
+                                 std::vector<transport::LogEntry> entries) {
   AppendEntries message;
   message.term = currentTerm;
-  message.previousNumber = previous;
-  message.previousTerm = log.termAt(previous);
-  message.commitNumber = commitNumber;
+  message.prevLogIndex = previous;
+  message.prevLogTerm = log.termAt(previous);
+  message.commitIndex = commitIndex;
   message.heartbeatId = heartbeatId;
   message.leaderHasLease = leaseValid(lastTickAt);
   message.entries = std::move(entries);
@@ -130,23 +131,23 @@
 }
 // Until when a quorum has promised to elect nobody else, less a margin. Each promise counts from when the heartbeat
 // that it answers was sent, so that no delay on the way can lengthen it.
-Instant RaftNode::Core::leaseEnd() const {
+TimePoint RaftNode::Core::leaseEnd() const {
   const auto promisedFrom = [&](const MemberId& voter) {
     if (voter == self)
-      return Instant::max();
+      return TimePoint::max();
     const auto peer = peers.find(voter);
-    return peer == peers.end() ? Instant{} : peer->second.leasePromisedFrom;
+    return peer == peers.end() ? TimePoint{} : peer->second.leasePromisedFrom;
   };
-  const auto from = log.config().reachedByQuorum<Instant>(promisedFrom, Instant{});
-  if (from == Instant{} || from == Instant::max())
+  const auto from = log.config().reachedByQuorum<TimePoint>(promisedFrom, TimePoint{});
+  if (from == TimePoint{} || from == TimePoint::max())
     return from;
   return from + options.lease - options.leaseMargin;
 }
-bool RaftNode::Core::leaseValid(Instant now) const {
+bool RaftNode::Core::leaseValid(TimePoint now) const {
   const bool leads = role == Role::leader || options.faults.leaseOutlivesStepDown;
   return leads && now < leaseEnd();
 }
-void RaftNode::Core::onAppendResponse(Instant now, const MemberId& from, const AppendEntriesResponse& response) {
+void RaftNode::Core::onAppendResponse(TimePoint now, const MemberId& from, const AppendEntriesResponse& response) {
   if (response.term > currentTerm) {
     enterTerm(now, response.term);
     return;
@@ -166,40 +167,40 @@
     if (progress.snapshotUnderWay && now - progress.sentAt < options.resendAfter)
       return;
     progress.snapshotUnderWay = false;
-    progress.nextNumber = std::clamp<std::int64_t>(response.matchedNumber + 1, 0, log.lastNumber() + 1);
-    progress.sendWholeUpTo = log.lastNumber();
+    progress.nextIndex = std::clamp<std::int64_t>(response.matchIndex + 1, 0, log.lastLogIndex() + 1);
+    progress.sendWholeUpTo = log.lastLogIndex();
     return sendTo(now, from, progress, false);
   }
-  if (response.matchedNumber <= progress.matchedNumber || response.matchedNumber > log.lastNumber())
+  if (response.matchIndex <= progress.matchIndex || response.matchIndex > log.lastLogIndex())
     return;
-  progress.matchedNumber = response.matchedNumber;
+  progress.matchIndex = response.matchIndex;
   progress.progressAt = now;
-  progress.nextNumber = std::max(progress.nextNumber, progress.matchedNumber + 1);
+  progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
   progress.snapshotUnderWay = false;
   advanceCommit(now);
-  if (role == Role::leader && progress.nextNumber <= log.lastNumber())
+  if (role == Role::leader && progress.nextIndex <= log.lastLogIndex())
     sendTo(now, from, progress, false);
 }
 // Commits what a quorum has on disk, as far as it ends in an entry of the present term: an entry of an earlier term
 // counts only together with a later one of this term, since until then another leader could still replace it.
-void RaftNode::Core::advanceCommit(Instant now) {
+void RaftNode::Core::advanceCommit(TimePoint now) {
   const auto onDisk = [&](const MemberId& voter) -> std::int64_t {
     if (voter == self)
-      return persistedNumber;
+      return persistedIndex;
     const auto peer = peers.find(voter);
-    return peer == peers.end() ? 0 : std::max<std::int64_t>(0, peer->second.matchedNumber);
+    return peer == peers.end() ? 0 : std::max<std::int64_t>(0, peer->second.matchIndex);
   };
   auto number = log.config().reachedByQuorum<std::int64_t>(onDisk, 0);
   if (options.faults.commitWithoutMajority)
-    number = persistedNumber;
-  if (number <= commitNumber || log.termAt(number) != currentTerm)
+    number = persistedIndex;
+  if (number <= commitIndex || log.termAt(number) != currentTerm)
     return;
   commitUpTo(number);
   heartbeat(now);
-  if (log.configNumber() <= commitNumber && !isVoter())
+  if (log.configIndex() <= commitIndex && !isVoter())
     stepDown(now);  // removed from the voters while leading them
 }
-void RaftNode::Core::trackPeer(Instant now, const MemberId& peer) {
+void RaftNode::Core::trackPeer(TimePoint now, const MemberId& peer) {
   if (peer.empty() || peer == self)
     return;
   const auto [entry, added] = peers.try_emplace(peer);
@@ -207,32 +208,32 @@
   progress.heardAt = now;
   if (!added)
     return;
-  progress.nextNumber = log.lastNumber() + 1;
+  progress.nextIndex = log.lastLogIndex() + 1;
   progress.progressAt = now;
   sendTo(now, peer, progress, true);
 }
-bool RaftNode::Core::recentlyHeard(Instant now, const PeerProgress& progress) const {
+bool RaftNode::Core::recentlyHeard(TimePoint now, const PeerProgress& progress) const {
   return now - progress.heardAt < options.heartbeatInterval * kHeardWithinHeartbeats;
 }
 // Whether another voter has synced what this one could not: else nobody's disk is better off than ours.
-bool RaftNode::Core::anotherHasSyncedMore(Instant now) const {
+bool RaftNode::Core::anotherHasSyncedMore(TimePoint now) const {
   const auto voters = log.config().allVoters();
   return std::any_of(voters.begin(), voters.end(), [&](const MemberId& voter) {
     const auto peer = peers.find(voter);
-    return peer != peers.end() && recentlyHeard(now, peer->second) && peer->second.matchedNumber > persistedNumber;
+    return peer != peers.end() && recentlyHeard(now, peer->second) && peer->second.matchIndex > persistedIndex;
   });
 }
 // To the voter that has most on its disk and answered lately.
-void RaftNode::Core::transferLeadership(Instant now) {
+void RaftNode::Core::transferLeadership(TimePoint now) {
   MemberId best;
   std::int64_t most = -1;
   for (const auto& voter : log.config().allVoters()) {
     const auto peer = peers.find(voter);
-    if (peer == peers.end() || !recentlyHeard(now, peer->second) || peer->second.matchedNumber <= most)
+    if (peer == peers.end() || !recentlyHeard(now, peer->second) || peer->second.matchIndex <= most)
       continue;
     if (isLeaving(now, peer->second))
       continue;
-    most = peer->second.matchedNumber;
+    most = peer->second.matchIndex;
     best = voter;
   }
   if (best.empty())
@@ -241,6 +242,6 @@
   noElectionBefore = now + options.electionTimeout * 3;
   electionAt += options.electionTimeout;
   send(best, TransferLeadership{currentTerm});
-  ring::alarm("hands over the leadership to " + best);
+  log::error("hands over the leadership to " + best);
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/membership.cpp
+++ b/libs/consensus/src/membership.cpp
@@ -2,7 +2,7 @@
 // only once the last one and an entry of the leader's own term are committed, and only under a valid lease.
 #include "raft_core.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 namespace {
 constexpr std::int64_t kCaughtUpWithin = 8;  // entries that a learner may still lack
 constexpr int kJoinAfterHeartbeats = 4;      // a learner without a leader for so long asks again
@@ -27,9 +27,9 @@
 }
 }  // namespace
 
-void RaftNode::Core::tickMembership(Instant now) {
+void RaftNode::Core::tickMembership(TimePoint now) {
   dropSilentLearners(now);
-  if (!leaseValid(now) || commitNumber < firstNumberOfTerm || log.configNumber() > commitNumber)
+  if (!leaseValid(now) || commitIndex < firstIndexOfTerm || log.configIndex() > commitIndex)
     return;
   if (log.config().joint())
     return leaveJointConfig(now);
@@ -43,31 +43,31 @@
   if (chosen != present)
     changeVoters(now, chosen);
 }
-void RaftNode::Core::changeVoters(Instant now, const std::vector<MemberId>& voters) {
+void RaftNode::Core::changeVoters(TimePoint now, const std::vector<MemberId>& voters) {
   ClusterConfig next{log.config().voters, voters};
   if (options.faults.separateMajorities)
     next = ClusterConfig{voters, {}};
-  Entry entry;
-  entry.kind = static_cast<std::int32_t>(OpKind::members);
-  entry.blob = encodeConfig(next);
+  transport::LogEntry entry;
+  entry.kind = static_cast<std::int32_t>(transport::OperationKind::members);
+  entry.body = encodeConfig(next);
   appendAsLeader(now, std::move(entry));
   replicate(now);
 }
-void RaftNode::Core::leaveJointConfig(Instant now) {
-  Entry entry;
-  entry.kind = static_cast<std::int32_t>(OpKind::members);
-  entry.blob = encodeConfig(ClusterConfig{log.config().nextVoters, {}});
+void RaftNode::Core::leaveJointConfig(TimePoint now) {
+  transport::LogEntry entry;
+  entry.kind = static_cast<std::int32_t>(transport::OperationKind::members);
+  entry.body = encodeConfig(ClusterConfig{log.config().nextVoters, {}});
   appendAsLeader(now, std::move(entry));
   replicate(now);
 }
-bool RaftNode::Core::isLeaving(Instant now, const PeerProgress& progress) const {
-  return progress.leaveAskedAt != Instant{} && now - progress.leaveAskedAt < leavingFor();
+bool RaftNode::Core::isLeaving(TimePoint now, const PeerProgress& progress) const {
+  return progress.leaveAskedAt != TimePoint{} && now - progress.leaveAskedAt < leavingFor();
 }
 // For so long after a request a member counts as leaving.
-Span RaftNode::Core::leavingFor() const {
+Duration RaftNode::Core::leavingFor() const {
   return options.leaveInterval * kLeavingForIntervals;
 }
-std::vector<VoterStatus> RaftNode::Core::voterStatus(Instant now) const {
+std::vector<VoterStatus> RaftNode::Core::voterStatus(TimePoint now) const {
   const auto supersededBy = [&](const MemberId& voter) {
     return std::any_of(peers.begin(), peers.end(), [&](const auto& peer) {
       return !log.config().isVoter(peer.first) && addressOf(peer.first) == addressOf(voter) &&
@@ -95,10 +95,10 @@
   return status;
 }
 bool RaftNode::Core::caughtUp(const PeerProgress& progress) const {
-  return progress.matchedNumber > 0 && progress.matchedNumber + kCaughtUpWithin >= log.lastNumber();
+  return progress.matchIndex > 0 && progress.matchIndex + kCaughtUpWithin >= log.lastLogIndex();
 }
 // Those that came back empty at a voter's address first: that voter is lost for good.
-std::vector<MemberId> RaftNode::Core::readyLearners(Instant now) const {
+std::vector<MemberId> RaftNode::Core::readyLearners(TimePoint now) const {
   std::vector<MemberId> returned;
   std::vector<MemberId> others;
   const auto voters = log.config().allVoters();
@@ -114,18 +114,18 @@
   returned.insert(returned.end(), others.begin(), others.end());
   return returned;
 }
-bool RaftNode::Core::learnerCatchingUp(Instant now) const {
+bool RaftNode::Core::learnerCatchingUp(TimePoint now) const {
   return std::any_of(peers.begin(), peers.end(), [&](const auto& peer) {
     const bool learner = !log.config().isVoter(peer.first) && recentlyHeard(now, peer.second);
     return learner && !isLeaving(now, peer.second) && !caughtUp(peer.second);
   });
 }
-void RaftNode::Core::dropSilentLearners(Instant now) {
+void RaftNode::Core::dropSilentLearners(TimePoint now) {
   std::erase_if(peers, [&](const auto& peer) {
     return !log.config().isVoter(peer.first) && now - peer.second.heardAt > options.silentAfter * kLearnerGoneFactor;
   });
 }
-void RaftNode::Core::onJoinRequest(Instant now, const MemberId& from, const JoinRequest& request) {
+void RaftNode::Core::onJoinRequest(TimePoint now, const MemberId& from, const JoinRequest& request) {
   if (role == Role::leader)
     return trackPeer(now, request.forwarded ? request.member : from);
   if (request.forwarded || leader.empty() || now - leaderHeardAt >= options.lease)
@@ -134,7 +134,7 @@
 }
 // A learner asks for the log. So does a voter that has heard no leader for long: it may have been removed, and all
 // whom it knows may be gone.
-void RaftNode::Core::tickJoin(Instant now) {
+void RaftNode::Core::tickJoin(TimePoint now) {
   const auto patience = role == Role::learner ? options.heartbeatInterval * kJoinAfterHeartbeats
                                               : options.electionTimeout * kLostAfterElections;
   if (now - lastJoinAt < options.joinInterval || now - leaderHeardAt < patience)
@@ -147,7 +147,7 @@
   for (const auto& address : addresses)
     send(address, JoinRequest{self, false});
 }
-void RaftNode::Core::tickLeave(Instant now) {
+void RaftNode::Core::tickLeave(TimePoint now) {
   if (!leaving || exitAllowed)
     return;
   if (log.config().voters == std::vector<MemberId>{self} && !log.config().joint())
@@ -160,7 +160,7 @@
   if (!leader.empty())
     send(leader, LeaveRequest{currentTerm, leaveRequestId});
 }
-void RaftNode::Core::beginLeave(Instant now) {
+void RaftNode::Core::beginLeave(TimePoint now) {
   leaving = true;
   leaveRequestId = static_cast<std::int64_t>(random());
   tickLeave(now);
@@ -169,7 +169,7 @@
   if (leaving && response.requestId == leaveRequestId)
     exitAllowed = true;
 }
-void RaftNode::Core::onLeaveRequest(Instant now, const MemberId& from, const LeaveRequest& request) {
+void RaftNode::Core::onLeaveRequest(TimePoint now, const MemberId& from, const LeaveRequest& request) {
   if (role != Role::leader)
     return;
   trackPeer(now, from);
@@ -188,8 +188,8 @@
 }
 // Whether a member that wants to end may do so: it is out of the committed configuration, or removing it would bear
 // no more losses than keeping it; and a majority without it has on disk all that is committed.
-bool RaftNode::Core::canDoWithout(Instant now, const MemberId& member) const {
-  const bool settled = leaseValid(now) && commitNumber >= firstNumberOfTerm && log.configNumber() <= commitNumber;
+bool RaftNode::Core::canDoWithout(TimePoint now, const MemberId& member) const {
+  const bool settled = leaseValid(now) && commitIndex >= firstIndexOfTerm && log.configIndex() <= commitIndex;
   if (!settled || log.config().joint())
     return false;
   if (!log.config().isVoter(member))
@@ -208,7 +208,7 @@
       continue;
     ++others;
     if (voter == self) {
-      holding += persistedNumber >= commitNumber;
+      holding += persistedIndex >= commitIndex;
       continue;
     }
     const auto peer = peers.find(voter);
@@ -216,10 +216,10 @@
       continue;
     // One that was let go counts again only once it answers when it should be gone: it was restarted.
     const auto& other = peer->second;
-    const auto gone = other.leaveGrantedAt == Instant{} ? Instant{} : other.leaveGrantedAt + leavingFor();
+    const auto gone = other.leaveGrantedAt == TimePoint{} ? TimePoint{} : other.leaveGrantedAt + leavingFor();
     const bool answered = other.leasePromisedFrom >= std::max(leaver->second.leaveFirstAskedAt, gone);
-    holding += answered && other.matchedNumber >= commitNumber;
+    holding += answered && other.matchIndex >= commitIndex;
   }
   return holding >= std::min(majorityOf(voters.size()), others);
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/membership_policy.cpp
+++ b/libs/consensus/src/membership_policy.cpp
@@ -1,6 +1,6 @@
 #include "consensus/membership_policy.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 namespace {
 constexpr std::size_t kFewestVoters = 3;  // below this a single lost disk could take what was acknowledged
 
@@ -48,4 +48,4 @@
       chosen.push_back(member);
   return chosen;
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/messages.cpp
+++ b/libs/consensus/src/messages.cpp
@@ -2,12 +2,12 @@
 
 #include "transport/avro.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 namespace {
 template <std::size_t Index = 0>
-Outcome<ConsensusMessage> decodeAlternative(std::size_t type, std::string_view record) {
+Result<ConsensusMessage> decodeAlternative(std::size_t type, std::string_view record) {
   if constexpr (Index == std::variant_size_v<ConsensusMessage>) {
-    return fault(0, "unknown type of consensus message " + std::to_string(type));
+    return makeError(ErrorCode::corruption, "unknown type of consensus message " + std::to_string(type));
   } else {
     if (type != Index)
       return decodeAlternative<Index + 1>(type, record);
@@ -24,9 +24,9 @@
   bytes += std::visit([](const auto& alternative) { return avro::encode(alternative); }, message);
   return bytes;
 }
-Outcome<ConsensusMessage> decodeMessage(std::string_view bytes) {
+Result<ConsensusMessage> decodeMessage(std::string_view bytes) {
   if (bytes.empty())
-    return fault(0, "empty consensus message");
+    return makeError(ErrorCode::corruption, "empty consensus message");
   return decodeAlternative(static_cast<unsigned char>(bytes.front()), bytes.substr(1));
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -1,12 +1,12 @@
 #include "persistence.hpp"
 
-namespace zc {
-const Persistence::Pending& Persistence::add(DiskRecord record, std::int64_t lastNumber, std::int64_t lastTerm) {
+namespace zinccleat::consensus {
+const Persistence::Pending& Persistence::add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastTerm) {
   const bool waits = oldestFailed();
   Pending pending;
   pending.ticket = ++lastTicket_;
   pending.record = std::move(record);
-  pending.lastNumber = lastNumber;
+  pending.lastLogIndex = lastLogIndex;
   pending.lastTerm = lastTerm;
   pending.inFlight = !waits;
   pending.failed = waits;
@@ -40,7 +40,7 @@
   held_ = std::move(still);
   return released;
 }
-void Persistence::failed(PersistTicket ticket, Instant retryAt) {
+void Persistence::failed(PersistTicket ticket, TimePoint retryAt) {
   for (auto& pending : pending_) {
     if (pending.ticket != ticket)
       continue;
@@ -49,7 +49,7 @@
     pending.retryAt = retryAt;
   }
 }
-bool Persistence::retryDue(Instant now) const {
+bool Persistence::retryDue(TimePoint now) const {
   if (!oldestFailed() || now < pending_.front().retryAt)
     return false;
   return std::none_of(pending_.begin(), pending_.end(), [](const Pending& pending) { return pending.inFlight; });
@@ -58,21 +58,21 @@
   pending_.front().inFlight = true;
   return pending_.front();
 }
-const Persistence::Pending& Persistence::replaceAll(DiskRecord full, std::int64_t lastNumber, std::int64_t lastTerm) {
+const Persistence::Pending& Persistence::replaceAll(DiskRecord full, std::int64_t lastLogIndex, std::int64_t lastTerm) {
   auto merged = pending_.front();
   merged.ticket = pending_.back().ticket;
   full.seq = merged.record.seq;
   lastSequence_ = full.seq;
   merged.record = std::move(full);
-  merged.lastNumber = lastNumber;
+  merged.lastLogIndex = lastLogIndex;
   merged.lastTerm = lastTerm;
   merged.inFlight = true;
   pending_.clear();
   pending_.push_back(std::move(merged));
   return pending_.front();
 }
-void Persistence::age(Span step) {
+void Persistence::age(Duration step) {
   for (auto& pending : pending_)
     pending.waited += step;
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/raft_core.cpp
+++ b/libs/consensus/src/raft_core.cpp
@@ -2,7 +2,7 @@
 
 #include "runtime/log_ring.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 namespace {
 constexpr std::size_t kMostBodies = 4;  // large bodies kept that came ahead of their entries
 }
@@ -16,7 +16,7 @@
   if (role == next)
     return;
   role = next;
-  ring::note(self + " role " + std::to_string(static_cast<int>(role)) + " term " + std::to_string(currentTerm));
+  log::debug(self + " role " + std::to_string(static_cast<int>(role)) + " term " + std::to_string(currentTerm));
 }
 // A learner that is named a voter becomes a follower, and the other way round.
 void RaftNode::Core::followConfig() {
@@ -40,26 +40,26 @@
   return record;
 }
 PersistTicket RaftNode::Core::handToDisk(DiskRecord record) {
-  const auto& pending = persistence.add(std::move(record), log.lastNumber(), log.lastTerm());
+  const auto& pending = persistence.add(std::move(record), log.lastLogIndex(), log.lastTerm());
   if (pending.inFlight)
     actions.emplace_back(PersistRecord{pending.ticket, pending.record});
   return pending.ticket;
 }
-// Term and vote, and the entries from `fromNumber` on (0: none).
-PersistTicket RaftNode::Core::persist(std::int64_t fromNumber, std::vector<Entry> entries) {
+// Term and vote, and the entries from `fromIndex` on (0: none).
+PersistTicket RaftNode::Core::persist(std::int64_t fromIndex, std::vector<transport::LogEntry> entries) {
   auto record = emptyRecord();
-  record.fromNumber = fromNumber;
+  record.fromIndex = fromIndex;
   record.entries = std::move(entries);
   return handToDisk(std::move(record));
 }
 DiskRecord RaftNode::Core::fullRecord() {
   auto record = emptyRecord();
   record.full = true;
-  record.snapshotNumber = log.snapshot().number;
+  record.snapshotIndex = log.snapshot().number;
   record.snapshotTerm = log.snapshot().term;
   record.snapshotConfig = encodeConfig(log.snapshot().config);
   record.state = log.snapshot().state;
-  record.fromNumber = log.snapshot().number + 1;
+  record.fromIndex = log.snapshot().number + 1;
   record.entries.assign(log.entries().begin(), log.entries().end());
   return record;
 }
@@ -67,26 +67,26 @@
   return handToDisk(fullRecord());
 }
 // A higher term ends whatever this member did in the lower one.
-PersistTicket RaftNode::Core::enterTerm(Instant now, std::int64_t term, const MemberId& voteFor) {
+PersistTicket RaftNode::Core::enterTerm(TimePoint now, std::int64_t term, const MemberId& voteFor) {
   currentTerm = term;
   votedFor = voteFor;
   leader.clear();
-  matchedNumber = 0;
+  matchIndex = 0;
   preVoting = false;
   setRole(idleRole());
   armElection(now);
   termTicket = persist(0, {});
   return termTicket;
 }
-void RaftNode::Core::armElection(Instant now) {
+void RaftNode::Core::armElection(TimePoint now) {
   const auto spread = static_cast<std::uint64_t>(std::max<std::int64_t>(1, options.electionTimeoutSpread.count()));
-  electionAt = now + options.electionTimeout + Span(static_cast<std::int64_t>(random() % spread));
+  electionAt = now + options.electionTimeout + Duration(static_cast<std::int64_t>(random() % spread));
 }
 void RaftNode::Core::commitUpTo(std::int64_t number) {
-  number = std::min(number, log.lastNumber());
-  while (commitNumber < number) {
-    ++commitNumber;
-    actions.emplace_back(ApplyEntry{*log.at(commitNumber)});
+  number = std::min(number, log.lastLogIndex());
+  while (commitIndex < number) {
+    ++commitIndex;
+    actions.emplace_back(ApplyEntry{*log.at(commitIndex)});
   }
 }
 void RaftNode::Core::rememberBody(EntryBody body) {
@@ -100,20 +100,20 @@
   bodyOrder.pop_front();
 }
 // False: the entry's body was left out and has not come ahead of it.
-bool RaftNode::Core::fillBody(Entry& entry) const {
+bool RaftNode::Core::fillBody(transport::LogEntry& entry) const {
   if (!entry.omitted)
     return true;
   const auto body = bodies.find(entry.digest);
   if (body == bodies.end())
     return false;
-  entry.blob = body->second;
+  entry.body = body->second;
   entry.omitted = false;
   return true;
 }
 // A sync ages by the turns of this loop, each counted for two regular ones at most. Why: where the loop itself comes
 // late, the answer of a good disk lies unread, and the leadership would go round among members that are all as busy.
-void RaftNode::Core::ageSyncs(Instant now) {
-  const auto sinceTick = lastTickAt == Instant{} ? Span(0) : toSpan(now - lastTickAt);
+void RaftNode::Core::ageSyncs(TimePoint now) {
+  const auto sinceTick = lastTickAt == TimePoint{} ? Duration(0) : toDuration(now - lastTickAt);
   lastTickAt = now;
   persistence.age(std::min(sinceTick, options.tickInterval * 2));
 }
@@ -122,21 +122,21 @@
 }
 // Only the oldest record is tried again, since the disk takes them in order. What came behind it meanwhile goes along
 // in one full record: a backlog of single records would take longer to write than it took to gather.
-void RaftNode::Core::retryPersist(Instant now) {
+void RaftNode::Core::retryPersist(TimePoint now) {
   if (!persistence.retryDue(now))
     return;
   const bool alone = persistence.pending().size() == 1 || log.holdsNothing();
   const auto& retried =
-      alone ? persistence.retryOldest() : persistence.replaceAll(fullRecord(), log.lastNumber(), log.lastTerm());
+      alone ? persistence.retryOldest() : persistence.replaceAll(fullRecord(), log.lastLogIndex(), log.lastTerm());
   actions.emplace_back(PersistRecord{retried.ticket, retried.record});
 }
-void RaftNode::Core::onPersisted(Instant now, PersistTicket ticket) {
+void RaftNode::Core::onPersisted(TimePoint now, PersistTicket ticket) {
   const auto done = persistence.completed(ticket);
   if (!done)
     return;
   // What was replaced meanwhile is not the log's any more.
-  if (done->lastNumber <= log.lastNumber() && log.termAt(done->lastNumber) == done->lastTerm)
-    persistedNumber = std::max(persistedNumber, done->lastNumber);
+  if (done->lastLogIndex <= log.lastLogIndex() && log.termAt(done->lastLogIndex) == done->lastTerm)
+    persistedIndex = std::max(persistedIndex, done->lastLogIndex);
   if (role == Role::candidate && !preVoting && ticket >= ownVoteTicket)
     votes.insert(self);
   for (auto& held : persistence.releasedMessages())
@@ -145,11 +145,11 @@
   winIfElected(now);
   if (role == Role::leader)
     return advanceCommit(now);
-  if (std::min(matchedNumber, persistedNumber) > 0)
+  if (std::min(matchIndex, persistedIndex) > 0)
     acknowledge(0, 0);
 }
 
-RaftNode::RaftNode(MemberId self, RaftOptions options, std::uint64_t seed, Instant now)
+RaftNode::RaftNode(MemberId self, RaftOptions options, std::uint64_t seed, TimePoint now)
     : core_(std::make_unique<Core>(std::move(self), std::move(options), seed)) {
   core_->armElection(now);
 }
@@ -159,16 +159,16 @@
   *core_ = *other.core_;
   return *this;
 }
-void RaftNode::found(const std::vector<MemberId>& founders, Instant) {
+void RaftNode::found(const std::vector<MemberId>& founders, TimePoint) {
   core_->found(founders);
 }
-void RaftNode::recover(const std::vector<DiskRecord>& records, Instant now) {
+void RaftNode::recover(const std::vector<DiskRecord>& records, TimePoint now) {
   core_->recover(records, now);
 }
 void RaftNode::setSeeds(std::vector<std::string> addresses) {
   core_->seedAddresses = std::move(addresses);
 }
-void RaftNode::tick(Instant now) {
+void RaftNode::tick(TimePoint now) {
   auto& core = *core_;
   core.ageSyncs(now);
   core.retryPersist(now);
@@ -179,11 +179,11 @@
   if (core.role != Role::learner)
     core.tickElection(now);
 }
-void RaftNode::receive(Instant now, const MemberId& from, ConsensusMessage message) {
+void RaftNode::receive(TimePoint now, const MemberId& from, ConsensusMessage message) {
   auto& core = *core_;
   struct Dispatch {
     Core& core;
-    Instant now;
+    TimePoint now;
     const MemberId& from;
     void operator()(VoteRequest& m) { core.onVoteRequest(now, from, m); }
     void operator()(VoteResponse& m) { core.onVoteResponse(now, from, m); }
@@ -198,23 +198,23 @@
   };
   std::visit(Dispatch{core, now, from}, message);
 }
-bool RaftNode::submit(Instant now, Entry entry) {
+bool RaftNode::submit(TimePoint now, transport::LogEntry entry) {
   return core_->submit(now, std::move(entry));
 }
-void RaftNode::persisted(Instant now, std::int64_t ticket, bool ok) {
+void RaftNode::persisted(TimePoint now, std::int64_t ticket, bool ok) {
   if (ok)
     core_->onPersisted(now, ticket);
   else
     core_->persistence.failed(ticket, now + core_->options.persistRetry);
 }
-void RaftNode::compact(std::int64_t number, std::string state, Instant) {
+void RaftNode::compact(std::int64_t number, std::string state, TimePoint) {
   core_->compact(number, std::move(state));
 }
-void RaftNode::transferLeadership(Instant now) {
+void RaftNode::transferLeadership(TimePoint now) {
   if (core_->role == Role::leader)
     core_->transferLeadership(now);
 }
-void RaftNode::leave(Instant now) {
+void RaftNode::leave(TimePoint now) {
   core_->beginLeave(now);
 }
 std::vector<RaftAction> RaftNode::takeActions() {
@@ -229,16 +229,16 @@
 MemberId RaftNode::leader() const {
   return core_->leader;
 }
-std::int64_t RaftNode::commitNumber() const {
-  return core_->commitNumber;
+std::int64_t RaftNode::commitIndex() const {
+  return core_->commitIndex;
 }
-std::int64_t RaftNode::firstNumber() const {
+std::int64_t RaftNode::firstIndex() const {
   return core_->log.snapshot().number + 1;
 }
-bool RaftNode::hasLease(Instant now) const {
-  return core_->leaseValid(now) && core_->commitNumber >= core_->firstNumberOfTerm;
+bool RaftNode::hasLease(TimePoint now) const {
+  return core_->leaseValid(now) && core_->commitIndex >= core_->firstIndexOfTerm;
 }
-bool RaftNode::inContactWithMajority(Instant now) const {
+bool RaftNode::inContactWithMajority(TimePoint now) const {
   if (core_->role == Role::leader)
     return hasLease(now);
   return !core_->leader.empty() && core_->leaderHadLease && now - core_->leaderHeardAt < core_->options.lease;
@@ -252,7 +252,7 @@
 std::vector<MemberId> RaftNode::voters() const {
   return core_->log.config().allVoters();
 }
-const Entry* RaftNode::entryAt(std::int64_t number) const {
+const transport::LogEntry* RaftNode::entryAt(std::int64_t number) const {
   return core_->log.at(number);
 }
 bool RaftNode::diskStalled() const {
@@ -264,4 +264,4 @@
 std::int64_t RaftNode::snapshotsRefused() const {
   return core_->snapshotsRefused;
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/raft_log.cpp
+++ b/libs/consensus/src/raft_log.cpp
@@ -1,19 +1,19 @@
 #include "raft_log.hpp"
 
-namespace zc {
+namespace zinccleat::consensus {
 void RaftLog::reset(Snapshot snapshot) {
   snapshot_ = std::move(snapshot);
   entries_.clear();
   configs_ = {{snapshot_.number, snapshot_.config}};
 }
-void RaftLog::append(Entry entry) {
-  must(entry.num == lastNumber() + 1, "a log entry follows the one before it");
-  if (entry.op() == OpKind::members)
-    configs_.emplace_back(entry.num, decodeConfig(entry.blob));
+void RaftLog::append(transport::LogEntry entry) {
+  checkInvariant(entry.index == lastLogIndex() + 1, "a log entry follows the one before it");
+  if (entry.op() == transport::OperationKind::members)
+    configs_.emplace_back(entry.index, decodeConfig(entry.body));
   entries_.push_back(std::move(entry));
 }
 void RaftLog::truncateFrom(std::int64_t number) {
-  while (lastNumber() >= number && !entries_.empty())
+  while (lastLogIndex() >= number && !entries_.empty())
     entries_.pop_back();
   while (configs_.size() > 1 && configs_.back().first >= number)
     configs_.pop_back();
@@ -35,12 +35,12 @@
   const auto* entry = at(number);
   return entry ? entry->term : -1;
 }
-const Entry* RaftLog::at(std::int64_t number) const {
-  if (number <= snapshot_.number || number > lastNumber())
+const transport::LogEntry* RaftLog::at(std::int64_t number) const {
+  if (number <= snapshot_.number || number > lastLogIndex())
     return nullptr;
   return &entries_[static_cast<std::size_t>(number - snapshot_.number - 1)];
 }
 bool RaftLog::isUpToDate(std::int64_t term, std::int64_t number) const {
-  return term > lastTerm() || (term == lastTerm() && number >= lastNumber());
+  return term > lastTerm() || (term == lastTerm() && number >= lastLogIndex());
 }
-}  // namespace zc
+}  // namespace zinccleat::consensus
--- a/libs/controller/src/access_desk.hpp
+++ b/libs/controller/src/access_desk.hpp
@@ -5,32 +5,33 @@
 #include "outliers.hpp"
 #include "quota.hpp"
 #include "transport/access_messages.hpp"
-namespace zc {
-class AccessDesk {
+namespace zinccleat::controller {
+class AgentRequestHandler {
  public:
-  explicit AccessDesk(const CoreContext& core);
-  void takeOver(Instant now);
+  explicit AgentRequestHandler(const CoreContext& core);
+  void noOp(TimePoint now);
   /// Weighs anew what was told of runners. For the leader, some times a second.
-  void weighRunners(Instant now);
+  void evaluateRunners(TimePoint now);
   /// Once a second: who was not heard for long is counted no more.
-  void sweep(Instant now);
-  LeaseAnswer onLeaseQuestion(Instant now, const std::string& agent, const LeaseQuestion& question);
-  QuotaDrawn onDraw(Instant now, const QuotaDraw& draw);
+  void sweep(TimePoint now);
+  transport::LeaseResponse onLeaseQuestion(TimePoint now, const std::string& agent,
+                                           const transport::LeaseRequest& requestId);
+  transport::QuotaTokenResponse onDraw(TimePoint now, const transport::QuotaTokenRequest& draw);
 
   /// Requests a second over all proxies heard from lately.
-  double requestsPerS(Instant now) const;
+  double requestsPerS(TimePoint now) const;
   /// What still runs in a place that closes.
   struct Progress {
     double atItsRunners = 0, atItsProxies = 0;
     int nodesHeard = 0;
   };
-  Progress progressOf(const std::string& name, Instant now) const;
+  Progress progressOf(const std::string& name, TimePoint now) const;
   const OutlierDetector& outliers() const { return outliers_; }
 
  private:
   struct Load {
-    std::vector<Grant> places;
-    Instant at;
+    std::vector<transport::Grant> places;
+    TimePoint at;
   };
   const CoreContext& core_;
   QuotaAllocator quota_;
@@ -38,4 +39,4 @@
   std::map<std::string, Load> loads_;  // by agent
   std::int64_t nodesHeard_ = 0;        // access machines that asked for a lease lately
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -2,7 +2,7 @@
 
 #include <cstddef>
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
 constexpr std::size_t kMostBacklog =
     std::size_t{64} * 1024;               // bytes that wait for one agent before the rest is sent later
@@ -18,21 +18,22 @@
 }
 }  // namespace
 
-ClusterStanding AgentSessions::standing() {
+transport::ClusterStatus AgentSessions::standing() {
   const auto& raft = *core_.raft;
-  ClusterStanding standing;
+  transport::ClusterStatus standing;
   standing.term = raft.term();
   standing.leader = raft.leader();
   standing.voters = raft.voters();
-  standing.commitNumber = raft.commitNumber();
+  standing.commitIndex = raft.commitIndex();
   standing.view = core_.view.sample();
   return standing;
 }
 template <class T>
-Envelope AgentSessions::fromUs(const T& message) const {
-  return pack(message, core_.raft->self());
+transport::Envelope AgentSessions::fromUs(const T& message) const {
+  return transport::pack(message, core_.raft->self());
 }
-void AgentSessions::onState(const PeerLinkPtr& link, const std::string& agent, const AgentState& state) {
+void AgentSessions::onState(const transport::PeerLinkPtr& link, const std::string& agent,
+                            const transport::AgentState& state) {
   auto& session = sessions_[agent];
   if (session.link != link) {
     if (session.link)
@@ -40,9 +41,9 @@
     session = Session{};
     session.link = link;
   }
-  core_.view.add(addressOf(agent) + "/access");
+  core_.view.add(consensus::addressOf(agent) + "/access");
   core_.view.merge(state.view);
-  session.applied = state.appliedNumber;
+  session.applied = state.lastApplied;
   auto answer = standing();
   // Changes only: what the far end was told on this link already is left out.
   const auto voters = hashOf(answer.voters);
@@ -54,35 +55,36 @@
   ++session.statesAnswered;
   link->send(fromUs(answer));
 }
-void AgentSessions::onFollow(const PeerLinkPtr& link, const std::string& agent, const FollowLog& message) {
+void AgentSessions::onFollow(const transport::PeerLinkPtr& link, const std::string& agent,
+                             const transport::FollowLog& message) {
   auto& session = sessions_[agent];
   // Why not while something is under way: it would be sent again and again to one that reads slowly.
   if (message.refetch && session.link == link && session.fed >= 0 && link->backlog() > 0)
     return;
   session.link = link;
-  session.fed = std::max<std::int64_t>(0, message.appliedNumber);
-  session.held = message.heldDigest;
+  session.fed = std::max<std::int64_t>(0, message.lastApplied);
+  session.held = message.cachedDigest;
   if (!core_.isLeader())
     return link->send(fromUs(standing()));
   // One that holds nothing, or nothing that it trusts, takes a snapshot instead.
-  if (message.refetch && session.fed > 0 && session.fed + 1 >= core_.raft->firstNumber())
+  if (message.refetch && session.fed > 0 && session.fed + 1 >= core_.raft->firstIndex())
     return feedEntriesInFull(session);
   feed(session);
   link->send(fromUs(standing()));
 }
-FeedEntries AgentSessions::entriesAfter(std::int64_t number) const {
+transport::FeedEntries AgentSessions::entriesAfter(std::int64_t number) const {
   const auto& raft = *core_.raft;
-  FeedEntries feed;
+  transport::FeedEntries feed;
   feed.term = raft.term();
-  feed.newestNumber = raft.commitNumber();
-  for (auto n = number + 1; n <= raft.commitNumber(); ++n)
+  feed.newestIndex = raft.commitIndex();
+  for (auto n = number + 1; n <= raft.commitIndex(); ++n)
     feed.entries.push_back(*raft.entryAt(n));
   return feed;
 }
-FeedSnapshot AgentSessions::snapshotFor(std::int64_t number, const std::string& held) const {
-  FeedSnapshot feed;
+transport::FeedSnapshot AgentSessions::snapshotFor(std::int64_t number, const std::string& held) const {
+  transport::FeedSnapshot feed;
   feed.term = core_.raft->term();
-  feed.number = core_.copy.state().num;
+  feed.number = core_.copy.state().index;
   // What the receiver holds already is not sent again: only the difference from it.
   feed.state = core_.copy.snapshotFor(number == 0 ? std::string{} : held);
   return feed;
@@ -90,35 +92,35 @@
 // A refetch is answered in full: what was left out before is not left out again.
 void AgentSessions::feedEntriesInFull(Session& session) {
   const auto feed = entriesAfter(session.fed);
-  session.fed = feed.newestNumber;
-  session.link->sendBulk(frameOf(fromUs(feed)));
+  session.fed = feed.newestIndex;
+  session.link->sendBulk(transport::frameOf(fromUs(feed)));
 }
-FeedEntries AgentSessions::withoutBodiesAhead(FeedEntries feed) const {
+transport::FeedEntries AgentSessions::withoutBodiesAhead(transport::FeedEntries feed) const {
   const auto& raft = *core_.raft;
   if (raft.voters().size() > kLinksOfAgent)
     return feed;
   for (auto& entry : feed.entries) {
-    const bool ours = entry.opId.rfind(raft.self() + "/", 0) == 0;
-    if (ours || entry.digest.empty() || entry.blob.size() <= kLargeBody)
+    const bool ours = entry.operationId.rfind(raft.self() + "/", 0) == 0;
+    if (ours || entry.digest.empty() || entry.body.size() <= kLargeBody)
       continue;
-    entry.blob.clear();
+    entry.body.clear();
     entry.omitted = true;
   }
   return feed;
 }
 AgentSessions::Frame AgentSessions::frameFrom(std::int64_t number, const std::string& held) {
   const auto& raft = *core_.raft;
-  if (std::exchange(framesOf_, raft.commitNumber()) != raft.commitNumber())
+  if (std::exchange(framesOf_, raft.commitIndex()) != raft.commitIndex())
     frames_.clear();
-  const bool whole = number == 0 || number + 1 < raft.firstNumber();
+  const bool whole = number == 0 || number + 1 < raft.firstIndex();
   auto& frame = whole ? frames_[{-1, held}] : frames_[{number, {}}];
   if (frame)
     return frame;
   const auto envelope = whole ? fromUs(snapshotFor(number, held)) : fromUs(withoutBodiesAhead(entriesAfter(number)));
-  return frame = std::make_shared<const std::string>(frameOf(envelope));
+  return frame = std::make_shared<const std::string>(transport::frameOf(envelope));
 }
 void AgentSessions::feed(Session& session) {
-  const auto newest = core_.raft->commitNumber();
+  const auto newest = core_.raft->commitIndex();
   const bool wants = session.fed >= 0 && session.fed < newest;
   if (!wants || !session.link->open() || session.link->backlog() > kMostBacklog)
     return;
@@ -141,7 +143,7 @@
   for (auto& [agent, session] : sessions_)
     session.link->send(news);
 }
-void AgentSessions::dropSilent(Instant now) {
+void AgentSessions::dropSilent(TimePoint now) {
   std::erase_if(sessions_, [now](auto& session) {
     auto& link = session.second.link;
     if (link->open() && now - link->heard() < kSilentAfter)
@@ -150,8 +152,9 @@
     return true;
   });
 }
-void AgentSessions::sendBody(const Entry& entry) {
-  const auto frame = std::make_shared<const std::string>(frameOf(fromUs(BodyAhead{entry.digest, entry.blob})));
+void AgentSessions::sendBody(const transport::LogEntry& entry) {
+  const auto frame =
+      std::make_shared<const std::string>(transport::frameOf(fromUs(transport::BodyAhead{entry.digest, entry.body})));
   for (auto& [agent, session] : sessions_)
     if (session.link->open())
       session.link->sendBulk(frame);
@@ -169,4 +172,4 @@
       lowest = std::min(lowest, session.applied);
   return lowest;
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/agent_sessions.hpp
+++ b/libs/controller/src/agent_sessions.hpp
@@ -4,12 +4,12 @@
 #include "core_context.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
-namespace zc {
+namespace zinccleat::controller {
 class AgentSessions {
  public:
   explicit AgentSessions(CoreContext& core) : core_(core) {}
-  void onState(const PeerLinkPtr& link, const std::string& agent, const AgentState& state);
-  void onFollow(const PeerLinkPtr& link, const std::string& agent, const FollowLog& message);
+  void onState(const transport::PeerLinkPtr& link, const std::string& agent, const transport::AgentState& state);
+  void onFollow(const transport::PeerLinkPtr& link, const std::string& agent, const transport::FollowLog& message);
   /// To all: who leads, who votes, how far it is committed.
   void tellAll();
   /// For the leader, after each commit.
@@ -17,9 +17,9 @@
   /// This machine leads no more.
   void stopFeeding();
   /// An agent that says nothing for long has another link by now, or is gone: nothing is kept for it.
-  void dropSilent(Instant now);
+  void dropSilent(TimePoint now);
   /// The body of a large write, ahead of its number.
-  void sendBody(const Entry& entry);
+  void sendBody(const transport::LogEntry& entry);
 
   std::size_t count() const { return sessions_.size(); }
   /// Bytes that agents have not read yet.
@@ -30,28 +30,28 @@
  private:
   using Frame = std::shared_ptr<const std::string>;
   struct Session {
-    PeerLinkPtr link;
+    transport::PeerLinkPtr link;
     std::int64_t fed = -1;       // -1: asks for nothing here
     std::int64_t applied = 0;    // by its state messages
     int statesAnswered = 0;      // on this link
     std::size_t votersTold = 0;  // a hash of the voters last told
     std::string held;            // digest of the configuration that it says it holds
   };
-  ClusterStanding standing();
+  transport::ClusterStatus standing();
   template <class T>
-  Envelope fromUs(const T& message) const;
+  transport::Envelope fromUs(const T& message) const;
   void feed(Session& session);
   void feedEntriesInFull(Session& session);
   /// What brings a copy from a number to the newest, encoded once for all agents that stand there.
   Frame frameFrom(std::int64_t number, const std::string& held);
-  FeedSnapshot snapshotFor(std::int64_t number, const std::string& held) const;
-  FeedEntries entriesAfter(std::int64_t number) const;
+  transport::FeedSnapshot snapshotFor(std::int64_t number, const std::string& held) const;
+  transport::FeedEntries entriesAfter(std::int64_t number) const;
   /// The node that took a large write has fanned its body out already, to the agents linked to it.
-  FeedEntries withoutBodiesAhead(FeedEntries feed) const;
+  transport::FeedEntries withoutBodiesAhead(transport::FeedEntries feed) const;
 
   CoreContext& core_;
   std::map<std::string, Session> sessions_;  // by agent
   std::map<std::pair<std::int64_t, std::string>, Frame> frames_;
   std::int64_t framesOf_ = -1;  // the newest number that they bring a copy to
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/calls.hpp
+++ b/libs/controller/src/calls.hpp
@@ -10,33 +10,33 @@
 #pragma once
 #include "config/settings.hpp"
 #include "state_machine/replicated_state.hpp"
-namespace zc {
+namespace zinccleat::controller {
 /// What the calls need of the core machine that serves them.
 class CoreServices {
  public:
   virtual ~CoreServices() = default;
-  virtual const Settings& settings() const = 0;
+  virtual const config::Settings& settings() const = 0;
   /// This machine's applied copy: committed, but it may be old.
-  virtual const ReplicatedState& copy() const = 0;
+  virtual const state_machine::ReplicatedState& copy() const = 0;
   /// A majority of the core was heard of a moment ago, by way of a leader or as the leader.
   virtual bool inContact() const = 0;
   /// Parks the calling fiber until there is contact; false: there was none in that time.
-  virtual bool awaitContact(Span within) = 0;
+  virtual bool awaitContact(Duration within) = 0;
   /// False: what this machine hears of runners does not reach the leader.
   virtual bool heartbeatsReachLeader() const = 0;
   virtual void noteHeartbeat(const std::string& runnerId) = 0;
   /// Parks the calling fiber until its own write is committed and applied here; the verdict is the copy's.
-  virtual Outcome<std::int32_t> write(Entry entry, Span within) = 0;
+  virtual Result<std::int32_t> write(transport::LogEntry entry, Duration within) = 0;
   /// Parks until this copy is as new as the leader's at the time of asking.
-  virtual Outcome<void> fresh(Span within) = 0;
+  virtual Result<void> fresh(Duration within) = 0;
   virtual std::string operationId() = 0;
   /// Empty: unknown, or this machine leads.
   virtual std::string leaderControl() const = 0;
   virtual double requestsPerS() const = 0;
   virtual std::string statusJson() const = 0;
-  virtual std::string closuresJson() const = 0;
+  virtual std::string zoneDrainsJson() const = 0;
   /// Hints from the partner site, as its call brought them; the answer is our own news, sealed.
-  virtual Outcome<std::string> hintsFrom(std::string_view body, std::string_view seal) = 0;
+  virtual Result<std::string> hintsFrom(std::string_view body, std::string_view seal) = 0;
 };
 
 struct ApiRequest {
@@ -53,4 +53,4 @@
 };
 /// heartbeatUri: where a runner that was acknowledged here may send its next beats.
 ApiResponse answerCall(CoreServices& core, const ApiRequest& request, const std::string& heartbeatUri);
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/core.hpp
+++ b/libs/controller/src/core.hpp
@@ -13,78 +13,80 @@
 #include "peer_links.hpp"
 #include "pending_writes.hpp"
 #include "storage_thread.hpp"
-namespace zc {
+namespace zinccleat::controller {
 /// Whether a replicated state, as the consensus hands it on, can be restored by this program.
 bool snapshotIsValid(const std::string& state);
 /// Whether the settings name no other core machine to ask.
-bool seedsHoldNobodyElse(const Settings& settings);
+bool seedsHoldNobodyElse(const config::Settings& settings);
 /// Settings that no core machine can start with, as one line; none: it can.
-std::optional<std::string> unusableSettings(const Settings& settings);
+std::optional<std::string> unusableSettings(const config::Settings& settings);
 
 class Core : public CoreServices {
  public:
-  explicit Core(Settings settings);
+  explicit Core(config::Settings settings);
   ~Core() override;
-  Outcome<void> start();
+  Result<void> start();
   /// The settings file has changed.
-  void reread(const Settings& settings);
+  void reread(const config::Settings& settings);
   /// Ends this machine's part in good order; `done` is called once the others can do without it, or in time to end
   /// before being killed.
   void leave(const std::function<void()>& done);
 
-  const Settings& settings() const override { return shared_.settings; }
-  const ReplicatedState& copy() const override { return shared_.copy; }
+  const config::Settings& settings() const override { return shared_.settings; }
+  const state_machine::ReplicatedState& copy() const override { return shared_.copy; }
   bool inContact() const override;
-  bool awaitContact(Span within) override;
+  bool awaitContact(Duration within) override;
   bool heartbeatsReachLeader() const override;
   void noteHeartbeat(const std::string& runnerId) override;
-  Outcome<std::int32_t> write(Entry entry, Span within) override { return writes_.write(entry, within); }
-  Outcome<void> fresh(Span within) override { return reads_.fresh(within); }
+  Result<std::int32_t> write(transport::LogEntry entry, Duration within) override {
+    return writes_.write(entry, within);
+  }
+  Result<void> fresh(Duration within) override { return reads_.fresh(within); }
   std::string operationId() override { return operationIds_->next(); }
   std::string leaderControl() const override;
   double requestsPerS() const override { return desk_.requestsPerS(Clock::now()); }
   std::string statusJson() const override;
-  std::string closuresJson() const override;
-  Outcome<std::string> hintsFrom(std::string_view body, std::string_view seal) override {
+  std::string zoneDrainsJson() const override;
+  Result<std::string> hintsFrom(std::string_view body, std::string_view seal) override {
     return hints_.take(body, seal);
   }
 
  private:
   /// The disk as it was found, with the storage that goes on from there.
   struct LoadedDisk {
-    Storage storage;
-    Recovery recovery;
+    storage::Storage storage;
+    storage::Recovery recovery;
   };
-  Outcome<LoadedDisk> loadDisk() const;
+  Result<LoadedDisk> loadDisk() const;
   void startMember(LoadedDisk disk);
-  Outcome<void> startLinks();
+  Result<void> startLinks();
   void startTimers();
 
   /// Carries out what the consensus asks for, and what follows from it.
   void run();
-  void carryOut(SendMessage& action);
-  void carryOut(PersistRecord& action);
-  void carryOut(ApplyEntry& action);
-  void carryOut(RestoreSnapshot& action);
+  void carryOut(consensus::SendMessage& action);
+  void carryOut(consensus::PersistRecord& action);
+  void carryOut(consensus::ApplyEntry& action);
+  void carryOut(consensus::RestoreSnapshot& action);
   void followRole();
   void compactIfDue();
   void adoptConfiguration();
   void tick();
   void eachSecond();
 
-  void onMessage(const PeerLinkPtr& link, const Envelope& envelope);
-  void onPeerMessage(const PeerLinkPtr& link, const Envelope& envelope);
-  void onAccessMessage(const PeerLinkPtr& link, const Envelope& envelope);
-  void onConsensus(const PeerLinkPtr& link, const Envelope& envelope);
-  void onSubmit(const MemberId& from, Entry entry);
-  void onHeartbeats(const PeerLinkPtr& link, const HeartbeatBatch& batch);
+  void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
+  void onPeerMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
+  void onAccessMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
+  void onConsensus(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
+  void onSubmit(const consensus::MemberId& from, transport::LogEntry entry);
+  void onHeartbeats(const transport::PeerLinkPtr& link, const transport::HeartbeatBatch& batch);
   template <class T>
-  void answer(const PeerLinkPtr& link, const T& message) {
-    link->send(pack(message, shared_.raft->self()));
+  void answer(const transport::PeerLinkPtr& link, const T& message) {
+    link->send(transport::pack(message, shared_.raft->self()));
   }
-  void sendBodyAhead(const Entry& entry);
-  void forwardHeartbeats(Instant now);
-  void dropMissedRunners(Instant now);
+  void sendBodyAhead(const transport::LogEntry& entry);
+  void forwardHeartbeats(TimePoint now);
+  void dropMissedRunners(TimePoint now);
 
   CoreContext shared_;
   std::unique_ptr<StorageThread> disk_;
@@ -92,15 +94,15 @@
   AgentSessions agents_;
   PendingWrites writes_;
   LeaseReads reads_;
-  AccessDesk desk_;
+  AgentRequestHandler desk_;
   PartnerHints hints_;
   HeartbeatForwarder heartbeats_;
   RunnerMonitor runnerMonitor_;
   std::optional<OperationIds> operationIds_;
   std::int64_t sinceCompact_ = 0;  // entries applied since the log was last compacted
   std::uint64_t ticks_ = 0;
-  const std::uint64_t boot_ = drawSeed();
-  MemberId lastLeader_;
+  const std::uint64_t boot_ = randomSeed();
+  consensus::MemberId lastLeader_;
   bool wasLeader_ = false, running_ = false, leaving_ = false;
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/core_report.cpp
+++ b/libs/controller/src/core_report.cpp
@@ -1,7 +1,7 @@
 // What a core machine tells operators, as JSON.
 #include "core.hpp"
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
 /// The fields of one JSON object, in the order in which they are added.
 class JsonFields {
@@ -10,7 +10,7 @@
     text_ += (text_.empty() ? "\"" : ",\"") + std::string(name) + "\":" + value;
     return *this;
   }
-  JsonFields& text(const char* name, const std::string& value) { return raw(name, quoteJson(value)); }
+  JsonFields& text(const char* name, const std::string& value) { return raw(name, config::quoteJson(value)); }
   JsonFields& flag(const char* name, bool value) { return raw(name, value ? "true" : "false"); }
   template <class Number>
   JsonFields& number(const char* name, Number value) {
@@ -27,28 +27,28 @@
     text += (text.empty() ? "" : ",") + element;
   return "[" + text + "]";
 }
-const char* nameOf(Role role) {
+const char* nameOf(consensus::Role role) {
   static const char* names[] = {"learner", "follower", "candidate", "leader"};
   return names[static_cast<int>(role)];
 }
 }  // namespace
 
-std::string Core::closuresJson() const {
+std::string Core::zoneDrainsJson() const {
   const auto now = Clock::now();
-  std::vector<std::string> closures;
-  for (auto& closure : shared_.copy.state().closures) {
-    const auto progress = desk_.progressOf(closure.place, now);
-    closures.push_back(JsonFields()
-                           .text("place", closure.place)
-                           .text("note", closure.note)
-                           .number("share", closure.share)
-                           .flag("doorsShut", closure.doorsShut)
-                           .number("atItsRunners", static_cast<int>(progress.atItsRunners))
-                           .number("atItsProxies", static_cast<int>(progress.atItsProxies))
-                           .number("nodesHeard", progress.nodesHeard)
-                           .object());
+  std::vector<std::string> zoneDrains;
+  for (auto& zoneDrain : shared_.copy.state().zoneDrains) {
+    const auto progress = desk_.progressOf(zoneDrain.place, now);
+    zoneDrains.push_back(JsonFields()
+                             .text("place", zoneDrain.place)
+                             .text("note", zoneDrain.note)
+                             .number("share", zoneDrain.share)
+                             .flag("doorsShut", zoneDrain.notAccepting)
+                             .number("atItsRunners", static_cast<int>(progress.atItsRunners))
+                             .number("atItsProxies", static_cast<int>(progress.atItsProxies))
+                             .number("nodesHeard", progress.nodesHeard)
+                             .object());
   }
-  return JsonFields().number("requestsPerS", requestsPerS()).raw("closures", arrayOf(closures)).object();
+  return JsonFields().number("requestsPerS", requestsPerS()).raw("closures", arrayOf(zoneDrains)).object();
 }
 std::string Core::statusJson() const {
   const auto now = Clock::now();
@@ -58,28 +58,29 @@
   std::vector<std::string> members;
   std::vector<std::string> runners;
   for (auto& voter : raft.voters())
-    members.push_back(quoteJson(voter));
+    members.push_back(config::quoteJson(voter));
   for (auto& runner : state.runners)
-    runners.push_back(JsonFields()
-                          .text("id", runner.id)
-                          .text("service", runner.service)
-                          .text("address", runner.address)
-                          .text("state", runner.at() == RunnerState::inService ? "in_service" : "draining")
-                          .object());
+    runners.push_back(
+        JsonFields()
+            .text("id", runner.id)
+            .text("service", runner.service)
+            .text("address", runner.address)
+            .text("state", runner.at() == state_machine::RunnerState::inService ? "in_service" : "draining")
+            .object());
   JsonFields fields;
   fields.text("node", shared_.settings.node).text("member", raft.self()).text("role", nameOf(raft.role()));
   fields.number("term", raft.term()).text("leader", raft.leader()).flag("leased", raft.hasLease(now));
   fields.flag("inContact", raft.inContactWithMajority(now)).flag("diskSick", raft.diskStalled());
-  fields.number("released", raft.commitNumber()).number("applied", state.num).number("version", state.version);
+  fields.number("released", raft.commitIndex()).number("applied", state.index).number("version", state.version);
   fields.number("agents", agents_.count()).number("waitingBytes", agents_.waitingBytes());
   fields.number("snapshotsDeclined", raft.snapshotsRefused());
   fields.number("seedsDeclined", shared_.seedsDeclined);
-  fields.number("framesDeclined", trafficSoFar().framesDeclined);
-  fields.number("framesOfOtherFormats", trafficSoFar().framesOfOtherFormats);
+  fields.number("framesDeclined", transport::trafficSoFar().framesDeclined);
+  fields.number("framesOfOtherFormats", transport::trafficSoFar().framesOfOtherFormats);
   fields.number("hintsTold", hints ? hints->told() : 0).number("hintsKnown", hints ? hints->known() : 0);
   fields.number("hintsDeclined", hints ? hints->errorResponse() : 0);
   fields.number("runnersAside", desk_.outliers().list().size());
   fields.number("wordsDeclined", desk_.outliers().errorResponse());
   return fields.raw("members", arrayOf(members)).raw("runners", arrayOf(runners)).object();
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/heartbeats.cpp
+++ b/libs/controller/src/heartbeats.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
 constexpr auto kUnansweredMost = 1500ms;  // three batches; a runner that then goes on has missed one or two beats
 constexpr auto kUselessAfter = 30s;       // an older beat tells the leader nothing
@@ -10,10 +10,10 @@
 constexpr auto kOwnSilence = 2500ms;  // a gap between two looks: this process itself stood still
 }  // namespace
 
-void HeartbeatForwarder::heard(const std::string& id, Instant now) {
+void HeartbeatForwarder::heard(const std::string& id, TimePoint now) {
   waiting_[id] = now;
 }
-std::optional<HeartbeatForwarder::Batch> HeartbeatForwarder::nextBatch(Instant now) {
+std::optional<HeartbeatForwarder::Batch> HeartbeatForwarder::nextBatch(TimePoint now) {
   std::erase_if(waiting_, [&](auto& runner) { return now - runner.second > kUselessAfter; });
   if (waiting_.empty())
     return std::nullopt;
@@ -45,15 +45,16 @@
   unanswered_.clear();
   return all;
 }
-bool HeartbeatForwarder::leaderAnswers(Instant now) const {
+bool HeartbeatForwarder::leaderAnswers(TimePoint now) const {
   return unanswered_.empty() || now - unanswered_.begin()->second <= kUnansweredMost;
 }
 
-void RunnerMonitor::heard(const std::string& id, Instant at) {
+void RunnerMonitor::heard(const std::string& id, TimePoint at) {
   auto& newest = heard_[id];
   newest = std::max(newest, at);
 }
-std::vector<Runner> RunnerMonitor::missed(Instant now, bool holdsLease, const std::vector<Runner>& runners) {
+std::vector<state_machine::Runner> RunnerMonitor::missed(TimePoint now, bool holdsLease,
+                                                         const std::vector<state_machine::Runner>& runners) {
   const bool stoodStill = now - std::exchange(lastLook_, now) > kOwnSilence;
   if (!holdsLease) {
     watchingSince_.reset();
@@ -62,7 +63,7 @@
   if (!watchingSince_ || stoodStill)
     watchingSince_ = now;
   std::set<std::string> present;
-  std::vector<Runner> out;
+  std::vector<state_machine::Runner> out;
   for (auto& runner : runners) {
     present.insert(runner.id);
     const auto last = heard_.try_emplace(runner.id, now).first->second;
@@ -72,4 +73,4 @@
   std::erase_if(heard_, [&](auto& h) { return !present.contains(h.first) && now - h.second > kUselessAfter; });
   return out;
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/lease_reads.hpp
+++ b/libs/controller/src/lease_reads.hpp
@@ -4,27 +4,27 @@
 #pragma once
 #include "core_context.hpp"
 #include "runtime/event_loop.hpp"
-namespace zc {
+namespace zinccleat::controller {
 class LeaseReads {
  public:
-  using Ask = std::function<void(const MemberId& leader, std::int64_t question)>;
+  using Ask = std::function<void(const consensus::MemberId& leader, std::int64_t requestId)>;
   LeaseReads(const CoreContext& core, Ask ask) : core_(core), ask_(std::move(ask)) {}
   /// Parks until this copy is as new as the leader's at the time of asking.
-  Outcome<void> fresh(Span within);
-  void answered(std::int64_t question, bool underLease, std::int64_t commitNumber);
+  Result<void> fresh(Duration within);
+  void answered(std::int64_t requestId, bool underLease, std::int64_t commitIndex);
   /// The copy has grown.
   void applied();
 
  private:
   struct Read {
-    Waiter waiter;
+    runtime::Waiter waiter;
     std::int64_t target = -1;  // to be applied here; -1: not answered yet
   };
   bool isDone(const Read& read) const;
-  bool askOnce(Instant until);
+  bool askOnce(TimePoint until);
   const CoreContext& core_;
   Ask ask_;
   std::map<std::int64_t, Read*> reads_;  // by question
   std::int64_t questions_ = 0;
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/operation_ids.hpp
+++ b/libs/controller/src/operation_ids.hpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::controller {
 class OperationIds {
  public:
   /// member: the identity that this machine keeps over its lives. boot: drawn anew at each start, all 64 bits count.
@@ -21,4 +21,4 @@
   std::string prefix_;
   std::uint64_t count_ = 0;
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/outliers.cpp
+++ b/libs/controller/src/outliers.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
 constexpr double kHalfLifeS = 2;  // of a word
 constexpr auto kWordLives = 4s;
@@ -17,8 +17,8 @@
 constexpr double kTrialLevel = 0.5;
 constexpr auto kForget = 15s;
 }  // namespace
-void OutlierDetector::fade(Mark& m, Instant now) {
-  if (m.at != Instant{} && now > m.at) {
+void OutlierDetector::fade(Mark& m, TimePoint now) {
+  if (m.at != TimePoint{} && now > m.at) {
     const double f = std::exp2(-std::chrono::duration<double>(now - m.at).count() / kHalfLifeS);
     m.good *= f;
     m.bad *= f;
@@ -26,7 +26,7 @@
   m.at = now;
   std::erase_if(m.nodes, [&](auto& n) { return now - n.second > kWordLives; });
 }
-void OutlierDetector::set(Mark& m, Standing s, Instant now) {
+void OutlierDetector::set(Mark& m, Standing s, TimePoint now) {
   m.standing = s;
   m.since = now;
   m.good = m.bad = 0;
@@ -36,12 +36,12 @@
   if (s == Standing::trial)
     m.until = now + kTrial;
 }
-void OutlierDetector::takeOver(std::int64_t term) {
+void OutlierDetector::noOp(std::int64_t term) {
   marks_.clear();
   list_.clear();
   version_ = (term << 24) + 1;
 }
-void OutlierDetector::told(Instant now, const std::string& node, const std::vector<Grant>& seen) {
+void OutlierDetector::told(TimePoint now, const std::string& node, const std::vector<transport::Grant>& seen) {
   for (auto& g : seen) {
     // Why nothing beyond some: one node's word counts, its shouting does not.
     const double good = std::clamp(g.rate, 0.0, 50.0);
@@ -60,7 +60,7 @@
       m.nodes[node] = now;
   }
 }
-void OutlierDetector::weigh(Instant now, const std::vector<Runner>& runners) {
+void OutlierDetector::evaluate(TimePoint now, const std::vector<state_machine::Runner>& runners) {
   struct Fleet {
     std::size_t count = 0, aside = 0;
     double good = 0, bad = 0;
@@ -118,7 +118,7 @@
     ++s.fleet->aside;
     set(*s.mark, Standing::aside, now);
   }
-  std::vector<Grant> list;
+  std::vector<transport::Grant> list;
   for (auto& r : runners) {
     const auto it = marks_.find(r.id);
     if (it == marks_.end() || it->second.standing == Standing::fine)
@@ -138,4 +138,4 @@
   list_ = std::move(list);
   ++version_;
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/outliers.hpp
+++ b/libs/controller/src/outliers.hpp
@@ -5,16 +5,16 @@
 
 #include "state_machine/replicated_state.hpp"
 #include "transport/messages.hpp"
-namespace zc {
+namespace zinccleat::controller {
 class OutlierDetector {
  public:
   // seen: runner, attempts that went well, that did not, since this node's last word.
-  void told(Instant now, const std::string& node, const std::vector<Grant>& seen);
+  void told(TimePoint now, const std::string& node, const std::vector<transport::Grant>& seen);
   // Weighs anew. Runners are those in service.
-  void weigh(Instant now, const std::vector<Runner>& runners);
-  void takeOver(std::int64_t term);
+  void evaluate(TimePoint now, const std::vector<state_machine::Runner>& runners);
+  void noOp(std::int64_t term);
   // Runner and how far it is set aside: 1 wholly, less while a few requests try it again. At most a fifth of a service.
-  const std::vector<Grant>& list() const { return list_; }
+  const std::vector<transport::Grant>& list() const { return list_; }
   std::uint64_t errorResponse() const { return declined_; }  // words about runners that nobody knows
   std::int64_t version() const { return version_; }          // changes with the list; 0 is never used
 
@@ -22,18 +22,18 @@
   enum class Standing { fine, aside, trial };
   struct Mark {
     double good = 0, bad = 0;  // of the last seconds, fading
-    Instant at{};
-    std::map<std::string, Instant> nodes;  // who told of a bad one, and when last
+    TimePoint at{};
+    std::map<std::string, TimePoint> nodes;  // who told of a bad one, and when last
     Standing standing = Standing::fine;
-    Instant until{}, since{};
+    TimePoint until{}, since{};
     int strikes = 0;
   };
-  void fade(Mark& m, Instant now);
-  void set(Mark& m, Standing s, Instant now);  // the one place where a standing changes
+  void fade(Mark& m, TimePoint now);
+  void set(Mark& m, Standing s, TimePoint now);  // the one place where a standing changes
   std::unordered_map<std::string, Mark> marks_;
-  std::vector<Grant> list_;
+  std::vector<transport::Grant> list_;
   std::set<std::string> known_;
   std::uint64_t declined_ = 0;
   std::int64_t version_ = 1;
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/peer_links.cpp
+++ b/libs/controller/src/peer_links.cpp
@@ -1,6 +1,6 @@
 #include "peer_links.hpp"
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
 constexpr std::size_t kMostBacklog = 4U << 20;  // bytes that wait for a member before it is told again later
 constexpr auto kSpokeLately = 1s;
@@ -9,29 +9,29 @@
 void PeerLinks::dial(const std::string& address) {
   (void)dialerTo(address);
 }
-Dialer* PeerLinks::dialerTo(const std::string& address) {
+transport::Dialer* PeerLinks::dialerTo(const std::string& address) {
   if (address == core_.settings.ip)
     return nullptr;
   auto& dialer = dialers_[address];
   if (dialer)
     return dialer.get();
-  const auto endpoint = parseEndpoint(address + ":" + std::to_string(core_.settings.portFirst));
+  const auto endpoint = runtime::parseEndpoint(address + ":" + std::to_string(core_.settings.portFirst));
   if (!endpoint) {
     dialers_.erase(address);
     return nullptr;
   }
-  dialer = std::make_unique<Dialer>(*endpoint, onMessage_, [](const PeerLinkPtr&) {});
+  dialer = std::make_unique<transport::Dialer>(*endpoint, onMessage_, [](const transport::PeerLinkPtr&) {});
   return dialer.get();
 }
-Envelope PeerLinks::envelopeOf(const ConsensusMessage& message) const {
-  return {MessageType::consensus, core_.raft->self(), encodeMessage(message)};
+transport::Envelope PeerLinks::envelopeOf(const consensus::ConsensusMessage& message) const {
+  return {transport::MessageType::consensus, core_.raft->self(), consensus::encodeMessage(message)};
 }
-void PeerLinks::send(const MemberId& to, const ConsensusMessage& message) {
+void PeerLinks::send(const consensus::MemberId& to, const consensus::ConsensusMessage& message) {
   post(to, envelopeOf(message));
 }
-void PeerLinks::post(const MemberId& to, const Envelope& envelope) {
+void PeerLinks::post(const consensus::MemberId& to, const transport::Envelope& envelope) {
   // The replicated log bears losses: one that reads slowly is told again later.
-  auto write = [&](PeerLink& link) {
+  auto write = [&](transport::PeerLink& link) {
     if (link.backlog() <= kMostBacklog)
       link.send(envelope);
   };
@@ -41,13 +41,13 @@
     if (link && link->open() && Clock::now() - link->heard() < kSpokeLately)
       return write(*link);
   }
-  if (auto* dialer = dialerTo(addressOf(to)); dialer && dialer->up())
+  if (auto* dialer = dialerTo(consensus::addressOf(to)); dialer && dialer->up())
     write(*dialer->link());
 }
-void PeerLinks::sendToVoters(const ConsensusMessage& message) {
+void PeerLinks::sendToVoters(const consensus::ConsensusMessage& message) {
   const auto envelope = envelopeOf(message);
   for (auto& voter : core_.raft->voters())
     if (voter != core_.raft->self())
       post(voter, envelope);
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/pending_writes.cpp
+++ b/libs/controller/src/pending_writes.cpp
@@ -1,15 +1,15 @@
 #include "pending_writes.hpp"
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
-constexpr Span kSentAgainAfter{250};
+constexpr Duration kSentAgainAfter{250};
 }
 
-Outcome<std::int32_t> PendingWrites::write(const Entry& entry, Span within) {
+Result<std::int32_t> PendingWrites::write(const transport::LogEntry& entry, Duration within) {
   const auto end = Clock::now() + within;
-  const auto id = entry.opId;
+  const auto id = entry.operationId;
   Pending own;
-  own.verdict = core_.copy.verdictOf(id);
+  own.verdict = core_.copy.outcomeOf(id);
   pending_[id].push_back(&own);
   bool bodyIsAhead = false;
   while (!own.verdict && Clock::now() < end) {
@@ -17,29 +17,30 @@
     // It may be applied at once, where this machine is a core of one.
     if (own.verdict)
       break;
-    (void)EventLoop::get().waitFor(own.waiter, std::min(toSpan(end - Clock::now()) + 1ms, kSentAgainAfter));
+    (void)runtime::EventLoop::get().waitFor(own.waiter,
+                                            std::min(toDuration(end - Clock::now()) + 1ms, kSentAgainAfter));
     if (!own.verdict)
-      own.verdict = core_.copy.verdictOf(id);
+      own.verdict = core_.copy.outcomeOf(id);
   }
   forget(id, &own);
   if (!own.verdict)
-    return fault(503, "no outcome yet");
+    return makeError(ErrorCode::unavailable, "no outcome yet");
   return *own.verdict;
 }
-void PendingWrites::submit(const Entry& entry, bool& bodyIsAhead) {
+void PendingWrites::submit(const transport::LogEntry& entry, bool& bodyIsAhead) {
   const auto leader = core_.raft->leader();
   if (leader == core_.raft->self())
     return ways_.submitHere(entry);
   if (leader.empty())
     return;
-  const bool large = entry.blob.size() > kLargeBody && !entry.digest.empty();
+  const bool large = entry.body.size() > kLargeBody && !entry.digest.empty();
   // Sent again, it goes whole: the body may have been lost.
   if (!large || bodyIsAhead)
     return ways_.submitThere(leader, entry);
   ways_.sendBodyAhead(entry);
   bodyIsAhead = true;
   auto withoutBody = entry;
-  withoutBody.blob.clear();
+  withoutBody.body.clear();
   withoutBody.omitted = true;
   ways_.submitThere(leader, withoutBody);
 }
@@ -54,13 +55,13 @@
   if (it == pending_.end())
     return;
   for (auto* pending : it->second) {
-    pending->verdict = core_.copy.verdictOf(operationId);
+    pending->verdict = core_.copy.outcomeOf(operationId);
     pending->waiter.wake();
   }
 }
 void PendingWrites::snapshotRestored() {
   for (auto& [id, ofId] : pending_)
-    if (core_.copy.verdictOf(id))
+    if (core_.copy.outcomeOf(id))
       applied(id);
 }
 void PendingWrites::leaderChanged() {
@@ -68,4 +69,4 @@
     for (auto* pending : ofId)
       pending->waiter.wake();
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/pending_writes.hpp
+++ b/libs/controller/src/pending_writes.hpp
@@ -3,17 +3,17 @@
 #pragma once
 #include "core_context.hpp"
 #include "runtime/event_loop.hpp"
-namespace zc {
+namespace zinccleat::controller {
 class PendingWrites {
  public:
   struct Ways {
-    std::function<void(const Entry&)> submitHere;                           // this machine leads
-    std::function<void(const MemberId& leader, const Entry&)> submitThere;  // another one does
-    std::function<void(const Entry&)> sendBodyAhead;
+    std::function<void(const transport::LogEntry&)> submitHere;  // this machine leads
+    std::function<void(const consensus::MemberId& leader, const transport::LogEntry&)> submitThere;  // another one does
+    std::function<void(const transport::LogEntry&)> sendBodyAhead;
   };
   PendingWrites(const CoreContext& core, Ways ways) : core_(core), ways_(std::move(ways)) {}
   /// Parks the calling fiber until its own write is applied here; the verdict is the copy's.
-  Outcome<std::int32_t> write(const Entry& entry, Span within);
+  Result<std::int32_t> write(const transport::LogEntry& entry, Duration within);
   void applied(const std::string& operationId);
   /// Any of them may be applied by now.
   void snapshotRestored();
@@ -22,13 +22,13 @@
 
  private:
   struct Pending {
-    Waiter waiter;
+    runtime::Waiter waiter;
     std::optional<std::int32_t> verdict;
   };
-  void submit(const Entry& entry, bool& bodyIsAhead);
+  void submit(const transport::LogEntry& entry, bool& bodyIsAhead);
   void forget(const std::string& operationId, const Pending* pending);
   const CoreContext& core_;
   Ways ways_;
   std::map<std::string, std::vector<Pending*>> pending_;  // by operation id
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/quota.cpp
+++ b/libs/controller/src/quota.cpp
@@ -2,22 +2,22 @@
 
 #include <cmath>
 
-namespace zc {
+namespace zinccleat::controller {
 namespace {
-constexpr auto kStashLives = 4s;        // a node not heard from for so long has used or lost what it held
+constexpr auto kReserveLifetime = 4s;   // a node not heard from for so long has used or lost what it held
 constexpr auto kUnknownLives = 4500ms;  // after a take-over: until every stash is told of again or has ended
-const Grant* find(const std::vector<Grant>& v, const std::string& l) {
+const transport::Grant* find(const std::vector<transport::Grant>& v, const std::string& l) {
   for (auto& g : v)
     if (g.label == l)
       return &g;
   return nullptr;
 }
 }  // namespace
-void QuotaAllocator::takeOver(Instant now) {
+void QuotaAllocator::noOp(TimePoint now) {
   buckets_.clear();
   since_ = now;
 }
-const Subscriber* QuotaAllocator::tenant(const Configuration& cfg, const std::string& label) {
+const config::Subscriber* QuotaAllocator::tenant(const config::Configuration& cfg, const std::string& label) {
   if (indexed_ != &cfg || indexedVersion_ != cfg.version) {
     byLabel_.clear();
     for (std::size_t i = 0; i < cfg.subscribers.size(); ++i)
@@ -28,9 +28,11 @@
   const auto it = byLabel_.find(label);
   return it == byLabel_.end() ? nullptr : &cfg.subscribers[static_cast<std::size_t>(it->second)];
 }
-std::vector<Grant> QuotaAllocator::draw(Instant now, const std::string& node, const std::vector<Grant>& demand,
-                                        const std::vector<Grant>& holds, const Configuration* cfg) {
-  std::vector<Grant> out;
+std::vector<transport::Grant> QuotaAllocator::draw(TimePoint now, const std::string& node,
+                                                   const std::vector<transport::Grant>& demand,
+                                                   const std::vector<transport::Grant>& holds,
+                                                   const config::Configuration* cfg) {
+  std::vector<transport::Grant> out;
   if (!cfg)
     return out;
   for (auto& d : demand) {
@@ -38,7 +40,7 @@
     if (!sub || sub->ratePerS <= 0)
       continue;
     auto& p = buckets_[d.label];
-    if (p.at == Instant{})
+    if (p.at == TimePoint{})
       p.at = since_, p.tokens = bounds_.slack * 0.2;
     // A part of the excess goes to the rate; the rest, with most of the slack, to what may be used at once, in the
     // purse and in the holders together.
@@ -49,18 +51,18 @@
     const double mine = h ? h->rate : 0;
     double held = 0;  // by the others
     for (auto it = p.holders.begin(); it != p.holders.end();)
-      if (now - it->second.told > kStashLives)
+      if (now - it->second.told > kReserveLifetime)
         it = p.holders.erase(it);
       else
         held += it->first == node ? 0 : it->second.tokens, ++it;
-    const bool stash = d.rate > 0 || h;
-    if (stash)
+    const bool reserve = d.rate > 0 || h;
+    if (reserve)
       p.holders[node] = {mine, now};
     else if (const auto it = p.holders.find(node); it != p.holders.end())
       held += it->second.tokens;
     // Why less after a take-over: holders that nobody has told of yet may still be out there.
     const double most =
-        now - since_ < kUnknownLives ? room * 0.4 : std::max(room * 0.4, room - held - (stash ? mine : 0));
+        now - since_ < kUnknownLives ? room * 0.4 : std::max(room * 0.4, room - held - (reserve ? mine : 0));
     p.tokens = std::min(most, p.tokens + std::chrono::duration<double>(now - p.at).count() * rate);
     p.at = now;
     // First what waits now, then what keeps the node going for a while, as far as the holders have room.
@@ -69,7 +71,7 @@
     p.tokens -= first;
     double more = 0;
     if (d.rate > 0) {
-      const double wish = std::min(d.rate * stashFor + 1, std::max(0.0, room * 0.6 - held));
+      const double wish = std::min(d.rate * reserveFor + 1, std::max(0.0, room * 0.6 - held));
       more = std::min(p.tokens, std::max(0.0, wish - mine));
       p.tokens -= more;
       p.holders[node].tokens = mine + more;
@@ -79,4 +81,4 @@
   }
   return out;
 }
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/quota.hpp
+++ b/libs/controller/src/quota.hpp
@@ -4,7 +4,7 @@
 #pragma once
 #include "config/configuration.hpp"
 #include "transport/messages.hpp"
-namespace zc {
+namespace zinccleat::controller {
 class QuotaAllocator {
  public:
   struct Bounds {  // what a window may hold beyond the limit before it counts as broken
@@ -12,30 +12,31 @@
   };
   void bounds(Bounds b) { bounds_ = b; }
   // Purses begin all but empty: what the leader before gave out is not known, and must not be given out again.
-  void takeOver(Instant now);
+  void noOp(TimePoint now);
   // demand: label, requests a second that a stash is wanted for, requests waiting right now. holds: label, tokens in
   // the stash. Tokens for waiting requests count as spent at once; a stash is told of by its node until it ends.
   // Answer: label, tokens, seconds until more could be had.
-  std::vector<Grant> draw(Instant now, const std::string& node, const std::vector<Grant>& demand,
-                          const std::vector<Grant>& holds, const Configuration* cfg);
-  static constexpr double stashFor = 1.6;  // seconds of its demand that a node may keep, to bridge a take-over
+  std::vector<transport::Grant> draw(TimePoint now, const std::string& node,
+                                     const std::vector<transport::Grant>& demand,
+                                     const std::vector<transport::Grant>& holds, const config::Configuration* cfg);
+  static constexpr double reserveFor = 1.6;  // seconds of its demand that a node may keep, to bridge a take-over
 
  private:
   struct GrantHolder {
     double tokens = 0;
-    Instant told{};
+    TimePoint told{};
   };
   struct TokenBucket {
     double tokens = 0;
-    Instant at{};
+    TimePoint at{};
     std::map<std::string, GrantHolder> holders;
   };
-  const Subscriber* tenant(const Configuration& cfg, const std::string& label);
+  const config::Subscriber* tenant(const config::Configuration& cfg, const std::string& label);
   std::unordered_map<std::string, TokenBucket> buckets_;
   std::unordered_map<std::string, int> byLabel_;
-  const Configuration* indexed_ = nullptr;
+  const config::Configuration* indexed_ = nullptr;
   std::int64_t indexedVersion_ = -1;
-  Instant since_{};
+  TimePoint since_{};
   Bounds bounds_;
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/controller/src/storage_thread.hpp
+++ b/libs/controller/src/storage_thread.hpp
@@ -9,11 +9,11 @@
 #include "runtime/log_ring.hpp"
 #include "storage/storage.hpp"
 
-namespace zc {
+namespace zinccleat::controller {
 class StorageThread {
  public:
   /// Takes over a storage that has been loaded.
-  explicit StorageThread(Storage storage)
+  explicit StorageThread(storage::Storage storage)
       : storage_(std::move(storage)), guard_(asio::make_work_guard(io_)), thread_([this] { io_.run(); }) {}
   /// Waits for the operations under way.
   ~StorageThread() {
@@ -22,12 +22,12 @@
   }
   /// Appends in the order of the calls; `done` is called on the event loop, true once the record is durable. A record
   /// that failed may be appended again.
-  void append(DiskRecord record, std::function<void(bool)> done) {
+  void append(consensus::DiskRecord record, std::function<void(bool)> done) {
     asio::post(io_, [this, record = std::move(record), done = std::move(done)] {
       const auto appended = storage_.append(record);
-      asio::post(EventLoop::get().io(), [done, appended] {
+      asio::post(runtime::EventLoop::get().io(), [done, appended] {
         if (!appended)
-          ring::note("disk: " + appended.error().text);
+          log::debug("disk: " + appended.error().message);
         done(appended.has_value());
       });
       if (record.full)
@@ -45,9 +45,9 @@
   }
 
   static constexpr std::size_t kRemovedATurn = 8;
-  Storage storage_;
+  storage::Storage storage_;
   asio::io_context io_{1};
   asio::executor_work_guard<asio::io_context::executor_type> guard_;
   std::thread thread_;
 };
-}  // namespace zc
+}  // namespace zinccleat::controller
--- a/libs/hints/include/hints/hints.hpp
+++ b/libs/hints/include/hints/hints.hpp
@@ -6,11 +6,11 @@
 #include <set>
 
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::hints {
 // The secret that two sites share, 32 bytes in hex.
 class HintKey {
  public:
-  static Outcome<HintKey> from(std::string_view hex);
+  static Result<HintKey> from(std::string_view hex);
   std::int64_t digest(std::uint64_t opening, std::int64_t epoch) const;
   std::string seal(std::string_view text) const;  // proves that the text is from who holds the secret
   bool fits(std::string_view text, std::string_view seal) const;
@@ -19,7 +19,7 @@
   std::string secret_;
 };
 // What one site tells the other: what came and went since the version that the other has, or all (base 0).
-struct HintNews {
+struct HintUpdate {
   std::int64_t epoch = 0, known = 0, base = 0,
                version = 0;  // known: the version of the receiver's list that the sender has
   std::vector<std::int64_t> added, gone;
@@ -29,9 +29,9 @@
   }
 };
 struct HintBounds {
-  Span lives{60000};         // an opening not sent for so long is not told of any more
-  Span epoch{600000};        // a key's time
-  Span stale{10000};         // a partner's list not renewed for so long counts for nothing
+  Duration lives{60000};     // an opening not sent for so long is not told of any more
+  Duration epoch{600000};    // a key's time
+  Duration stale{10000};     // a partner's list not renewed for so long counts for nothing
   std::size_t tenants = 2;   // so many have sent an opening before it is told
   std::size_t most = 2048;   // openings told at most, the newest
   std::size_t fill = 64;     // lists are filled up to a multiple of this
@@ -42,10 +42,10 @@
   HintTable(HintKey key, HintBounds b, std::uint64_t seed) : key_(std::move(key)), b_(b), rng_(seed) {}
   // A node is about to send a prompt with this opening; the tenant's name is not kept, only a mark of it.
   // True: not held here, but at the partner. False in every other case, and then it counts as held here.
-  bool elsewhere(Instant now, std::int64_t epoch, std::uint64_t opening, std::uint64_t tenantMark);
-  HintNews news(Instant now, std::int64_t epoch);  // for the partner
+  bool elsewhere(TimePoint now, std::int64_t epoch, std::uint64_t opening, std::uint64_t tenantDigest);
+  HintUpdate news(TimePoint now, std::int64_t epoch);  // for the partner
   // From the partner. Declined: nothing changes.
-  Outcome<void> heard(Instant now, std::int64_t epoch, const HintNews& n);
+  Result<void> heard(TimePoint now, std::int64_t epoch, const HintUpdate& n);
   std::size_t told() const { return told_.size(); }
   std::size_t known() const { return theirs_.size(); }
   std::uint64_t errorResponse() const { return declined_; }
@@ -54,9 +54,9 @@
  private:
   struct Opening {
     std::set<std::uint64_t> tenants;  // marks, as many as it takes
-    Instant at{};
+    TimePoint at{};
   };
-  void forget(Instant now);
+  void forget(TimePoint now);
   HintKey key_;
   HintBounds b_;
   std::uint64_t rng_;
@@ -64,7 +64,7 @@
   std::set<std::int64_t> told_, theirs_, fill_;
   std::int64_t version_ = 0, acked_ = 0, toldEpoch_ = -1;  // acked_: the version that the partner says it has
   std::int64_t theirVersion_ = 0, theirEpoch_ = -1;
-  Instant theirsAt_{}, forgotAt_{};
+  TimePoint theirsAt_{}, forgotAt_{};
   std::uint64_t declined_ = 0;
 };
-}  // namespace zc
+}  // namespace zinccleat::hints
--- a/libs/hints/src/hints.cpp
+++ b/libs/hints/src/hints.cpp
@@ -4,17 +4,17 @@
 
 #include <cstring>
 
-namespace zc {
+namespace zinccleat::hints {
 namespace {
 constexpr char kContext[crypto_kdf_CONTEXTBYTES + 1] = "zchints1";
 }
-Outcome<HintKey> HintKey::from(std::string_view hex) {
-  must(sodium_init() >= 0, "libsodium");
+Result<HintKey> HintKey::from(std::string_view hex) {
+  checkInvariant(sodium_init() >= 0, "libsodium");
   unsigned char raw[crypto_kdf_KEYBYTES];
   std::size_t n = 0;
   if (sodium_hex2bin(raw, sizeof raw, hex.data(), hex.size(), nullptr, &n, nullptr) != 0 || n != sizeof raw ||
       hex.size() != 2 * sizeof raw)
-    return fault(0, "a partner's secret is not 32 bytes in hex");
+    return makeError(ErrorCode::invalidArgument, "a partner's secret is not 32 bytes in hex");
   HintKey k;
   k.secret_.assign(reinterpret_cast<char*>(raw), sizeof raw);
   return k;
@@ -45,7 +45,7 @@
   return own.size() == s.size() && sodium_memcmp(own.data(), s.data(), own.size()) == 0;
 }
 
-void HintTable::forget(Instant now) {
+void HintTable::forget(TimePoint now) {
   if (now - forgotAt_ < 1s && mine_.size() < b_.kept)
     return;
   forgotAt_ = now;
@@ -54,7 +54,7 @@
   if (mine_.size() >= b_.kept)
     mine_.clear();
 }
-bool HintTable::elsewhere(Instant now, std::int64_t epoch, std::uint64_t opening, std::uint64_t tenantMark) {
+bool HintTable::elsewhere(TimePoint now, std::int64_t epoch, std::uint64_t opening, std::uint64_t tenantDigest) {
   forget(now);
   auto it = mine_.find(opening);
   const bool held = it != mine_.end() && now - it->second.at <= b_.lives;
@@ -65,12 +65,12 @@
     it = mine_.insert_or_assign(opening, Opening{}).first;
   it->second.at = now;
   if (it->second.tenants.size() < b_.tenants)
-    it->second.tenants.insert(tenantMark);
+    it->second.tenants.insert(tenantDigest);
   return false;
 }
-HintNews HintTable::news(Instant now, std::int64_t epoch) {
+HintUpdate HintTable::news(TimePoint now, std::int64_t epoch) {
   forget(now);
-  std::vector<std::pair<Instant, std::uint64_t>> newest;
+  std::vector<std::pair<TimePoint, std::uint64_t>> newest;
   for (auto& [o, x] : mine_)
     if (x.tenants.size() >= b_.tenants)
       newest.emplace_back(x.at, o);
@@ -93,7 +93,7 @@
   while (!fill_.empty() && current.size() + fill_.size() > std::max(want, b_.fill))
     fill_.erase(fill_.begin());
   current.insert(fill_.begin(), fill_.end());
-  HintNews n;
+  HintUpdate n;
   n.epoch = epoch;
   n.known = theirVersion_;
   const bool whole = acked_ == 0 || acked_ != version_ || toldEpoch_ != epoch;
@@ -108,12 +108,12 @@
   toldEpoch_ = epoch;
   return n;
 }
-Outcome<void> HintTable::heard(Instant now, std::int64_t epoch, const HintNews& n) {
+Result<void> HintTable::heard(TimePoint now, std::int64_t epoch, const HintUpdate& n) {
   acked_ = n.known;
   const auto size = n.added.size() + n.gone.size();
   if (std::abs(n.epoch - epoch) > 1 || size > 2 * (b_.most + b_.fill)) {
     ++declined_;
-    return fault(400, "hints of another time, or too many");
+    return makeError(ErrorCode::invalidArgument, "hints of another time, or too many");
   }
   if (n.base != 0 && (n.base != theirVersion_ || n.epoch != theirEpoch_)) {
     // Why no fault: something was lost on the way, and the next ones come whole.
@@ -130,11 +130,11 @@
     theirs_.clear();
     theirVersion_ = 0;
     ++declined_;
-    return fault(400, "more hints than were agreed on");
+    return makeError(ErrorCode::invalidArgument, "more hints than were agreed on");
   }
   theirVersion_ = n.version;
   theirEpoch_ = n.epoch;
   theirsAt_ = now;
   return {};
 }
-}  // namespace zc
+}  // namespace zinccleat::hints
--- a/libs/operations/include/operations/call.hpp
+++ b/libs/operations/include/operations/call.hpp
@@ -1,7 +1,7 @@
 // Calls of control for operators' tools.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::operations {
 struct Called {
   int status = 0;
   std::string body, address;  // the node that answered
@@ -11,10 +11,10 @@
   std::vector<std::pair<std::string, std::string>> heads;
 };
 // On a fiber. Follows 307 twice.
-Outcome<Called> callOne(const std::string& first, const Call& c, Span within);
+Result<Called> callOne(const std::string& first, const Call& c, Duration within);
 // Tries the addresses in turn until one gives an answer that is not 5xx.
-Outcome<Called> callAny(const std::vector<std::string>& addresses, const Call& c, Span within);
+Result<Called> callAny(const std::vector<std::string>& addresses, const Call& c, Duration within);
 std::vector<std::string> splitList(std::string_view s);
 // Runs f on a fiber of an event loop of its own until it ends.
 int runOnEventLoop(const std::function<int()>& f);
-}  // namespace zc
+}  // namespace zinccleat::operations
--- a/libs/operations/include/operations/runbook.hpp
+++ b/libs/operations/include/operations/runbook.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include "operations/call.hpp"
 #include "operations/observe.hpp"
-namespace zc {
+namespace zinccleat::operations {
 struct Step {
   enum class Do { step, tell, get, getall, post, head, expect, await, pause } what = Do::step;
   int line = 0;
@@ -10,7 +10,7 @@
   std::string path, body;  // calls; a body @FILE is read from that file
   Observation see;         // expect, await
   bool status = false;     // the observation is about the call's status
-  Span within{0};          // await, pause
+  Duration within{0};      // await, pause
 };
 struct Runbook {
   std::string title;
@@ -18,19 +18,19 @@
   std::vector<Step> steps;
 };
 // Fills {name} from given; a parameter without a value is a fault, so is an unknown word.
-Outcome<Runbook> parseRunbook(const std::string& text, const std::map<std::string, std::string>& given);
+Result<Runbook> parseRunbook(const std::string& text, const std::map<std::string, std::string>& given);
 // A stand-in value for each parameter that the text declares, to check it without running it.
 std::map<std::string, std::string> sampleValues(const std::string& text);
 struct RunbookPorts {
-  std::function<Outcome<Called>(const Call&)> any;
-  std::function<std::vector<Outcome<Called>>(const Call&)> all;
-  std::function<void(Span)> pause;
+  std::function<Result<Called>(const Call&)> any;
+  std::function<std::vector<Result<Called>>(const Call&)> all;
+  std::function<void(Duration)> sleepFor;
   std::function<void(const std::string&)> print;
-  std::function<Instant()> now;
+  std::function<TimePoint()> now;
 };
 // 0: all observations were met; 1: one was not, and the rest was left undone.
 int runRunbook(const Runbook& b, const RunbookPorts& io, bool dry);
 
 int runbookCommand(const std::string& file, const std::vector<std::string>& sets, bool dry);
 int statusCommand(const std::vector<std::string>& addresses, bool json);
-}  // namespace zc
+}  // namespace zinccleat::operations
--- a/libs/operations/src/call.cpp
+++ b/libs/operations/src/call.cpp
@@ -2,19 +2,19 @@
 
 #include "proxy/http.hpp"
 
-namespace zc {
+namespace zinccleat::operations {
 namespace {
-Outcome<Called> callThere(const std::string& address, const std::string& path, const Call& c, Span within,
-                          std::string& location) {
-  auto ep = parseEndpoint(address);
+Result<Called> callThere(const std::string& address, const std::string& path, const Call& c, Duration within,
+                         std::string& location) {
+  auto ep = runtime::parseEndpoint(address);
   if (!ep)
     return tl::unexpected(ep.error());
-  Connection w;
-  Ec ec;
-  w.due(Clock::now() + within);
+  runtime::Connection w;
+  runtime::SocketError ec;
+  w.setDeadline(Clock::now() + within);
   w.connect(*ep, ec);
   if (ec)
-    return fault(0, address + ": " + (w.late() ? "no answer" : ec.message()));
+    return makeError(ErrorCode::unavailable, address + ": " + (w.deadlineExceeded() ? "no answer" : ec.message()));
   std::string s = c.method + " " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n";
   for (auto& [n, v] : c.heads)
     s += n + ": " + v + "\r\n";
@@ -22,20 +22,20 @@
     s += "Content-Type: application/json\r\n";
   s += "Content-Length: " + std::to_string(c.body.size()) + "\r\n\r\n" + c.body;
   w.write(asio::buffer(s), ec);
-  Buffer buf;
+  proxy::Buffer buf;
   http::response_parser<http::string_body> p;
   p.eager(true);
   p.body_limit(64U << 20);
   if (!ec)
-    pump(w, buf, p, false, ec);
+    proxy::pump(w, buf, p, false, ec);
   if (ec)
-    return fault(0, address + ": " + (w.late() ? "no answer" : ec.message()));
+    return makeError(ErrorCode::unavailable, address + ": " + (w.deadlineExceeded() ? "no answer" : ec.message()));
   const auto l = p.get()[http::field::location];
   location.assign(l.data(), l.size());
   return Called{static_cast<int>(p.get().result_int()), p.get().body(), address};
 }
 }  // namespace
-Outcome<Called> callOne(const std::string& first, const Call& c, Span within) {
+Result<Called> callOne(const std::string& first, const Call& c, Duration within) {
   auto address = first;
   auto path = c.path;
   for (int hop = 0;; ++hop) {
@@ -45,15 +45,15 @@
       return r;
     constexpr std::string_view scheme = "http://";
     if (location.rfind(scheme, 0) != 0)
-      return fault(0, address + ": a redirection without an address");
+      return makeError(ErrorCode::unavailable, address + ": a redirection without an address");
     location.erase(0, scheme.size());
     const auto slash = location.find('/');
     address = location.substr(0, slash);
     path = slash == std::string::npos ? "/" : location.substr(slash);
   }
 }
-Outcome<Called> callAny(const std::vector<std::string>& addresses, const Call& c, Span within) {
-  Outcome<Called> last = fault(0, "no address to call");
+Result<Called> callAny(const std::vector<std::string>& addresses, const Call& c, Duration within) {
+  Result<Called> last = makeError(ErrorCode::unavailable, "no address to call");
   for (auto& a : addresses) {
     last = callOne(a, c, within);
     if (last && last->status < 500)
@@ -72,13 +72,13 @@
   return out;
 }
 int runOnEventLoop(const std::function<int()>& f) {
-  EventLoop loop;
+  runtime::EventLoop loop;
   int rc = 0;
-  loop.launch([&] {
+  loop.spawn([&] {
     rc = f();
     loop.stop();
   });
   loop.run();
   return rc;
 }
-}  // namespace zc
+}  // namespace zinccleat::operations
--- a/libs/operations/src/commands.cpp
+++ b/libs/operations/src/commands.cpp
@@ -4,7 +4,7 @@
 #include "operations/runbook.hpp"
 #include "runtime/event_loop.hpp"
 
-namespace zc {
+namespace zinccleat::operations {
 namespace {
 constexpr auto kCallWait = 3000ms;
 void line(const std::string& s) {
@@ -14,9 +14,9 @@
 }  // namespace
 
 int runbookCommand(const std::string& file, const std::vector<std::string>& sets, bool dry) {
-  auto text = readFile(file);
+  auto text = config::readFile(file);
   if (!text) {
-    std::fprintf(stderr, "zinccleat runbook: %s\n", text.error().text.c_str());
+    std::fprintf(stderr, "zinccleat runbook: %s\n", text.error().message.c_str());
     return 2;
   }
   std::map<std::string, std::string> given;
@@ -30,7 +30,7 @@
   }
   auto b = parseRunbook(*text, given);
   if (!b) {
-    std::fprintf(stderr, "zinccleat runbook: %s: %s\n", file.c_str(), b.error().text.c_str());
+    std::fprintf(stderr, "zinccleat runbook: %s: %s\n", file.c_str(), b.error().message.c_str());
     return 2;
   }
   const auto core = splitList(given["core"]);
@@ -42,13 +42,13 @@
     RunbookPorts io;
     io.any = [&](const Call& c) { return callAny(core, c, kCallWait); };
     io.all = [&](const Call& c) {
-      std::vector<Outcome<Called>> out;
+      std::vector<Result<Called>> out;
       out.reserve(core.size());
       for (auto& a : core)
         out.push_back(callOne(a, c, kCallWait));
       return out;
     };
-    io.pause = [](Span d) { EventLoop::get().pause(d); };
+    io.sleepFor = [](Duration d) { runtime::EventLoop::get().sleepFor(d); };
     io.print = line;
     io.now = [] { return Clock::now(); };
     return runRunbook(*b, io, dry);
@@ -70,7 +70,7 @@
       auto r = callOne(a, Call{"GET", "/v1/Status", "", {}}, kCallWait);
       if (!r || r->status != 200) {
         ++silent;
-        const auto why = r ? "status " + std::to_string(r->status) : r.error().text;
+        const auto why = r ? "status " + std::to_string(r->status) : r.error().message;
         if (json)
           all += (all.size() > 1 ? "," : "") + ("{\"node\":\"" + a + "\",\"error\":\"" + why + "\"}");
         else
@@ -91,4 +91,4 @@
     return silent == static_cast<int>(addresses.size()) ? 1 : 0;
   });
 }
-}  // namespace zc
+}  // namespace zinccleat::operations
--- a/libs/operations/src/observe.cpp
+++ b/libs/operations/src/observe.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <sstream>
 
-namespace zc {
+namespace zinccleat::operations {
 namespace {
 using Elem = simdjson::dom::element;
 std::string textOf(Elem e) {
@@ -22,7 +22,7 @@
   return !s.empty() && end && *end == 0;
 }
 }  // namespace
-Outcome<Observation> parseObservation(std::string_view text) {
+Result<Observation> parseObservation(std::string_view text) {
   std::istringstream in{std::string(text)};
   std::string many;
   Observation o;
@@ -40,7 +40,7 @@
   for (auto known : {"==", "!=", "<", "<=", ">", ">=", "has"})
     if (o.op == known && !o.field.empty() && !o.value.empty())
       return o;
-  return fault(0, "no observation: '" + std::string(text) + "'");
+  return makeError(ErrorCode::unavailable, "no observation: '" + std::string(text) + "'");
 }
 std::optional<std::string> fieldOf(std::string_view json, std::string_view field) {
   simdjson::dom::parser parser;
@@ -134,4 +134,4 @@
     s += (s.empty() ? "" : ", ") + fieldOf(a, o.field).value_or("nothing");
   return s.empty() ? "no answer" : s;
 }
-}  // namespace zc
+}  // namespace zinccleat::operations
--- a/libs/operations/src/runbook.cpp
+++ b/libs/operations/src/runbook.cpp
@@ -4,7 +4,7 @@
 
 #include "config/settings.hpp"
 
-namespace zc {
+namespace zinccleat::operations {
 namespace {
 std::string trimmed(std::string s) {
   while (!s.empty() && (s.back() == ' ' || s.back() == '\r' || s.back() == '\t'))
@@ -12,11 +12,11 @@
   const auto at = s.find_first_not_of(" \t");
   return at == std::string::npos ? "" : s.substr(at);
 }
-tl::unexpected<Fault> at(int line, const std::string& what) {
-  return fault(0, "line " + std::to_string(line) + ": " + what);
+tl::unexpected<Error> at(int line, const std::string& what) {
+  return makeError(ErrorCode::unavailable, "line " + std::to_string(line) + ": " + what);
 }
 // Braces of JSON bodies stay: only {name} with a plain word in it is a parameter.
-Outcome<std::string> fill(const std::string& s, const std::map<std::string, std::string>& given, int line) {
+Result<std::string> fill(const std::string& s, const std::map<std::string, std::string>& given, int line) {
   std::string out;
   for (std::size_t i = 0; i < s.size(); ++i) {
     const auto end = s[i] == '{' ? s.find('}', i) : std::string::npos;
@@ -35,7 +35,7 @@
 }
 }  // namespace
 
-Outcome<Runbook> parseRunbook(const std::string& text, const std::map<std::string, std::string>& given) {
+Result<Runbook> parseRunbook(const std::string& text, const std::map<std::string, std::string>& given) {
   Runbook b;
   std::istringstream in(text);
   std::string raw;
@@ -85,21 +85,21 @@
       called = true;
     } else if (word == "pause") {
       s.what = Step::Do::pause;
-      s.within = Span(std::atoi(rest.c_str()) * 1000);
+      s.within = Duration(std::atoi(rest.c_str()) * 1000);
     } else if (word == "expect" || word == "await") {
       s.what = word == "expect" ? Step::Do::expect : Step::Do::await;
       if (!called)
         return at(line, "nothing was called that could be observed");
       if (word == "await") {
         const auto e = rest.find(' ');
-        s.within = Span(std::atoi(rest.substr(0, e).c_str()) * 1000);
-        if (s.within <= Span(0) || e == std::string::npos)
+        s.within = Duration(std::atoi(rest.substr(0, e).c_str()) * 1000);
+        if (s.within <= Duration(0) || e == std::string::npos)
           return at(line, "await needs seconds");
         rest = trimmed(rest.substr(e));
       }
       auto o = parseObservation(rest);
       if (!o)
-        return at(line, o.error().text);
+        return at(line, o.error().message);
       s.see = *o;
       s.status = o->field == "status";
     } else {
@@ -108,7 +108,7 @@
     b.steps.push_back(std::move(s));
   }
   if (b.steps.empty())
-    return fault(0, "no step in it");
+    return makeError(ErrorCode::unavailable, "no step in it");
   return b;
 }
 
@@ -136,11 +136,11 @@
   auto call = [&](const Call& c, bool all) {
     answers.clear();
     statuses.clear();
-    auto take = [&](const Outcome<Called>& r) {
+    auto take = [&](const Result<Called>& r) {
       answers.push_back(r ? r->body : "{}");
       statuses.push_back("{\"status\":" + std::to_string(r ? r->status : 0) + "}");
       if (!r)
-        io.print("     " + r.error().text);
+        io.print("     " + r.error().message);
     };
     if (all)
       for (auto& r : io.all(c))
@@ -163,7 +163,7 @@
       }
       case Step::Do::pause:
         if (!dry)
-          io.pause(s.within);
+          io.sleepFor(s.within);
         break;
       case Step::Do::get:
       case Step::Do::getall:
@@ -175,9 +175,9 @@
         if (dry)
           break;
         if (!last.body.empty() && last.body[0] == '@') {
-          auto f = readFile(last.body.substr(1));
+          auto f = config::readFile(last.body.substr(1));
           if (!f) {
-            io.print("stopped at line " + std::to_string(s.line) + ": " + f.error().text);
+            io.print("stopped at line " + std::to_string(s.line) + ": " + f.error().message);
             return 1;
           }
           last.body = *f;
@@ -195,7 +195,7 @@
         const auto end = io.now() + s.within;
         auto& what = s.status ? statuses : answers;
         while (!meets(s.see, what) && s.what == Step::Do::await && io.now() < end) {
-          io.pause(Span(300));
+          io.sleepFor(Duration(300));
           call(last, lastAll);
         }
         if (!meets(s.see, what)) {
@@ -211,4 +211,4 @@
   io.print("done");
   return 0;
 }
-}  // namespace zc
+}  // namespace zinccleat::operations
--- a/libs/proxy/include/proxy/http.hpp
+++ b/libs/proxy/include/proxy/http.hpp
@@ -5,14 +5,16 @@
 #include <cstddef>
 
 #include "runtime/event_loop.hpp"
-namespace zc {
+namespace zinccleat {
 namespace http = boost::beast::http;
+}  // namespace zinccleat
+namespace zinccleat::proxy {
 using Buffer = boost::beast::flat_buffer;
 using RequestParser = http::request_parser<http::string_body>;
 
 struct ReadLimits {
   std::size_t header = 16384, body = 4194304;
-  Span idle{15000}, headerTime{3000}, bodyTime{10000};
+  Duration idle{15000}, headerTime{3000}, bodyTime{10000};
 };
 enum class ReadEnd { whole, closed, errorResponse };
 struct ReadResult {
@@ -20,10 +22,10 @@
   int status = 0;  // for errorResponse
 };
 // Reads one request; whatever follows it stays in buf.
-ReadResult readRequest(Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l);
+ReadResult readRequest(runtime::Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l);
 // Feeds the parser from buf and the connection until its head (or all of it) is read.
 template <class Parser>
-void pump(Connection& w, Buffer& buf, Parser& p, bool headOnly, Ec& ec);
+void pump(runtime::Connection& w, Buffer& buf, Parser& p, bool headOnly, runtime::SocketError& ec);
 
 std::string_view reasonOf(int status);
 std::string plainAnswer(int status, std::string_view extraHeads, std::string_view type, std::string_view body,
@@ -31,7 +33,7 @@
 std::string jsonError(std::string_view text);
 
 template <class Parser>
-void pump(Connection& w, Buffer& buf, Parser& p, bool headOnly, Ec& ec) {
+void pump(runtime::Connection& w, Buffer& buf, Parser& p, bool headOnly, runtime::SocketError& ec) {
   for (;;) {
     if (p.is_done() || (headOnly && p.is_header_done())) {
       ec = {};
@@ -50,7 +52,7 @@
     const auto n = w.read(room, ec);
     if (ec) {
       if (ec == asio::error::eof && p.is_header_done() && !p.chunked() && !p.content_length()) {
-        Ec done;
+        runtime::SocketError done;
         p.put_eof(done);
         if (!done)
           ec = {};
@@ -60,4 +62,4 @@
     buf.commit(n);
   }
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
