--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -2,7 +2,7 @@
 
 #include "heads.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 std::string_view bearerKey(const http::fields& f) {
   auto v = field(f, "Authorization");
@@ -29,24 +29,25 @@
   }
   // Why not long: a refusal must come well inside the aim, so that the client's next try still can. While draws are
   // answered one that is merely late is awaited longer: the answer leaves time for the work, another try would not.
-  const auto aim = x.route->aim;
-  const auto end = x.arrived + (quota.answering(x.arrived) ? std::clamp(aim * 9 / 20, Span(15), Span(250))
-                                                           : std::clamp(aim / 5, Span(15), Span(150)));
-  Waiter waiter;
+  const auto latencyTarget = x.route->latencyTarget;
+  const auto end =
+      x.arrived + (quota.answering(x.arrived) ? std::clamp(latencyTarget * 9 / 20, Duration(15), Duration(250))
+                                              : std::clamp(latencyTarget / 5, Duration(15), Duration(150)));
+  runtime::Waiter waiter;
   context.quotaWaits.push_back({&tenant, &waiter});
   bool has = false;
   while (!has && Exchange::now() < end) {
     quota.wait(tenant);
     context.askTokens();
-    const auto left = toSpan(end - Exchange::now()) + Span(1);
-    const bool told = EventLoop::get().waitFor(waiter, std::max(Span(1), std::min(Span(100), left)));
+    const auto left = toDuration(end - Exchange::now()) + Duration(1);
+    const bool told = runtime::EventLoop::get().waitFor(waiter, std::max(Duration(1), std::min(Duration(100), left)));
     has = quota.retake(tenant, Exchange::now());
     if (has || !told)
       continue;
     const auto again = quota.until(tenant);
     if (Exchange::now() + again >= end)
       break;
-    (void)EventLoop::get().waitFor(waiter, again);
+    (void)runtime::EventLoop::get().waitFor(waiter, again);
     has = quota.retake(tenant, Exchange::now());
   }
   if (!has)
@@ -55,7 +56,7 @@
   return has;
 }
 // One of the route's services, drawn by their shares.
-const Service& drawService(Exchange& x) {
+const config::Service& drawService(Exchange& x) {
   const auto& route = *x.route;
   std::uint64_t draw = route.shareSum > 1 ? x.context.rng() % route.shareSum : 0;
   std::size_t i = 0;
@@ -63,7 +64,7 @@
     draw -= route.targets[i++].share;
   return x.configuration->services[static_cast<std::size_t>(route.targets[i].service)];
 }
-void describe(Exchange& x, const Service& service) {
+void describe(Exchange& x, const config::Service& service) {
   auto& query = x.query;
   query.service = service.label;
   query.zone = x.context.zone;
@@ -71,7 +72,7 @@
   query.repeatable = x.route->repeatable();
   if (!service.engine)
     return;
-  const auto parts = promptOf(field(x.request, "X-Prompt-Prefix"));
+  const auto parts = balancing::promptOf(field(x.request, "X-Prompt-Prefix"));
   if (x.route->affinity) {
     query.affinity = parts.affinity;
     query.sharedTokens = parts.shared;
@@ -92,15 +93,15 @@
   const std::string_view target(x.request.target().data(), x.request.target().size());
   const int routeIndex = x.configuration->find(field(x.request, "Host"), target);
   if (routeIndex < 0)
-    return Refusal{404, Span(0), "no route"};
+    return Refusal{404, Duration(0), "no route"};
   x.route = &x.configuration->routes[static_cast<std::size_t>(routeIndex)];
   x.precedence = x.route->precedence;
 
-  const Subscriber* subscriber = nullptr;
+  const config::Subscriber* subscriber = nullptr;
   if (!x.configuration->subscribers.empty() && !x.route->keyless) {
     const int index = x.configuration->subscriberOf(bearerKey(x.request));
     if (index < 0)
-      return Refusal{401, Span(0), "key not known"};
+      return Refusal{401, Duration(0), "key not known"};
     subscriber = &x.configuration->subscribers[static_cast<std::size_t>(index)];
     x.tenant = subscriber->label;
     if (subscriber->precedence >= 0)
@@ -111,14 +112,14 @@
   // Why before the quota: what is turned away here must not cost a token.
   const double draw = static_cast<double>(context.rng() % 1000) / 1000;
   if (!context.admission.allows(service.label, x.precedence, draw, x.arrived))
-    return Refusal{503, Span(400 + static_cast<std::int64_t>(context.rng() % 900)), "overloaded"};
+    return Refusal{503, Duration(400 + static_cast<std::int64_t>(context.rng() % 900)), "overloaded"};
   if (subscriber && subscriber->ratePerS > 0 && !takeQuotaToken(x, subscriber->label))
     return Refusal{429, context.quota.hint(subscriber->label, Exchange::now()), "over quota"};
 
   const auto asked = wholeNumber(field(x.request, "X-Deadline-Ms"), x.route->expiry.count());
-  x.deadline = x.arrived + std::min(Span(asked), x.route->expiry);
+  x.deadline = x.arrived + std::min(Duration(asked), x.route->expiry);
   context.budget.earn(service.label, x.arrived);
   describe(x, service);
   return std::nullopt;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -3,10 +3,10 @@
 #include "proxy/proxy.hpp"
 #include "request_handler.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
-constexpr Span kLeastBodyTime{5000};
-constexpr Span kIdleWhileLeaving{300};
+constexpr Duration kLeastBodyTime{5000};
+constexpr Duration kIdleWhileLeaving{300};
 constexpr auto kHeldPause = 20ms;
 constexpr auto kDrainTime = 500ms;
 
@@ -25,13 +25,13 @@
   return l;
 }
 // A request that can't be read in full: answered, and its connection ends.
-void turnAway(Connection& client, int status) {
-  Ec ec;
+void turnAway(runtime::Connection& client, int status) {
+  runtime::SocketError ec;
   client.write(asio::buffer(plainAnswer(status, "", "application/json", jsonError(reasonOf(status)), false)), ec);
   // What is left unread would reset the connection and take the answer with it.
-  client.sock().shutdown(tcp::socket::shutdown_send, ec);
+  client.socket().shutdown(tcp::socket::shutdown_send, ec);
   char sink[2048];
-  client.due(Clock::now() + kDrainTime);
+  client.setDeadline(Clock::now() + kDrainTime);
   while (!ec && client.read(asio::buffer(sink), ec) > 0) {
   }
 }
@@ -43,20 +43,20 @@
     return;
   ++context.clients;
   auto held = std::make_shared<tcp::socket>(std::move(socket));
-  EventLoop::get().launch([&context, held] {
+  runtime::EventLoop::get().spawn([&context, held] {
     serveClient(context, std::move(*held));
     --context.clients;
   });
 }
 void serveClient(ProxyContext& context, tcp::socket socket) {
-  Connection client(std::move(socket));
-  tune(client.sock());
+  runtime::Connection client(std::move(socket));
+  runtime::tune(client.socket());
   Buffer buffer;
   for (;;) {
     const auto limits = limitsOf(context);
     // Why wait here: what is not read yet stands in the client's own window and costs us nothing.
     while (context.bodyBytes > context.maxBodyBytes)
-      EventLoop::get().pause(kHeldPause);
+      runtime::EventLoop::get().sleepFor(kHeldPause);
     RequestParser parser;
     const auto read = readRequest(client, buffer, parser, limits);
     if (read.end == ReadEnd::closed)
@@ -73,4 +73,4 @@
       return;
   }
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/client_watch.cpp
+++ b/libs/proxy/src/client_watch.cpp
@@ -2,19 +2,19 @@
 
 #include <sys/socket.h>
 
-namespace zc {
-ClientWatch::ClientWatch(Connection& client) : client_(client) {
-  client.sock().async_wait(tcp::socket::wait_read, [state = state_, &client](Ec ec) {
+namespace zinccleat::proxy {
+ClientWatch::ClientWatch(runtime::Connection& client) : client_(client) {
+  client.socket().async_wait(tcp::socket::wait_read, [state = state_, &client](runtime::SocketError ec) {
     if (ec || state->over)
       return;
     char c = 0;
-    const auto n = ::recv(client.sock().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
+    const auto n = ::recv(client.socket().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
     if (n > 0 || (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))
       return;
     state->gone = true;
     // Why shut and not only cancelled: whoever is about to read from it again must not park there.
     if (state->upstream)
-      state->upstream->shut();
+      state->upstream->close();
   });
 }
 ClientWatch::~ClientWatch() {
@@ -22,4 +22,4 @@
   state_->upstream = nullptr;
   client_.cancel();
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/client_watch.hpp
+++ b/libs/proxy/src/client_watch.hpp
@@ -2,32 +2,32 @@
 // that works for it, so that the runner stops.
 #pragma once
 #include "runtime/event_loop.hpp"
-namespace zc {
+namespace zinccleat::proxy {
 class ClientWatch {
  public:
   // Watches from now until it is destroyed; the client's connection must outlive it and must not be read meanwhile.
-  explicit ClientWatch(Connection& client);
+  explicit ClientWatch(runtime::Connection& client);
   ~ClientWatch();
   ClientWatch(const ClientWatch&) = delete;
   ClientWatch& operator=(const ClientWatch&) = delete;
 
   bool gone() const { return state_->gone; }
   // The connection to close when the client goes; nullptr: none.
-  void attach(Connection* upstream) { state_->upstream = upstream; }
+  void attach(runtime::Connection* upstream) { state_->upstream = upstream; }
 
  private:
   struct State {  // shared with the handler, which may run after the watch has ended
     bool gone = false, over = false;
-    Connection* upstream = nullptr;
+    runtime::Connection* upstream = nullptr;
   };
   std::shared_ptr<State> state_ = std::make_shared<State>();
-  Connection& client_;
+  runtime::Connection& client_;
 };
 
 // Attaches a connection to a watch for the length of a scope.
 class AttachedConnection {
  public:
-  AttachedConnection(ClientWatch& watch, Connection& upstream) : watch_(watch) { watch_.attach(&upstream); }
+  AttachedConnection(ClientWatch& watch, runtime::Connection& upstream) : watch_(watch) { watch_.attach(&upstream); }
   ~AttachedConnection() { watch_.attach(nullptr); }
   AttachedConnection(const AttachedConnection&) = delete;
   AttachedConnection& operator=(const AttachedConnection&) = delete;
@@ -35,4 +35,4 @@
  private:
   ClientWatch& watch_;
 };
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/connection_pool.cpp
+++ b/libs/proxy/src/connection_pool.cpp
@@ -2,17 +2,17 @@
 
 #include <sys/socket.h>
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 // Quiet and open: neither closed by the far end nor holding bytes that nobody asked for.
-bool isClean(Connection& connection) {
+bool isClean(runtime::Connection& connection) {
   char c = 0;
-  const auto n = ::recv(connection.sock().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
+  const auto n = ::recv(connection.socket().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
   return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 }  // namespace
 
-std::unique_ptr<Connection> ConnectionPool::take(const std::string& id, Instant now, bool repeatable) {
+std::unique_ptr<runtime::Connection> ConnectionPool::take(const std::string& id, TimePoint now, bool repeatable) {
   const auto it = idle_.find(id);
   if (it == idle_.end())
     return nullptr;
@@ -27,13 +27,14 @@
   }
   return nullptr;
 }
-void ConnectionPool::give(const std::string& id, std::unique_ptr<Connection> connection, Instant until, Instant now) {
+void ConnectionPool::give(const std::string& id, std::unique_ptr<runtime::Connection> connection, TimePoint until,
+                          TimePoint now) {
   idle_[id].push_back({std::move(connection), until, now});
 }
 void ConnectionPool::drop(const std::string& id) {
   idle_.erase(id);
 }
-void ConnectionPool::sweep(Instant now) {
+void ConnectionPool::sweep(TimePoint now) {
   for (auto it = idle_.begin(); it != idle_.end();) {
     std::erase_if(it->second, [&](const Idle& x) { return x.until <= now; });
     if (it->second.empty())
@@ -42,4 +43,4 @@
       ++it;
   }
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/events.cpp
+++ b/libs/proxy/src/events.cpp
@@ -1,6 +1,6 @@
 #include "events.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 bool holdsData(std::string_view events) {
   return events.substr(0, 4) == "data" || events.find("\ndata") != events.npos;
@@ -50,4 +50,4 @@
     nameless_ = nameless_ || holdsData(whole_);
   return whole_;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/events.hpp
+++ b/libs/proxy/src/events.hpp
@@ -1,7 +1,7 @@
 // A light scan of an event stream: where whole events end, and the id of the last one. Pure.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::proxy {
 class EventScan {
  public:
   // Takes bytes as they come; returns those that make whole events by now.
@@ -18,4 +18,4 @@
   std::string lastId_;
   bool nameless_ = false;
 };
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/exchange.cpp
+++ b/libs/proxy/src/exchange.cpp
@@ -2,11 +2,11 @@
 
 #include <cstdio>
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 constexpr auto kWriteStall = 10s;  // a client that takes nothing for so long is given up
 
-std::string retryAfterHead(Span d) {
+std::string retryAfterHead(Duration d) {
   char b[48];
   std::snprintf(b, sizeof b, "Retry-After: %.3f\r\n", static_cast<double>(d.count()) / 1000.0);
   return b;
@@ -20,10 +20,10 @@
 }  // namespace
 
 bool Exchange::writeToClient(std::string_view bytes) {
-  Ec ec;
-  client.due(now() + kWriteStall);
+  runtime::SocketError ec;
+  client.setDeadline(now() + kWriteStall);
   client.write(asio::buffer(bytes), ec);
-  client.undue();
+  client.clearDeadline();
   return !ec;
 }
 bool Exchange::writeChunk(std::string_view bytes) {
@@ -36,11 +36,11 @@
   s += "\r\n";
   return writeToClient(s);
 }
-bool Exchange::answer(int status, Span retryAfter, std::string_view why) {
+bool Exchange::answer(int status, Duration retryAfter, std::string_view why) {
   std::string heads;
   if (!attemptId.empty())
     heads += "X-Attempt-Id: " + attemptId + "\r\n";
-  if (retryAfter > Span(0))
+  if (retryAfter > Duration(0))
     heads += retryAfterHead(retryAfter);
   ++context.refused;
   const auto body = jsonError(why.empty() ? reasonOf(status) : why);
@@ -61,10 +61,10 @@
   context.unanswered.erase(&unanswered);
   if (began)
     (void)context.observer.began(context.runners.at(runner).id, *service, unreadTokens,
-                                 toSpan(now() - unanswered.since), unanswered.countedSlow);
+                                 toDuration(now() - unanswered.since), unanswered.countedSlow);
   unreadTokens = -1;
-  if (route->aim > Span(0))
-    context.admission.first(*service, now() - arrived > route->aim, now());
+  if (route->latencyTarget > Duration(0))
+    context.admission.first(*service, now() - arrived > route->latencyTarget, now());
 }
 void Exchange::attemptEnds(AttemptOutcome outcome) {
   promptRead(false);
@@ -72,4 +72,4 @@
     context.observer.failed(context.runners.at(runner).id);
   context.runners.attemptEnded(runner);
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/exchange.hpp
+++ b/libs/proxy/src/exchange.hpp
@@ -4,31 +4,31 @@
 #include "events.hpp"
 #include "proxy/proxy.hpp"
 #include "retry.hpp"
-namespace zc {
+namespace zinccleat::proxy {
 // A runner's own failure, kept to be passed on unchanged if no other runner does better.
 struct KeptFailure {
   std::string head, body;
 };
 
 struct Exchange {
-  Exchange(ProxyContext& c, Connection& clientConnection, RequestParser& parser)
+  Exchange(ProxyContext& c, runtime::Connection& clientConnection, RequestParser& parser)
       : context(c), client(clientConnection), request(parser.get()) {}
 
   ProxyContext& context;
-  Connection& client;
+  runtime::Connection& client;
   RequestParser::value_type& request;
-  const Instant arrived = Clock::now();
+  const TimePoint arrived = Clock::now();
   // Requests under way keep the configuration that they began with.
-  const std::shared_ptr<const Configuration> configuration = context.configuration;
+  const std::shared_ptr<const config::Configuration> configuration = context.configuration;
 
   // Set on admission.
   std::string attemptId;
-  const Route* route = nullptr;
+  const config::Route* route = nullptr;
   const std::string* service = nullptr;  // its label
   std::string tenant;
   int precedence = -1;
-  Instant deadline;
-  RunnerQuery query;
+  TimePoint deadline;
+  balancing::RunnerQuery query;
 
   // The client's side.
   std::optional<ClientWatch> watch;  // from admission on
@@ -44,18 +44,18 @@
   bool staleConnection = false;  // it ended on a connection that the runner had forgotten: not the runner's fault
   bool lastRunner = false;       // no further runner is allowed after this one
   bool movePaid = false;         // the budget has paid for the next runner already
-  Connection* partnerPending = nullptr;  // to a partner that has not begun to answer: it is given little time
+  runtime::Connection* partnerPending = nullptr;  // to a partner that has not begun to answer: it is given little time
 
-  static Instant now() { return Clock::now(); }
+  static TimePoint now() { return Clock::now(); }
   // Whether the client's connection stays open after this answer, as things stand when its head is written.
-  bool staysOpen() { return keepAlive = keepAlive && !context.draining && !context.zoneClosing; }
+  bool staysOpen() { return keepAlive = keepAlive && !context.draining && !context.zoneDraining; }
   std::string_view connectionHead() { return staysOpen() ? "" : "Connection: close\r\n"; }
 
   // Writes to the client. False: it is gone, or has taken nothing for too long.
   bool writeToClient(std::string_view bytes);
   bool writeChunk(std::string_view bytes);
   // An answer of our own. retryAfter: zero for none. True: the connection may carry another request.
-  bool answer(int status, Span retryAfter = Span(0), std::string_view why = {});
+  bool answer(int status, Duration retryAfter = Duration(0), std::string_view why = {});
 
   // An attempt begins at this runner, whose answer is awaited from now on.
   void attemptBegins(int runnerIndex);
@@ -64,4 +64,4 @@
   // The attempt is over: what its end says about the runner is noted.
   void attemptEnds(AttemptOutcome outcome);
 };
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/heads.cpp
+++ b/libs/proxy/src/heads.cpp
@@ -1,6 +1,6 @@
 #include "heads.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 char low(char c) {
   return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
@@ -126,4 +126,4 @@
   }
   return s;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/heads.hpp
+++ b/libs/proxy/src/heads.hpp
@@ -1,12 +1,12 @@
 // Which heads go on, and which are ours to read or write.
 #pragma once
 #include "proxy/http.hpp"
-namespace zc {
+namespace zinccleat::proxy {
 bool sameText(std::string_view a, std::string_view b);
 // The request's head as the runner gets it.
 struct Outbound {
   std::string_view expectedInstance, subscriber, lastEventId;
-  Span left{0};
+  Duration left{0};
   int precedence = -1;
   bool hideKey = true;
   bool toPartner = false;  // another site's node, not a runner
@@ -20,4 +20,4 @@
 std::string_view field(const http::fields& f, std::string_view name);
 // A header's value as a number of at most twelve digits; otherwise, if it is none.
 std::int64_t wholeNumber(std::string_view s, std::int64_t otherwise);
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/http.cpp
+++ b/libs/proxy/src/http.cpp
@@ -4,49 +4,49 @@
 
 #include "config/calls.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
-int statusOf(const Ec& ec) {
+int statusOf(const runtime::SocketError& ec) {
   if (ec == http::error::header_limit)
     return 431;
   if (ec == http::error::body_limit)
     return 413;
   return 400;
 }
-bool protocolFault(const Ec& ec) {
+bool protocolFault(const runtime::SocketError& ec) {
   return ec.category() == make_error_code(http::error::bad_line_ending).category();
 }
 }  // namespace
 
-ReadResult readRequest(Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l) {
-  Ec ec;
+ReadResult readRequest(runtime::Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l) {
+  runtime::SocketError ec;
   p.header_limit(static_cast<std::uint32_t>(l.header));
   p.body_limit(l.body);
   p.eager(true);
   if (buf.size() == 0) {
-    w.due(Clock::now() + l.idle);
+    w.setDeadline(Clock::now() + l.idle);
     const auto n = w.read(buf.prepare(std::size_t{8} * 1024), ec);
-    w.undue();
+    w.clearDeadline();
     if (ec || n == 0)
       return {ReadEnd::closed, 0};
     buf.commit(n);
   }
   const auto began = Clock::now();
-  w.due(began + l.headerTime);
+  w.setDeadline(began + l.headerTime);
   pump(w, buf, p, true, ec);
   // A coding that is not chunked leaves open where the body ends: what follows must not be read as a request.
   if (!ec && !p.chunked() && p.get().count(http::field::transfer_encoding))
     ec = http::error::bad_transfer_encoding;
   if (!ec && !p.is_done()) {
-    w.due(Clock::now() + l.bodyTime);
+    w.setDeadline(Clock::now() + l.bodyTime);
     // Why answered at once: a caller that asks first would wait for ever.
     if (p.get().count(http::field::expect))
       w.write(asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ec);
     if (!ec)
       pump(w, buf, p, false, ec);
   }
-  const bool late = w.late();
-  w.undue();
+  const bool late = w.deadlineExceeded();
+  w.clearDeadline();
   if (!ec)
     return {ReadEnd::whole, 0};
   if (late)
@@ -76,6 +76,6 @@
   return a;
 }
 std::string jsonError(std::string_view text) {
-  return "{\"error\":" + quoteJson(text) + "}";
+  return "{\"error\":" + config::quoteJson(text) + "}";
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/partner_attempt.cpp
+++ b/libs/proxy/src/partner_attempt.cpp
@@ -5,26 +5,27 @@
 #include "heads.hpp"
 #include "stream_relay.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 constexpr std::size_t kReadBytes = std::size_t{4} * 1024;
 constexpr std::uint64_t kMostAnswerBytes = 64U << 20;
-constexpr Span kLeastPatience{20}, kMostPatience{400};
+constexpr Duration kLeastPatience{20}, kMostPatience{400};
 }  // namespace
 
 AttemptOutcome attemptOnPartner(Exchange& x, const std::string& address) {
-  const auto endpoint = parseEndpoint(address);
+  const auto endpoint = runtime::parseEndpoint(address);
   if (!endpoint)
     return AttemptOutcome::notSent;
-  Connection there;
-  Ec ec;
-  there.due(std::min(x.deadline, Exchange::now() + std::clamp(x.route->aim / 5, kLeastPatience, kMostPatience)));
+  runtime::Connection there;
+  runtime::SocketError ec;
+  there.setDeadline(
+      std::min(x.deadline, Exchange::now() + std::clamp(x.route->latencyTarget / 5, kLeastPatience, kMostPatience)));
   there.connect(*endpoint, ec);
   if (ec)
     return AttemptOutcome::notSent;
   Outbound o;
   o.toPartner = true;
-  o.left = toSpan(x.deadline - Exchange::now());
+  o.left = toDuration(x.deadline - Exchange::now());
   o.hideKey = false;
   auto out = outboundHead(x.request, o, x.request.body().size());
   out += x.request.body();
@@ -70,4 +71,4 @@
   const auto outcome = relayStream(x, there, buffer, answer);
   return outcome == AttemptOutcome::interrupted && x.watch->gone() ? AttemptOutcome::clientGone : outcome;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/proxy_context.cpp
+++ b/libs/proxy/src/proxy_context.cpp
@@ -1,14 +1,14 @@
 #include "proxy/proxy_context.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 constexpr std::uint64_t kRetrySpreadMs = 120;
-constexpr Span kRetryAfterStart{150};  // the least, while the first lease is awaited
-constexpr Span kFirstLeaseAfter{800};  // from the start, until the core has a leader after a loss of all
-constexpr Span kRetryWithoutLease{500};
+constexpr Duration kRetryAfterStart{150};  // the least, while the first lease is awaited
+constexpr Duration kFirstLeaseAfter{800};  // from the start, until the core has a leader after a loss of all
+constexpr Duration kRetryWithoutLease{500};
 }  // namespace
 
-void ProxyContext::countSlow(Instant now) {
+void ProxyContext::countSlow(TimePoint now) {
   for (auto* a : unanswered) {
     if (!a->countedSlow && now - a->since > observer.patience(*a->service, a->promptTokens)) {
       a->countedSlow = true;
@@ -16,17 +16,17 @@
     }
   }
 }
-Span ProxyContext::retryAfterLease(Instant now) {
-  const auto spread = Span(rng() % kRetrySpreadMs);
+Duration ProxyContext::retryAfterLease(TimePoint now) {
+  const auto spread = Duration(rng() % kRetrySpreadMs);
   // Why not sooner: a client has few tries, and one that meets a second refusal is lost. A process that has just
   // started has its first lease as soon as the core has a leader, which after a loss of all takes this long.
-  if (leaseEnds == Instant{})
-    return std::max(kRetryAfterStart, kFirstLeaseAfter - toSpan(now - startedAt)) + spread;
+  if (leaseEnds == TimePoint{})
+    return std::max(kRetryAfterStart, kFirstLeaseAfter - toDuration(now - startedAt)) + spread;
   return kRetryWithoutLease + spread;
 }
-void ProxyContext::wakeQuotaWaits(const std::vector<Grant>& grants) {
+void ProxyContext::wakeQuotaWaits(const std::vector<transport::Grant>& grants) {
   for (auto& wait : quotaWaits)
     if (std::any_of(grants.begin(), grants.end(), [&](auto& g) { return g.label == *wait.tenant; }))
       wait.waiter->wake();
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/request_handler.cpp
+++ b/libs/proxy/src/request_handler.cpp
@@ -6,7 +6,7 @@
 #include "retry.hpp"
 #include "runner_attempt.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 constexpr int kConnectTries = 3;  // beyond the route's attempts: a runner that can't be reached has been sent nothing
 
@@ -15,10 +15,10 @@
 // request then goes on here. A runner there counts among those of the try, so one must be left for this site.
 std::string partnerFor(Exchange& x, const RetryInput& state) {
   auto& context = x.context;
-  if (!context.findAtPartner || state.runnersAllowed < 2 || state.kind != RequestKind::resumableStream ||
-      x.query.sharedTokens < PartnerTrust::kLongTokens)
+  if (!context.lookupPartner || state.runnersAllowed < 2 || state.kind != RequestKind::resumableStream ||
+      x.query.sharedTokens < balancing::PartnerTrust::kLongTokens)
     return {};
-  auto address = context.findAtPartner(x.query.affinity, x.tenant);
+  auto address = context.lookupPartner(x.query.affinity, x.tenant);
   if (address.empty() || !context.partner.allows(Exchange::now()))
     return {};
   return address;
@@ -34,7 +34,7 @@
   }
   if (state.outcome == AttemptOutcome::clientGone)
     return;
-  context.partner.disappointed(Exchange::now());
+  context.partner.recordFailure(Exchange::now());
   if (mayHaveRun(state.outcome)) {
     state.mayHaveRun = true;
     --state.runnersAllowed;
@@ -75,7 +75,7 @@
 }
 }  // namespace
 
-bool handleRequest(ProxyContext& context, Connection& client, RequestParser& parser) {
+bool handleRequest(ProxyContext& context, runtime::Connection& client, RequestParser& parser) {
   Exchange x(context, client, parser);
   if (const auto refusal = admit(x))
     return x.answer(refusal->status, refusal->retryAfter, refusal->why);
@@ -121,13 +121,13 @@
     case RetryDecision::relayFailure:
       return relayFailure(x);
     case RetryDecision::answerBadGateway:
-      return x.answer(502, Span(0), "the runner's answer was lost");
+      return x.answer(502, Duration(0), "the runner's answer was lost");
     case RetryDecision::answerTimeout:
-      return x.answer(504, Span(0), "time is up");
+      return x.answer(504, Duration(0), "time is up");
     case RetryDecision::answerUnavailable:
       break;
   }
   // Nothing has run: say when to come back, spread so that all do not come at once.
-  return x.answer(503, Span(100 + static_cast<std::int64_t>(context.rng() % 200)), "no runner is free");
+  return x.answer(503, Duration(100 + static_cast<std::int64_t>(context.rng() % 200)), "no runner is free");
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/request_handler.hpp
+++ b/libs/proxy/src/request_handler.hpp
@@ -1,7 +1,7 @@
 // One request, from its head to its answer.
 #pragma once
 #include "proxy/proxy.hpp"
-namespace zc {
+namespace zinccleat::proxy {
 // Takes a request that was read whole. True: the client's connection may carry another.
-bool handleRequest(ProxyContext& context, Connection& client, RequestParser& parser);
-}  // namespace zc
+bool handleRequest(ProxyContext& context, runtime::Connection& client, RequestParser& parser);
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/retry.cpp
+++ b/libs/proxy/src/retry.cpp
@@ -1,10 +1,10 @@
 #include "retry.hpp"
 
-namespace zc {
-RequestKind kindOf(const Route& route) {
-  if (route.type == RouteType::stream)
+namespace zinccleat::proxy {
+RequestKind kindOf(const config::Route& route) {
+  if (route.type == config::RouteType::stream)
     return route.resume ? RequestKind::resumableStream : RequestKind::stream;
-  return route.type == RouteType::safe ? RequestKind::safe : RequestKind::unsafe;
+  return route.type == config::RouteType::safe ? RequestKind::safe : RequestKind::unsafe;
 }
 RetryDecision decide(const RetryInput& in) {
   switch (in.outcome) {
@@ -43,4 +43,4 @@
     return RetryDecision::answerBadGateway;
   return RetryDecision::answerUnavailable;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/retry.hpp
+++ b/libs/proxy/src/retry.hpp
@@ -4,11 +4,11 @@
 // repeated, and is never answered by a status that promises that it has not run (408, 421, 429, 503).
 #pragma once
 #include "config/configuration.hpp"
-namespace zc {
+namespace zinccleat::proxy {
 
 // What a request's route says about running it more than once.
 enum class RequestKind : std::uint8_t { safe, unsafe, stream, resumableStream };
-RequestKind kindOf(const Route& route);
+RequestKind kindOf(const config::Route& route);
 constexpr bool repeatable(RequestKind k) {
   return k == RequestKind::safe || k == RequestKind::resumableStream;
 }
@@ -53,4 +53,4 @@
 RetryDecision decide(const RetryInput& in);
 // When another attempt would be allowed but can't be made: no runner, no budget, no lease, no time.
 RetryDecision conclude(const RetryInput& in);
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/runner_attempt.cpp
+++ b/libs/proxy/src/runner_attempt.cpp
@@ -3,7 +3,7 @@
 #include "heads.hpp"
 #include "stream_relay.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 constexpr auto kConnectTimeout = 300ms;
 constexpr auto kIdleRunner = 20s;       // a pooled connection's life where the runner names no time itself
@@ -35,12 +35,12 @@
   Exchange& x_;
   const int index_;
   const std::string id_, address_;
-  std::unique_ptr<Connection> connection_;
+  std::unique_ptr<runtime::Connection> connection_;
   bool reused_ = false;
   bool sentInPart_ = false;
   Buffer buffer_;
   std::optional<AnswerParser> answer_;
-  Ec ec_;
+  runtime::SocketError ec_;
 };
 
 AttemptOutcome RunnerAttempt::run() {
@@ -55,7 +55,7 @@
     return AttemptOutcome::notSent;
   }
   const AttachedConnection attached(*x_.watch, *connection_);
-  connection_->due(x_.deadline + kDeadlineMargin);
+  connection_->setDeadline(x_.deadline + kDeadlineMargin);
   if (const auto ended = send())
     return *ended;
   readHead();
@@ -69,18 +69,18 @@
   reused_ = connection_ != nullptr;
   if (reused_)
     return true;
-  const auto endpoint = parseEndpoint(address_);
+  const auto endpoint = runtime::parseEndpoint(address_);
   if (!endpoint)
     return false;
-  connection_ = std::make_unique<Connection>();
-  connection_->due(std::min(x_.deadline, Exchange::now() + kConnectTimeout));
+  connection_ = std::make_unique<runtime::Connection>();
+  connection_->setDeadline(std::min(x_.deadline, Exchange::now() + kConnectTimeout));
   connection_->connect(*endpoint, ec_);
   if (ec_) {
     fault();
     x_.context.connections.drop(id_);
     return false;
   }
-  connection_->undue();
+  connection_->clearDeadline();
   return true;
 }
 // Writes the whole request. A value: the attempt has ended with that.
@@ -88,7 +88,7 @@
   Outbound o;
   o.expectedInstance = id_;
   o.subscriber = x_.tenant;
-  o.left = toSpan(x_.deadline - Exchange::now());
+  o.left = toDuration(x_.deadline - Exchange::now());
   o.precedence = x_.precedence;
   o.hideKey = !x_.configuration->subscribers.empty();
   if (x_.answerStarted)
@@ -100,7 +100,7 @@
     return std::nullopt;
   if (x_.watch->gone())
     return AttemptOutcome::clientGone;
-  if (connection_->late()) {
+  if (connection_->deadlineExceeded()) {
     fault();
     return AttemptOutcome::deadlineExceeded;
   }
@@ -148,7 +148,7 @@
 AttemptOutcome RunnerAttempt::lost() {
   if (x_.watch->gone())
     return AttemptOutcome::clientGone;
-  if (connection_->late() || Exchange::now() >= x_.deadline)
+  if (connection_->deadlineExceeded() || Exchange::now() >= x_.deadline)
     return AttemptOutcome::deadlineExceeded;
   // Why not its fault: a runner may forget a connection that sat idle, and resets what comes on it.
   x_.staleConnection = reused_ && ec_ == asio::error::connection_reset && !answer_->got_some();
@@ -168,14 +168,14 @@
   if (success && (notExecuted || field(head, "X-Server-Seal").empty() || head.count(http::field::content_encoding) > 0))
     return lost();
   const bool hasBody = status != 204 && x_.request.method() != http::verb::head;
-  if (!success || !hasBody || x_.route->type != RouteType::stream)
+  if (!success || !hasBody || x_.route->type != config::RouteType::stream)
     return relayWhole(notExecuted);
 
   const auto outcome = relayStream(x_, *connection_, buffer_, *answer_);
   if (outcome == AttemptOutcome::interrupted)
     return lost();
   if (outcome == AttemptOutcome::movedAway)
-    ++x_.context.movedStreams;
+    ++x_.context.migratedStreams;
   if (outcome != AttemptOutcome::completed)
     return outcome;
   x_.context.runners.recordSuccess(index_);
@@ -234,9 +234,9 @@
   if (const auto at = keepAlive.find(parameter); at != keepAlive.npos) {
     auto seconds = keepAlive.substr(at + parameter.size());
     seconds = seconds.substr(0, seconds.find_first_not_of("0123456789"));
-    until = Exchange::now() + Span(wholeNumber(seconds, 1) * 1000) - kIdleMargin;
+    until = Exchange::now() + Duration(wholeNumber(seconds, 1) * 1000) - kIdleMargin;
   }
-  connection_->undue();
+  connection_->clearDeadline();
   // Why detached: the client may still leave while its answer is written, and then this connection is another's.
   x_.watch->attach(nullptr);
   x_.context.connections.give(id_, std::move(connection_), until, Exchange::now());
@@ -246,4 +246,4 @@
 AttemptOutcome attemptOnRunner(Exchange& exchange) {
   return RunnerAttempt(exchange).run();
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy/src/stream_relay.cpp
+++ b/libs/proxy/src/stream_relay.cpp
@@ -4,7 +4,7 @@
 
 #include "heads.hpp"
 
-namespace zc {
+namespace zinccleat::proxy {
 namespace {
 constexpr std::size_t kReadBytes = std::size_t{4} * 1024;
 constexpr auto kDeadlineMargin = 50ms;
@@ -12,18 +12,18 @@
 // Whether a live stream would find a runner elsewhere: one that nobody can take up stays where it is.
 bool canMove(Exchange& x) {
   const int there = x.context.runners.choose(x.query, Exchange::now());
-  return there >= 0 && !x.context.runners.at(there).moveStreams && x.context.runners.at(there).failures == 0;
+  return there >= 0 && !x.context.runners.at(there).migrateStreams && x.context.runners.at(there).failures == 0;
 }
 // A live session leaves a place that closes between two whole events, if the budget has a further attempt for it.
 bool movesAway(Exchange& x) {
-  if (x.runner < 0 || !x.context.runners.at(x.runner).moveStreams || x.lastRunner)
+  if (x.runner < 0 || !x.context.runners.at(x.runner).migrateStreams || x.lastRunner)
     return false;
   return !x.events.lastId().empty() && x.events.resumable() && canMove(x) &&
          x.context.budget.spend(*x.service, Exchange::now());
 }
 }  // namespace
 
-AttemptOutcome relayStream(Exchange& x, Connection& upstream, Buffer& buffer, AnswerParser& answer) {
+AttemptOutcome relayStream(Exchange& x, runtime::Connection& upstream, Buffer& buffer, AnswerParser& answer) {
   if (!x.answerStarted) {
     auto head = inboundHead(answer.get());
     head += "Transfer-Encoding: chunked\r\n";
@@ -39,7 +39,7 @@
     if (!body.empty()) {
       x.promptRead(true);
       if (x.partnerPending)
-        std::exchange(x.partnerPending, nullptr)->due(x.deadline + kDeadlineMargin);
+        std::exchange(x.partnerPending, nullptr)->setDeadline(x.deadline + kDeadlineMargin);
       const auto pass = wholeEvents ? x.events.feed(body) : std::string_view(body);
       if (!pass.empty() && !x.writeChunk(pass))
         return AttemptOutcome::clientGone;
@@ -52,7 +52,7 @@
       x.events.dropRest();
       return AttemptOutcome::movedAway;
     }
-    Ec ec;
+    runtime::SocketError ec;
     if (buffer.size() > 0) {
       const auto n = answer.put(buffer.data(), ec);
       buffer.consume(n);
@@ -82,4 +82,4 @@
   x.watch->attach(nullptr);
   return x.writeToClient("0\r\n\r\n") ? AttemptOutcome::completed : AttemptOutcome::clientGone;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy
--- a/libs/proxy_daemon/include/proxy_daemon/proxy_daemon.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/proxy_daemon.hpp
@@ -1,6 +1,6 @@
 // The access program: the proxy, with the applied copy that every request reads.
 #pragma once
 #include "config/settings.hpp"
-namespace zc {
-int runProxy(const Settings& s);
+namespace zinccleat::proxy_daemon {
+int runProxy(const config::Settings& s);
 }
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -11,7 +11,7 @@
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
 
-namespace zc {
+namespace zinccleat::proxy_daemon {
 namespace {
 constexpr auto kLeaseRenewal = 400ms;
 constexpr std::size_t kMostReported = 24;  // runners told of in one question, the worst first
@@ -22,18 +22,18 @@
 
 std::int64_t firstQuestion() {
   constexpr int kBits = 40;  // so that a number stays short on the wire
-  return static_cast<std::int64_t>(drawSeed() >> (64 - kBits));
+  return static_cast<std::int64_t>(randomSeed() >> (64 - kBits));
 }
 
 class ProxyDaemon {
  public:
-  explicit ProxyDaemon(const Settings& s) : settings_(s) {
+  explicit ProxyDaemon(const config::Settings& s) : settings_(s) {
     context_.zone = s.zone;
-    context_.rng.seed(drawSeed());
-    context_.runners = RunnerPool(drawSeed());
+    context_.rng.seed(randomSeed());
+    context_.runners = balancing::RunnerPool(randomSeed());
     context_.runners.regions(s.zones);
     // Why a margin: an answer is under way while the lease ends, and the far clocks are not ours.
-    leaseSpan_ = s.timers.revokedFail ? std::max(Span(500), s.timers.revoke - Span(1500)) : Span(60000);
+    leaseSpan_ = s.timers.revokedFail ? std::max(Duration(500), s.timers.revoke - Duration(1500)) : Duration(60000);
     // Of the descriptors 200 are not ours; a request may need one on either side.
     if (s.fdLimit > 0)
       context_.maxClients = std::max(64, (s.fdLimit - 260) / 2);
@@ -42,48 +42,51 @@
     context_.drawGrants = [this] { renewLease(); };
     context_.askTokens = [this] { ask(); };
     if (s.partner && !s.partner->access.empty())
-      context_.findAtPartner = [this](std::uint64_t opening, const std::string& tenant) {
-        return findAtPartner(opening, tenant);
+      context_.lookupPartner = [this](std::uint64_t opening, const std::string& tenant) {
+        return lookupPartner(opening, tenant);
       };
-    context_.budget = Budget(s.timers.retryRatio * 0.75, s.timers.retryWindow / 4);
-    slackShare_ = static_cast<double>(drawSeed() % 10007) / 10007;
+    context_.budget = balancing::Budget(s.timers.retryRatio * 0.75, s.timers.retryWindow / 4);
+    slackShare_ = static_cast<double>(randomSeed() % 10007) / 10007;
   }
-  Outcome<void> start() {
-    auto access = parseEndpoint(settings_.accessAddr);
-    auto ready = parseEndpoint(settings_.readinessAddr);
-    auto agent = parseEndpoint("127.0.0.1:" + std::to_string(settings_.portFirst + kTenderPort));
+  Result<void> start() {
+    auto access = runtime::parseEndpoint(settings_.accessAddr);
+    auto ready = runtime::parseEndpoint(settings_.readinessAddr);
+    auto agent = runtime::parseEndpoint("127.0.0.1:" + std::to_string(settings_.portFirst + agent::kAgentPortOffset));
     if (!access)
       return tl::unexpected(access.error());
     if (!ready)
       return tl::unexpected(ready.error());
     if (!agent)
       return tl::unexpected(agent.error());
-    agentLink_ = std::make_unique<Dialer>(
-        *agent, [this](const PeerLinkPtr& link, const Envelope& envelope) { onAgentMessage(link, envelope); },
-        [this](const PeerLinkPtr& link) {
-          FollowLog message;
-          message.appliedNumber = updates_.applied();
-          message.heldDigest = state_.state().digest;
+    agentLink_ = std::make_unique<transport::Dialer>(
+        *agent,
+        [this](const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+          onAgentMessage(link, envelope);
+        },
+        [this](const transport::PeerLinkPtr& link) {
+          transport::FollowLog message;
+          message.lastApplied = updates_.applied();
+          message.cachedDigest = state_.state().digest;
           message.refetch = state_.damaged();
-          link->send(pack(message));
+          link->send(transport::pack(message));
           renewLease();
         });
-    auto ok = listen(*access, [this](tcp::socket sock) { takeClient(context_, std::move(sock)); });
+    auto ok = transport::listen(*access, [this](tcp::socket sock) { proxy::takeClient(context_, std::move(sock)); });
     if (!ok)
       return ok;
-    ok = listen(*ready, [this](tcp::socket sock) {
+    ok = transport::listen(*ready, [this](tcp::socket sock) {
       auto held = std::make_shared<tcp::socket>(std::move(sock));
-      EventLoop::get().launch([this, held] { serveReadiness(std::move(*held)); });
+      runtime::EventLoop::get().spawn([this, held] { serveReadiness(std::move(*held)); });
     });
     if (!ok)
       return ok;
-    EventLoop::get().every(kLeaseRenewal, [this] { renewLease(); });
+    runtime::EventLoop::get().callEvery(kLeaseRenewal, [this] { renewLease(); });
     // Why oftener without one: each of these goes no further than the agent while there is no leader.
-    EventLoop::get().every(kLeaseRenewal / 4, [this] {
+    runtime::EventLoop::get().callEvery(kLeaseRenewal / 4, [this] {
       if (!context_.hasLease(Clock::now()))
         renewLease();
     });
-    EventLoop::get().every(1000ms, [this] { context_.connections.sweep(Clock::now()); });
+    runtime::EventLoop::get().callEvery(1000ms, [this] { context_.connections.sweep(Clock::now()); });
     return {};
   }
   void leave() {
@@ -91,54 +94,54 @@
       return;
     context_.draining = true;
     const auto end = Clock::now() + settings_.timers.grace * 9 / 10;
-    const auto from = Clock::now() + std::min(Span(kLinger), settings_.timers.grace / 2);
-    EventLoop::get().every(100ms, [this, end, from] {
+    const auto from = Clock::now() + std::min(Duration(kLinger), settings_.timers.grace / 2);
+    runtime::EventLoop::get().callEvery(100ms, [this, end, from] {
       const auto now = Clock::now();
       if (now >= end || (now >= from && context_.inFlight == 0))
-        EventLoop::get().stop();
+        runtime::EventLoop::get().stop();
     });
   }
-  void reread(const Settings& s) { settings_.timers = s.timers; }
+  void reread(const config::Settings& s) { settings_.timers = s.timers; }
 
  private:
   void renewLease() {
     if (!agentLink_->up())
       return;
     const auto now = Clock::now();
-    LeaseQuestion question;
-    question.question = ++leaseQuestion_;
-    question.demand = context_.quota.demand(now);
-    question.holds = context_.quota.holds(now);
-    question.load = load(now);
+    transport::LeaseRequest requestId;
+    requestId.requestId = ++leaseQuestion_;
+    requestId.demand = context_.quota.demand(now);
+    requestId.holds = context_.quota.holds(now);
+    requestId.load = load(now);
     context_.countSlow(now);
-    question.attempts = context_.observer.report(kMostReported);
-    question.outliersVersion = ejectionsVersion_;
-    renewals_[question.question] = now;
+    requestId.attempts = context_.observer.report(kMostReported);
+    requestId.outliersVersion = ejectionsVersion_;
+    renewals_[requestId.requestId] = now;
     while (renewals_.size() > kQuestionsRemembered)
       renewals_.erase(renewals_.begin());
-    agentLink_->send(pack(question));
+    agentLink_->send(transport::pack(requestId));
   }
   // What requests wait for goes out once a turn of the loop, at once, and names nobody else.
   void ask() {
     if (std::exchange(asking_, true))
       return;
-    asio::post(EventLoop::get().io(), [this] {
+    asio::post(runtime::EventLoop::get().io(), [this] {
       asking_ = false;
       if (!agentLink_->up())
         return;
-      QuotaDraw draw;
+      transport::QuotaTokenRequest draw;
       draw.waiting = context_.quota.unasked();
       if (draw.waiting.empty())
         return;
-      draw.question = ++drawQuestion_;
-      draws_.insert(draw.question);
+      draw.requestId = ++drawQuestion_;
+      draws_.insert(draw.requestId);
       if (draws_.size() > kQuestionsRemembered)
         draws_.erase(draws_.begin());
-      agentLink_->send(pack(draw));
+      agentLink_->send(transport::pack(draw));
     });
   }
   // Asks the leader, which hears all nodes. What was sent from here not long ago is held here; no answer in ms is a no.
-  std::string findAtPartner(std::uint64_t opening, const std::string& tenant) {
+  std::string lookupPartner(std::uint64_t opening, const std::string& tenant) {
     const auto now = Clock::now();
     if (sentOpenings_.size() > 8192)
       sentOpenings_.clear();
@@ -146,69 +149,74 @@
       return {};
     if (!agentLink_->up())
       return {};
-    OpeningQuestion question;
-    question.question = ++openingQuestion_;
-    question.opening = static_cast<std::int64_t>(opening);
+    transport::PrefixLookupRequest requestId;
+    requestId.requestId = ++prefixLookupRequest_;
+    requestId.opening = static_cast<std::int64_t>(opening);
     // Alike at all nodes of the site, so that one tenant is counted once.
-    question.tenantMark = static_cast<std::int64_t>(hash64(tenant, hash64(settings_.partner->secret)));
+    requestId.tenantDigest = static_cast<std::int64_t>(hash64(tenant, hash64(settings_.partner->secret)));
     PartnerQuery query;
-    partnerQueries_[question.question] = &query;
-    agentLink_->send(pack(question));
-    (void)EventLoop::get().waitFor(query.waiter, kPartnerQueryWait);
-    partnerQueries_.erase(question.question);
+    partnerQueries_[requestId.requestId] = &query;
+    agentLink_->send(transport::pack(requestId));
+    (void)runtime::EventLoop::get().waitFor(query.waiter, kPartnerQueryWait);
+    partnerQueries_.erase(requestId.requestId);
     if (query.access.empty()) {
       sentOpenings_[opening] = now;
       return {};
     }
     return query.access[context_.rng() % query.access.size()];
   }
-  void onAgentMessage(const PeerLinkPtr& link, const Envelope& envelope) {
-    receive<FeedSnapshot>(link, envelope, [this](const FeedSnapshot& feed) { onSnapshot(feed); });
-    receive<FeedEntries>(link, envelope, [this](FeedEntries feed) { onEntries(std::move(feed)); });
-    receive<LeaseAnswer>(link, envelope, [this](const LeaseAnswer& answer) { onLease(answer); });
-    receive<QuotaDrawn>(link, envelope, [this](const QuotaDrawn& drawn) { onDrawn(drawn); });
-    receive<OpeningAnswer>(link, envelope, [this](OpeningAnswer answer) { onOpening(std::move(answer)); });
+  void onAgentMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+    transport::receive<transport::FeedSnapshot>(link, envelope,
+                                                [this](const transport::FeedSnapshot& feed) { onSnapshot(feed); });
+    transport::receive<transport::FeedEntries>(link, envelope,
+                                               [this](transport::FeedEntries feed) { onEntries(std::move(feed)); });
+    transport::receive<transport::LeaseResponse>(link, envelope,
+                                                 [this](const transport::LeaseResponse& answer) { onLease(answer); });
+    transport::receive<transport::QuotaTokenResponse>(
+        link, envelope, [this](const transport::QuotaTokenResponse& drawn) { onDrawn(drawn); });
+    transport::receive<transport::PrefixLookupResponse>(
+        link, envelope, [this](transport::PrefixLookupResponse answer) { onPrefixLookup(std::move(answer)); });
   }
-  void onSnapshot(const FeedSnapshot& feed) {
+  void onSnapshot(const transport::FeedSnapshot& feed) {
     // Never back in number.
     if (feed.number < updates_.applied() || (feed.number == updates_.applied() && !state_.damaged()))
       return;
     if (auto restored = state_.restore(feed.state); !restored)
-      return requestSnapshot("snapshot declined: " + restored.error().text);
+      return requestSnapshot("snapshot declined: " + restored.error().message);
     updates_.restart(feed.number);
     adopt({true, true, true});
     applyQueued();
   }
-  void onEntries(FeedEntries feed) {
+  void onEntries(transport::FeedEntries feed) {
     for (auto& entry : feed.entries)
       updates_.offer(std::move(entry));
     applyQueued();
   }
   // A fiber applies without yielding: nothing reads a copy half applied.
   void applyQueued() {
-    ReplicatedState::Change all;
+    state_machine::ReplicatedState::Change all;
     while (auto entry = updates_.next()) {
       const auto change = state_.apply(*entry);
       all.configuration |= change.configuration;
       all.runners |= change.runners;
-      all.closures |= change.closures;
+      all.zoneDrains |= change.zoneDrains;
     }
     if (state_.damaged())
       return requestSnapshot("a difference did not fit");
     adopt(all);
     settleLease(Clock::now());
   }
-  void onLease(const LeaseAnswer& answer) {
-    const auto it = renewals_.find(answer.question);
+  void onLease(const transport::LeaseResponse& answer) {
+    const auto it = renewals_.find(answer.requestId);
     if (it == renewals_.end() || !answer.granted)
       return;
     // The lease counts from our own question, never from the answer.
     if (it->second + leaseSpan_ > pendingEnd_) {
       pendingEnd_ = it->second + leaseSpan_;
-      pendingNum_ = std::max(pendingNum_, answer.commitNumber);
+      pendingIndex_ = std::max(pendingIndex_, answer.commitIndex);
     }
     // Why only the newest: what a later question told of the stash did not know of these tokens yet.
-    if (answer.question == leaseQuestion_)
+    if (answer.requestId == leaseQuestion_)
       context_.quota.drawn(answer.grants, it->second);
     if (answer.accessMachines > 0)
       context_.budget.share(settings_.timers.retrySlack * 0.5 / static_cast<double>(answer.accessMachines),
@@ -221,15 +229,15 @@
     renewals_.erase(it);
     settleLease(Clock::now());
   }
-  void onDrawn(const QuotaDrawn& drawn) {
+  void onDrawn(const transport::QuotaTokenResponse& drawn) {
     // An answer that comes twice, or to an earlier life, is none.
-    if (!draws_.erase(drawn.question) || !drawn.granted)
+    if (!draws_.erase(drawn.requestId) || !drawn.granted)
       return;
     context_.quota.loose(drawn.grants, Clock::now());
     context_.wakeQuotaWaits(drawn.grants);
   }
-  void onOpening(OpeningAnswer answer) {
-    const auto it = partnerQueries_.find(answer.question);
+  void onPrefixLookup(transport::PrefixLookupResponse answer) {
+    const auto it = partnerQueries_.find(answer.requestId);
     if (it == partnerQueries_.end())
       return;
     it->second->access = std::move(answer.access);
@@ -237,32 +245,32 @@
   }
   // A copy that differs from what was numbered must not answer for it: nothing is served until all of it has come anew.
   void requestSnapshot(const std::string& why) {
-    ring::alarm(why + ": the whole is asked for");
+    log::error(why + ": the whole is asked for");
     state_.damage();
     context_.leaseEnds = {};
-    FollowLog message;
+    transport::FollowLog message;
     message.refetch = true;
-    agentLink_->send(pack(message));
+    agentLink_->send(transport::pack(message));
   }
-  void settleLease(Instant) {
+  void settleLease(TimePoint) {
     // Only once applied as far as the leader was when it answered.
-    if (pendingEnd_ == Instant{} || state_.damaged() || updates_.applied() < pendingNum_)
+    if (pendingEnd_ == TimePoint{} || state_.damaged() || updates_.applied() < pendingIndex_)
       return;
-    if (context_.leaseEnds == Instant{})
-      ring::note("first lease, at number " + std::to_string(updates_.applied()));
+    if (context_.leaseEnds == TimePoint{})
+      log::debug("first lease, at number " + std::to_string(updates_.applied()));
     context_.leaseEnds = std::max(context_.leaseEnds, pendingEnd_);
   }
-  void adopt(ReplicatedState::Change c) {
+  void adopt(state_machine::ReplicatedState::Change c) {
     if (c.runners)
       context_.runners.follow(state_.state().runners), context_.runners.setEjected(ejections_);
-    if (c.closures)
-      adoptClosures();
+    if (c.zoneDrains)
+      adoptZoneDrains();
     if (!c.configuration || state_.state().configuration.empty())
       return;
     // Built aside and swapped: requests under way keep the table they began with.
-    auto cfg = parseConfiguration(state_.state().configuration);
+    auto cfg = config::parseConfiguration(state_.state().configuration);
     if (!cfg)
-      return ring::alarm("a taken configuration can't be read: " + cfg.error().text);
+      return log::error("a taken configuration can't be read: " + cfg.error().message);
     context_.configuration = *cfg;
     renewLease();
   }
@@ -273,21 +281,21 @@
         out.insert(zone);
     return out;
   }
-  void adoptClosures() {
-    std::map<std::string, RunnerPool::Closing> zones;
-    for (auto& c : state_.state().closures)
+  void adoptZoneDrains() {
+    std::map<std::string, balancing::RunnerPool::ZoneDrainLevel> zones;
+    for (auto& c : state_.state().zoneDrains)
       for (auto& z : zonesOf(c.place)) {
         auto& x = zones[z];
         x.share = std::max(x.share, static_cast<int>(c.share));
-        x.moveStreams = x.moveStreams || c.doorsShut;
+        x.migrateStreams = x.migrateStreams || c.notAccepting;
       }
     const auto mine = zones.find(settings_.zone);
-    context_.zoneClosing = mine != zones.end() && mine->second.moveStreams;
-    context_.runners.setClosing(std::move(zones));
+    context_.zoneDraining = mine != zones.end() && mine->second.migrateStreams;
+    context_.runners.setZoneDrains(std::move(zones));
   }
   // What the core tells operators of a closing place's progress, and how busy the fleet is.
-  std::vector<Grant> load(Instant now) {
-    std::vector<Grant> out;
+  std::vector<transport::Grant> load(TimePoint now) {
+    std::vector<transport::Grant> out;
     const double s = std::max(0.05, std::chrono::duration<double>(now - loadAt_).count());
     const auto all = context_.served + context_.refused;
     if (now - loadAt_ > 900ms) {
@@ -296,7 +304,7 @@
       loadCount_ = all;
     }
     out.push_back({"", perS_, 0});
-    for (auto& c : state_.state().closures) {
+    for (auto& c : state_.state().zoneDrains) {
       const auto zones = zonesOf(c.place);
       out.push_back({c.place, static_cast<double>(context_.runners.inFlightIn(zones)),
                      zones.contains(settings_.zone) ? context_.inFlight * 1.0 : 0.0});
@@ -304,69 +312,71 @@
     return out;
   }
   void serveReadiness(tcp::socket sock) {
-    Connection w(std::move(sock));
-    Buffer buf;
+    runtime::Connection w(std::move(sock));
+    proxy::Buffer buf;
     for (;;) {
-      RequestParser p;
-      const auto r = readRequest(w, buf, p, {});
-      if (r.end != ReadEnd::whole)
+      proxy::RequestParser p;
+      const auto r = proxy::readRequest(w, buf, p, {});
+      if (r.end != proxy::ReadEnd::whole)
         return;
       const bool known = p.get().target() == "/v1/readiness";
-      const bool ready = context_.hasLease(Clock::now()) && !context_.draining && !context_.zoneClosing;
+      const bool ready = context_.hasLease(Clock::now()) && !context_.draining && !context_.zoneDraining;
       const bool keep = p.get().keep_alive();
-      Ec ec;
-      w.write(asio::buffer(plainAnswer(!known  ? 404
-                                       : ready ? 200
-                                               : 503,
-                                       "", "application/json", ready ? "{\"ready\":true}" : "{\"ready\":false}", keep)),
+      runtime::SocketError ec;
+      w.write(asio::buffer(proxy::plainAnswer(!known  ? 404
+                                              : ready ? 200
+                                                      : 503,
+                                              "", "application/json", ready ? "{\"ready\":true}" : "{\"ready\":false}",
+                                              keep)),
               ec);
       if (ec || !keep)
         return;
     }
   }
 
-  Settings settings_;
-  ProxyContext context_;
-  Queue updates_;
-  ReplicatedState state_;
-  std::unique_ptr<Dialer> agentLink_;
-  std::map<std::int64_t, Instant> renewals_;
+  config::Settings settings_;
+  proxy::ProxyContext context_;
+  consensus::EntryQueue updates_;
+  state_machine::ReplicatedState state_;
+  std::unique_ptr<transport::Dialer> agentLink_;
+  std::map<std::int64_t, TimePoint> renewals_;
   // Questions are numbered from a point drawn for this life: an answer to an earlier one fits none.
-  std::int64_t leaseQuestion_ = firstQuestion(), drawQuestion_ = firstQuestion(), openingQuestion_ = firstQuestion();
+  std::int64_t leaseQuestion_ = firstQuestion(), drawQuestion_ = firstQuestion(),
+               prefixLookupRequest_ = firstQuestion();
   std::set<std::int64_t> draws_;  // under way
-  std::int64_t pendingNum_ = 0;
+  std::int64_t pendingIndex_ = 0;
   bool asking_ = false;
   struct PartnerQuery {
-    Waiter waiter;
+    runtime::Waiter waiter;
     std::vector<std::string> access;
   };
   std::map<std::int64_t, PartnerQuery*> partnerQueries_;  // questions under way
-  std::unordered_map<std::uint64_t, Instant> sentOpenings_;
+  std::unordered_map<std::uint64_t, TimePoint> sentOpenings_;
   std::int64_t ejectionsVersion_ = 0;
-  std::vector<Grant> ejections_;  // runners set aside, as last told
-  Instant pendingEnd_{};
-  Instant loadAt_ = Clock::now();
+  std::vector<transport::Grant> ejections_;  // runners set aside, as last told
+  TimePoint pendingEnd_{};
+  TimePoint loadAt_ = Clock::now();
   std::uint64_t loadCount_ = 0;
   double perS_ = 0, slackShare_ = 0;
-  Span leaseSpan_{};
+  Duration leaseSpan_{};
 };
 }  // namespace
 
-int runProxy(const Settings& s) {
-  EventLoop loop;
+int runProxy(const config::Settings& s) {
+  runtime::EventLoop loop;
   ProxyDaemon p(s);
   if (auto r = p.start(); !r) {
-    ring::say("proxy: " + r.error().text);
+    log::info("proxy: " + r.error().message);
     return 1;
   }
-  watchLifecycle(settingsPath(), {[&] { p.leave(); },
-                                  [&] {
-                                    if (auto n = loadSettings(settingsPath()))
-                                      p.reread(*n);
-                                    else
-                                      ring::alarm(n.error().text);
-                                  }});
+  runtime::watchLifecycle(config::settingsPath(), {[&] { p.leave(); },
+                                                   [&] {
+                                                     if (auto n = config::loadSettings(config::settingsPath()))
+                                                       p.reread(*n);
+                                                     else
+                                                       log::error(n.error().message);
+                                                   }});
   loop.run();
   return 0;
 }
-}  // namespace zc
+}  // namespace zinccleat::proxy_daemon
--- a/libs/runtime/include/runtime/common.hpp
+++ b/libs/runtime/include/runtime/common.hpp
@@ -1,4 +1,4 @@
-// Types and functions that every module shares: time, errors as values, invariants, hashes.
+/// Vocabulary types that every library shares: time, errors as values, invariants and hashes.
 #pragma once
 #include <algorithm>
 #include <chrono>
@@ -15,38 +15,59 @@
 #include <utility>
 #include <vector>
 
-namespace zc {
+namespace zinccleat {
 using namespace std::chrono_literals;
+/// The steady clock. Pure code never reads it: the present time is passed in.
 using Clock = std::chrono::steady_clock;
-using Instant = Clock::time_point;
-using Span = std::chrono::milliseconds;
+using TimePoint = Clock::time_point;
+using Duration = std::chrono::milliseconds;
 
-// An error as a value.
-struct Fault {
-  int code = 0;  // an HTTP status where one fits, else 0
-  std::string text;
+/// What kind of error an `Error` is. Callers branch on this, never on the message.
+enum class ErrorCode {
+  invalidArgument,     ///< input that breaks its format or a stated bound
+  permissionDenied,    ///< the caller may not do this
+  notFound,            ///< the thing named does not exist
+  unavailable,         ///< cannot be answered now; nothing was done
+  corruption,          ///< stored or received bytes that are not what was written
+  incompatibleFormat,  ///< bytes in a format of another version of this program
+  outOfOrder,          ///< a call that breaks the order which its interface requires
+  locked,              ///< a resource that another process uses
+  ioError,             ///< the operating system refused; `Error::subcode` is its `errno`
 };
-// A result or an error.
+
+/// An error as a value.
+struct Error {
+  ErrorCode code = ErrorCode::invalidArgument;
+  std::string message;  ///< one line for an operator, without a full stop
+  int subcode = 0;      ///< `errno` where the operating system refused, else 0
+};
+
+/// A value or an `Error`.
 template <class T>
-using Outcome = tl::expected<T, Fault>;
-inline tl::unexpected<Fault> fault(int code, std::string text) {
-  return tl::unexpected<Fault>(Fault{code, std::move(text)});
+using Result = tl::expected<T, Error>;
+
+/// Makes the error alternative of a `Result`.
+/// @param subcode the operating system's `errno`, or 0.
+inline tl::unexpected<Error> makeError(ErrorCode code, std::string message, int subcode = 0) {
+  return tl::unexpected<Error>(Error{code, std::move(message), subcode});
 }
-inline Span toSpan(Clock::duration d) {
-  return std::chrono::duration_cast<Span>(d);
+/// Rounds a duration of the steady clock down to whole milliseconds.
+inline Duration toDuration(Clock::duration duration) {
+  return std::chrono::duration_cast<Duration>(duration);
 }
 
-// Logs what was broken, writes the log ring out and aborts.
-[[noreturn]] void abortBrokenInvariant(const char* what);
-// Checks an invariant of our own code. Only a broken one may stop the process; every other error is a value.
-inline void must(bool ok, const char* what) {
-  if (!ok)
-    abortBrokenInvariant(what);
+/// Logs what was broken, writes the log's ring buffer out and aborts.
+[[noreturn]] void abortOnBrokenInvariant(const char* what);
+/// Aborts unless an invariant of our own code holds. Every other error is a value.
+inline void checkInvariant(bool holds, const char* what) {
+  if (!holds)
+    abortOnBrokenInvariant(what);
 }
-// A fast hash, not for secrets; the same on every node.
-std::uint64_t hash64(std::string_view s, std::uint64_t seed = 0);
-// A digest of 128 bits in hex, the same on every node.
-std::string digestOf(std::string_view s);
-// A seed from the system's entropy.
-std::uint64_t drawSeed();
-}  // namespace zc
+
+/// A fast 64-bit hash (XXH3), the same on every node. Not for secrets.
+std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
+/// A 128-bit digest (XXH3) as 32 hex digits, the same on every node. Not for secrets.
+std::string digestOf(std::string_view text);
+/// A seed from the operating system's entropy.
+std::uint64_t randomSeed();
+}  // namespace zinccleat
--- a/libs/runtime/include/runtime/event_loop.hpp
+++ b/libs/runtime/include/runtime/event_loop.hpp
@@ -10,10 +10,12 @@
 
 #include "runtime/common.hpp"
 
-namespace zc {
+namespace zinccleat {
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
-using Ec = boost::system::error_code;
+}  // namespace zinccleat
+namespace zinccleat::runtime {
+using SocketError = boost::system::error_code;
 
 // Lets one fiber wait until one handler wakes it.
 class Waiter {
@@ -43,13 +45,13 @@
   void run();
   void stop();
   // Starts a fiber.
-  void launch(std::function<void()> f);
+  void spawn(std::function<void()> f);
   // Parks the calling fiber for a time.
-  void pause(Span d);
+  void sleepFor(Duration d);
   // Waits for w, at most for d. False: the time was up first.
-  bool waitFor(Waiter& w, Span d);
+  bool waitFor(Waiter& w, Duration d);
   // Calls f every d until the loop stops.
-  void every(Span d, std::function<void()> f);
+  void callEvery(Duration d, std::function<void()> f);
   // Looks after the deadline of a connection, as long as it is linked.
   void watch(Connection& w);
 
@@ -67,36 +69,36 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
   // Reads what is there, waiting for at least a byte.
-  std::size_t read(asio::mutable_buffer b, Ec& ec);
+  std::size_t read(asio::mutable_buffer b, SocketError& ec);
   // Writes all of b and returns how many bytes the kernel took. Only 0 together with an error says with certainty that
   // nothing of b can reach the far end.
-  std::size_t write(asio::const_buffer b, Ec& ec);
-  void connect(const tcp::endpoint& ep, Ec& ec);
+  std::size_t write(asio::const_buffer b, SocketError& ec);
+  void connect(const tcp::endpoint& ep, SocketError& ec);
   // Parks until bytes can be read, without reading them.
-  void awaitReadable(Ec& ec);
-  // Sets the deadline: from t on operations are cancelled and late() is true.
-  void due(Instant t);
-  void undue() { due(Instant::max()); }
-  bool late() const { return late_; }
+  void awaitReadable(SocketError& ec);
+  // Sets the deadline: from t on operations are cancelled and deadlineExceeded() is true.
+  void setDeadline(TimePoint t);
+  void clearDeadline() { setDeadline(TimePoint::max()); }
+  bool deadlineExceeded() const { return deadlineExceeded_; }
   // Closes the socket; operations under way end with an error.
-  void shut();
+  void close();
   // Cancels operations under way.
   void cancel();
-  tcp::socket& sock() { return sock_; }
-  Instant dueAt() const { return due_; }
+  tcp::socket& socket() { return socket_; }
+  TimePoint deadline() const { return deadline_; }
   // The deadline has passed: called by the loop.
-  void strike() {
-    late_ = true;
+  void onDeadline() {
+    deadlineExceeded_ = true;
     cancel();
   }
 
  private:
-  tcp::socket sock_;
-  Instant due_ = Instant::max();
-  bool late_ = false, unblocked_ = false;
+  tcp::socket socket_;
+  TimePoint deadline_ = TimePoint::max();
+  bool deadlineExceeded_ = false, unblocked_ = false;
 };
 // No delay of small writes; a silent far end is given up within seconds.
 void tune(tcp::socket& s);
 // Reads "IP:PORT".
-Outcome<tcp::endpoint> parseEndpoint(std::string_view s);
-}  // namespace zc
+Result<tcp::endpoint> parseEndpoint(std::string_view s);
+}  // namespace zinccleat::runtime
--- a/libs/runtime/src/common.cpp
+++ b/libs/runtime/src/common.cpp
@@ -8,10 +8,10 @@
 
 #include "runtime/log_ring.hpp"
 
-namespace zc {
-void abortBrokenInvariant(const char* what) {
-  ring::say(std::string("broken invariant: ") + what);
-  ring::dump();
+namespace zinccleat {
+void abortOnBrokenInvariant(const char* what) {
+  log::info(std::string("broken invariant: ") + what);
+  log::dump();
   std::abort();
 }
 std::uint64_t hash64(std::string_view s, std::uint64_t seed) {
@@ -24,8 +24,8 @@
                 static_cast<unsigned long long>(h.low64));
   return buf;
 }
-std::uint64_t drawSeed() {
+std::uint64_t randomSeed() {
   std::random_device rd;
   return (static_cast<std::uint64_t>(rd()) << 32) ^ rd();
 }
-}  // namespace zc
+}  // namespace zinccleat
--- a/libs/runtime/src/event_loop.cpp
+++ b/libs/runtime/src/event_loop.cpp
@@ -10,7 +10,7 @@
 #include <csignal>
 #include <cstddef>
 
-namespace zc {
+namespace zinccleat::runtime {
 namespace {
 constexpr auto kDeadlineCheckInterval = 20ms;
 constexpr std::size_t kFiberStackBytes = std::size_t{64} * 1024;
@@ -74,15 +74,15 @@
   void arm() {
     sweeping = true;
     sweep.expires_after(kDeadlineCheckInterval);
-    sweep.async_wait([this](Ec ec) {
+    sweep.async_wait([this](SocketError ec) {
       sweeping = false;
       if (ec || stopped)
         return;
       const auto now = Clock::now();
       for (auto it = watched.begin(); it != watched.end();) {
         auto& w = *it++;
-        if (w.dueAt() <= now)
-          w.strike();
+        if (w.deadline() <= now)
+          w.onDeadline();
       }
       if (!watched.empty())
         arm();
@@ -117,20 +117,20 @@
       impl_->io.run_one();
   }
 }
-void EventLoop::launch(std::function<void()> f) {
+void EventLoop::spawn(std::function<void()> f) {
   boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg, impl_->stacks, std::move(f)).detach();
 }
-void EventLoop::pause(Span d) {
+void EventLoop::sleepFor(Duration d) {
   asio::steady_timer t(impl_->io, d);
   Waiter w;
-  t.async_wait([&](Ec) { w.wake(); });
+  t.async_wait([&](SocketError) { w.wake(); });
   w.wait();
 }
-bool EventLoop::waitFor(Waiter& w, Span d) {
+bool EventLoop::waitFor(Waiter& w, Duration d) {
   bool timedOut = false;
   bool fired = false;
   asio::steady_timer t(impl_->io, d);
-  t.async_wait([&](Ec ec) {
+  t.async_wait([&](SocketError ec) {
     fired = true;
     if (!ec)
       timedOut = true;
@@ -147,7 +147,7 @@
   }
   return false;
 }
-void EventLoop::every(Span d, std::function<void()> f) {
+void EventLoop::callEvery(Duration d, std::function<void()> f) {
   auto t = std::make_shared<asio::steady_timer>(impl_->io);
   auto fn = std::make_shared<std::function<void()>>(std::move(f));
   auto step = std::make_shared<std::function<void()>>();
@@ -156,7 +156,7 @@
     if (impl_->stopped)
       return;
     t->expires_after(d);
-    t->async_wait([fn, step](Ec ec) {
+    t->async_wait([fn, step](SocketError ec) {
       if (ec)
         return;
       (*fn)();
@@ -172,25 +172,25 @@
     impl_->arm();
 }
 
-Connection::Connection() : sock_(EventLoop::get().io()) {}
-Connection::Connection(tcp::socket s) : sock_(std::move(s)) {}
+Connection::Connection() : socket_(EventLoop::get().io()) {}
+Connection::Connection(tcp::socket s) : socket_(std::move(s)) {}
 Connection::~Connection() {
-  shut();
+  close();
 }
-void Connection::due(Instant t) {
-  due_ = t;
-  late_ = false;
-  if (t == Instant::max()) {
+void Connection::setDeadline(TimePoint t) {
+  deadline_ = t;
+  deadlineExceeded_ = false;
+  if (t == TimePoint::max()) {
     if (is_linked())
       unlink();
   } else {
     EventLoop::get().watch(*this);
   }
 }
-std::size_t Connection::read(asio::mutable_buffer b, Ec& ec) {
+std::size_t Connection::read(asio::mutable_buffer b, SocketError& ec) {
   std::size_t got = 0;
   Waiter w;
-  sock_.async_read_some(b, [&](Ec e, std::size_t n) {
+  socket_.async_read_some(b, [&](SocketError e, std::size_t n) {
     ec = e;
     got = n;
     w.wake();
@@ -198,13 +198,13 @@
   w.wait();
   return got;
 }
-std::size_t Connection::write(asio::const_buffer b, Ec& ec) {
+std::size_t Connection::write(asio::const_buffer b, SocketError& ec) {
   // Why straight first: most writes fit the socket's window, and a parked fiber costs a wake-up.
   if (!unblocked_) {
-    sock_.non_blocking(true, ec);
+    socket_.non_blocking(true, ec);
     unblocked_ = true;
   }
-  auto written = sock_.send(asio::buffer(b), MSG_NOSIGNAL, ec);
+  auto written = socket_.send(asio::buffer(b), MSG_NOSIGNAL, ec);
   if (ec == asio::error::would_block)
     ec = {};
   else if (ec)
@@ -213,7 +213,7 @@
     return written;
   b += written;
   Waiter w;
-  asio::async_write(sock_, asio::buffer(b), [&](Ec e, std::size_t n) {
+  asio::async_write(socket_, asio::buffer(b), [&](SocketError e, std::size_t n) {
     ec = e;
     written += n;
     w.wake();
@@ -221,59 +221,59 @@
   w.wait();
   return written;
 }
-void Connection::connect(const tcp::endpoint& ep, Ec& ec) {
+void Connection::connect(const tcp::endpoint& ep, SocketError& ec) {
   Waiter w;
-  sock_.open(ep.protocol(), ec);
+  socket_.open(ep.protocol(), ec);
   if (ec)
     return;
-  tune(sock_);
-  sock_.async_connect(ep, [&](Ec e) {
+  tune(socket_);
+  socket_.async_connect(ep, [&](SocketError e) {
     ec = e;
     w.wake();
   });
   w.wait();
 }
-void Connection::awaitReadable(Ec& ec) {
+void Connection::awaitReadable(SocketError& ec) {
   Waiter w;
-  sock_.async_wait(tcp::socket::wait_read, [&](Ec e) {
+  socket_.async_wait(tcp::socket::wait_read, [&](SocketError e) {
     ec = e;
     w.wake();
   });
   w.wait();
 }
-void Connection::shut() {
-  Ec ec;
+void Connection::close() {
+  SocketError ec;
   if (is_linked())
     unlink();
-  if (sock_.is_open())
-    sock_.close(ec);
+  if (socket_.is_open())
+    socket_.close(ec);
 }
 void Connection::cancel() {
-  Ec ec;
-  if (sock_.is_open())
-    sock_.cancel(ec);
+  SocketError ec;
+  if (socket_.is_open())
+    socket_.cancel(ec);
 }
 void tune(tcp::socket& s) {
-  Ec ec;
+  SocketError ec;
   s.set_option(tcp::no_delay(true), ec);
   ::setsockopt(s.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof kUserTimeoutMs);
 }
-Outcome<tcp::endpoint> parseEndpoint(std::string_view s) {
+Result<tcp::endpoint> parseEndpoint(std::string_view s) {
   const auto c = s.rfind(':');
   if (c == s.npos)
-    return fault(0, "no port in address '" + std::string(s) + "'");
-  Ec ec;
+    return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(s) + "'");
+  SocketError ec;
   const auto ip = asio::ip::make_address(std::string(s.substr(0, c)), ec);
   if (ec)
-    return fault(0, "no IP number in address '" + std::string(s) + "'");
+    return makeError(ErrorCode::invalidArgument, "no IP number in address '" + std::string(s) + "'");
   unsigned port = 0;
   for (char ch : s.substr(c + 1)) {
     if (ch < '0' || ch > '9' || port > 65535)
-      return fault(0, "no port in address '" + std::string(s) + "'");
+      return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(s) + "'");
     port = port * 10 + static_cast<unsigned>(ch - '0');
   }
   if (port == 0 || port > 65535)
-    return fault(0, "no port in address '" + std::string(s) + "'");
+    return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(s) + "'");
   return tcp::endpoint(ip, static_cast<unsigned short>(port));
 }
-}  // namespace zc
+}  // namespace zinccleat::runtime
--- a/libs/runtime/src/lifecycle.cpp
+++ b/libs/runtime/src/lifecycle.cpp
@@ -7,7 +7,7 @@
 #include "runtime/event_loop.hpp"
 #include "runtime/log_ring.hpp"
 
-namespace zc {
+namespace zinccleat::runtime {
 namespace {
 std::int64_t changedAt(const std::string& path) {
   struct stat st {};
@@ -24,20 +24,20 @@
   auto seen = std::make_shared<std::int64_t>(changedAt(path));
   auto step = std::make_shared<std::function<void()>>();
   *step = [set, life, step] {
-    set->async_wait([set, life, step](Ec ec, int sig) {
+    set->async_wait([set, life, step](SocketError ec, int sig) {
       if (ec)
         return;
       if (sig == SIGHUP)
         life->onSettings();
       else if (sig == SIGUSR1)
-        ring::dump();
+        log::dump();
       else
         life->onTerm();
       (*step)();
     });
   };
   (*step)();
-  EventLoop::get().every(2000ms, [path, seen, life] {
+  EventLoop::get().callEvery(2000ms, [path, seen, life] {
     const auto at = changedAt(path);
     if (at == *seen)
       return;
@@ -45,4 +45,4 @@
     life->onSettings();
   });
 }
-}  // namespace zc
+}  // namespace zinccleat::runtime
--- a/libs/runtime/src/log_ring.cpp
+++ b/libs/runtime/src/log_ring.cpp
@@ -8,77 +8,114 @@
 #include <cstdio>
 #include <ctime>
 
-namespace zc::ring {
+namespace zinccleat::log {
 namespace {
-constexpr std::size_t kKept = 400;
-constexpr auto kBetweenDumps = 5s;
-struct Ring {
+constexpr std::size_t kMaxLines = 400;
+constexpr auto kMinDumpInterval = 5s;
+
+struct RingBuffer {
   std::string node = "zinccleat";
-  std::deque<std::string> kept;
-  std::size_t fresh = 0;  // lines not written yet
-  Instant lastDump{};
+  std::deque<std::string> lines;
+  std::size_t unwritten = 0;  // of the newest lines
+  TimePoint lastDump{};
   bool verbose = false;
   log4cxx::LoggerPtr sink;
 };
-Ring& self() {
-  static Ring r;
-  return r;
+RingBuffer& ringBuffer() {
+  static RingBuffer instance;
+  return instance;
+}
+
+// Made at the first line that is written: setting up the logging library costs start-up time that a calm process never
+// owes.
+log4cxx::LoggerPtr makeSink() {
+  auto layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("%m%n"));
+  auto appender = std::make_shared<log4cxx::ConsoleAppender>(layout, LOG4CXX_STR("System.err"));
+  log4cxx::helpers::Pool pool;
+  appender->activateOptions(pool);
+  log4cxx::BasicConfigurator::configure(appender);
+  return log4cxx::Logger::getLogger("zinccleat");
+}
+void write(const std::string& line) {
+  auto& ring = ringBuffer();
+  if (!ring.sink)
+    ring.sink = makeSink();
+  LOG4CXX_INFO(ring.sink, line);
+}
+
+bool needsQuotes(std::string_view value) {
+  return value.empty() || value.find_first_of(" \t\n\r\"=") != std::string_view::npos;
 }
-void write(const std::string& s) {
-  auto& r = self();
-  // Why late: setting up the logging library costs start-up time that a calm process never owes.
-  if (!r.sink) {
-    auto layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("%m%n"));
-    auto out = std::make_shared<log4cxx::ConsoleAppender>(layout, LOG4CXX_STR("System.err"));
-    log4cxx::helpers::Pool pool;
-    out->activateOptions(pool);
-    log4cxx::BasicConfigurator::configure(out);
-    r.sink = log4cxx::Logger::getLogger("zinccleat");
+void appendQuoted(std::string& line, std::string_view value) {
+  line += '"';
+  for (const char c : value) {
+    if (c == '"' || c == '\\')
+      line += '\\';
+    line += c == '\n' || c == '\r' ? ' ' : c;
   }
-  LOG4CXX_INFO(r.sink, s);
+  line += '"';
 }
-std::string stamped(const std::string& line) {
-  const auto ms = std::chrono::duration_cast<Span>(Clock::now().time_since_epoch()).count();
-  char buf[40];
-  std::snprintf(buf, sizeof buf, "%lld.%03lld ", static_cast<long long>(ms / 1000), static_cast<long long>(ms % 1000));
-  return buf + self().node + " " + line;
+std::string timestamp() {
+  const auto sinceStart = toDuration(Clock::now().time_since_epoch()).count();
+  char text[40];
+  std::snprintf(text, sizeof text, "%lld.%03lld", static_cast<long long>(sinceStart / 1000),
+                static_cast<long long>(sinceStart % 1000));
+  return text;
+}
+std::string formatLine(std::string_view level, std::string_view event, Fields fields) {
+  std::string line = timestamp() + " " + ringBuffer().node;
+  if (!level.empty())
+    line.append(" level=").append(level);
+  line.append(" event=").append(event);
+  for (const auto& field : fields) {
+    line.append(" ").append(field.key).append("=");
+    if (needsQuotes(field.value))
+      appendQuoted(line, field.value);
+    else
+      line += field.value;
+  }
+  return line;
+}
+void keep(std::string line) {
+  auto& ring = ringBuffer();
+  ring.lines.push_back(std::move(line));
+  if (ring.lines.size() > kMaxLines)
+    ring.lines.pop_front();
+  ring.unwritten = std::min(ring.unwritten + 1, kMaxLines);
+  if (ring.verbose)
+    dump();
 }
 }  // namespace
 
-void name(std::string node) {
-  self().node = std::move(node);
+void setNodeName(std::string node) {
+  ringBuffer().node = std::move(node);
 }
-void verbose(bool on) {
-  self().verbose = on;
+void setVerbose(bool on) {
+  ringBuffer().verbose = on;
 }
-void note(const std::string& line) {
-  auto& r = self();
-  r.kept.push_back(stamped(line));
-  if (r.kept.size() > kKept)
-    r.kept.pop_front();
-  r.fresh = std::min(r.fresh + 1, kKept);
-  if (r.verbose)
-    dump();
+void debug(std::string_view event, Fields fields) {
+  keep(formatLine({}, event, fields));
 }
-void alarm(const std::string& line) {
-  note("ALARM " + line);
-  auto& r = self();
+void error(std::string_view event, Fields fields) {
+  keep(formatLine("error", event, fields));
+  auto& ring = ringBuffer();
   const auto now = Clock::now();
-  if (r.lastDump != Instant{} && now - r.lastDump < kBetweenDumps)
+  if (ring.lastDump != TimePoint{} && now - ring.lastDump < kMinDumpInterval)
     return;
-  r.lastDump = now;
+  ring.lastDump = now;
   dump();
 }
-void say(const std::string& line) {
-  write(stamped(line));
+void info(std::string_view event, Fields fields) {
+  write(formatLine({}, event, fields));
 }
 void dump() {
-  auto& r = self();
-  for (auto i = r.kept.size() - std::min(r.fresh, r.kept.size()); i < r.kept.size(); ++i)
-    write(r.kept[i]);
-  r.fresh = 0;
+  auto& ring = ringBuffer();
+  const auto count = std::min(ring.unwritten, ring.lines.size());
+  for (auto i = ring.lines.size() - count; i < ring.lines.size(); ++i)
+    write(ring.lines[i]);
+  ring.unwritten = 0;
 }
 std::vector<std::string> lines() {
-  return {self().kept.begin(), self().kept.end()};
+  return {ringBuffer().lines.begin(), ringBuffer().lines.end()};
 }
-}  // namespace zc::ring
+}  // namespace zinccleat::log
--- a/libs/simulation/include/simulation/linearizability.hpp
+++ b/libs/simulation/include/simulation/linearizability.hpp
@@ -7,7 +7,7 @@
 
 #include "runtime/common.hpp"
 
-namespace zc {
+namespace zinccleat::simulation {
 // One call of one operator. Times are on any one clock; only their order counts.
 struct OperatorCall {
   enum class Kind { replace, retrieve };
@@ -45,4 +45,4 @@
  private:
   std::vector<OperatorCall> calls_;
 };
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/include/simulation/plan.hpp
+++ b/libs/simulation/include/simulation/plan.hpp
@@ -1,7 +1,7 @@
 // What a scale run plays: our own model of the systems served, on loopback only.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::simulation {
 struct ScaleRunPlan {
   int core = 3;    // real controllers, 1 to 9
   int nodes = 10;  // hollow access nodes, all in the scale run's own process
@@ -16,9 +16,9 @@
   std::int64_t seed = 1;
 };
 // From a JSON object; fields left out keep their defaults. Then name=value pairs on top.
-Outcome<ScaleRunPlan> parsePlan(std::string_view text, const std::vector<std::string>& sets = {});
+Result<ScaleRunPlan> parsePlan(std::string_view text, const std::vector<std::string>& sets = {});
 // A configuration of so many routes and tenants.
 std::string planConfiguration(const ScaleRunPlan& p, std::int64_t version, const std::vector<int>& keyNo);
 // Runs it, with the program at `binary` as controller, agent and proxy, and prints what it took. 0: all as expected.
 int runAtScale(const ScaleRunPlan& p, const std::string& binary, bool json);
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/include/simulation/trial.hpp
+++ b/libs/simulation/include/simulation/trial.hpp
@@ -2,7 +2,7 @@
 // lost.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::simulation {
 // Prints what clients saw and where to look further. 0: nothing lost, nothing doubled.
 int trial(const std::string& binary, int seconds);
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -9,7 +9,7 @@
 #include <filesystem>
 #include <fstream>
 
-namespace zc {
+namespace zinccleat::simulation {
 LocalFleet::LocalFleet(std::string binary, int core) : binary_(std::move(binary)) {
   std::string t = std::filesystem::temp_directory_path() / "zinccleat-fleet-XXXXXX";
   dir_ = ::mkdtemp(t.data());
@@ -31,7 +31,7 @@
       return;
     reservation_.close(ec);
   }
-  must(false, "no free loopback network");
+  checkInvariant(false, "no free loopback network");
 }
 std::string LocalFleet::ip(int third, int fourth) const {
   return "127." + std::to_string(network_) + "." + std::to_string(third) + "." + std::to_string(fourth);
@@ -108,4 +108,4 @@
 bool LocalFleet::startAgain(std::size_t i) {
   return processes_[i].pid == 0 && spawn(processes_[i]);
 }
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/fleet.hpp
+++ b/libs/simulation/src/fleet.hpp
@@ -7,7 +7,7 @@
 #include <boost/asio/ip/tcp.hpp>
 
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::simulation {
 class LocalFleet {
  public:
   static constexpr unsigned short kPort = 7660, kControl = 8407, kAccess = 8405;
@@ -47,4 +47,4 @@
   std::vector<std::string> core_;
   std::vector<Process> processes_;
 };
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/hollow_node.hpp
+++ b/libs/simulation/src/hollow_node.hpp
@@ -7,7 +7,7 @@
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
-namespace zc {
+namespace zinccleat::simulation {
 class HollowNode {
  public:
   HollowNode(std::string self, std::vector<std::string> core, unsigned short port, std::uint64_t seed);
@@ -23,26 +23,26 @@
 
  private:
   void dial();
-  void onMessage(const PeerLinkPtr& link, const Envelope& envelope);
-  void onStanding(const ClusterStanding& standing);
-  void onLease(const LeaseAnswer& answer);
-  void onDrawn(const QuotaDrawn& drawn);
+  void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
+  void onStanding(const transport::ClusterStatus& standing);
+  void onLease(const transport::LeaseResponse& answer);
+  void onDrawn(const transport::QuotaTokenResponse& drawn);
   void follow();
   void drain();
-  Dialer* leader();
+  transport::Dialer* leader();
   std::string self_, leaderIp_;
   std::vector<std::string> core_;
   unsigned short port_;
   std::mt19937_64 rng_;
-  std::map<std::string, std::unique_ptr<Dialer>> links_;
-  Queue queue_;
-  ReplicatedState copy_;
-  QuotaGrants stash_;
-  std::map<std::int64_t, Instant> asked_;
-  Instant leaseEnds_{}, followed_{}, drawnAt_{};
+  std::map<std::string, std::unique_ptr<transport::Dialer>> links_;
+  consensus::EntryQueue queue_;
+  state_machine::ReplicatedState copy_;
+  balancing::QuotaGrants reserve_;
+  std::map<std::int64_t, TimePoint> asked_;
+  TimePoint leaseEnds_{}, followed_{}, drawnAt_{};
   std::int64_t question_ = 0, draw_ = 0, term_ = 0, newest_ = 0, outliersKnown_ = 0;
   std::map<std::string, int> waiting_;
   int states_ = 0;
   bool following_ = false, asking_ = false;
 };
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -3,7 +3,7 @@
 #include <set>
 #include <unordered_set>
 
-namespace zc {
+namespace zinccleat::simulation {
 namespace {
 using Kind = OperatorCall::Kind;
 using Answer = OperatorCall::Answer;
@@ -212,4 +212,4 @@
   c.version = version;
   c.body = body;
 }
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/plan.cpp
+++ b/libs/simulation/src/plan.cpp
@@ -5,14 +5,14 @@
 
 #include "config/json.hpp"
 
-namespace zc {
-Outcome<ScaleRunPlan> parsePlan(std::string_view text, const std::vector<std::string>& sets) {
+namespace zinccleat::simulation {
+Result<ScaleRunPlan> parsePlan(std::string_view text, const std::vector<std::string>& sets) {
   // Why through the same reader: a value given on the command line is checked like one in the file.
   std::string more;
   for (auto& s : sets) {
     const auto eq = s.find('=');
     if (eq == std::string::npos || eq == 0)
-      return fault(0, "'" + s + "' is no name=value");
+      return makeError(ErrorCode::invalidArgument, "'" + s + "' is no name=value");
     more += (more.empty() ? "" : ",") + ("\"" + s.substr(0, eq) + "\":" + s.substr(eq + 1));
   }
   ScaleRunPlan p;
@@ -68,7 +68,7 @@
   within("restarts", p.restarts, 0, 10000);
   within("seconds", p.seconds, 1, 600);
   if (!wrong.empty())
-    return fault(0, wrong);
+    return makeError(ErrorCode::invalidArgument, wrong);
   return p;
 }
 std::string planConfiguration(const ScaleRunPlan& p, std::int64_t version, const std::vector<int>& keyNo) {
@@ -92,4 +92,4 @@
   s << "]}";
   return s.str();
 }
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/scale_run.cpp
+++ b/libs/simulation/src/scale_run.cpp
@@ -12,15 +12,15 @@
 #include "simulation/plan.hpp"
 #include "state_machine/delta.hpp"
 
-namespace zc {
+namespace zinccleat::simulation {
 namespace {
 // The messages of access machines, by the names that earlier measurements have.
-const std::pair<MessageType, const char*> kMessages[] = {
-    {MessageType::agentState, "state"},      {MessageType::clusterStanding, "stateAck"},
-    {MessageType::followLog, "follow"},      {MessageType::feedEntries, "feed"},
-    {MessageType::feedSnapshot, "snapshot"}, {MessageType::leaseQuestion, "challenge"},
-    {MessageType::leaseAnswer, "lease"},     {MessageType::quotaDraw, "draw"},
-    {MessageType::quotaDrawn, "drawn"},
+const std::pair<transport::MessageType, const char*> kMessages[] = {
+    {transport::MessageType::agentState, "state"},         {transport::MessageType::clusterStatus, "stateAck"},
+    {transport::MessageType::followLog, "follow"},         {transport::MessageType::feedEntries, "feed"},
+    {transport::MessageType::feedSnapshot, "snapshot"},    {transport::MessageType::leaseRequest, "challenge"},
+    {transport::MessageType::leaseResponse, "lease"},      {transport::MessageType::quotaTokenRequest, "draw"},
+    {transport::MessageType::quotaTokenResponse, "drawn"},
 };
 
 double cpuOf(pid_t pid) {  // seconds, over all threads
@@ -60,13 +60,13 @@
   int run(bool json);
 
  private:
-  bool until(Span within, const std::function<bool()>& f) {
-    for (const auto end = Clock::now() + within; Clock::now() < end; EventLoop::get().pause(50ms))
+  bool until(Duration within, const std::function<bool()>& f) {
+    for (const auto end = Clock::now() + within; Clock::now() < end; runtime::EventLoop::get().sleepFor(50ms))
       if (f())
         return true;
     return f();
   }
-  bool replace(std::int64_t version, Span within);
+  bool replace(std::int64_t version, Duration within);
   void beat(int i);
   void change();
 
@@ -77,20 +77,20 @@
   std::vector<std::unique_ptr<HollowNode>> nodes_;
   std::vector<int> keyNo_;
   std::int64_t version_ = 0, acknowledged_ = 0;
-  Instant ackAt_{};
+  TimePoint ackAt_{};
   std::vector<double> inForceMs_, takeOverMs_;
   int ending_ = 0, lives_ = 0;
   std::uint64_t ends_ = 0, endsLost_ = 0;
   std::uint64_t beats_ = 0, beatsLost_ = 0, changes_ = 0, changesLost_ = 0;
   bool over_ = false;
 };
-bool ScaleRun::replace(std::int64_t version, Span within) {
-  Call c{"POST",
-         "/v1/Configuration.Replace",
-         planConfiguration(p_, version, keyNo_),
-         {{"X-Base-Version", std::to_string(acknowledged_)}}};
-  for (const auto end = Clock::now() + within; Clock::now() < end; EventLoop::get().pause(100ms)) {
-    const auto r = callOne(fleet_.control(rng_()), c, 3000ms);
+bool ScaleRun::replace(std::int64_t version, Duration within) {
+  operations::Call c{"POST",
+                     "/v1/Configuration.Replace",
+                     planConfiguration(p_, version, keyNo_),
+                     {{"X-Base-Version", std::to_string(acknowledged_)}}};
+  for (const auto end = Clock::now() + within; Clock::now() < end; runtime::EventLoop::get().sleepFor(100ms)) {
+    const auto r = operations::callOne(fleet_.control(rng_()), c, 3000ms);
     if (r && r->status == 200) {
       acknowledged_ = version;
       ackAt_ = Clock::now();
@@ -119,7 +119,7 @@
         inForceMs_.push_back(std::chrono::duration<double, std::milli>(Clock::now() - at).count());
       }
     if (left)
-      EventLoop::get().pause(2ms);
+      runtime::EventLoop::get().sleepFor(2ms);
   }
   for (bool w : *waiting)
     if (w)
@@ -128,40 +128,41 @@
 void ScaleRun::beat(int i) {
   auto id = "i-" + std::to_string(i);
   const auto address = "10.9." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":8080";
-  EventLoop::get().pause(Span(rng_() % 1200));
+  runtime::EventLoop::get().sleepFor(Duration(rng_() % 1200));
   for (int sequence = 1; !over_; ++sequence) {
-    Call c{"POST",
-           "/v1/Instances.Heartbeat/" + id,
-           "{\"targetService\":\"models\",\"address\":\"" + address +
-               "\",\"zone\":\"z\",\"configVersion\":\"v1\",\"capacity\":8,"
-               "\"state\":\"in_service\",\"warmupLeftMs\":0,\"sequence\":" +
-               std::to_string(sequence) + "}",
-           {}};
-    const auto r = callOne(fleet_.control(static_cast<std::size_t>(i)), c, 1000ms);
+    operations::Call c{"POST",
+                       "/v1/Instances.Heartbeat/" + id,
+                       "{\"targetService\":\"models\",\"address\":\"" + address +
+                           "\",\"zone\":\"z\",\"configVersion\":\"v1\",\"capacity\":8,"
+                           "\"state\":\"in_service\",\"warmupLeftMs\":0,\"sequence\":" +
+                           std::to_string(sequence) + "}",
+                       {}};
+    const auto r = operations::callOne(fleet_.control(static_cast<std::size_t>(i)), c, 1000ms);
     ++(r && r->status == 200 ? beats_ : beatsLost_);
-    EventLoop::get().pause(1200ms);
+    runtime::EventLoop::get().sleepFor(1200ms);
     if (ending_ <= 0)
       continue;
     // Leaves in order: says so, waits a little, goes; then a new life at the same address.
     --ending_;
-    const auto draining = callOne(fleet_.control(static_cast<std::size_t>(i)),
-                                  Call{"POST",
-                                       "/v1/Instances.Heartbeat/" + id,
-                                       "{\"targetService\":\"models\",\"address\":\"" + address +
-                                           "\",\"zone\":\"z\",\"capacity\":8,\"state\":\"draining\",\"sequence\":" +
-                                           std::to_string(++sequence) + "}",
-                                       {}},
-                                  1000ms);
-    EventLoop::get().pause(300ms);
-    const auto gone = callOne(fleet_.control(static_cast<std::size_t>(i) + 1),
-                              Call{"POST", "/v1/Instances.Detach/" + id, "{}", {}}, 1000ms);
+    const auto draining = operations::callOne(
+        fleet_.control(static_cast<std::size_t>(i)),
+        operations::Call{"POST",
+                         "/v1/Instances.Heartbeat/" + id,
+                         "{\"targetService\":\"models\",\"address\":\"" + address +
+                             "\",\"zone\":\"z\",\"capacity\":8,\"state\":\"draining\",\"sequence\":" +
+                             std::to_string(++sequence) + "}",
+                         {}},
+        1000ms);
+    runtime::EventLoop::get().sleepFor(300ms);
+    const auto gone = operations::callOne(fleet_.control(static_cast<std::size_t>(i) + 1),
+                                          operations::Call{"POST", "/v1/Instances.Detach/" + id, "{}", {}}, 1000ms);
     ++(draining && draining->status == 200 && gone && gone->status == 200 ? ends_ : endsLost_);
     id = "i-" + std::to_string(i) + "-" + std::to_string(++lives_);
     sequence = 0;
   }
 }
 int ScaleRun::run(bool json) {
-  auto& loop = EventLoop::get();
+  auto& loop = runtime::EventLoop::get();
   if (!fleet_.startCore())
     return fail("cannot start " + fleet_.binary());
   version_ = 1;
@@ -170,7 +171,7 @@
   if (p_.pair && !fleet_.startPair())
     return 1;
   for (int i = 0; i < p_.runners; ++i)
-    loop.launch([this, i] { beat(i); });
+    loop.spawn([this, i] { beat(i); });
   for (int i = 0; i < p_.nodes; ++i) {
     nodes_.push_back(
         std::make_unique<HollowNode>("127.4." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + "#agent",
@@ -182,10 +183,10 @@
   };
   if (!until(30s, all))
     return fail("not all nodes have a lease after 30 s");
-  loop.pause(2000ms);  // runners have joined, views are shuffled
+  loop.sleepFor(2000ms);  // runners have joined, views are shuffled
   for (auto& x : fleet_.processes())
     cpuS_[x.pid] = cpuOf(x.pid);
-  const auto traffic = trafficSoFar();
+  const auto traffic = transport::trafficSoFar();
   for (auto& n : nodes_) {
     n->granted = 0;
     n->refused = 0;
@@ -193,7 +194,7 @@
   }
   const auto begin = Clock::now();
   const auto end = begin + std::chrono::seconds(p_.seconds);
-  loop.launch([&] {
+  loop.spawn([&] {
     std::exponential_distribution<double> gap(std::max(0.001, p_.requestsPerS));
     auto due = std::chrono::duration<double>(0);
     while (!over_ && p_.requestsPerS > 0) {
@@ -203,12 +204,12 @@
                                                 std::to_string(rng_() % static_cast<std::uint64_t>(p_.tenants)));
         due += std::chrono::duration<double>(gap(rng_));
       }
-      EventLoop::get().pause(2ms);
+      runtime::EventLoop::get().sleepFor(2ms);
     }
   });
-  loop.launch([&] {
+  loop.spawn([&] {
     while (!over_ && p_.changesPerMinute > 0) {
-      EventLoop::get().pause(Span(static_cast<std::int64_t>(60000 / p_.changesPerMinute)));
+      runtime::EventLoop::get().sleepFor(Duration(static_cast<std::int64_t>(60000 / p_.changesPerMinute)));
       if (!over_)
         change();
     }
@@ -216,9 +217,9 @@
   auto spread = [&](int times, const std::function<void()>& what) {
     if (times <= 0)
       return;
-    loop.launch([&, times, what] {
+    loop.spawn([&, times, what] {
       for (int i = 0; i < times && !over_; ++i) {
-        EventLoop::get().pause(toSpan(end - begin) / (times + 1));
+        runtime::EventLoop::get().sleepFor(toDuration(end - begin) / (times + 1));
         if (!over_)
           what();
       }
@@ -228,7 +229,7 @@
   spread(p_.runnerEnds, [this] { ++ending_; });
   spread(p_.coreKills, [this] {
     for (std::size_t i = 0; i < fleet_.core().size(); ++i) {
-      const auto st = callOne(fleet_.control(i), Call{"GET", "/v1/Status", "", {}}, 1000ms);
+      const auto st = operations::callOne(fleet_.control(i), operations::Call{"GET", "/v1/Status", "", {}}, 1000ms);
       if (!st || st->body.find("\"leased\":true") == std::string::npos)
         continue;
       const auto at = Clock::now();
@@ -240,7 +241,7 @@
       for (auto& n : nodes_)
         before += n->drawMs.size();
       do {
-        EventLoop::get().pause(5ms);
+        runtime::EventLoop::get().sleepFor(5ms);
         after = 0;
         for (auto& n : nodes_)
           after += n->drawMs.size();
@@ -252,7 +253,7 @@
     }
   });
   while (Clock::now() < end)
-    loop.pause(50ms);
+    loop.sleepFor(50ms);
   const double s = std::chrono::duration<double>(Clock::now() - begin).count();
   struct Row {
     std::string name;
@@ -264,11 +265,11 @@
     auto& x = fleet_.processes()[i];
     Row r{x.name, (cpuOf(x.pid) - cpuS_[x.pid]) / s, peakMb(x.pid), ""};
     if (i < fleet_.core().size())
-      if (const auto st = callOne(fleet_.control(i), Call{"GET", "/v1/Status", "", {}}, 2000ms))
+      if (const auto st = operations::callOne(fleet_.control(i), operations::Call{"GET", "/v1/Status", "", {}}, 2000ms))
         r.role = st->body.find("\"role\":\"leader\"") != std::string::npos ? "leads" : "follows";
     rows.push_back(r);
   }
-  const auto now = trafficSoFar();
+  const auto now = transport::trafficSoFar();
   over_ = true;
   const bool same = until(5s, all) && std::all_of(nodes_.begin(), nodes_.end(),
                                                   [&](auto& n) { return n->digest() == nodes_[0]->digest(); });
@@ -309,10 +310,12 @@
   const auto wholeDigest = digestOf(whole);
   const auto nextDigest = digestOf(next);
   std::string difference;
-  const double parseMs = timed([&] { must(parseConfiguration(whole).has_value(), "the plan's own configuration"); });
-  const double differMs = timed([&] { difference = deltaOf(whole, wholeDigest, next, nextDigest); });
-  const double applyMs =
-      timed([&] { must(applyDelta(whole, wholeDigest, difference).has_value(), "its own difference"); });
+  const double parseMs =
+      timed([&] { checkInvariant(config::parseConfiguration(whole).has_value(), "the plan's own configuration"); });
+  const double differMs = timed([&] { difference = state_machine::deltaOf(whole, wholeDigest, next, nextDigest); });
+  const double applyMs = timed([&] {
+    checkInvariant(state_machine::applyDelta(whole, wholeDigest, difference).has_value(), "its own difference");
+  });
   // A leader killed leaves requests without tokens until the next one stands; that is shown, not judged here.
   const bool fine = same && (refused * 1000 <= granted + refused || p_.coreKills > 0) && changesLost_ == 0 &&
                     (endsLost_ == 0 || p_.coreKills > 0);
@@ -379,14 +382,14 @@
     ::setrlimit(RLIMIT_NOFILE, &r);
   }
   // Why the loop outlives everything on it: sockets end on the loop that they were made on.
-  static EventLoop loop;
+  static runtime::EventLoop loop;
   ScaleRun show(p, binary);
   int rc = 1;
-  loop.launch([&] {
+  loop.spawn([&] {
     rc = show.run(json);
     loop.stop();
   });
   loop.run();
   return rc;
 }
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -9,7 +9,7 @@
 #include "proxy/http.hpp"
 #include "simulation/linearizability.hpp"
 
-namespace zc {
+namespace zinccleat::simulation {
 namespace {
 constexpr int kRunners = 4, kClients = 6, kEvents = 8;
 constexpr int kOperators = 2, kOperatorTries = 6;
@@ -19,7 +19,7 @@
 struct StandInRunner {
   std::string id, service, address;
   std::shared_ptr<tcp::acceptor> door;
-  std::vector<std::shared_ptr<Connection>> open;
+  std::vector<std::shared_ptr<runtime::Connection>> open;
   bool up = true;
 };
 struct Seen {
@@ -49,10 +49,10 @@
 
  private:
   void serve(const std::shared_ptr<StandInRunner>& r);
-  void answer(StandInRunner& r, Connection& c);
+  void answer(StandInRunner& r, runtime::Connection& c);
   void beat(const std::shared_ptr<StandInRunner>& r);
   void client(int no);
-  bool attempt(const std::string& path, const std::string& id, Span& again);
+  bool attempt(const std::string& path, const std::string& id, Duration& again);
   std::optional<std::size_t> leader();
   void operate(int no);
   bool sendOrder(const std::string& who, std::size_t node, std::int64_t base, std::int64_t version,
@@ -71,22 +71,22 @@
   int clients_ = 0;
 };
 void Trial::serve(const std::shared_ptr<StandInRunner>& r) {
-  r->door->async_accept([this, r](Ec ec, tcp::socket s) {
+  r->door->async_accept([this, r](runtime::SocketError ec, tcp::socket s) {
     if (ec || !r->up)
       return;
-    auto c = std::make_shared<Connection>(std::move(s));
-    tune(c->sock());
+    auto c = std::make_shared<runtime::Connection>(std::move(s));
+    runtime::tune(c->socket());
     r->open.push_back(c);
-    EventLoop::get().launch([this, r, c] { answer(*r, *c); });
+    runtime::EventLoop::get().spawn([this, r, c] { answer(*r, *c); });
     serve(r);
   });
 }
-void Trial::answer(StandInRunner& r, Connection& c) {
-  Buffer buf;
-  Ec ec;
+void Trial::answer(StandInRunner& r, runtime::Connection& c) {
+  proxy::Buffer buf;
+  runtime::SocketError ec;
   while (r.up && !ec) {
-    RequestParser p;
-    if (readRequest(c, buf, p, {}).end != ReadEnd::whole)
+    proxy::RequestParser p;
+    if (proxy::readRequest(c, buf, p, {}).end != proxy::ReadEnd::whole)
       return;
     auto& q = p.get();
     const std::string id(q["X-Attempt-Id"]);
@@ -105,7 +105,7 @@
               ec);
       // A stream that was cut goes on behind what its client has.
       for (int i = std::atoi(std::string(q["Last-Event-Id"]).c_str()) + 1; i <= kEvents && !ec && r.up; ++i) {
-        EventLoop::get().pause(15ms);
+        runtime::EventLoop::get().sleepFor(15ms);
         const auto e = "id: " + std::to_string(i) + "\ndata: recap\n\n";
         char size[16];
         std::snprintf(size, sizeof size, "%zx\r\n", e.size());
@@ -117,39 +117,40 @@
   }
 }
 void Trial::beat(const std::shared_ptr<StandInRunner>& r) {
-  for (int n = 1; r->up && !over_; ++n, EventLoop::get().pause(kBeat)) {
-    Call c{"POST",
-           "/v1/Instances.Heartbeat/" + r->id,
-           "{\"targetService\":\"" + r->service + "\",\"address\":\"" + r->address +
-               "\",\"zone\":\"z\",\"capacity\":8,\"state\":\"in_service\",\"sequence\":" + std::to_string(n) + "}",
-           {}};
-    (void)callOne(fleet_.control(rng_()), c, 1000ms);
+  for (int n = 1; r->up && !over_; ++n, runtime::EventLoop::get().sleepFor(kBeat)) {
+    operations::Call c{
+        "POST",
+        "/v1/Instances.Heartbeat/" + r->id,
+        "{\"targetService\":\"" + r->service + "\",\"address\":\"" + r->address +
+            "\",\"zone\":\"z\",\"capacity\":8,\"state\":\"in_service\",\"sequence\":" + std::to_string(n) + "}",
+        {}};
+    (void)operations::callOne(fleet_.control(rng_()), c, 1000ms);
   }
 }
 // One try at the proxy. True: the whole right answer came.
-bool Trial::attempt(const std::string& path, const std::string& id, Span& again) {
-  Connection c;
-  Ec ec;
-  c.due(Clock::now() + 3s);
-  c.connect(*parseEndpoint(fleet_.access()), ec);
+bool Trial::attempt(const std::string& path, const std::string& id, Duration& again) {
+  runtime::Connection c;
+  runtime::SocketError ec;
+  c.setDeadline(Clock::now() + 3s);
+  c.connect(*runtime::parseEndpoint(fleet_.access()), ec);
   if (ec)
     return miss(seen_.failures);
-  tune(c.sock());
+  runtime::tune(c.socket());
   c.write(asio::buffer("POST " + path +
                        " HTTP/1.1\r\nHost: trial.example\r\nAuthorization: Bearer trial-key\r\nX-Attempt-Id: " + id +
                        "\r\nX-Deadline-Ms: 3000\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"),
           ec);
-  Buffer buf;
+  proxy::Buffer buf;
   http::response_parser<http::string_body> p;
   p.eager(true);
   if (!ec)
-    pump(c, buf, p, false, ec);
+    proxy::pump(c, buf, p, false, ec);
   if (ec || !p.is_done())
     return miss(seen_.failures);
   const auto status = p.get().result_int();
   if (status == 503 || status == 429) {
     ++seen_.refusals;
-    again = Span(static_cast<std::int64_t>(std::atof(std::string(p.get()["Retry-After"]).c_str()) * 1000));
+    again = Duration(static_cast<std::int64_t>(std::atof(std::string(p.get()["Retry-After"]).c_str()) * 1000));
     return false;
   }
   if (status != 200)
@@ -169,11 +170,11 @@
     const auto began = Clock::now();
     bool done = false;
     for (int t = 0; !done && Clock::now() - began < kPatience; ++t) {
-      Span again{50};
+      Duration again{50};
       done = attempt(push ? "/push/x" : "/recap/x",
                      std::to_string(no) + "-" + std::to_string(n) + "-" + std::to_string(t), again);
       if (!done)
-        EventLoop::get().pause(std::max(again, Span(20)));
+        runtime::EventLoop::get().sleepFor(std::max(again, Duration(20)));
     }
     if (!done)
       ++seen_.lost;
@@ -181,16 +182,16 @@
       ++(push ? seen_.pushes : seen_.streams);
     if (done && Clock::now() - began > 1s)
       ++seen_.late;
-    EventLoop::get().pause(20ms);
+    runtime::EventLoop::get().sleepFor(20ms);
   }
   --clients_;
 }
 // One Replace at one node. True: it was answered, clearly, and the answer was not lost on its way.
 bool Trial::sendOrder(const std::string& who, std::size_t node, std::int64_t base, std::int64_t version,
                       const std::string& body) {
-  const Call c{"POST", "/v1/Configuration.Replace", body, {{"X-Base-Version", std::to_string(base)}}};
+  const operations::Call c{"POST", "/v1/Configuration.Replace", body, {{"X-Base-Version", std::to_string(base)}}};
   const auto call = operators_.replaceSent(who, microseconds(), base, version, body);
-  const auto r = callOne(fleet_.control(node), c, 2000ms);
+  const auto r = operations::callOne(fleet_.control(node), c, 2000ms);
   if (!r || answerLost())
     return false;
   operators_.replaceAnswered(call, microseconds(), r->status);
@@ -198,10 +199,11 @@
 }
 std::optional<std::int64_t> Trial::readVersion(const std::string& who, std::size_t node) {
   const auto call = operators_.retrieveSent(who, microseconds());
-  const auto r = callOne(fleet_.control(node), Call{"GET", "/v1/Configuration.Retrieve", "", {}}, 1000ms);
+  const auto r =
+      operations::callOne(fleet_.control(node), operations::Call{"GET", "/v1/Configuration.Retrieve", "", {}}, 1000ms);
   if (!r || r->status != 200 || answerLost())
     return std::nullopt;
-  const auto configuration = parseConfiguration(r->body);
+  const auto configuration = config::parseConfiguration(r->body);
   if (!configuration)
     return std::nullopt;
   operators_.retrieveAnswered(call, microseconds(), (*configuration)->version, r->body);
@@ -212,14 +214,14 @@
   ++clients_;
   const auto who = "operator-" + std::to_string(no);
   for (int n = 0; !over_; ++n) {
-    EventLoop::get().pause(Span(50 + rng_() % 200));
+    runtime::EventLoop::get().sleepFor(Duration(50 + rng_() % 200));
     const auto base = readVersion(who, rng_());
     if (!base)
       continue;
     const auto version = *base + 1 + static_cast<std::int64_t>(rng_() % 2);
     const auto body = configurationText(version, who + "-" + std::to_string(n));
     for (int i = 0; i < kOperatorTries && !over_ && !sendOrder(who, rng_(), *base, version, body); ++i)
-      EventLoop::get().pause(100ms);
+      runtime::EventLoop::get().sleepFor(100ms);
   }
   --clients_;
 }
@@ -236,13 +238,13 @@
 }
 std::optional<std::size_t> Trial::leader() {
   for (std::size_t i = 0; i < fleet_.core().size(); ++i)
-    if (const auto r = callOne(fleet_.control(i), Call{"GET", "/v1/Status", "", {}}, 1000ms);
+    if (const auto r = operations::callOne(fleet_.control(i), operations::Call{"GET", "/v1/Status", "", {}}, 1000ms);
         r && r->body.find("\"leased\":true") != std::string::npos)
       return i;
   return std::nullopt;
 }
 int Trial::run() {
-  auto& loop = EventLoop::get();
+  auto& loop = runtime::EventLoop::get();
   auto say = [](const std::string& s) { std::printf("%s\n", s.c_str()), std::fflush(stdout); };
   const auto fail = [](const std::string& why) {
     return std::fprintf(stderr, "zinccleat trial: %s\n", why.c_str()), 1;
@@ -253,7 +255,7 @@
   for (std::size_t i = 0; i < 100 && !taken; ++i) {
     taken = sendOrder("first", i, 0, 1, configurationText(1, "first"));
     if (!taken)
-      loop.pause(100ms);
+      loop.sleepFor(100ms);
   }
   if (!taken)
     return fail("the core took no configuration in 10 s");
@@ -265,37 +267,37 @@
     r->address = fleet_.ip(7, 1) + ":" + std::to_string(r->door->local_endpoint().port());
     runners_.push_back(r);
     serve(r);
-    loop.launch([this, r] { beat(r); });
+    loop.spawn([this, r] { beat(r); });
   }
   for (int i = 0; i < 100 && !leader(); ++i)
-    loop.pause(50ms);
-  loop.pause(1000ms);  // the proxy has its lease, the runners are known
+    loop.sleepFor(50ms);
+  loop.sleepFor(1000ms);  // the proxy has its lease, the runners are known
   say("a core of three, an agent and a proxy, " + std::to_string(kRunners) + " runners, " + std::to_string(kClients) +
       " clients; folder " + fleet_.folder());
   say("while it runs: zinccleat status " + fleet_.control(0) + " " + fleet_.control(1) + " " + fleet_.control(2));
   for (int i = 0; i < kClients; ++i)
-    loop.launch([this, i] { client(i); });
+    loop.spawn([this, i] { client(i); });
   for (int i = 0; i < kOperators; ++i)
-    loop.launch([this, i] { operate(i); });
-  const auto third = Span(seconds_ * 1000 / 3);
-  loop.pause(third);
+    loop.spawn([this, i] { operate(i); });
+  const auto third = Duration(seconds_ * 1000 / 3);
+  loop.sleepFor(third);
   if (const auto l = leader()) {
     say("kills the leader, " + fleet_.processes()[*l].name + ", without a word");
     fleet_.kill(*l);
-    loop.pause(300ms);
+    loop.sleepFor(300ms);
     fleet_.startAgain(*l);
   }
-  loop.pause(third);
+  loop.sleepFor(third);
   say("kills " + runners_[0]->id + ", without a word");
   runners_[0]->up = false;
-  Ec ec;
+  runtime::SocketError ec;
   runners_[0]->door->close(ec);
   for (auto& x : runners_[0]->open)
-    x->shut();
-  loop.pause(third);
+    x->close();
+  loop.sleepFor(third);
   over_ = true;
   for (int i = 0; i < 120 && clients_ > 0; ++i)
-    loop.pause(50ms);
+    loop.sleepFor(50ms);
   int doubled = 0;
   for (auto& [id, n] : runs_)
     doubled += n > 1;
@@ -310,14 +312,14 @@
 }  // namespace
 int trial(const std::string& binary, int seconds) {
   // Why the loop outlives everything on it: sockets end on the loop that they were made on.
-  static EventLoop loop;
+  static runtime::EventLoop loop;
   Trial t(binary, seconds);
   int rc = 1;
-  loop.launch([&] {
+  loop.spawn([&] {
     rc = t.run();
     loop.stop();
   });
   loop.run();
   return rc;
 }
-}  // namespace zc
+}  // namespace zinccleat::simulation
--- a/libs/state_machine/include/state_machine/delta.hpp
+++ b/libs/state_machine/include/state_machine/delta.hpp
@@ -3,7 +3,7 @@
 // or tenant travels as that one. The result is the taken text byte for byte. Pure. Offsets and lengths are bytes.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::state_machine {
 struct DeltaRun {
   std::int64_t from = 0, length = 0;  // of the base
   std::string text;                   // after it
@@ -25,8 +25,8 @@
 std::vector<std::size_t> partsOf(std::string_view s);
 std::string deltaOf(std::string_view base, std::string_view baseDigest, std::string_view text, std::string_view digest);
 // Declined: no delta, another base, runs outside of it, or another result than its digest says.
-Outcome<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta);
+Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta);
 // Declined as well: a result other than the one with the digest `expected`.
-Outcome<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta,
-                                std::string_view expected);
-}  // namespace zc
+Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta,
+                               std::string_view expected);
+}  // namespace zinccleat::state_machine
--- a/libs/state_machine/include/state_machine/history.hpp
+++ b/libs/state_machine/include/state_machine/history.hpp
@@ -5,9 +5,9 @@
 #pragma once
 #include "runtime/common.hpp"
 
-namespace zc {
+namespace zinccleat::state_machine {
 // Configurations that were taken, by version and digest, so that an order sent again is acknowledged again.
-class TakenConfigurations {
+class AcceptedConfigurations {
  public:
   // An operator sends an order again, as it was, until it has a clear answer. The pages set no end to that but the
   // day's. The target has 1,900 changes a day, so this is two days of them, in 64 KB at most. What is older is not
@@ -22,23 +22,23 @@
   std::size_t size() const { return taken_.size(); }
   std::int64_t forgottenVersion() const { return forgottenVersion_; }
   // The same knowledge without the table: only the newest is known, all others may be forgotten.
-  TakenConfigurations newestOnly() const;
+  AcceptedConfigurations newestOnly() const;
 
   std::string pack() const;
-  static Outcome<TakenConfigurations> unpack(std::string_view packed, std::int64_t forgottenVersion);
+  static Result<AcceptedConfigurations> unpack(std::string_view packed, std::int64_t forgottenVersion);
 
  private:
-  struct Configuration {
+  struct AcceptedConfiguration {
     std::int64_t version = 0;
     std::uint64_t digestHash = 0;
   };
-  std::vector<Configuration> taken_;  // rising versions
+  std::vector<AcceptedConfiguration> taken_;  // rising versions
   std::int64_t forgottenVersion_ = 0;
 };
 
 // Operations by their id, with what became of them: a write that comes twice is one write, and the writer that waits
 // for its outcome finds it.
-class OperationHistory {
+class OperationDeduplication {
  public:
   // A member sends a write again for 3 s at most (Core::write); a copy of it may wait in a connection to a member that
   // is frozen or cut off, for a minute or so, until that connection is given up. The most that is written in such a
@@ -47,13 +47,13 @@
   static constexpr std::size_t kMost = 4096;
 
   void note(std::string_view operationId, std::int32_t verdict);
-  std::optional<std::int32_t> verdictOf(std::string_view operationId) const;
+  std::optional<std::int32_t> outcomeOf(std::string_view operationId) const;
   std::size_t size() const { return operations_.size(); }
   // The same operations, with verdict 0 for each: for copies at which nobody waits for one.
-  OperationHistory withoutVerdicts() const;
+  OperationDeduplication withoutVerdicts() const;
 
   std::string pack() const;
-  static Outcome<OperationHistory> unpack(std::string_view packed);
+  static Result<OperationDeduplication> unpack(std::string_view packed);
 
  private:
   struct Operation {
@@ -64,7 +64,7 @@
 };
 
 // Runners that have ended for good. A runner's id never comes back, so a late heartbeat of it changes nothing.
-class EndedRunners {
+class DetachedRunners {
  public:
   // A heartbeat comes late when it waited at a node that was frozen or cut off: a minute or so. In that time all 600
   // runners of the target may be released (600 ends a minute), and flap at that rate for over six minutes before the
@@ -76,9 +76,9 @@
   std::size_t size() const { return idHashes_.size(); }
 
   std::string pack() const;
-  static Outcome<EndedRunners> unpack(std::string_view packed);
+  static Result<DetachedRunners> unpack(std::string_view packed);
 
  private:
   std::vector<std::uint64_t> idHashes_;  // oldest first
 };
-}  // namespace zc
+}  // namespace zinccleat::state_machine
--- a/libs/state_machine/src/delta.cpp
+++ b/libs/state_machine/src/delta.cpp
@@ -2,7 +2,7 @@
 
 #include "transport/avro.hpp"
 
-namespace zc {
+namespace zinccleat::state_machine {
 namespace {
 constexpr std::size_t kMostText = 64U << 20;  // a result beyond this is no configuration
 }
@@ -85,37 +85,37 @@
   return avro::encode(std::move(d));
 }
 namespace {
-Outcome<std::string> resultOf(const Delta& delta, std::string_view base, std::string_view baseDigest) {
+Result<std::string> resultOf(const Delta& delta, std::string_view base, std::string_view baseDigest) {
   if (delta.base != baseDigest)
-    return fault(0, "a difference from another text");
+    return makeError(ErrorCode::corruption, "a difference from another text");
   const auto size = static_cast<std::int64_t>(base.size());
   std::string result;
   for (auto& run : delta.runs) {
     if (run.from < 0 || run.length < 0 || run.from > size || run.length > size - run.from)
-      return fault(0, "a difference reaches outside its base");
+      return makeError(ErrorCode::corruption, "a difference reaches outside its base");
     if (result.size() + static_cast<std::size_t>(run.length) + run.text.size() > kMostText)
-      return fault(0, "a difference grows beyond bounds");
+      return makeError(ErrorCode::corruption, "a difference grows beyond bounds");
     result.append(base.substr(static_cast<std::size_t>(run.from), static_cast<std::size_t>(run.length)));
     result += run.text;
   }
   if (digestOf(result) != delta.result)
-    return fault(0, "a difference whose result is another text");
+    return makeError(ErrorCode::corruption, "a difference whose result is another text");
   return result;
 }
 }  // namespace
-Outcome<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta) {
+Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta) {
   const auto decoded = avro::decode<Delta>(delta);
   if (!decoded)
     return tl::unexpected(decoded.error());
   return resultOf(*decoded, base, baseDigest);
 }
-Outcome<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta,
-                                std::string_view expected) {
+Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta,
+                               std::string_view expected) {
   const auto decoded = avro::decode<Delta>(delta);
   if (!decoded)
     return tl::unexpected(decoded.error());
   if (decoded->result != expected)
-    return fault(0, "a difference to another text than the one announced");
+    return makeError(ErrorCode::corruption, "a difference to another text than the one announced");
   return resultOf(*decoded, base, baseDigest);
 }
-}  // namespace zc
+}  // namespace zinccleat::state_machine
--- a/libs/state_machine/src/replicated_state.cpp
+++ b/libs/state_machine/src/replicated_state.cpp
@@ -3,7 +3,7 @@
 #include "state_machine/delta.hpp"
 #include "transport/avro.hpp"
 
-namespace zc {
+namespace zinccleat::state_machine {
 namespace {
 constexpr std::size_t kEarlierConfigurations = 3;  // kept for receivers that were away
 
@@ -12,21 +12,21 @@
 constexpr std::string_view kFormat = "zcstate2";
 
 struct SnapshotRecord {
-  std::int64_t num = 0, term = 0, version = 0;
+  std::int64_t index = 0, term = 0, version = 0;
   std::string configuration, digest;
   // For one receiver: its configuration is this difference from what it holds (empty: the very same).
   bool partial = false;
   std::string difference;
   std::vector<Runner> runners;
-  std::vector<Closure> closures;
-  std::string taken, operations, endedRunners;  // packed
+  std::vector<ZoneDrain> zoneDrains;
+  std::string taken, operations, detachedRunners;  // packed
   std::int64_t forgottenVersion = 0;
   template <class V>
   void fields(V& v) {
-    v("num", num), v("term", term), v("version", version), v("configuration", configuration), v("digest", digest);
-    v("partial", partial), v("difference", difference), v("runners", runners), v("closures", closures);
+    v("index", index), v("term", term), v("version", version), v("configuration", configuration), v("digest", digest);
+    v("partial", partial), v("difference", difference), v("runners", runners), v("zoneDrains", zoneDrains);
     v("taken", taken), v("forgottenVersion", forgottenVersion);
-    v("operations", operations), v("endedRunners", endedRunners);
+    v("operations", operations), v("detachedRunners", detachedRunners);
   }
 };
 struct TakenVersion1 {
@@ -38,33 +38,33 @@
   }
 };
 struct OperationVersion1 {
-  std::string opId;
+  std::string operationId;
   std::int32_t verdict = 0;
   template <class V>
   void fields(V& v) {
-    v("opId", opId), v("verdict", verdict);
+    v("operationId", operationId), v("verdict", verdict);
   }
 };
 struct SnapshotVersion1 {
-  std::int64_t num = 0, term = 0, version = 0;
+  std::int64_t index = 0, term = 0, version = 0;
   std::string configuration, digest;
   std::vector<TakenVersion1> taken;
   std::vector<Runner> runners;
   std::vector<std::string> gone;
   std::vector<OperationVersion1> done;
-  std::vector<Closure> closures;
+  std::vector<ZoneDrain> zoneDrains;
   bool partial = false;
   std::string difference;
   template <class V>
   void fields(V& v) {
     v("partial", partial), v("difference", difference);
-    v("num", num), v("term", term), v("version", version), v("configuration", configuration), v("digest", digest);
-    v("taken", taken), v("runners", runners), v("gone", gone), v("done", done), v("closures", closures);
+    v("index", index), v("term", term), v("version", version), v("configuration", configuration), v("digest", digest);
+    v("taken", taken), v("runners", runners), v("gone", gone), v("done", done), v("zoneDrains", zoneDrains);
   }
 };
 SnapshotRecord fromVersion1(SnapshotVersion1 old) {
   SnapshotRecord record;
-  record.num = old.num;
+  record.index = old.index;
   record.term = old.term;
   record.version = old.version;
   record.configuration = std::move(old.configuration);
@@ -72,29 +72,29 @@
   record.partial = old.partial;
   record.difference = std::move(old.difference);
   record.runners = std::move(old.runners);
-  record.closures = std::move(old.closures);
-  TakenConfigurations taken;
+  record.zoneDrains = std::move(old.zoneDrains);
+  AcceptedConfigurations taken;
   for (auto& t : old.taken)
     taken.note(t.version, t.digest);
   // Version 1 kept 64: what was taken before those is not known.
   constexpr std::size_t kMostVersion1 = 64;
   record.forgottenVersion = old.taken.size() < kMostVersion1 ? 0 : old.taken.front().version - 1;
   record.taken = taken.pack();
-  OperationHistory operations;
+  OperationDeduplication operations;
   for (auto& o : old.done)
-    operations.note(o.opId, o.verdict);
+    operations.note(o.operationId, o.verdict);
   record.operations = operations.pack();
-  EndedRunners ended;
+  DetachedRunners ended;
   for (auto& id : old.gone)
     ended.note(id);
-  record.endedRunners = ended.pack();
+  record.detachedRunners = ended.pack();
   return record;
 }
-Outcome<SnapshotRecord> decodeSnapshot(std::string_view snapshot) {
+Result<SnapshotRecord> decodeSnapshot(std::string_view snapshot) {
   if (snapshot.substr(0, kFormat.size()) == kFormat)
     return avro::decode<SnapshotRecord>(snapshot.substr(kFormat.size()));
   if (snapshot.substr(0, kFormatFamily.size()) == kFormatFamily)
-    return fault(0, "a snapshot of another format version");
+    return makeError(ErrorCode::corruption, "a snapshot of another format version");
   auto old = avro::decode<SnapshotVersion1>(snapshot);
   if (!old)
     return tl::unexpected(old.error());
@@ -102,115 +102,116 @@
 }
 SnapshotRecord recordOf(const StateContents& contents) {
   SnapshotRecord record;
-  record.num = contents.num;
+  record.index = contents.index;
   record.term = contents.term;
   record.version = contents.version;
   record.configuration = contents.configuration;
   record.digest = contents.digest;
   record.runners = contents.runners;
-  record.closures = contents.closures;
+  record.zoneDrains = contents.zoneDrains;
   record.taken = contents.taken.pack();
   record.forgottenVersion = contents.taken.forgottenVersion();
   record.operations = contents.operations.pack();
-  record.endedRunners = contents.endedRunners.pack();
+  record.detachedRunners = contents.detachedRunners.pack();
   return record;
 }
 std::string encodeSnapshot(SnapshotRecord record) {
   return std::string(kFormat) + avro::encode(std::move(record));
 }
 // Declined: numbers that no copy can hold.
-Outcome<void> checkNumbers(const SnapshotRecord& record) {
-  if (record.num < 0 || record.term < 0 || record.version < 0 || record.forgottenVersion < 0)
-    return fault(0, "a snapshot with a number below zero");
+Result<void> checkNumbers(const SnapshotRecord& record) {
+  if (record.index < 0 || record.term < 0 || record.version < 0 || record.forgottenVersion < 0)
+    return makeError(ErrorCode::corruption, "a snapshot with a number below zero");
   for (auto& r : record.runners)
     if (r.at() != RunnerState::inService && r.at() != RunnerState::draining)
-      return fault(0, "a snapshot with a runner in no known state");
+      return makeError(ErrorCode::corruption, "a snapshot with a runner in no known state");
   return {};
 }
 // Everything but the configuration.
-Outcome<StateContents> contentsOf(SnapshotRecord& record) {
+Result<StateContents> contentsOf(SnapshotRecord& record) {
   if (auto ok = checkNumbers(record); !ok)
     return tl::unexpected(ok.error());
-  auto taken = TakenConfigurations::unpack(record.taken, record.forgottenVersion);
+  auto taken = AcceptedConfigurations::unpack(record.taken, record.forgottenVersion);
   if (!taken)
     return tl::unexpected(taken.error());
-  auto operations = OperationHistory::unpack(record.operations);
+  auto operations = OperationDeduplication::unpack(record.operations);
   if (!operations)
     return tl::unexpected(operations.error());
-  auto ended = EndedRunners::unpack(record.endedRunners);
+  auto ended = DetachedRunners::unpack(record.detachedRunners);
   if (!ended)
     return tl::unexpected(ended.error());
   StateContents contents;
-  contents.num = record.num;
+  contents.index = record.index;
   contents.term = record.term;
   contents.version = record.version;
   contents.digest = record.digest;
   contents.runners = std::move(record.runners);
-  contents.closures = std::move(record.closures);
+  contents.zoneDrains = std::move(record.zoneDrains);
   contents.taken = std::move(*taken);
   contents.operations = std::move(*operations);
-  contents.endedRunners = std::move(*ended);
+  contents.detachedRunners = std::move(*ended);
   return contents;
 }
 // The configuration that a snapshot means, for a receiver that holds `held`.
-Outcome<std::string> configurationOf(SnapshotRecord& record, const StateContents& held) {
+Result<std::string> configurationOf(SnapshotRecord& record, const StateContents& held) {
   if (!record.partial) {
     const bool none = record.version == 0 && record.digest.empty() && record.configuration.empty();
     if (!none && digestOf(record.configuration) != record.digest)
-      return fault(0, "a snapshot whose configuration is not what its digest says");
+      return makeError(ErrorCode::corruption, "a snapshot whose configuration is not what its digest says");
     return std::move(record.configuration);
   }
   if (!record.difference.empty())
     return applyDelta(held.configuration, held.digest, record.difference, record.digest);
   if (held.digest.empty() || record.digest != held.digest)
-    return fault(0, "a snapshot without the configuration, for a copy that holds another");
+    return makeError(ErrorCode::corruption, "a snapshot without the configuration, for a copy that holds another");
   return held.configuration;
 }
 // A configuration's operation id carries its version, so that the numbered acknowledgement of a large write stays
 // small.
-std::int64_t versionIn(const Entry& e) {
-  const auto at = e.opId.rfind('@');
-  return at == std::string::npos ? 0 : std::atoll(e.opId.c_str() + at + 1);
+std::int64_t versionIn(const transport::LogEntry& e) {
+  const auto at = e.operationId.rfind('@');
+  return at == std::string::npos ? 0 : std::atoll(e.operationId.c_str() + at + 1);
 }
 }  // namespace
 
-std::int32_t ReplicatedState::judge(std::int64_t base, std::int64_t version, const std::string& digest) const {
+std::int32_t ReplicatedState::evaluateReplace(std::int64_t base, std::int64_t version,
+                                              const std::string& digest) const {
   if (contents_.taken.contains(version, digest))
     return kAcknowledged;
   if (base == contents_.version)
-    return version <= contents_.version ? kInvalid : kUndecided;
+    return version <= contents_.version ? kInvalid : kAcceptable;
   // Why above its base only: no other order can ever have been taken.
   if (version > base && contents_.taken.mayBeForgotten(version))
     return kNoClearAnswer;
   return kOtherVersion;
 }
-ReplicatedState::Change ReplicatedState::apply(const Entry& e) {
+ReplicatedState::Change ReplicatedState::apply(const transport::LogEntry& e) {
   Change change;
-  contents_.num = e.num;
+  contents_.index = e.index;
   contents_.term = e.term;
   // A write that came twice is one write.
-  if (!e.opId.empty() && verdictOf(e.opId))
+  if (!e.operationId.empty() && outcomeOf(e.operationId))
     return change;
   std::int32_t verdict = kAcknowledged;
-  if (e.op() == OpKind::configuration || e.op() == OpKind::difference)
+  if (e.op() == transport::OperationKind::configuration || e.op() == transport::OperationKind::difference)
     verdict = applyConfiguration(e, change);
-  else if (e.op() == OpKind::closure)
-    applyClosure(e, change);
-  else if (e.op() == OpKind::runner)
+  else if (e.op() == transport::OperationKind::zoneDrain)
+    applyZoneDrain(e, change);
+  else if (e.op() == transport::OperationKind::runner)
     applyRunner(e, change);
-  if (!e.opId.empty())
-    contents_.operations.note(e.opId, verdict);
+  if (!e.operationId.empty())
+    contents_.operations.note(e.operationId, verdict);
   return change;
 }
-std::int32_t ReplicatedState::applyConfiguration(const Entry& e, Change& change) {
+std::int32_t ReplicatedState::applyConfiguration(const transport::LogEntry& e, Change& change) {
   const auto version = versionIn(e);
-  const auto verdict = judge(e.base, version, e.digest);
-  if (verdict != kUndecided)
+  const auto verdict = evaluateReplace(e.base, version, e.digest);
+  if (verdict != kAcceptable)
     return verdict;
   change.configuration = true;
-  if (e.op() == OpKind::configuration) {
-    take(version, e.digest, e.blob);
-  } else if (auto body = applyDelta(contents_.configuration, contents_.digest, e.blob, e.digest)) {
+  if (e.op() == transport::OperationKind::configuration) {
+    take(version, e.digest, e.body);
+  } else if (auto body = applyDelta(contents_.configuration, contents_.digest, e.body, e.digest)) {
     take(version, e.digest, std::move(*body));
   } else {
     // Why the version all the same: the numbered writes say that it was taken; only the text is missing here.
@@ -220,17 +221,17 @@
   }
   return kAcknowledged;
 }
-void ReplicatedState::applyClosure(const Entry& e, Change& change) {
-  auto closure = avro::decode<Closure>(e.blob);
-  if (!closure)
+void ReplicatedState::applyZoneDrain(const transport::LogEntry& e, Change& change) {
+  auto zoneDrain = avro::decode<ZoneDrain>(e.body);
+  if (!zoneDrain)
     return;
-  std::erase_if(contents_.closures, [&](auto& other) { return other.place == closure->place; });
+  std::erase_if(contents_.zoneDrains, [&](auto& other) { return other.place == zoneDrain->place; });
   if (e.base == 0)
-    contents_.closures.push_back(std::move(*closure));
-  change.closures = true;
+    contents_.zoneDrains.push_back(std::move(*zoneDrain));
+  change.zoneDrains = true;
 }
-void ReplicatedState::applyRunner(const Entry& e, Change& change) {
-  auto news = avro::decode<Runner>(e.blob);
+void ReplicatedState::applyRunner(const transport::LogEntry& e, Change& change) {
+  auto news = avro::decode<Runner>(e.body);
   if (!news)
     return;
   auto& runners = contents_.runners;
@@ -238,11 +239,11 @@
   if (news->at() == RunnerState::gone) {
     // Why sequence 0 ends nothing: a runner only missed may beat again, one that left may not.
     if (news->sequence != 0)
-      contents_.endedRunners.note(news->id);
+      contents_.detachedRunners.note(news->id);
     if (known != runners.end())
       removeRunner(Runner(*known));
     change.runners = true;
-  } else if (!isGone(news->id)) {
+  } else if (!isDetached(news->id)) {
     if (known == runners.end())
       joinRunner(std::move(*news), change);
     else
@@ -252,7 +253,7 @@
 void ReplicatedState::removeRunner(const Runner& ended) {
   // One that said that it leaves is not taken back, however it went: a late beat of it would bring requests again.
   if (ended.at() == RunnerState::draining)
-    contents_.endedRunners.note(ended.id);
+    contents_.detachedRunners.note(ended.id);
   std::erase_if(contents_.runners, [&](auto& r) { return r.id == ended.id; });
 }
 void ReplicatedState::joinRunner(Runner joining, Change& change) {
@@ -313,7 +314,7 @@
   record.partial = true;
   return encodeSnapshot(std::move(record));
 }
-Outcome<void> ReplicatedState::restore(std::string_view snapshot) {
+Result<void> ReplicatedState::restore(std::string_view snapshot) {
   if (snapshot.empty()) {
     contents_ = {};
     earlier_.clear();
@@ -334,8 +335,8 @@
   contents_.configuration = std::move(*configuration);
   return {};
 }
-std::optional<std::int32_t> ReplicatedState::verdictOf(const std::string& operationId) const {
-  return contents_.operations.verdictOf(operationId);
+std::optional<std::int32_t> ReplicatedState::outcomeOf(const std::string& operationId) const {
+  return contents_.operations.outcomeOf(operationId);
 }
 const Runner* ReplicatedState::runner(const std::string& id) const {
   for (auto& r : contents_.runners)
@@ -343,44 +344,46 @@
       return &r;
   return nullptr;
 }
-bool ReplicatedState::isGone(const std::string& id) const {
-  return contents_.endedRunners.contains(id);
+bool ReplicatedState::isDetached(const std::string& id) const {
+  return contents_.detachedRunners.contains(id);
 }
 
-Entry configurationOp(std::int64_t base, std::int64_t version, std::string body, std::string opId) {
-  Entry e;
-  e.kind = static_cast<std::int32_t>(OpKind::configuration);
+transport::LogEntry configurationEntry(std::int64_t base, std::int64_t version, std::string body,
+                                       std::string operationId) {
+  transport::LogEntry e;
+  e.kind = static_cast<std::int32_t>(transport::OperationKind::configuration);
   e.base = base;
   e.digest = digestOf(body);
-  e.blob = std::move(body);
-  e.opId = std::move(opId) + "@" + std::to_string(version);
+  e.body = std::move(body);
+  e.operationId = std::move(operationId) + "@" + std::to_string(version);
   return e;
 }
-Entry changeOp(std::int64_t base, std::int64_t version, std::string body, std::string opId, const StateContents& on) {
-  auto e = configurationOp(base, version, std::move(body), std::move(opId));
+transport::LogEntry configurationChangeEntry(std::int64_t base, std::int64_t version, std::string body,
+                                             std::string operationId, const StateContents& on) {
+  auto e = configurationEntry(base, version, std::move(body), std::move(operationId));
   // On another version it loses its race anyway; without one there is nothing to differ from.
   if (on.version != base || on.digest.empty())
     return e;
-  auto d = deltaOf(on.configuration, on.digest, e.blob, e.digest);
-  if (d.size() > e.blob.size() / 2)
+  auto d = deltaOf(on.configuration, on.digest, e.body, e.digest);
+  if (d.size() > e.body.size() / 2)
     return e;
-  e.kind = static_cast<std::int32_t>(OpKind::difference);
-  e.blob = std::move(d);
+  e.kind = static_cast<std::int32_t>(transport::OperationKind::difference);
+  e.body = std::move(d);
   return e;
 }
-Entry closureOp(const Closure& c, bool open, std::string opId) {
-  Entry e;
-  e.kind = static_cast<std::int32_t>(OpKind::closure);
+transport::LogEntry zoneDrainEntry(const ZoneDrain& c, bool open, std::string operationId) {
+  transport::LogEntry e;
+  e.kind = static_cast<std::int32_t>(transport::OperationKind::zoneDrain);
   e.base = open ? 1 : 0;
-  e.blob = avro::encode(c);
-  e.opId = std::move(opId);
+  e.body = avro::encode(c);
+  e.operationId = std::move(operationId);
   return e;
 }
-Entry runnerOp(const Runner& r, std::string opId) {
-  Entry e;
-  e.kind = static_cast<std::int32_t>(OpKind::runner);
-  e.blob = avro::encode(r);
-  e.opId = std::move(opId);
+transport::LogEntry runnerEntry(const Runner& r, std::string operationId) {
+  transport::LogEntry e;
+  e.kind = static_cast<std::int32_t>(transport::OperationKind::runner);
+  e.body = avro::encode(r);
+  e.operationId = std::move(operationId);
   return e;
 }
-}  // namespace zc
+}  // namespace zinccleat::state_machine
--- a/libs/storage/include/storage/file_system.hpp
+++ b/libs/storage/include/storage/file_system.hpp
@@ -9,16 +9,16 @@
 
 #include "runtime/common.hpp"
 
-namespace zc {
+namespace zinccleat::storage {
 /// A file opened for writing. Destroying it closes it; closing makes nothing durable.
 class WritableFile {
  public:
   virtual ~WritableFile() = default;
   /// Appends bytes and returns how many were taken, which may be fewer than given. Error code: errno.
-  virtual Outcome<std::size_t> write(std::string_view bytes) = 0;
+  virtual Result<std::size_t> write(std::string_view bytes) = 0;
   /// Makes the content durable. After an error the content is unknown for good: the system may have dropped the
   /// unwritten data and report success next time. The file must then be written anew under a new inode.
-  virtual Outcome<void> sync() = 0;
+  virtual Result<void> sync() = 0;
 };
 
 /// One folder of files. All names are plain file names inside it. All calls block. Error code: errno.
@@ -27,21 +27,21 @@
   virtual ~FileSystem() = default;
   /// Takes the folder for this object until it is destroyed or the process dies.
   /// @return false if another process (or another object of this one) holds it.
-  virtual Outcome<bool> lock(const std::string& name) = 0;
+  virtual Result<bool> lock(const std::string& name) = 0;
   /// The names in the folder, in no order. An error means that none of them may be relied on.
-  virtual Outcome<std::vector<std::string>> list() = 0;
+  virtual Result<std::vector<std::string>> list() = 0;
   /// The whole content of a file.
-  virtual Outcome<std::string> read(const std::string& name) = 0;
+  virtual Result<std::string> read(const std::string& name) = 0;
   /// Makes a new empty file; an existing one is an error (EEXIST).
-  virtual Outcome<std::unique_ptr<WritableFile>> create(const std::string& name) = 0;
+  virtual Result<std::unique_ptr<WritableFile>> create(const std::string& name) = 0;
   /// Gives a file another name, in place of any file that has it already.
-  virtual Outcome<void> rename(const std::string& from, const std::string& to) = 0;
+  virtual Result<void> rename(const std::string& from, const std::string& to) = 0;
   /// Removes a file; success if there is none.
-  virtual Outcome<void> remove(const std::string& name) = 0;
+  virtual Result<void> remove(const std::string& name) = 0;
   /// Makes every earlier creation, renaming and removal of names durable.
-  virtual Outcome<void> syncFolder() = 0;
+  virtual Result<void> syncFolder() = 0;
 };
 
 /// The operating system's folder at `path`, which is made if it is missing (by `lock` or `list`).
 std::unique_ptr<FileSystem> openPosixFolder(std::string path);
-}  // namespace zc
+}  // namespace zinccleat::storage
--- a/libs/storage/include/storage/record_format.hpp
+++ b/libs/storage/include/storage/record_format.hpp
@@ -5,26 +5,20 @@
 #pragma once
 #include "consensus/disk_record.hpp"
 
-namespace zc {
+namespace zinccleat::storage {
 /// Version of the encoded fields. Raise it whenever the fields of DiskRecord change.
 /// Versions 1 to 3 stood in files named `page-N` with another envelope; they are refused by that name.
 constexpr int kRecordFormat = 4;
 
-/// Codes of faults that storage gives besides errno values, which are positive.
-constexpr int kOtherFormat = -2;  ///< whole, but written by another version of the program; must be left as it is
-constexpr int kDamaged = -3;      ///< an acknowledged record is gone or fails its checksum
-constexpr int kLocked = -4;       ///< another process uses the folder
-constexpr int kOutOfOrder = -5;   ///< not the number that follows the newest record
-
 /// The content of the file that holds `record`.
-std::string encodeRecord(const DiskRecord& record);
+std::string encodeRecord(const consensus::DiskRecord& record);
 /// The same for a given format version; for tests of refusal.
-std::string encodeRecordAs(int format, const DiskRecord& record);
+std::string encodeRecordAs(int format, const consensus::DiskRecord& record);
 /// Reads a file's content back. Fault codes: kOtherFormat, kDamaged.
-Outcome<DiskRecord> decodeRecord(std::string_view content);
+Result<consensus::DiskRecord> decodeRecord(std::string_view content);
 
 /// The file name of the record with this sequence number.
 std::string recordName(std::int64_t sequence);
 /// The sequence number in a record's file name; none for any other name.
 std::optional<std::int64_t> recordSequence(const std::string& name);
-}  // namespace zc
+}  // namespace zinccleat::storage
--- a/libs/storage/include/storage/storage.hpp
+++ b/libs/storage/include/storage/storage.hpp
@@ -7,7 +7,7 @@
 #include "storage/file_system.hpp"
 #include "storage/record_format.hpp"
 
-namespace zc {
+namespace zinccleat::storage {
 class Storage {
  public:
   /// Over the operating system's folder at this path.
@@ -17,18 +17,18 @@
 
   /// Takes the folder for this process until it ends. Fault codes: kLocked if another one holds it; errno if the
   /// lock could not be tried.
-  Outcome<void> lock();
+  Result<void> lock();
 
   /// Recovers the records: the newest full one (or number 1, where everything begins) and the unbroken run of
   /// increments above it; nothing for an empty folder. What it returns is durable, also if the process before died
   /// between a rename and the sync of the folder. Older files are removed afterwards.
   /// Fault codes: kDamaged, kOtherFormat, or errno, also of a record's file that the system can't read. After a fault
   /// nothing has been changed.
-  Outcome<std::vector<DiskRecord>> load();
+  Result<std::vector<consensus::DiskRecord>> load();
 
   /// Makes the next record durable; its number must follow the newest one's. After a fault the same record may be
   /// appended again at any time, whichever step failed. Fault codes: kOutOfOrder, or errno.
-  Outcome<void> append(const DiskRecord& record);
+  Result<void> append(const consensus::DiskRecord& record);
 
   /// Removes up to `most` files that a full record made obsolete. Nothing depends on its success: a file that stays
   /// is tried again after the next full record and at the next load.
@@ -38,18 +38,18 @@
   /// Moves all records of a damaged disk away under names that `load` passes over; deletes nothing. Safe against
   /// loss of power at each step: until it is done, `load` says kDamaged again or finds an empty folder.
   /// @return the prefix of the new names. Fault code: errno; it may be called again.
-  Outcome<std::string> setAside();
+  Result<std::string> setAside();
 
   /// Whether `load` saw records set aside in this folder, now or in an earlier life: an identity was given up here.
   bool hasSetAside() const { return hasSetAside_; }
 
  private:
-  Outcome<std::vector<DiskRecord>> readNewestRun(const std::vector<std::int64_t>& sequences);
-  Outcome<void> checkFormat(const std::vector<std::string>& names);
-  Outcome<DiskRecord> readRecord(std::int64_t sequence);
-  Outcome<void> write(const DiskRecord& record);
-  Outcome<void> writeSynced(const std::string& name, std::string_view content);
-  void takeStock(const std::vector<std::string>& names, const std::vector<DiskRecord>& run);
+  Result<std::vector<consensus::DiskRecord>> readNewestRun(const std::vector<std::int64_t>& sequences);
+  Result<void> checkFormat(const std::vector<std::string>& names);
+  Result<consensus::DiskRecord> readRecord(std::int64_t sequence);
+  Result<void> write(const consensus::DiskRecord& record);
+  Result<void> writeSynced(const std::string& name, std::string_view content);
+  void takeStock(const std::vector<std::string>& names, const std::vector<consensus::DiskRecord>& run);
   void freeSpace();
   void removeOldestSetAside();
 
@@ -64,7 +64,7 @@
 /// What a start found on the disk.
 struct Recovery {
   /// The base (a full record or number 1) first, then its increments; empty: this member starts with nothing.
-  std::vector<DiskRecord> records;
+  std::vector<consensus::DiskRecord> records;
   /// Records were once set aside here: the member may have voted and acknowledged what it no longer knows. It must
   /// neither go on under its old identity nor found a cluster.
   bool identityLost = false;
@@ -75,5 +75,5 @@
 /// file can't be read or synced) it calls `retryAfter` with the fault, which waits and returns true to try again, or
 /// returns false to give up with that fault. Neither that nor a fault returned changes anything on the disk.
 /// Fault codes: kLocked, kOtherFormat, or errno.
-Outcome<Recovery> recoverStorage(Storage& storage, const std::function<bool(const Fault&)>& retryAfter);
-}  // namespace zc
+Result<Recovery> recoverStorage(Storage& storage, const std::function<bool(const Error&)>& retryAfter);
+}  // namespace zinccleat::storage
--- a/libs/storage/src/posix_file_system.cpp
+++ b/libs/storage/src/posix_file_system.cpp
@@ -10,13 +10,13 @@
 
 #include "storage/file_system.hpp"
 
-namespace zc {
+namespace zinccleat::storage {
 namespace {
 constexpr std::size_t kReadBlock = std::size_t{64} * 1024;
 
-tl::unexpected<Fault> systemFault(const std::string& operation) {
+tl::unexpected<Error> systemFault(const std::string& operation) {
   const int code = errno;
-  return fault(code, operation + ": " + std::strerror(code));
+  return makeError(ErrorCode::ioError, operation + ": " + std::strerror(code), code);
 }
 
 /// Owns one file descriptor.
@@ -39,7 +39,7 @@
 class PosixFile : public WritableFile {
  public:
   explicit PosixFile(int descriptor) : descriptor_(descriptor) {}
-  Outcome<std::size_t> write(std::string_view bytes) override {
+  Result<std::size_t> write(std::string_view bytes) override {
     ssize_t taken = 0;
     do
       taken = ::write(descriptor_.number(), bytes.data(), bytes.size());
@@ -48,7 +48,7 @@
       return systemFault("write");
     return static_cast<std::size_t>(taken);
   }
-  Outcome<void> sync() override {
+  Result<void> sync() override {
     if (::fsync(descriptor_.number()) != 0)
       return systemFault("fsync");
     return {};
@@ -62,7 +62,7 @@
  public:
   explicit PosixFolder(std::string path) : path_(std::move(path)) {}
 
-  Outcome<bool> lock(const std::string& name) override {
+  Result<bool> lock(const std::string& name) override {
     makeFolder();
     auto file = std::make_unique<Descriptor>(::open(at(name).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
     if (!file->valid())
@@ -76,7 +76,7 @@
     return true;
   }
 
-  Outcome<std::vector<std::string>> list() override {
+  Result<std::vector<std::string>> list() override {
     makeFolder();
     DIR* folder = ::opendir(path_.c_str());
     if (!folder)
@@ -92,11 +92,11 @@
     const int code = errno;
     ::closedir(folder);
     if (code != 0)
-      return fault(code, std::string("list the folder: ") + std::strerror(code));
+      return makeError(ErrorCode::ioError, std::string("list the folder: ") + std::strerror(code), code);
     return names;
   }
 
-  Outcome<std::string> read(const std::string& name) override {
+  Result<std::string> read(const std::string& name) override {
     const Descriptor file(::open(at(name).c_str(), O_RDONLY | O_CLOEXEC));
     if (!file.valid())
       return systemFault("open");
@@ -114,26 +114,26 @@
     }
   }
 
-  Outcome<std::unique_ptr<WritableFile>> create(const std::string& name) override {
+  Result<std::unique_ptr<WritableFile>> create(const std::string& name) override {
     const int descriptor = ::open(at(name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
     if (descriptor < 0)
       return systemFault("create " + name);
     return std::make_unique<PosixFile>(descriptor);
   }
 
-  Outcome<void> rename(const std::string& from, const std::string& to) override {
+  Result<void> rename(const std::string& from, const std::string& to) override {
     if (::rename(at(from).c_str(), at(to).c_str()) != 0)
       return systemFault("rename " + from);
     return {};
   }
 
-  Outcome<void> remove(const std::string& name) override {
+  Result<void> remove(const std::string& name) override {
     if (::unlink(at(name).c_str()) != 0 && errno != ENOENT)
       return systemFault("remove " + name);
     return {};
   }
 
-  Outcome<void> syncFolder() override {
+  Result<void> syncFolder() override {
     const Descriptor folder(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (!folder.valid())
       return systemFault("open the folder");
@@ -155,4 +155,4 @@
 std::unique_ptr<FileSystem> openPosixFolder(std::string path) {
   return std::make_unique<PosixFolder>(std::move(path));
 }
-}  // namespace zc
+}  // namespace zinccleat::storage
--- a/libs/storage/src/record_format.cpp
+++ b/libs/storage/src/record_format.cpp
@@ -5,7 +5,7 @@
 
 #include "transport/avro.hpp"
 
-namespace zc {
+namespace zinccleat::storage {
 namespace {
 // Layout: magic, checksum of all that follows, format version as text, Avro body.
 constexpr std::string_view kMagic = "zcrecord";
@@ -21,27 +21,28 @@
 }
 }  // namespace
 
-std::string encodeRecordAs(int format, const DiskRecord& record) {
+std::string encodeRecordAs(int format, const consensus::DiskRecord& record) {
   const auto covered = versionText(format) + avro::encode(record);
   return std::string(kMagic) + digestOf(covered) + covered;
 }
-std::string encodeRecord(const DiskRecord& record) {
+std::string encodeRecord(const consensus::DiskRecord& record) {
   return encodeRecordAs(kRecordFormat, record);
 }
 
-Outcome<DiskRecord> decodeRecord(std::string_view content) {
+Result<consensus::DiskRecord> decodeRecord(std::string_view content) {
   if (content.size() < kEnvelopeSize || content.substr(0, kMagic.size()) != kMagic)
-    return fault(kDamaged, "is no record");
+    return makeError(ErrorCode::corruption, "is no record");
   const auto checksum = content.substr(kMagic.size(), kChecksumSize);
   const auto covered = content.substr(kMagic.size() + kChecksumSize);
   if (digestOf(covered) != checksum)
-    return fault(kDamaged, "fails its checksum");
+    return makeError(ErrorCode::corruption, "fails its checksum");
   const auto version = covered.substr(0, kVersionSize);
   if (version != versionText(kRecordFormat))
-    return fault(kOtherFormat, "is in format " + std::string(version) + " of another version of this program");
-  auto record = avro::decode<DiskRecord>(covered.substr(kVersionSize));
+    return makeError(ErrorCode::incompatibleFormat,
+                     "is in format " + std::string(version) + " of another version of this program");
+  auto record = avro::decode<consensus::DiskRecord>(covered.substr(kVersionSize));
   if (!record)
-    return fault(kDamaged, "does not parse");
+    return makeError(ErrorCode::corruption, "does not parse");
   return record;
 }
 
@@ -59,4 +60,4 @@
     return std::nullopt;
   return sequence;
 }
-}  // namespace zc
+}  // namespace zinccleat::storage
--- a/libs/storage/src/storage.cpp
+++ b/libs/storage/src/storage.cpp
@@ -25,7 +25,7 @@
 #include <cstdlib>
 #include <ranges>
 
-namespace zc {
+namespace zinccleat::storage {
 namespace {
 constexpr const char* kLockName = "lock";
 constexpr std::string_view kRecordPrefix = "record-";
@@ -67,16 +67,16 @@
 Storage::Storage(const std::string& folder) : Storage(openPosixFolder(folder)) {}
 Storage::Storage(std::unique_ptr<FileSystem> files) : files_(std::move(files)) {}
 
-Outcome<void> Storage::lock() {
+Result<void> Storage::lock() {
   const auto taken = files_->lock(kLockName);
   if (!taken)
     return tl::unexpected(taken.error());
   if (!*taken)
-    return fault(kLocked, "another process uses this folder");
+    return makeError(ErrorCode::locked, "another process uses this folder");
   return {};
 }
 
-Outcome<std::vector<DiskRecord>> Storage::load() {
+Result<std::vector<consensus::DiskRecord>> Storage::load() {
   loaded_ = false;
   const auto names = files_->list();
   if (!names)
@@ -95,18 +95,18 @@
   return run;
 }
 
-Outcome<void> Storage::checkFormat(const std::vector<std::string>& names) {
+Result<void> Storage::checkFormat(const std::vector<std::string>& names) {
   for (auto& name : names)
     if (startsWith(name, kOlderRecordPrefix))
-      return fault(kOtherFormat, name + " is in an older format of this program");
+      return makeError(ErrorCode::incompatibleFormat, name + " is in an older format of this program");
   return {};
 }
 
-Outcome<std::vector<DiskRecord>> Storage::readNewestRun(const std::vector<std::int64_t>& sequences) {
-  std::vector<DiskRecord> run;  // newest first, until it is turned round
+Result<std::vector<consensus::DiskRecord>> Storage::readNewestRun(const std::vector<std::int64_t>& sequences) {
+  std::vector<consensus::DiskRecord> run;  // newest first, until it is turned round
   for (long sequence : std::ranges::reverse_view(sequences)) {
     if (!run.empty() && sequence + 1 != run.back().seq)
-      return fault(kDamaged, recordName(run.back().seq - 1) + " is missing");
+      return makeError(ErrorCode::corruption, recordName(run.back().seq - 1) + " is missing");
     auto record = readRecord(sequence);
     if (!record)
       return tl::unexpected(record.error());
@@ -118,24 +118,25 @@
     return run;
   }
   if (!run.empty())
-    return fault(kDamaged, "no full record below " + recordName(run.back().seq));
+    return makeError(ErrorCode::corruption, "no full record below " + recordName(run.back().seq));
   return run;
 }
 
-Outcome<DiskRecord> Storage::readRecord(std::int64_t sequence) {
+Result<consensus::DiskRecord> Storage::readRecord(std::int64_t sequence) {
   const auto name = recordName(sequence);
   const auto content = files_->read(name);
   if (!content)
-    return fault(content.error().code, name + " can't be read: " + content.error().text);
+    return makeError(content.error().code, name + " can't be read: " + content.error().message,
+                     content.error().subcode);
   auto record = decodeRecord(*content);
   if (!record)
-    return fault(record.error().code, name + " " + record.error().text);
+    return makeError(record.error().code, name + " " + record.error().message);
   if (record->seq != sequence)
-    return fault(kDamaged, name + " holds record " + std::to_string(record->seq));
+    return makeError(ErrorCode::corruption, name + " holds record " + std::to_string(record->seq));
   return record;
 }
 
-void Storage::takeStock(const std::vector<std::string>& names, const std::vector<DiskRecord>& run) {
+void Storage::takeStock(const std::vector<std::string>& names, const std::vector<consensus::DiskRecord>& run) {
   const std::int64_t base = run.empty() ? 0 : run.front().seq;
   live_.clear();
   obsolete_.clear();
@@ -153,11 +154,11 @@
   loaded_ = true;
 }
 
-Outcome<void> Storage::append(const DiskRecord& record) {
+Result<void> Storage::append(const consensus::DiskRecord& record) {
   if (!loaded_ || record.seq != lastSequence_ + 1)
-    return fault(kOutOfOrder, recordName(record.seq) + " is out of order");
+    return makeError(ErrorCode::outOfOrder, recordName(record.seq) + " is out of order");
   if (auto written = write(record); !written) {
-    if (written.error().code == ENOSPC || written.error().code == EDQUOT)
+    if (written.error().subcode == ENOSPC || written.error().subcode == EDQUOT)
       freeSpace();
     return written;
   }
@@ -173,7 +174,7 @@
 // Each step may fail; the retry begins at the first. A temporary file that is left over is removed, never reused: its
 // content is unknown once a write or sync has failed. A `record-N` that is left over, renamed but perhaps not
 // durable, is replaced by a new file under a new rename, which the folder's next sync must write again.
-Outcome<void> Storage::write(const DiskRecord& record) {
+Result<void> Storage::write(const consensus::DiskRecord& record) {
   const auto name = recordName(record.seq);
   const auto temporary = name + std::string(kTemporarySuffix);
   if (auto removed = files_->remove(temporary); !removed)
@@ -189,7 +190,7 @@
   return files_->syncFolder();
 }
 
-Outcome<void> Storage::writeSynced(const std::string& name, std::string_view content) {
+Result<void> Storage::writeSynced(const std::string& name, std::string_view content) {
   auto file = files_->create(name);
   if (!file)
     return tl::unexpected(file.error());
@@ -198,7 +199,7 @@
     if (!taken)
       return tl::unexpected(taken.error());
     if (*taken == 0)
-      return fault(ENOSPC, "write " + name + ": nothing taken");
+      return makeError(ErrorCode::ioError, "write " + name + ": nothing taken", ENOSPC);
     content.remove_prefix(*taken);
   }
   return (*file)->sync();
@@ -238,7 +239,7 @@
 // record's name must not look like a whole, older state. Upward, the base goes before anything above it, so the
 // damage that was found stays visible until there is no base at all. Renames only, in the same folder: they need no
 // room on a full disk, and folders can't be made everywhere.
-Outcome<std::string> Storage::setAside() {
+Result<std::string> Storage::setAside() {
   loaded_ = false;
   auto names = files_->list();
   if (!names)
@@ -261,8 +262,8 @@
 
 namespace {
 /// Whether waiting may help; it doesn't where the folder or its rights are set up wrongly.
-bool mayPass(const Fault& trouble) {
-  switch (trouble.code) {
+bool mayPass(const Error& error) {
+  switch (error.subcode) {
     case ENOENT:
     case ENOTDIR:
     case EISDIR:
@@ -277,13 +278,13 @@
 }
 }  // namespace
 
-Outcome<Recovery> recoverStorage(Storage& storage, const std::function<bool(const Fault&)>& retryAfter) {
+Result<Recovery> recoverStorage(Storage& storage, const std::function<bool(const Error&)>& retryAfter) {
   Recovery recovery;
   if (auto locked = storage.lock(); !locked) {
-    if (locked.error().code == kLocked)
+    if (locked.error().code == ErrorCode::locked)
       return tl::unexpected(locked.error());
     // A disk that takes no new file, or knows no locks: the lock guards against a mistake only, so go on without it.
-    recovery.warnings.push_back("no lock on the data folder: " + locked.error().text);
+    recovery.warnings.push_back("no lock on the data folder: " + locked.error().message);
   }
   for (;;) {
     auto records = storage.load();
@@ -293,12 +294,12 @@
       return recovery;
     }
     auto trouble = records.error();
-    if (trouble.code == kOtherFormat)
+    if (trouble.code == ErrorCode::incompatibleFormat)
       return tl::unexpected(trouble);
-    if (trouble.code == kDamaged) {
+    if (trouble.code == ErrorCode::corruption) {
       const auto prefix = storage.setAside();
       if (prefix) {
-        recovery.warnings.push_back("disk damaged: " + trouble.text + "; all records are set aside as " + *prefix +
+        recovery.warnings.push_back("disk damaged: " + trouble.message + "; all records are set aside as " + *prefix +
                                     "*, and the member starts as a new one");
         continue;
       }
@@ -308,4 +309,4 @@
       return tl::unexpected(trouble);
   }
 }
-}  // namespace zc
+}  // namespace zinccleat::storage
--- a/libs/transport/include/transport/access_messages.hpp
+++ b/libs/transport/include/transport/access_messages.hpp
@@ -3,21 +3,21 @@
 #pragma once
 #include "transport/envelope.hpp"
 #include "transport/messages.hpp"
-namespace zc {
+namespace zinccleat::transport {
 // --- between core machines ---
 
 /// A write on its way to the leader. Sent again it is the same write, by its operation id.
 struct SubmitEntry {
   static constexpr auto kType = MessageType::submitEntry;
-  Entry entry;
+  LogEntry entry;
   template <class V>
   void fields(V& v) {
     v("entry", entry);
   }
 };
 /// The leader has it, or not (it does not lead, or lacks the body). The sender learns the verdict from its own copy.
-struct SubmitReceipt {
-  static constexpr auto kType = MessageType::submitReceipt;
+struct SubmitEntryResponse {
+  static constexpr auto kType = MessageType::submitEntryResponse;
   bool accepted = false;
   template <class V>
   void fields(V& v) {
@@ -25,22 +25,22 @@
   }
 };
 /// How far is it committed? (Read index: who has applied that may answer a linearizable read.)
-struct ReadIndexQuestion {
-  static constexpr auto kType = MessageType::readIndexQuestion;
-  std::int64_t question = 0;
+struct ReadIndexRequest {
+  static constexpr auto kType = MessageType::readIndexRequest;
+  std::int64_t requestId = 0;
   template <class V>
   void fields(V& v) {
-    v("question", question);
+    v("requestId", requestId);
   }
 };
-struct ReadIndexAnswer {
-  static constexpr auto kType = MessageType::readIndexAnswer;
-  std::int64_t question = 0;
+struct ReadIndexResponse {
+  static constexpr auto kType = MessageType::readIndexResponse;
+  std::int64_t requestId = 0;
   bool underLease = false;  // else the number says nothing
-  std::int64_t commitNumber = 0;
+  std::int64_t commitIndex = 0;
   template <class V>
   void fields(V& v) {
-    v("question", question), v("underLease", underLease), v("commitNumber", commitNumber);
+    v("requestId", requestId), v("underLease", underLease), v("commitIndex", commitIndex);
   }
 };
 struct RunnerAge {
@@ -62,8 +62,8 @@
   }
 };
 /// From a leader with a valid lease only.
-struct HeartbeatReceipt {
-  static constexpr auto kType = MessageType::heartbeatReceipt;
+struct HeartbeatBatchResponse {
+  static constexpr auto kType = MessageType::heartbeatBatchResponse;
   std::int64_t number = 0;
   template <class V>
   void fields(V& v) {
@@ -76,45 +76,45 @@
 /// An agent says each second, and after so many receipts, how far it is.
 struct AgentState {
   static constexpr auto kType = MessageType::agentState;
-  std::int64_t appliedNumber = 0;
+  std::int64_t lastApplied = 0;
   std::vector<std::string> view;  // a shuffled part of the sender's partial view; now and then
   template <class V>
   void fields(V& v) {
-    v("appliedNumber", appliedNumber), v("view", view);
+    v("lastApplied", lastApplied), v("view", view);
   }
 };
 /// Who leads, as far as the sender knows. The answer to an agent's state, and told to all when it changes.
-struct ClusterStanding {
-  static constexpr auto kType = MessageType::clusterStanding;
+struct ClusterStatus {
+  static constexpr auto kType = MessageType::clusterStatus;
   std::int64_t term = 0;
   std::string leader;               // empty: unknown
   std::vector<std::string> voters;  // empty: as told before on this link
-  std::int64_t commitNumber = 0;
+  std::int64_t commitIndex = 0;
   std::vector<std::string> view;
   template <class V>
   void fields(V& v) {
-    v("term", term), v("leader", leader), v("voters", voters), v("commitNumber", commitNumber), v("view", view);
+    v("term", term), v("leader", leader), v("voters", voters), v("commitIndex", commitIndex), v("view", view);
   }
 };
 /// From now on, send what comes after a number.
 struct FollowLog {
   static constexpr auto kType = MessageType::followLog;
-  std::int64_t appliedNumber = 0;  // 0: all of it is wanted
-  std::string heldDigest;          // of the configuration held, which need not be sent again
-  bool refetch = false;            // something is missing: nothing may be left out
+  std::int64_t lastApplied = 0;  // 0: all of it is wanted
+  std::string cachedDigest;      // of the configuration held, which need not be sent again
+  bool refetch = false;          // something is missing: nothing may be left out
   template <class V>
   void fields(V& v) {
-    v("appliedNumber", appliedNumber), v("heldDigest", heldDigest), v("refetch", refetch);
+    v("lastApplied", lastApplied), v("cachedDigest", cachedDigest), v("refetch", refetch);
   }
 };
 struct FeedEntries {
   static constexpr auto kType = MessageType::feedEntries;
   std::int64_t term = 0;
-  std::int64_t newestNumber = 0;
-  std::vector<Entry> entries;  // committed
+  std::int64_t newestIndex = 0;
+  std::vector<LogEntry> entries;  // committed
   template <class V>
   void fields(V& v) {
-    v("term", term), v("newestNumber", newestNumber), v("entries", entries);
+    v("term", term), v("newestIndex", newestIndex), v("entries", entries);
   }
 };
 struct FeedSnapshot {
@@ -140,9 +140,9 @@
 // --- leases, quotas, hints ---
 
 /// A proxy asks for its lease, and tells what the leader is to know of its machine.
-struct LeaseQuestion {
-  static constexpr auto kType = MessageType::leaseQuestion;
-  std::int64_t question = 0;
+struct LeaseRequest {
+  static constexpr auto kType = MessageType::leaseRequest;
+  std::int64_t requestId = 0;
   std::vector<Grant> demand;    // tenant, requests a second
   std::vector<Grant> holds;     // tenant, tokens still held
   std::vector<Grant> load;      // place that closes (empty: all), requests at its runners, requests at its proxies
@@ -150,64 +150,64 @@
   std::int64_t outliersVersion = 0;
   template <class V>
   void fields(V& v) {
-    v("question", question), v("demand", demand), v("holds", holds), v("load", load), v("attempts", attempts);
+    v("requestId", requestId), v("demand", demand), v("holds", holds), v("load", load), v("attempts", attempts);
     v("outliersVersion", outliersVersion);
   }
 };
-struct LeaseAnswer {
-  static constexpr auto kType = MessageType::leaseAnswer;
-  std::int64_t question = 0;
+struct LeaseResponse {
+  static constexpr auto kType = MessageType::leaseResponse;
+  std::int64_t requestId = 0;
   bool granted = false;  // else nothing below counts
-  std::int64_t commitNumber = 0;
+  std::int64_t commitIndex = 0;
   std::int64_t accessMachines = 0;  // that were heard lately
   std::vector<Grant> grants;        // tenant, tokens, seconds until more could be had
   std::int64_t outliersVersion = 0;
   std::vector<Grant> outliers;  // runner, how far set aside; empty where the asker has this version
   template <class V>
   void fields(V& v) {
-    v("question", question), v("granted", granted), v("commitNumber", commitNumber);
+    v("requestId", requestId), v("granted", granted), v("commitIndex", commitIndex);
     v("accessMachines", accessMachines), v("grants", grants), v("outliersVersion", outliersVersion);
     v("outliers", outliers);
   }
 };
 /// Tokens for requests that wait right now.
-struct QuotaDraw {
-  static constexpr auto kType = MessageType::quotaDraw;
-  std::int64_t question = 0;
+struct QuotaTokenRequest {
+  static constexpr auto kType = MessageType::quotaTokenRequest;
+  std::int64_t requestId = 0;
   std::vector<Grant> waiting;  // tenant, and in `burst` its requests
   template <class V>
   void fields(V& v) {
-    v("question", question), v("waiting", waiting);
+    v("requestId", requestId), v("waiting", waiting);
   }
 };
-struct QuotaDrawn {
-  static constexpr auto kType = MessageType::quotaDrawn;
-  std::int64_t question = 0;
+struct QuotaTokenResponse {
+  static constexpr auto kType = MessageType::quotaTokenResponse;
+  std::int64_t requestId = 0;
   bool granted = false;
   std::vector<Grant> grants;
   template <class V>
   void fields(V& v) {
-    v("question", question), v("granted", granted), v("grants", grants);
+    v("requestId", requestId), v("granted", granted), v("grants", grants);
   }
 };
 /// Does the partner site hold a prompt's opening that is not held here?
-struct OpeningQuestion {
-  static constexpr auto kType = MessageType::openingQuestion;
-  std::int64_t question = 0;
-  std::int64_t opening = 0;     // its digest
-  std::int64_t tenantMark = 0;  // the same at all machines of the site; it stays inside the site
+struct PrefixLookupRequest {
+  static constexpr auto kType = MessageType::prefixLookupRequest;
+  std::int64_t requestId = 0;
+  std::int64_t opening = 0;       // its digest
+  std::int64_t tenantDigest = 0;  // the same at all machines of the site; it stays inside the site
   template <class V>
   void fields(V& v) {
-    v("question", question), v("opening", opening), v("tenantMark", tenantMark);
+    v("requestId", requestId), v("opening", opening), v("tenantDigest", tenantDigest);
   }
 };
-struct OpeningAnswer {
-  static constexpr auto kType = MessageType::openingAnswer;
-  std::int64_t question = 0;
+struct PrefixLookupResponse {
+  static constexpr auto kType = MessageType::prefixLookupResponse;
+  std::int64_t requestId = 0;
   std::vector<std::string> access;  // the partner's addresses; empty: it does not, or has not told
   template <class V>
   void fields(V& v) {
-    v("question", question), v("access", access);
+    v("requestId", requestId), v("access", access);
   }
 };
-}  // namespace zc
+}  // namespace zinccleat::transport
--- a/libs/transport/include/transport/avro.hpp
+++ b/libs/transport/include/transport/avro.hpp
@@ -6,7 +6,7 @@
 
 #include "runtime/common.hpp"
 
-namespace zc::avro {
+namespace zinccleat::avro {
 struct SchemaOf {
   std::string json;
   template <class T>
@@ -129,9 +129,9 @@
   CachedValue() {
     const auto text = schemaText<T>();
     avro_schema_t s = nullptr;
-    must(avro_schema_from_json_length(text.data(), text.size(), &s) == 0, "own Avro schema");
+    checkInvariant(avro_schema_from_json_length(text.data(), text.size(), &s) == 0, "own Avro schema");
     avro_value_iface_t* iface = avro_generic_class_from_schema(s);
-    must(iface != nullptr, "own Avro class");
+    checkInvariant(iface != nullptr, "own Avro class");
     avro_generic_value_new(iface, &value);
   }
   static CachedValue& get() {
@@ -149,13 +149,13 @@
   avro_value_sizeof(&v, &n);
   std::string out(n, '\0');
   auto* wr = avro_writer_memory(out.data(), static_cast<std::int64_t>(n));
-  must(avro_value_write(wr, &v) == 0, "Avro writing");
+  checkInvariant(avro_value_write(wr, &v) == 0, "Avro writing");
   avro_writer_free(wr);
   avro_value_reset(&v);
   return out;
 }
 template <class T>
-Outcome<T> decode(std::string_view s) {
+Result<T> decode(std::string_view s) {
   auto& v = CachedValue<T>::get().value;
   avro_value_reset(&v);
   auto* rd = avro_reader_memory(s.data(), static_cast<std::int64_t>(s.size()));
@@ -163,7 +163,7 @@
   avro_reader_free(rd);
   if (bad) {
     avro_value_reset(&v);
-    return fault(0, "no valid Avro record");
+    return makeError(ErrorCode::corruption, "no valid Avro record");
   }
   T t{};
   FieldReader p{&v};
@@ -171,4 +171,4 @@
   avro_value_reset(&v);
   return t;
 }
-}  // namespace zc::avro
+}  // namespace zinccleat::avro
--- a/libs/transport/include/transport/envelope.hpp
+++ b/libs/transport/include/transport/envelope.hpp
@@ -2,31 +2,31 @@
 /// with a `kType`; `pack` and `unpack` go between the two.
 #pragma once
 #include "transport/avro.hpp"
-namespace zc {
+namespace zinccleat::transport {
 enum class MessageType : std::uint8_t {
   consensus = 1,  // the payload is `encodeMessage`'s, see consensus/messages.hpp
   // Between core machines.
   submitEntry,
-  submitReceipt,
-  readIndexQuestion,
-  readIndexAnswer,
+  submitEntryResponse,
+  readIndexRequest,
+  readIndexResponse,
   heartbeatBatch,
-  heartbeatReceipt,
+  heartbeatBatchResponse,
   // Between core machines and access machines.
   agentState,
-  clusterStanding,
+  clusterStatus,
   followLog,
   feedEntries,
   feedSnapshot,
   bodyAhead,
-  leaseQuestion,
-  leaseAnswer,
-  quotaDraw,
-  quotaDrawn,
-  openingQuestion,
-  openingAnswer,
+  leaseRequest,
+  leaseResponse,
+  quotaTokenRequest,
+  quotaTokenResponse,
+  prefixLookupRequest,
+  prefixLookupResponse,
 };
-constexpr MessageType kLastMessageType = MessageType::openingAnswer;
+constexpr MessageType kLastMessageType = MessageType::prefixLookupResponse;
 
 struct Envelope {
   MessageType type{};
@@ -39,10 +39,10 @@
 }
 /// Fails if the envelope holds another type of message, or fields that do not parse.
 template <class T>
-Outcome<T> unpack(const Envelope& envelope) {
+Result<T> unpack(const Envelope& envelope) {
   if (envelope.type != T::kType)
-    return fault(0, "a message of type " + std::to_string(static_cast<int>(envelope.type)) + " instead of " +
-                        std::to_string(static_cast<int>(T::kType)));
+    return makeError(ErrorCode::corruption, "a message of type " + std::to_string(static_cast<int>(envelope.type)) +
+                                                " instead of " + std::to_string(static_cast<int>(T::kType)));
   return avro::decode<T>(envelope.payload);
 }
-}  // namespace zc
+}  // namespace zinccleat::transport
--- a/libs/transport/include/transport/messages.hpp
+++ b/libs/transport/include/transport/messages.hpp
@@ -1,31 +1,32 @@
 /// What several messages of the system's own processes are made of.
 #pragma once
 #include "runtime/common.hpp"
-namespace zc {
-enum class OpKind : std::int32_t {
-  takeOver = 0,
+namespace zinccleat::transport {
+enum class OperationKind : std::int32_t {
+  noOp = 0,
   configuration = 1,
   runner = 2,
   members = 3,
-  closure = 4,
+  zoneDrain = 4,
   difference = 5
 };
 
 // One numbered write: the operation and its parameters.
-struct Entry {
-  std::int64_t num = 0, term = 0;
+struct LogEntry {
+  std::int64_t index = 0, term = 0;
   std::int32_t kind = 0;
-  std::int64_t base = 0;  // configuration: the version it builds on
-  std::string opId;       // a write sent again is one write
-  std::string digest;     // of the body, for large writes
-  std::string blob;
+  std::int64_t base = 0;    // configuration: the version it builds on
+  std::string operationId;  // a write sent again is one write
+  std::string digest;       // of the body, for large writes
+  std::string body;
   bool omitted = false;  // the body went ahead from its sender
   template <class V>
   void fields(V& v) {
-    v("num", num), v("term", term), v("kind", kind), v("base", base), v("opId", opId), v("digest", digest);
-    v("blob", blob), v("omitted", omitted);
+    v("index", index), v("term", term), v("kind", kind), v("base", base), v("operationId", operationId),
+        v("digest", digest);
+    v("body", body), v("omitted", omitted);
   }
-  OpKind op() const { return static_cast<OpKind>(kind); }
+  OperationKind op() const { return static_cast<OperationKind>(kind); }
 };
 struct Grant {  // a share of a subscriber's quota, or the demand for one
   std::string label;
@@ -35,4 +36,4 @@
     v("label", label), v("rate", rate), v("burst", burst);
   }
 };
-}  // namespace zc
+}  // namespace zinccleat::transport
--- a/libs/transport/include/transport/partial_view.hpp
+++ b/libs/transport/include/transport/partial_view.hpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "runtime/common.hpp"
-namespace zc {
+namespace zinccleat::transport {
 class PartialView {
  public:
   PartialView(std::string self, std::size_t most, std::uint64_t seed)
@@ -20,4 +20,4 @@
   std::mt19937_64 rng_;
   std::map<std::string, int> age_;
 };
-}  // namespace zc
+}  // namespace zinccleat::transport
--- a/libs/transport/include/transport/peer_link.hpp
+++ b/libs/transport/include/transport/peer_link.hpp
@@ -2,13 +2,13 @@
 #pragma once
 #include "runtime/event_loop.hpp"
 #include "transport/envelope.hpp"
-namespace zc {
+namespace zinccleat::transport {
 // A frame: its length (4 bytes), the format's version, the message's type, the sender's length, the sender, the
 // payload.
 std::string frameOf(const Envelope& envelope);
 // Takes whole frames off the front of buf. A fault means the connection can't be trusted further.
 // partial: where the pieces of a large frame are gathered; without it pieces are errorResponse.
-Outcome<std::vector<Envelope>> unframe(std::string& buf, std::string* partial = nullptr);
+Result<std::vector<Envelope>> unframe(std::string& buf, std::string* partial = nullptr);
 
 // What this process has framed and taken apart so far, by type of message; bytes with their frames.
 struct Traffic {
@@ -41,9 +41,9 @@
   // Ends the link over a message that can't be read; says why and counts it.
   void decline(const std::string& why);
   bool open() const;
-  Instant heard() const;
+  TimePoint heard() const;
   // When the oldest message without any sign of life since was sent; max() if none waits.
-  Instant unansweredSince() const;
+  TimePoint unansweredSince() const;
   std::string farIp() const;
 
  private:
@@ -61,7 +61,7 @@
     return;
   auto message = unpack<T>(envelope);
   if (!message)
-    return link->decline(message.error().text);
+    return link->decline(message.error().message);
   handler(std::move(*message));
 }
 
@@ -79,5 +79,5 @@
   std::shared_ptr<Impl> impl_;
 };
 // Accepts on an address for as long as the loop runs.
-Outcome<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take);
-}  // namespace zc
+Result<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take);
+}  // namespace zinccleat::transport
--- a/libs/transport/src/partial_view.cpp
+++ b/libs/transport/src/partial_view.cpp
@@ -1,6 +1,6 @@
 #include "transport/partial_view.hpp"
 
-namespace zc {
+namespace zinccleat::transport {
 namespace {
 constexpr std::size_t kSample = 4;
 }
@@ -37,4 +37,4 @@
   while (age_.size() > most_)
     age_.erase(std::max_element(age_.begin(), age_.end(), [](auto& a, auto& b) { return a.second < b.second; }));
 }
-}  // namespace zc
+}  // namespace zinccleat::transport
--- a/libs/transport/src/peer_link.cpp
+++ b/libs/transport/src/peer_link.cpp
@@ -5,7 +5,7 @@
 
 #include "runtime/log_ring.hpp"
 
-namespace zc {
+namespace zinccleat::transport {
 namespace {
 constexpr char kFormat = 4;       // frames of another format version are refused
 constexpr char kPieceFormat = 3;  // a part of a large frame; the first byte of its body tells whether it is the last
@@ -36,7 +36,7 @@
 }
 }  // namespace
 std::string frameOf(const Envelope& envelope) {
-  must(envelope.sender.size() <= kLongestSender, "a sender's identity is short");
+  checkInvariant(envelope.sender.size() <= kLongestSender, "a sender's identity is short");
   const auto bodySize = 2 + envelope.sender.size() + envelope.payload.size();
   std::string out;
   out.reserve(bodySize + 5);
@@ -49,22 +49,23 @@
   return out;
 }
 namespace {
-Outcome<Envelope> envelopeOf(std::string_view body) {
+Result<Envelope> envelopeOf(std::string_view body) {
   if (body.size() < 2)
-    return fault(0, "a frame without its head");
+    return makeError(ErrorCode::corruption, "a frame without its head");
   const std::size_t sender = static_cast<unsigned char>(body[1]);
   if (body.size() < 2 + sender)
-    return fault(0, "a frame shorter than its sender");
+    return makeError(ErrorCode::corruption, "a frame shorter than its sender");
   Envelope envelope;
   envelope.type = static_cast<MessageType>(body[0]);
   if (envelope.type < MessageType::consensus || envelope.type > kLastMessageType)
-    return fault(0, "a message of the unknown type " + std::to_string(static_cast<int>(envelope.type)));
+    return makeError(ErrorCode::corruption,
+                     "a message of the unknown type " + std::to_string(static_cast<int>(envelope.type)));
   envelope.sender = body.substr(2, sender);
   envelope.payload = body.substr(2 + sender);
   return envelope;
 }
 }  // namespace
-Outcome<std::vector<Envelope>> unframe(std::string& buf, std::string* partial) {
+Result<std::vector<Envelope>> unframe(std::string& buf, std::string* partial) {
   std::vector<Envelope> out;
   std::size_t at = 0;
   while (buf.size() - at >= 5) {
@@ -72,15 +73,15 @@
     for (int i = 0; i < 4; ++i)
       n = n << 8 | static_cast<unsigned char>(buf[at + i]);
     if (n < 1 || n > kMaxFrame)
-      return fault(0, "frame of an impossible length");
+      return makeError(ErrorCode::corruption, "frame of an impossible length");
     if (buf[at + 4] == kPieceFormat && partial) {
       if (n < 2)
-        return fault(0, "an empty piece");
+        return makeError(ErrorCode::corruption, "an empty piece");
       if (buf.size() - at < 4U + n)
         break;
       partial->append(buf, at + 6, n - 2);
       if (partial->size() > kMaxFrame)
-        return fault(0, "pieces of an impossible length");
+        return makeError(ErrorCode::corruption, "pieces of an impossible length");
       const bool last = buf[at + 5] != 0;
       at += 4U + n;
       if (!last)
@@ -90,13 +91,13 @@
       if (!inner)
         return inner;
       if (!frame.empty())
-        return fault(0, "pieces that make no frame");
+        return makeError(ErrorCode::corruption, "pieces that make no frame");
       for (auto& m : *inner)
         out.push_back(std::move(m));
       continue;
     }
     if (buf[at + 4] != kFormat && ++g_traffic.framesOfOtherFormats)
-      return fault(0, "frame of another format version: " + std::to_string(buf[at + 4]));
+      return makeError(ErrorCode::corruption, "frame of another format version: " + std::to_string(buf[at + 4]));
     if (buf.size() - at < 4U + n)
       break;
     auto envelope = envelopeOf(std::string_view(buf).substr(at + 5, n - 1));
@@ -115,21 +116,21 @@
 }
 
 struct PeerLink::Impl {
-  Connection connection;
+  runtime::Connection connection;
   OnMessage onMessage;
   OnEnd onEnd;
   std::string out, flying;
   std::deque<std::shared_ptr<const std::string>> bulk;  // frames that go in pieces
   std::size_t bulkAt = 0, bulkBytes = 0;
   bool writing = false, open = true;
-  Instant heard = Clock::now(), unanswered = Instant::max();
+  TimePoint heard = Clock::now(), unanswered = TimePoint::max();
   std::string farIp;
   Impl(tcp::socket s, OnMessage m, OnEnd e) : connection(std::move(s)), onMessage(std::move(m)), onEnd(std::move(e)) {
-    Ec ec;
-    const auto ep = connection.sock().remote_endpoint(ec);
+    runtime::SocketError ec;
+    const auto ep = connection.socket().remote_endpoint(ec);
     if (!ec)
       farIp = ep.address().to_string();
-    tune(connection.sock());
+    runtime::tune(connection.socket());
   }
 };
 PeerLink::PeerLink(tcp::socket s, OnMessage m, OnEnd e)
@@ -138,10 +139,10 @@
 bool PeerLink::open() const {
   return impl_->open;
 }
-Instant PeerLink::heard() const {
+TimePoint PeerLink::heard() const {
   return impl_->heard;
 }
-Instant PeerLink::unansweredSince() const {
+TimePoint PeerLink::unansweredSince() const {
   return impl_->unanswered;
 }
 std::string PeerLink::farIp() const {
@@ -151,26 +152,26 @@
   if (!impl_->open)
     return;
   impl_->open = false;
-  impl_->connection.shut();
+  impl_->connection.close();
 }
 void PeerLink::start() {
-  EventLoop::get().launch([self = shared_from_this()] {
+  runtime::EventLoop::get().spawn([self = shared_from_this()] {
     auto& d = *self->impl_;
     std::string buf;
     std::string partial;
     // Why from the heap: fiber stacks are small.
     std::vector<char> chunk(std::size_t{16} * 1024);
     while (d.open) {
-      Ec ec;
+      runtime::SocketError ec;
       const auto n = d.connection.read(asio::buffer(chunk), ec);
       if (ec || n == 0)
         break;
       d.heard = Clock::now();
-      d.unanswered = Instant::max();
+      d.unanswered = TimePoint::max();
       buf.append(chunk.data(), n);
       const auto envelopes = unframe(buf, &partial);
       if (!envelopes) {
-        self->decline(envelopes.error().text);
+        self->decline(envelopes.error().message);
         break;
       }
       for (auto& envelope : *envelopes) {
@@ -191,7 +192,7 @@
 }
 void PeerLink::decline(const std::string& why) {
   ++g_traffic.framesDeclined;
-  ring::alarm("link to " + impl_->farIp + " ended: " + why);
+  log::error("link to " + impl_->farIp + " ended: " + why);
   end();
 }
 void PeerLink::send(const Envelope& envelope) {
@@ -238,16 +239,16 @@
 void PeerLink::kick() {
   auto& d = *impl_;
   if (backlog() > kMaxOut) {
-    ring::alarm("link to " + d.farIp + " ended: it does not read");
+    log::error("link to " + d.farIp + " ended: it does not read");
     return end();
   }
-  if (d.unanswered == Instant::max())
+  if (d.unanswered == TimePoint::max())
     d.unanswered = Clock::now();
   if (d.writing)
     return;
   d.writing = true;
   // Why posted: what one turn of the loop has to say leaves in one write.
-  asio::post(EventLoop::get().io(), [self = shared_from_this()] {
+  asio::post(runtime::EventLoop::get().io(), [self = shared_from_this()] {
     auto step = [](auto&& again, const PeerLinkPtr& l) -> void {
       auto& d = *l->impl_;
       if (d.open)
@@ -256,13 +257,14 @@
         d.writing = false;
         return;
       }
-      asio::async_write(d.connection.sock(), asio::buffer(d.flying), [again, l](Ec ec, std::size_t) {
-        if (ec) {
-          l->impl_->writing = false;
-          return l->end();
-        }
-        again(again, l);
-      });
+      asio::async_write(d.connection.socket(), asio::buffer(d.flying),
+                        [again, l](runtime::SocketError ec, std::size_t) {
+                          if (ec) {
+                            l->impl_->writing = false;
+                            return l->end();
+                          }
+                          again(again, l);
+                        });
     };
     step(step, self);
   });
@@ -276,31 +278,31 @@
   bool released = false;
   int failed = 0;
   void run() {
-    EventLoop::get().launch([self = shared_from_this()] { self->loop(); });
+    runtime::EventLoop::get().spawn([self = shared_from_this()] { self->loop(); });
   }
   void loop() {
-    auto& q = EventLoop::get();
+    auto& q = runtime::EventLoop::get();
     while (!released) {
       {
-        Connection w;
-        w.due(Clock::now() + kDial);
-        Ec ec;
+        runtime::Connection w;
+        w.setDeadline(Clock::now() + kDial);
+        runtime::SocketError ec;
         w.connect(ep, ec);
-        w.undue();
+        w.clearDeadline();
         if (ec && failed++ % 200 == 0)
-          ring::note("cannot reach " + ep.address().to_string() + ": " + (w.late() ? "no answer" : ec.message()) +
-                     "; tried again");
+          log::debug("cannot reach " + ep.address().to_string() + ": " +
+                     (w.deadlineExceeded() ? "no answer" : ec.message()) + "; tried again");
         if (!ec && !released) {
           failed = 0;
-          auto up = std::make_shared<PeerLink>(std::move(w.sock()), onMessage, [](const PeerLinkPtr&) {});
+          auto up = std::make_shared<PeerLink>(std::move(w.socket()), onMessage, [](const PeerLinkPtr&) {});
           link = up;
           up->start();
           onUp(up);
           while (!released && up->open()) {
-            q.pause(100ms);
+            q.sleepFor(100ms);
             const auto since = up->unansweredSince();
             // Why end it: a connection through a cut stays silent long after the cut has healed.
-            if (since != Instant::max() && Clock::now() - since > kSilence)
+            if (since != TimePoint::max() && Clock::now() - since > kSilence)
               up->end();
           }
           up->end();
@@ -308,7 +310,7 @@
         }
       }
       if (!released)
-        q.pause(failed < kSoon ? kRedialSoon : kRedial);
+        q.sleepFor(failed < kSoon ? kRedialSoon : kRedial);
     }
   }
 };
@@ -340,20 +342,21 @@
     impl_->link->end();
 }
 
-Outcome<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take) {
-  auto acc = std::make_shared<tcp::acceptor>(EventLoop::get().io());
-  Ec ec;
+Result<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take) {
+  auto acc = std::make_shared<tcp::acceptor>(runtime::EventLoop::get().io());
+  runtime::SocketError ec;
   acc->open(ep.protocol(), ec);
   acc->set_option(tcp::acceptor::reuse_address(true), ec);
   acc->bind(ep, ec);
   if (ec)
-    return fault(0, "cannot bind " + ep.address().to_string() + ":" + std::to_string(ep.port()) + ": " + ec.message());
+    return makeError(ErrorCode::corruption,
+                     "cannot bind " + ep.address().to_string() + ":" + std::to_string(ep.port()) + ": " + ec.message());
   acc->listen(512, ec);
   if (ec)
-    return fault(0, "cannot listen: " + ec.message());
+    return makeError(ErrorCode::corruption, "cannot listen: " + ec.message());
   auto go = std::make_shared<std::function<void()>>();
   *go = [acc, take = std::move(take), go] {
-    acc->async_accept([take, go, acc](Ec e, tcp::socket s) {
+    acc->async_accept([take, go, acc](runtime::SocketError e, tcp::socket s) {
       if (e == asio::error::operation_aborted)
         return;
       if (!e) {
@@ -361,11 +364,11 @@
         return (*go)();
       }
       // Why a pause: out of descriptors, the same error would come back at once for ever.
-      auto t = std::make_shared<asio::steady_timer>(EventLoop::get().io(), 20ms);
-      t->async_wait([t, go](Ec) { (*go)(); });
+      auto t = std::make_shared<asio::steady_timer>(runtime::EventLoop::get().io(), 20ms);
+      t->async_wait([t, go](runtime::SocketError) { (*go)(); });
     });
   };
   (*go)();
   return {};
 }
-}  // namespace zc
+}  // namespace zinccleat::transport
