--- a/tests/balancing_test.cpp
+++ b/tests/balancing_test.cpp
@@ -9,7 +9,12 @@
 #include "balancing/runner_pool.hpp"
 #include "quota.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::balancing;
+using namespace zinccleat::config;
+using namespace zinccleat::controller;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 std::shared_ptr<const Configuration> tenants(double rate, double burst) {
   auto c = parseConfiguration(
@@ -32,25 +37,25 @@
     const double rate = 2 + static_cast<double>(rng() % 60);
     const double burst = rate * (0.5 + static_cast<double>(rng() % 3) * 0.5);
     auto cfg = tenants(rate, burst);
-    Instant now{100s};
+    TimePoint now{100s};
     auto desk = std::make_unique<QuotaAllocator>();
     desk->bounds({0.1, 20, 5});
-    desk->takeOver(now);
+    desk->noOp(now);
     struct Node {
-      QuotaGrants stash;
+      QuotaGrants reserve;
       int waiting = 0;
-      Instant cutUntil{};
+      TimePoint cutUntil{};
     };
     struct Late {
       std::size_t node;
-      Instant asked, due;
+      TimePoint asked, due;
       std::vector<Grant> grants;
       bool loose;
     };
     std::vector<Node> nodes(count);
     std::vector<Late> flying;
-    std::vector<Instant> newest(count);
-    std::deque<Instant> ran;
+    std::vector<TimePoint> newest(count);
+    std::deque<TimePoint> ran;
     int lastChange = 0;
     for (int ms = 0; ms < 40000; ms += 10, now += 10ms) {
       const auto pick = static_cast<std::size_t>(rng() % nodes.size());
@@ -59,22 +64,22 @@
         std::erase_if(flying, [&](auto& f) { return f.node == pick; });
       }
       if (rng() % 700 == 0)
-        nodes[pick].cutUntil = now + Span(500 + rng() % 6000);
+        nodes[pick].cutUntil = now + Duration(500 + rng() % 6000);
       if (rng() % 1500 == 0 && ms - lastChange > 6000) {
         lastChange = ms;
         desk = std::make_unique<QuotaAllocator>();
         desk->bounds({0.1, 20, 5});
-        desk->takeOver(now);
+        desk->noOp(now);
       }
       for (auto& f : flying)
         if (f.due <= now) {
           auto& n = nodes[f.node];
           if (f.loose) {
-            n.stash.loose(f.grants, now);
-            while (n.waiting > 0 && n.stash.retake("t", now))
+            n.reserve.loose(f.grants, now);
+            while (n.waiting > 0 && n.reserve.retake("t", now))
               --n.waiting, ran.push_back(now);
           } else if (newest[f.node] == f.asked) {
-            n.stash.drawn(f.grants, f.asked);
+            n.reserve.drawn(f.grants, f.asked);
           }
         }
       std::erase_if(flying, [&](auto& f) { return f.due <= now; });
@@ -82,21 +87,22 @@
         auto& n = nodes[i];
         const int wants = count > 20 ? rng() % 12 == 0 : static_cast<int>(rng() % 3);
         for (int k = 0; k < wants; ++k) {
-          if (n.stash.take("t", now))
+          if (n.reserve.take("t", now))
             ran.push_back(now);
           else if (n.waiting < 20)
-            ++n.waiting, n.stash.wait("t");
+            ++n.waiting, n.reserve.wait("t");
         }
         if (n.cutUntil > now)
           continue;
         const auto name = "n" + std::to_string(i);
-        const Span delay(rng() % 50 == 0 ? 900 : rng() % 12);
-        if (const auto w = n.stash.unasked(); !w.empty())
+        const Duration delay(rng() % 50 == 0 ? 900 : rng() % 12);
+        if (const auto w = n.reserve.unasked(); !w.empty())
           flying.push_back({i, now, now + delay, desk->draw(now, name, w, {}, cfg.get()), true});
-        if ((ms + static_cast<int>(i) * 10) % 400 == 0 || n.stash.low("t", now)) {
+        if ((ms + static_cast<int>(i) * 10) % 400 == 0 || n.reserve.low("t", now)) {
           newest[i] = now;
-          const auto holds = n.stash.holds(now);
-          flying.push_back({i, now, now + delay, desk->draw(now, name, n.stash.demand(now), holds, cfg.get()), false});
+          const auto holds = n.reserve.holds(now);
+          flying.push_back(
+              {i, now, now + delay, desk->draw(now, name, n.reserve.demand(now), holds, cfg.get()), false});
         }
       }
       while (!ran.empty() && now - ran.front() > 5s)
@@ -113,8 +119,8 @@
     auto cfg = tenants(32, 32);
     QuotaAllocator desk;
     desk.bounds({0.1, 20, 5});
-    Instant now{100s};
-    desk.takeOver(now);
+    TimePoint now{100s};
+    desk.noOp(now);
     std::vector<QuotaGrants> nodes(count);
     int asked = 0;
     int refused = 0;
@@ -145,19 +151,19 @@
 }
 TEST(Quota, AStashEndsByItself) {
   QuotaGrants s;
-  Instant now{100s};
+  TimePoint now{100s};
   s.drawn({{"t", 5, 0.1}}, now);
   EXPECT_TRUE(s.take("t", now + 1s));
   EXPECT_FALSE(s.take("t", now + QuotaGrants::life + 1ms));
   s.loose({{"t", 2, 0.1}}, now);
   EXPECT_TRUE(s.retake("t", now + 10ms));
-  EXPECT_FALSE(s.retake("t", now + QuotaGrants::looseLife + 1ms));
+  EXPECT_FALSE(s.retake("t", now + QuotaGrants::immediateTokenLifetime + 1ms));
 }
 // What a node says of tenants is bounded by those that send to it steadily, however many are configured or came by
 // once.
 TEST(Quota, OnlySteadyTenantsAreToldOf) {
   QuotaGrants s;
-  Instant now{100s};
+  TimePoint now{100s};
   for (int ms = 0; ms < 20000; ms += 10, now += 10ms) {
     if (ms % 100 == 0)
       s.take("steady", now);
@@ -182,7 +188,7 @@
   Budget b(0.15, 2500ms);
   b.share(10, 0.5);
   std::deque<std::pair<int, bool>> window;  // ms, whether it was a further attempt
-  Instant now{100s};
+  TimePoint now{100s};
   for (int t = 0; t < 100000; ++t, now += 10ms) {
     if (rng() % 10 == 0)
       b.earn("s", now), window.emplace_back(t, false);
@@ -205,7 +211,7 @@
     std::vector<Budget> b(static_cast<std::size_t>(nodes), Budget(0.15, 2500ms));
     for (auto& x : b)
       x.share(slack * 0.5 / nodes, static_cast<double>(rng() % 1000) / 1000);
-    Instant now{100s};
+    TimePoint now{100s};
     // Much traffic once, then little: what was earned long ago must not be spent on the little.
     for (int i = 0; i < 500; ++i, now += 10ms)
       for (auto& x : b)
@@ -230,7 +236,7 @@
 TEST(Budget, WhatWasEarnedBeforeIsNotSpentLongAfter) {
   Budget b(0.15, 2500ms);
   b.share(0.2, 0.9);
-  Instant now{100s};
+  TimePoint now{100s};
   int firsts = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
     b.earn("s", now), ++firsts;
@@ -255,9 +261,9 @@
   for (int part = 1; part < 60; ++part) {
     RunnerQuery w;
     w.service = "s", w.zone = "z0", w.engine = true, w.affinity = hash64(std::to_string(part)), w.sharedTokens = 5000;
-    const auto x = a.at(a.choose(w, Instant{100s})).id;
+    const auto x = a.at(a.choose(w, TimePoint{100s})).id;
     w.zone = "z2";
-    EXPECT_EQ(x, b.at(b.choose(w, Instant{100s})).id);
+    EXPECT_EQ(x, b.at(b.choose(w, TimePoint{100s})).id);
     used.insert(x);
   }
   EXPECT_GT(used.size(), 12U) << "parts spread over the runners";
@@ -267,13 +273,13 @@
   d.follow({dock("r1", "z"), dock("r2", "z")});
   RunnerQuery w;
   w.service = "s", w.zone = "z", w.engine = true, w.affinity = 77, w.sharedTokens = 1000, w.promptTokens = 3000;
-  const int home = d.choose(w, Instant{100s});
+  const int home = d.choose(w, TimePoint{100s});
   d.attemptBegan(home, 3000);
-  EXPECT_EQ(d.choose(w, Instant{100s}), home) << "one waiting prompt is no reason";
+  EXPECT_EQ(d.choose(w, TimePoint{100s}), home) << "one waiting prompt is no reason";
   d.attemptBegan(home, 30000);
-  EXPECT_NE(d.choose(w, Instant{100s}), home);
+  EXPECT_NE(d.choose(w, TimePoint{100s}), home);
   d.promptRead(home, 30000);
-  EXPECT_EQ(d.choose(w, Instant{100s}), home) << "and it comes back";
+  EXPECT_EQ(d.choose(w, TimePoint{100s}), home) << "and it comes back";
 }
 TEST(RunnerPool, DrainingOnesAreNeverChosenShunnedOnesOnlyAtNeed) {
   RunnerPool d(1);
@@ -281,17 +287,17 @@
   RunnerQuery w;
   w.service = "s", w.zone = "z";
   for (int i = 0; i < 50; ++i)
-    EXPECT_NE(d.at(d.choose(w, Instant{100s})).id, "r1");
+    EXPECT_NE(d.at(d.choose(w, TimePoint{100s})).id, "r1");
   int r2 = 0;
   while (d.at(r2).id != "r2")
     ++r2;
-  d.recordFailure(r2, Instant{100s});
+  d.recordFailure(r2, TimePoint{100s});
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(d.at(d.choose(w, Instant{100s})).id, "r3");
+    EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r3");
   d.follow({dock("r2", "z")});
-  EXPECT_EQ(d.at(d.choose(w, Instant{100s})).id, "r2");
+  EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r2");
   d.follow({});
-  EXPECT_EQ(d.choose(w, Instant{100s}), -1);
+  EXPECT_EQ(d.choose(w, TimePoint{100s}), -1);
 }
 TEST(RunnerPool, AnotherRegionIsForNeedOnly) {
   RunnerPool d(1);
@@ -302,12 +308,12 @@
       RunnerQuery w;
       w.service = "s", w.zone = "a1", w.engine = engine, w.affinity = hash64(std::to_string(part)),
       w.sharedTokens = 2000;
-      EXPECT_EQ(d.at(d.choose(w, Instant{100s})).id, "r1");
+      EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r1");
     }
   d.follow({dock("r2", "b1")});
   RunnerQuery w;
   w.service = "s", w.zone = "a1", w.engine = true, w.affinity = 5, w.sharedTokens = 2000;
-  EXPECT_EQ(d.at(d.choose(w, Instant{100s})).id, "r2") << "far away is better than nowhere";
+  EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r2") << "far away is better than nowhere";
 }
 TEST(RunnerPool, PromptPartsAreRead) {
   const auto p = promptOf("5c1e07a2:800,91bd3f06:410,e4402b7d:250");
@@ -322,7 +328,7 @@
 
 TEST(AdmissionControl, CalmSeasDeclineNobodyStormyOnesTheLessUrgentFirst) {
   AdmissionControl a;
-  Instant now{100s};
+  TimePoint now{100s};
   for (int i = 0; i < 400; ++i, now += 10ms) {
     a.first("s", i % 3 == 0, now);
     ASSERT_TRUE(a.allows("s", 4, 0.0, now)) << "a third late is no storm";
@@ -345,7 +351,7 @@
 }
 TEST(AdmissionControl, SilenceEndsAStorm) {
   AdmissionControl a;
-  Instant now{100s};
+  TimePoint now{100s};
   for (int i = 0; i < 300; ++i, now += 10ms)
     a.first("s", true, now);
   EXPECT_GT(a.level("s"), 0);
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -5,9 +5,13 @@
 
 #include "operation_ids.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::controller;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
-constexpr Span kCallersSecond{1000};
+constexpr Duration kCallersSecond{1000};
 const std::string kUri = "http://10.0.0.4:8080";
 
 /// A core machine whose surroundings the test sets. Its waits take no time; they are added up.
@@ -18,42 +22,44 @@
   std::string leader;
   std::int64_t number = 0;
   std::vector<std::string> noted, written;
-  Span waited{0};
+  Duration waited{0};
   OperationIds ids{"10.0.0.4#7", 1};
 
   const Settings& settings() const override { return its; }
   const ReplicatedState& copy() const override { return state; }
   bool inContact() const override { return contact; }
-  bool awaitContact(Span within) override {
+  bool awaitContact(Duration within) override {
     if (!contact)
       waited += within;
     return contact;
   }
   bool heartbeatsReachLeader() const override { return reaches; }
   void noteHeartbeat(const std::string& id) override { noted.push_back(id); }
-  Outcome<std::int32_t> write(Entry e, Span within) override {
-    written.push_back(e.opId);
+  Result<std::int32_t> write(LogEntry e, Duration within) override {
+    written.push_back(e.operationId);
     if (!commits) {
       waited += within;
-      return fault(503, "no outcome yet");
+      return makeError(ErrorCode::unavailable, "no outcome yet");
     }
-    const auto id = e.opId;
-    e.num = ++number;
+    const auto id = e.operationId;
+    e.index = ++number;
     state.apply(e);
-    return *state.verdictOf(id);
+    return *state.outcomeOf(id);
   }
-  Outcome<void> fresh(Span within) override {
+  Result<void> fresh(Duration within) override {
     if (commits)
       return {};
     waited += within;
-    return fault(503, "no fresh lease");
+    return makeError(ErrorCode::unavailable, "no fresh lease");
   }
   std::string operationId() override { return ids.next(); }
   std::string leaderControl() const override { return leader; }
   double requestsPerS() const override { return 0; }
   std::string statusJson() const override { return "{}"; }
-  std::string closuresJson() const override { return "{}"; }
-  Outcome<std::string> hintsFrom(std::string_view, std::string_view) override { return fault(404, "no partner site"); }
+  std::string zoneDrainsJson() const override { return "{}"; }
+  Result<std::string> hintsFrom(std::string_view, std::string_view) override {
+    return makeError(ErrorCode::notFound, "no partner site");
+  }
 
   ApiResponse post(const std::string& target, const std::string& body, const std::string& base = "0") {
     return answerCall(*this, {"POST", target, body, base, ""}, kUri);
@@ -94,7 +100,7 @@
   core.noted.clear();
   core.contact = false;
   expectSentOn(core, core.beat("i1", 2));
-  EXPECT_EQ(core.waited, Span(0)) << "a beat has nothing to wait for";
+  EXPECT_EQ(core.waited, Duration(0)) << "a beat has nothing to wait for";
   EXPECT_TRUE(core.noted.empty());
 }
 TEST(Calls, AMachineCutOffAcknowledgesNoJoinAndNoDrain) {
@@ -145,7 +151,7 @@
   core.contact = false;
   // To this copy the first is not above the current one, and the second builds on another: both may be wrong.
   expectSentOn(core, core.post("/v1/Configuration.Replace", configuration(4), "5"));
-  core.waited = Span(0);
+  core.waited = Duration(0);
   expectSentOn(core, core.post("/v1/Configuration.Replace", configuration(9), "7"));
   EXPECT_EQ(core.post("/v1/Configuration.Replace", configuration(5)).status, 200) << "once taken is taken for good";
   core.contact = true;
@@ -182,14 +188,14 @@
   ReplicatedState copy;
   OperationIds older("10.0.0.4#7", 5);
   OperationIds newer("10.0.0.4#7", 100005);
-  auto first = configurationOp(0, 2, configuration(2), older.next());
-  first.num = 1;
+  auto first = configurationEntry(0, 2, configuration(2), older.next());
+  first.index = 1;
   copy.apply(first);
-  ASSERT_EQ(copy.verdictOf(first.opId), 200);
-  const auto second = configurationOp(0, 2, configuration(2, "b"), newer.next());
-  EXPECT_FALSE(copy.verdictOf(second.opId)) << "two operators confirmed under one number";
+  ASSERT_EQ(copy.outcomeOf(first.operationId), 200);
+  const auto second = configurationEntry(0, 2, configuration(2, "b"), newer.next());
+  EXPECT_FALSE(copy.outcomeOf(second.operationId)) << "two operators confirmed under one number";
   auto applied = second;
-  applied.num = 2;
+  applied.index = 2;
   copy.apply(applied);
-  EXPECT_EQ(copy.verdictOf(second.opId), 412);
+  EXPECT_EQ(copy.outcomeOf(second.operationId), 412);
 }
--- a/tests/chunked_test.cpp
+++ b/tests/chunked_test.cpp
@@ -1,8 +1,10 @@
 // Chunked bodies, cut where the network may cut them. The parser's own assertion once ended the process here.
 #include "standins.hpp"
 
-using namespace zc;
-using namespace zc::standin;
+using namespace zinccleat;
+using namespace zinccleat::proxy;
+using namespace zinccleat::runtime;
+using namespace zinccleat::standin;
 
 TEST(Chunked, AnEmptyBodyWhoseLastLineComesLaterIsRead) {
   const std::string head =
@@ -15,7 +17,7 @@
       auto w = h.dial();
       Buffer buffer;
       say(*w, head + body.substr(0, cut));
-      EventLoop::get().pause(5ms);
+      EventLoop::get().sleepFor(5ms);
       say(*w, body.substr(cut));
       EXPECT_EQ(hear(*w, buffer).status, 200) << "cut at " << cut;
     });
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -5,7 +5,8 @@
 #include "config/configuration.hpp"
 #include "config/settings.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
 namespace {
 const std::string kGood = R"({"configVersion":7,"routeTable":[
  {"label":"a","authority":"Ficu.Example","pathPrefix":"/p/","routeType":"stream","expiryMs":10000,"targetLatencyMs":600,"precedence":1,"targetService":"s1","maxAttempts":1,"keyless":false,"sessionAffinity":true,"streamResume":true,"gapTargetMs":300},
@@ -24,7 +25,7 @@
 
 TEST(Configuration, IsReadInFull) {
   auto c = parseConfiguration(kGood);
-  ASSERT_TRUE(c) << c.error().text;
+  ASSERT_TRUE(c) << c.error().message;
   EXPECT_EQ((*c)->version, 7);
   EXPECT_EQ((*c)->routes.size(), 3U);
   EXPECT_EQ((*c)->routes[1].shareSum, 100U);
@@ -70,8 +71,8 @@
   for (auto& [name, body] : table) {
     auto c = parseConfiguration(body);
     ASSERT_FALSE(c) << name;
-    EXPECT_EQ(c.error().code, 400) << name;
-    EXPECT_FALSE(c.error().text.empty()) << name;
+    EXPECT_EQ(c.error().code, ErrorCode::invalidArgument) << name;
+    EXPECT_FALSE(c.error().message.empty()) << name;
   }
 }
 TEST(Configuration, HundredsOfRoutes) {
@@ -81,7 +82,7 @@
               std::to_string(i) + R"(/","routeType":"safe","expiryMs":5,"targetService":"s"})";
   auto c =
       parseConfiguration("{\"configVersion\":1,\"routeTable\":[" + routes + "],\"serviceTable\":[{\"label\":\"s\"}]}");
-  ASSERT_TRUE(c) << c.error().text;
+  ASSERT_TRUE(c) << c.error().message;
   EXPECT_EQ((*c)->find("h.example", "/x599/y"), 599);
 }
 TEST(Settings, UnknownFieldsAreIgnoredAndBrokenOnesNamed) {
@@ -89,8 +90,8 @@
       R"({"nodeName":"n","role":"r","ip":"10.1.0.5","zone":"z","bindAddresses":{"accessPort":"10.1.0.5:1","readinessPort":"10.1.0.5:2"},
     "internalPorts":[7660,7675],"seedNodes":["10.1.0.7:8407"],"initialAttach":true,"dataDir":null,"somethingNew":{"a":[1]},"timers":{"revokeMs":5000,"graceS":8,"retryRatio":0.2}})";
   auto s = parseSettings(good);
-  ASSERT_TRUE(s) << s.error().text;
-  EXPECT_EQ(s->timers.grace, Span(8000));
+  ASSERT_TRUE(s) << s.error().message;
+  EXPECT_EQ(s->timers.grace, Duration(8000));
   EXPECT_EQ(s->portLast, 7675);
   EXPECT_TRUE(s->dataDir.empty());
   for (const std::string& broken :
@@ -101,18 +102,18 @@
         std::string(R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9,2],"seedNodes":[]})")}) {
     auto b = parseSettings(broken);
     ASSERT_FALSE(b) << broken;
-    EXPECT_FALSE(b.error().text.empty());
+    EXPECT_FALSE(b.error().message.empty());
   }
 }
 TEST(Calls, HeartbeatsAreCheckedWhole) {
-  auto b = parseBeat(
+  auto b = parseRunnerHeartbeat(
       "i-1",
       R"({"targetService":"s","address":"10.0.0.1:80","zone":"z","capacity":4,"state":"draining","sequence":9,"more":1})");
   ASSERT_TRUE(b);
   EXPECT_TRUE(b->draining);
   EXPECT_EQ(b->sequence, 9);
-  EXPECT_FALSE(parseBeat("i-1", "{"));
-  EXPECT_FALSE(parseBeat("i-1", "{}"));
-  EXPECT_FALSE(parseBeat("", R"({"targetService":"s","address":"10.0.0.1:80"})"));
-  EXPECT_FALSE(parseBeat("i-1", R"({"targetService":"s","address":"a","sequence":"x"})"));
+  EXPECT_FALSE(parseRunnerHeartbeat("i-1", "{"));
+  EXPECT_FALSE(parseRunnerHeartbeat("i-1", "{}"));
+  EXPECT_FALSE(parseRunnerHeartbeat("", R"({"targetService":"s","address":"10.0.0.1:80"})"));
+  EXPECT_FALSE(parseRunnerHeartbeat("i-1", R"({"targetService":"s","address":"a","sequence":"x"})"));
 }
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -5,8 +5,11 @@
 
 #include "simulated_cluster.hpp"
 
-using namespace zc;
-using zc::sim::World;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::storage;
+using namespace zinccleat::transport;
+using zinccleat::sim::World;
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 void bootAll(World& w) {
@@ -50,7 +53,7 @@
   for (auto& [ip, n] : w.nodes) {
     n.frozen = false;
     n.diskFull = false;
-    n.syncTime = Span(4);
+    n.syncTime = Duration(4);
     if (!n.up && part(n))
       w.boot(ip, presentSeeds(w), false);
   }
@@ -60,7 +63,7 @@
   for (auto& [ip, n] : w.nodes)
     if (n.up) {
       states += n.id + " role " + std::to_string(static_cast<int>(n.raft->role())) + " term " +
-                std::to_string(n.raft->term()) + " released " + std::to_string(n.raft->commitNumber()) + " sick " +
+                std::to_string(n.raft->term()) + " released " + std::to_string(n.raft->commitIndex()) + " sick " +
                 std::to_string(n.raft->diskStalled()) + " members";
       states += " last page " + (n.disk.empty() ? "none" : std::to_string(decodeRecord(n.disk.back())->seq)) + "";
       for (auto& m : n.raft->voters())
@@ -77,7 +80,7 @@
     all += c + "\n";
   for (auto& [op, num] : w.acked)
     EXPECT_NE(all.find("|" + op + "|"), std::string::npos) << op << " lost (seed " << w.seed << ")";
-  EXPECT_GE(w.nodes[seq].raft->commitNumber(), w.agreed.rbegin()->first) << "seed " << w.seed;
+  EXPECT_GE(w.nodes[seq].raft->commitIndex(), w.agreed.rbegin()->first) << "seed " << w.seed;
   EXPECT_TRUE(w.broken.empty()) << joined(w.broken);
 }
 void bootAgain(World& w, const std::string& ip) {
@@ -88,7 +91,7 @@
 void replace(World& w, const std::string& old) {
   const auto newcomer = "10.9.1." + std::to_string(++w.opNo);
   w.boot(newcomer, presentSeeds(w), false);
-  w.runFor(Span(200 + w.draw(1500)));
+  w.runFor(Duration(200 + w.draw(1500)));
   w.leave(old);
   w.runFor(6800ms);
   if (w.nodes[old].up)
@@ -108,10 +111,10 @@
   std::size_t voting = 0;
   for (auto& o : ips) {
     auto& x = w.nodes[o];
-    well = well && x.up && !x.frozen && !x.diskFull && x.syncTime == Span(4);
+    well = well && x.up && !x.frozen && !x.diskFull && x.syncTime == Duration(4);
     if (well) {
       voting += w.nodes[seq].raft->config().isVoter(x.id);
-      well = x.raft->commitNumber() + 2 >= w.nodes[seq].raft->commitNumber();
+      well = x.raft->commitIndex() + 2 >= w.nodes[seq].raft->commitIndex();
     }
   }
   well = well && !w.nodes[seq].raft->config().joint() && voting == (ips.size() % 2 ? ips.size() : ips.size() - 1) &&
@@ -121,7 +124,7 @@
     case 0:  // power lost, back with its disk
       if (n.up) {
         w.kill(ip);
-        w.at(Span(300 + w.draw(3000)), [&w, ip] { bootAgain(w, ip); });
+        w.at(Duration(300 + w.draw(3000)), [&w, ip] { bootAgain(w, ip); });
       }
       break;
     case 1:  // disks lost: only while all others are well, as the deployment promises
@@ -131,31 +134,31 @@
           const auto lost = ips[(static_cast<std::size_t>(at) + k) % ips.size()];
           w.kill(lost);
           w.nodes[lost].disk.clear();
-          w.at(Span(300 + w.draw(2000)), [&w, lost] { bootAgain(w, lost); });
+          w.at(Duration(300 + w.draw(2000)), [&w, lost] { bootAgain(w, lost); });
         }
         w.runFor(9000ms);
       }
       break;
     case 2:
       n.frozen = true;
-      w.at(Span(500 + w.draw(4000)), [&w, ip] { w.nodes[ip].frozen = false; });
+      w.at(Duration(500 + w.draw(4000)), [&w, ip] { w.nodes[ip].frozen = false; });
       break;
     case 3:
       w.cutOff(ip, w.draw(3) != 0);
-      w.at(Span(500 + w.draw(5000)), [&w] { w.cut.clear(); });
+      w.at(Duration(500 + w.draw(5000)), [&w] { w.cut.clear(); });
       break;
     case 4:
-      n.syncTime = Span(w.draw(2) ? 100 : 2500);
-      w.at(Span(4000), [&w, ip] { w.nodes[ip].syncTime = Span(4); });
+      n.syncTime = Duration(w.draw(2) ? 100 : 2500);
+      w.at(Duration(4000), [&w, ip] { w.nodes[ip].syncTime = Duration(4); });
       break;
     case 5:
       n.diskFull = true;
-      w.at(Span(3000), [&w, ip] { w.nodes[ip].diskFull = false; });
+      w.at(Duration(3000), [&w, ip] { w.nodes[ip].diskFull = false; });
       break;
     case 6:
       w.loss = 0.15;
       w.delayMost = 120;
-      w.at(Span(2500), [&w] { w.loss = 0, w.delayMost = 3; });
+      w.at(Duration(2500), [&w] { w.loss = 0, w.delayMost = 3; });
       break;
     case 7:
       if (n.up && !n.frozen)
@@ -166,14 +169,14 @@
         if (!w.nodes[o].up)
           continue;
         w.kill(o);
-        w.at(Span(200 + w.draw(900)), [&w, o] { bootAgain(w, o); });
+        w.at(Duration(200 + w.draw(900)), [&w, o] { bootAgain(w, o); });
       }
       break;
     case 9:  // a rolling restart of one
       if (n.up && !n.frozen) {
         w.leave(ip);
-        w.runFor(Span(500 + w.draw(1500)));
-        w.at(Span(w.draw(800)), [&w, ip] { bootAgain(w, ip); });
+        w.runFor(Duration(500 + w.draw(1500)));
+        w.at(Duration(w.draw(800)), [&w, ip] { bootAgain(w, ip); });
       }
       break;
     case 10:
@@ -195,10 +198,10 @@
     for (int k = 0; k < 3; ++k) {
       const auto writers = presentSeeds(w);
       w.write(writers[w.draw(writers.size())], w.draw(6) == 0 ? 40000 : 10);
-      w.runFor(Span(50 + w.draw(400)));
+      w.runFor(Duration(50 + w.draw(400)));
     }
     trouble(w);
-    w.runFor(Span(200 + w.draw(2500)));
+    w.runFor(Duration(200 + w.draw(2500)));
   }
   checkEnd(w);
   return w.timesWell;
@@ -206,7 +209,7 @@
 // The other members of a node under test: they answer everything at once.
 struct AgreeingMembers {
   RaftNode& node;
-  Instant now;
+  TimePoint now;
   const MemberId& to;
   bool& handedOver;
   void operator()(const VoteRequest& m) { node.receive(now, to, VoteResponse{m.term, m.preVote}); }
@@ -214,7 +217,7 @@
     AppendEntriesResponse response;
     response.term = m.term;
     response.heartbeatId = m.heartbeatId;
-    response.matchedNumber = m.previousNumber + static_cast<std::int64_t>(m.entries.size());
+    response.matchIndex = m.prevLogIndex + static_cast<std::int64_t>(m.entries.size());
     node.receive(now, to, response);
   }
   void operator()(const TransferLeadership&) { handedOver = true; }
@@ -328,7 +331,7 @@
 }
 // A snapshot may arrive late at a member whose log already reaches beyond it: that log was counted on.
 TEST(Order, ALateSnapshotTakesNothingBackThatWasSynced) {
-  const Instant now{100s};
+  const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
   node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   auto settle = [&] {
@@ -342,24 +345,24 @@
   AppendEntries append;
   append.term = 1;
   for (int i = 1; i <= 5; ++i) {
-    Entry entry;
-    entry.num = i;
+    LogEntry entry;
+    entry.index = i;
     entry.term = 1;
-    entry.opId = std::to_string(i);
+    entry.operationId = std::to_string(i);
     append.entries.push_back(entry);
   }
   node.receive(now, leader, append);
   settle();
   InstallSnapshot snapshot;
   snapshot.term = 1;
-  snapshot.lastNumber = 3;
+  snapshot.lastLogIndex = 3;
   snapshot.lastTerm = 1;
   snapshot.config = encodeConfig(node.config());
   node.receive(now, leader, snapshot);
   settle();
   ASSERT_NE(node.entryAt(5), nullptr) << "an entry that this member has acknowledged is gone";
-  EXPECT_EQ(node.entryAt(5)->opId, "5");
-  EXPECT_EQ(node.commitNumber(), 3);
+  EXPECT_EQ(node.entryAt(5)->operationId, "5");
+  EXPECT_EQ(node.commitIndex(), 3);
 }
 // Found by a hunt on a core of six of which two may be lost: only the three founders were members.
 TEST(Order, TwoDisksLostOfSixOrEightWhileAllOthersLosePower) {
@@ -414,7 +417,7 @@
 // A loop that comes late finds the answers of its disk late; that is no sick disk.
 TEST(Order, ALateLoopGivesNoDutyAway) {
   for (const bool late : {true, false}) {
-    Instant now{100s};
+    TimePoint now{100s};
     RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
     node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
     bool handedOver = false;
@@ -434,8 +437,8 @@
     }
     ASSERT_EQ(node.role(), Role::leader);
     diskSilent = true;
-    Entry entry;
-    entry.opId = "w";
+    LogEntry entry;
+    entry.operationId = "w";
     ASSERT_TRUE(node.submit(now, entry));
     settle();
     const int turns = late ? 3 : 20;
@@ -451,7 +454,7 @@
   World w(7);
   bootAll(w);
   for (auto& [ip, n] : w.nodes)
-    n.syncTime = Span(1500);
+    n.syncTime = Duration(1500);
   const auto first = w.leader();
   const auto term = w.nodes[first].raft->term();
   w.write(first);
@@ -496,7 +499,7 @@
   World w(6);
   bootAll(w);
   const auto first = w.leader();
-  w.nodes[first].syncTime = Span(20000);
+  w.nodes[first].syncTime = Duration(20000);
   w.write(first);
   w.runFor(3000ms);
   EXPECT_FALSE(w.leader().empty());
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -10,7 +10,15 @@
 #include "operations/runbook.hpp"
 #include "simulation/plan.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::consensus;
+using namespace zinccleat::controller;
+using namespace zinccleat::operations;
+using namespace zinccleat::runtime;
+using namespace zinccleat::simulation;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 struct Alone {
   std::unique_ptr<Core> core;
@@ -27,8 +35,8 @@
     s.tolerateMachines = static_cast<int>(others.size() / 2);
     core = std::make_unique<Core>(s);
   }
-  bool until(Span within, const std::function<bool()>& f) {
-    for (const auto end = Clock::now() + within; Clock::now() < end; EventLoop::get().pause(5ms))
+  bool until(Duration within, const std::function<bool()>& f) {
+    for (const auto end = Clock::now() + within; Clock::now() < end; EventLoop::get().sleepFor(5ms))
       if (f())
         return true;
     return false;
@@ -39,7 +47,7 @@
 };
 /// Runs f in a fiber of the loop until it ends.
 void onLoop(const std::function<void()>& f) {
-  EventLoop::get().launch([f] {
+  EventLoop::get().spawn([f] {
     f();
     EventLoop::get().stop();
   });
@@ -59,7 +67,7 @@
 // Found as a core machine over its memory: an answer to each refetch was added to what already waited.
 TEST(Core, ATenderThatDoesNotReadCostsABoundedBacklog) {
   static std::vector<std::unique_ptr<Alone>> kept;  // its timers refer to it
-  EventLoop::get().launch([] {
+  EventLoop::get().spawn([] {
     kept.push_back(std::make_unique<Alone>("127.0.5.1"));
     auto& a = *kept.back();
     ASSERT_TRUE(a.core->start());
@@ -68,15 +76,15 @@
     for (int v = 1; v <= 3; ++v) {
       const auto b = body(v);
       size = b.size();
-      const auto r = a.core->write(configurationOp(v - 1, v, b, a.core->operationId()), 5000ms);
+      const auto r = a.core->write(configurationEntry(v - 1, v, b, a.core->operationId()), 5000ms);
       ASSERT_TRUE(r && *r == 200);
     }
     ASSERT_GT(size, 150'000U);
     Connection deaf;
-    Ec ec;
-    deaf.sock().open(tcp::v4(), ec);
-    deaf.sock().set_option(asio::socket_base::receive_buffer_size(4096), ec);
-    deaf.sock().connect(*parseEndpoint("127.0.5.1:7960"), ec);
+    SocketError ec;
+    deaf.socket().open(tcp::v4(), ec);
+    deaf.socket().set_option(asio::socket_base::receive_buffer_size(4096), ec);
+    deaf.socket().connect(*parseEndpoint("127.0.5.1:7960"), ec);
     ASSERT_FALSE(ec);
     auto say = [&](const auto& message) {
       const auto frame = frameOf(pack(message, "127.0.5.9#agent"));
@@ -86,10 +94,10 @@
     std::int64_t most = 0;
     for (int i = 0; i < 120; ++i) {
       FollowLog follow;
-      follow.appliedNumber = 1;
+      follow.lastApplied = 1;
       follow.refetch = true;
       say(follow);
-      EventLoop::get().pause(2ms);
+      EventLoop::get().sleepFor(2ms);
       most = std::max(most, a.status("waitingBytes"));
     }
     EXPECT_EQ(a.status("agents"), 1);
@@ -125,14 +133,14 @@
     auto& a = *kept().back();
     ASSERT_TRUE(a.core->start());
     Connection leader;
-    Ec ec;
+    SocketError ec;
     leader.connect(*parseEndpoint("127.0.5.5:7960"), ec);
     ASSERT_FALSE(ec);
     InstallSnapshot snapshot;
     snapshot.term = 1;
-    snapshot.lastNumber = 40;
+    snapshot.lastLogIndex = 40;
     snapshot.lastTerm = 1;
-    snapshot.commitNumber = 40;
+    snapshot.commitIndex = 40;
     snapshot.config = "127.0.5.5#0 127.0.5.6#0 127.0.5.7#0";
     snapshot.state = "no state at all \xff\xff\xff\xff\xff\xff\xff\xff\xff\xff";
     auto say = [&] {
@@ -144,8 +152,8 @@
     EXPECT_EQ(a.status("released"), 0);
     EXPECT_EQ(a.status("applied"), 0);
     ReplicatedState whole;
-    auto entry = configurationOp(0, 1, body(1), "op");
-    entry.num = 40;
+    auto entry = configurationEntry(0, 1, body(1), "op");
+    entry.index = 40;
     whole.apply(entry);
     snapshot.state = whole.snapshot();
     say();
@@ -171,14 +179,14 @@
     const auto otherType = frameOf({MessageType{99}, "127.0.5.9#0", ""});
     for (const auto& frame : {otherFormat, otherFields, noSender, noConsensus, otherType}) {
       Connection stranger;
-      Ec ec;
+      SocketError ec;
       stranger.connect(*parseEndpoint("127.0.5.8:7960"), ec);
       stranger.write(asio::buffer(frame), ec);
       char byte = 0;
-      stranger.due(Clock::now() + 5s);
+      stranger.setDeadline(Clock::now() + 5s);
       stranger.read(asio::buffer(&byte, 1), ec);
       EXPECT_TRUE(ec);
-      EXPECT_FALSE(stranger.late()) << "the far end closes it";
+      EXPECT_FALSE(stranger.deadlineExceeded()) << "the far end closes it";
     }
     EXPECT_EQ(a.status("framesDeclined"), before + 5);
     EXPECT_EQ(a.status("framesOfOtherFormats"), others + 1);
@@ -211,8 +219,8 @@
 }
 TEST(Core, OnlyAWholeStateIsAValidSnapshot) {
   ReplicatedState copy;
-  auto entry = configurationOp(0, 1, body(1), "op");
-  entry.num = 1;
+  auto entry = configurationEntry(0, 1, body(1), "op");
+  entry.index = 1;
   copy.apply(entry);
   EXPECT_TRUE(snapshotIsValid(copy.snapshot()));
   EXPECT_FALSE(snapshotIsValid(copy.snapshotFor(copy.state().digest))) << "a part of one";
--- a/tests/delta_test.cpp
+++ b/tests/delta_test.cpp
@@ -10,7 +10,9 @@
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 struct Text {
   std::vector<std::string> routes, tenants;
@@ -71,8 +73,8 @@
 struct Chain {
   ReplicatedState copy;
   std::int64_t n = 0;
-  ReplicatedState::Change put(Entry e) {
-    e.num = ++n;
+  ReplicatedState::Change put(LogEntry e) {
+    e.index = ++n;
     return copy.apply(e);
   }
 };
@@ -87,8 +89,8 @@
     std::size_t differences = 0;
     for (int i = 0; i < 40; ++i) {
       const auto body = t.body();
-      auto e = changeOp(base, t.version, body, "w" + std::to_string(i), a.copy.state());
-      differences += e.op() == OpKind::difference;
+      auto e = configurationChangeEntry(base, t.version, body, "w" + std::to_string(i), a.copy.state());
+      differences += e.op() == OperationKind::difference;
       EXPECT_FALSE(a.put(e).damaged);
       ASSERT_EQ(a.copy.state().configuration, body) << "seed " << seed;
       ASSERT_EQ(a.copy.state().version, t.version);
@@ -145,37 +147,37 @@
 TEST(Delta, ADifferenceOnAnotherVersionLosesItsRace) {
   Text t(5, 5);
   Chain a;
-  a.put(changeOp(0, 1, t.body(), "w1", a.copy.state()));
+  a.put(configurationChangeEntry(0, 1, t.body(), "w1", a.copy.state()));
   const auto on1 = a.copy.state();
   t.version = 2, t.tenants.pop_back();
   const auto second = t.body();
   t.version = 3, t.routes.pop_back();
-  auto x = changeOp(1, 2, second, "w2", on1);
-  auto y = changeOp(1, 3, t.body(), "w3", on1);
-  ASSERT_EQ(x.op(), OpKind::difference);
+  auto x = configurationChangeEntry(1, 2, second, "w2", on1);
+  auto y = configurationChangeEntry(1, 3, t.body(), "w3", on1);
+  ASSERT_EQ(x.op(), OperationKind::difference);
   a.put(x);
   a.put(y);
   a.put(x);
-  EXPECT_EQ(a.copy.verdictOf(x.opId), 200);
-  EXPECT_EQ(a.copy.verdictOf(y.opId), 412);
+  EXPECT_EQ(a.copy.outcomeOf(x.operationId), 200);
+  EXPECT_EQ(a.copy.outcomeOf(y.operationId), 412);
   EXPECT_EQ(a.copy.state().configuration, second);
 }
 TEST(Delta, ACopyThatDiffersKnowsItAndHealsByTheWhole) {
   Text t(5, 5);
   Chain good;
   Chain ill;
-  const auto first = changeOp(0, 1, t.body(), "w1", good.copy.state());
+  const auto first = configurationChangeEntry(0, 1, t.body(), "w1", good.copy.state());
   good.put(first);
   auto other = first;
-  other.blob.replace(other.blob.find("t6"), 2, "t9");  // as if memory had failed it
+  other.body.replace(other.body.find("t6"), 2, "t9");  // as if memory had failed it
   ill.put(other);
   t.version = 2, t.tenants.pop_back();
-  const auto second = changeOp(1, 2, t.body(), "w2", good.copy.state());
+  const auto second = configurationChangeEntry(1, 2, t.body(), "w2", good.copy.state());
   EXPECT_FALSE(good.put(second).damaged);
   EXPECT_TRUE(ill.put(second).damaged);
   EXPECT_TRUE(ill.copy.damaged());
   t.version = 3, t.routes.pop_back();
-  const auto third = changeOp(2, 3, t.body(), "w3", good.copy.state());
+  const auto third = configurationChangeEntry(2, 3, t.body(), "w3", good.copy.state());
   good.put(third);
   EXPECT_TRUE(ill.put(third).damaged) << "and stays so";
   EXPECT_FALSE(ill.copy.restore(good.copy.snapshotFor(good.copy.state().digest)))
@@ -188,13 +190,13 @@
   Text t(40, 500);
   Chain a;
   Chain away;
-  auto e = changeOp(0, 1, t.body(), "w1", a.copy.state());
+  auto e = configurationChangeEntry(0, 1, t.body(), "w1", a.copy.state());
   a.put(e), away.put(e);
   const auto held = away.copy.state().digest;
   EXPECT_LT(a.copy.snapshotFor(held).size(), 1000U) << "the very same";
   for (int i = 2; i < 4; ++i) {
     t.version = i, t.tenants[static_cast<std::size_t>(i)] = t.tenant();
-    a.put(changeOp(i - 1, i, t.body(), "w" + std::to_string(i), a.copy.state()));
+    a.put(configurationChangeEntry(i - 1, i, t.body(), "w" + std::to_string(i), a.copy.state()));
   }
   const auto s = a.copy.snapshotFor(held);
   EXPECT_LT(s.size(), 2000U) << "of " << a.copy.snapshot().size();
@@ -202,7 +204,7 @@
   EXPECT_EQ(away.copy.snapshotFor({}), a.copy.snapshotFor({}));
   for (int i = 4; i < 12; ++i) {
     t.version = i, t.tenants[static_cast<std::size_t>(i)] = t.tenant();
-    a.put(changeOp(i - 1, i, t.body(), "w" + std::to_string(i), a.copy.state()));
+    a.put(configurationChangeEntry(i - 1, i, t.body(), "w" + std::to_string(i), a.copy.state()));
   }
   const auto far = a.copy.snapshotFor(held);
   EXPECT_GT(far.size(), t.body().size()) << "long away: the whole";
@@ -228,7 +230,7 @@
   const auto frame = frameOf(pack(big));
   std::string partial;
   std::string buf =
-      piece(frame.substr(0, 20000), false) + frameOf(pack(LeaseAnswer{})) + piece(frame.substr(20000), true);
+      piece(frame.substr(0, 20000), false) + frameOf(pack(LeaseResponse{})) + piece(frame.substr(20000), true);
   std::vector<Envelope> got;
   // Byte by byte, as the network may bring it.
   std::string sofar;
@@ -240,7 +242,7 @@
       got.push_back(m);
   }
   ASSERT_EQ(got.size(), 2U);
-  EXPECT_EQ(got[0].type, MessageType::leaseAnswer);
+  EXPECT_EQ(got[0].type, MessageType::leaseResponse);
   const auto back = unpack<FeedSnapshot>(got[1]);
   ASSERT_TRUE(back);
   EXPECT_EQ(back->number, 9);
--- a/tests/fuzz/configurations_fuzzer.cpp
+++ b/tests/fuzz/configurations_fuzzer.cpp
@@ -4,7 +4,8 @@
 #include "fuzz_target.hpp"
 
 namespace {
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
 void checkConfiguration(const Configuration& c) {
   const auto services = static_cast<int>(c.services.size());
   for (auto& route : c.routes) {
@@ -19,8 +20,8 @@
 void parseAnything(std::string_view input) {
   if (const auto configuration = parseConfiguration(input))
     checkConfiguration(**configuration);
-  (void)parseBeat("i-1", input);
-  (void)parseClosure(input);
+  (void)parseRunnerHeartbeat("i-1", input);
+  (void)parseZoneDrainCall(input);
   const auto quoted = quoteJson(input);
   fuzz::require(quoted.size() >= 2 && quoted.front() == '"' && quoted.back() == '"');
 }
--- a/tests/fuzz/differences_fuzzer.cpp
+++ b/tests/fuzz/differences_fuzzer.cpp
@@ -3,7 +3,8 @@
 #include "state_machine/delta.hpp"
 
 namespace {
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::state_machine;
 constexpr std::string_view kBase = R"({"configVersion":1,"routeTable":[{"label":"a"},{"label":"b"}],"limits":{}})";
 
 void applyAsDifference(std::string_view input) {
--- a/tests/fuzz/frames_fuzzer.cpp
+++ b/tests/fuzz/frames_fuzzer.cpp
@@ -4,7 +4,8 @@
 #include "transport/peer_link.hpp"
 
 namespace {
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::transport;
 // The stream comes in reads; the input's first byte says how long each is.
 void unframeInReads(std::string_view input) {
   if (input.empty())
@@ -30,18 +31,18 @@
   }
 }
 std::vector<std::string> frameExamples() {
-  Entry entry;
-  entry.num = 7;
+  LogEntry entry;
+  entry.index = 7;
   entry.term = 3;
   entry.kind = 2;
-  entry.opId = "runner/i1/in/4";
-  entry.blob = "blob";
+  entry.operationId = "runner/i1/in/4";
+  entry.body = "blob";
   FeedEntries entries;
   entries.entries = {entry, entry};
   const auto feed = pack(entries, "10.0.0.1#0");
-  LeaseAnswer answer;
+  LeaseResponse answer;
   answer.granted = true;
-  answer.question = 9;
+  answer.requestId = 9;
   answer.grants = {{"tenant", 1.5, 2}};
   const auto lease = pack(answer);
   const auto whole = frameOf(feed);
--- a/tests/fuzz/fuzz_target.hpp
+++ b/tests/fuzz/fuzz_target.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace zc::fuzz {
+namespace zinccleat::fuzz {
 struct Target {
   const char* name;                        // its folder under tests/fuzz/corpus
   void (*run)(std::string_view input);     // aborts on what must not be
@@ -26,7 +26,7 @@
   if (!holds)
     std::abort();
 }
-}  // namespace zc::fuzz
+}  // namespace zinccleat::fuzz
 
 #ifdef ZINCCLEAT_LIBFUZZER
 #include <cstdio>
@@ -51,5 +51,5 @@
   }
 #else
 #define ZINCCLEAT_FUZZ_TARGET(NAME, RUN, EXAMPLES) \
-  static const zc::fuzz::Registration registration({#NAME, RUN, EXAMPLES});
+  static const zinccleat::fuzz::Registration registration({#NAME, RUN, EXAMPLES});
 #endif
--- a/tests/fuzz/records_fuzzer.cpp
+++ b/tests/fuzz/records_fuzzer.cpp
@@ -3,7 +3,10 @@
 #include "storage/storage.hpp"
 
 namespace {
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::storage;
+using namespace zinccleat::transport;
 constexpr std::size_t kDigestLength = 32;
 // How long the mark before a record's checksum is: an encoded empty record holds mark, checksum, body.
 std::size_t markLength() {
@@ -34,9 +37,9 @@
   whole.seq = 1, whole.term = 3, whole.self = "10.0.0.1#0", whole.votedFor = "10.0.0.2#0", whole.full = true;
   whole.snapshotConfig = "config", whole.state = "state";
   DiskRecord part;
-  part.seq = 2, part.term = 3, part.self = whole.self, part.fromNumber = 5;
-  Entry entry;
-  entry.num = 5, entry.opId = "operation", entry.blob = "blob";
+  part.seq = 2, part.term = 3, part.self = whole.self, part.fromIndex = 5;
+  LogEntry entry;
+  entry.index = 5, entry.operationId = "operation", entry.body = "blob";
   part.entries = {entry};
   std::vector<std::string> examples;
   for (auto& record : {whole, part})
--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -6,7 +6,8 @@
 #include "proxy/http.hpp"
 
 namespace {
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::proxy;
 constexpr std::uint32_t kHeaderLimit = 2048;
 constexpr std::size_t kBodyLimit = 4096;
 
@@ -47,7 +48,7 @@
 void checkOutboundHead(const RequestParser::value_type& request) {
   Outbound outbound;
   outbound.expectedInstance = "i-1";
-  outbound.left = Span(500);
+  outbound.left = Duration(500);
   const auto head = outboundHead(request, outbound, request.body().size());
   fuzz::require(head.size() >= 4 && head.substr(head.size() - 4) == "\r\n\r\n");
   fuzz::require(count(head, "\r\n\r\n") == 1);
--- a/tests/fuzz/snapshots_fuzzer.cpp
+++ b/tests/fuzz/snapshots_fuzzer.cpp
@@ -3,21 +3,23 @@
 #include "state_machine/replicated_state.hpp"
 
 namespace {
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 ReplicatedState copyWith(int changes) {
   ReplicatedState copy;
   std::int64_t number = 0;
-  auto put = [&](Entry e) {
-    e.num = ++number;
+  auto put = [&](LogEntry e) {
+    e.index = ++number;
     copy.apply(e);
   };
   for (int i = 1; i <= changes; ++i) {
     const auto version = std::to_string(i);
     const auto body = R"({"configVersion":)" + version + R"(,"routeTable":[{"label":"route"},{"label":"another"}]})";
-    put(changeOp(i - 1, i, body, "operator/" + version, copy.state()));
-    put(runnerOp(Runner{"i" + version, "s", "a:" + version, "z", 4, 1, i % 3}, "runner/" + version));
+    put(configurationChangeEntry(i - 1, i, body, "operator/" + version, copy.state()));
+    put(runnerEntry(Runner{"i" + version, "s", "a:" + version, "z", 4, 1, i % 3}, "runner/" + version));
   }
-  put(closureOp(Closure{"z", "note", 10, false}, false, "closure"));
+  put(zoneDrainEntry(ZoneDrain{"z", "note", 10, false}, false, "closure"));
   return copy;
 }
 void restoreFrom(std::string_view input) {
@@ -31,8 +33,8 @@
   fuzz::require(again.restore(copy.snapshot()).has_value());
   fuzz::require(again.snapshot() == copy.snapshot());
   // It goes on from there.
-  auto e = configurationOp(copy.state().version, copy.state().version + 1, "{}", "the next");
-  e.num = copy.state().num + 1;
+  auto e = configurationEntry(copy.state().version, copy.state().version + 1, "{}", "the next");
+  e.index = copy.state().index + 1;
   (void)copy.apply(e);
 }
 std::vector<std::string> snapshotExamples() {
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -9,7 +9,7 @@
 #include "fuzz/fuzz_target.hpp"
 
 namespace {
-using zc::fuzz::Target;
+using zinccleat::fuzz::Target;
 constexpr std::uint64_t kSeed = 14;
 constexpr int kMutationsOfEachTarget = 4000;
 constexpr std::size_t kLongestInput = 8192;
@@ -59,10 +59,10 @@
 }
 class FuzzTargets : public testing::TestWithParam<std::size_t> {
  protected:
-  const Target& target() const { return zc::fuzz::targets()[GetParam()]; }
+  const Target& target() const { return zinccleat::fuzz::targets()[GetParam()]; }
 };
 std::string nameOfTarget(const testing::TestParamInfo<std::size_t>& info) {
-  return zc::fuzz::targets()[info.param].name;
+  return zinccleat::fuzz::targets()[info.param].name;
 }
 }  // namespace
 
@@ -87,5 +87,5 @@
 // Why by number: the targets enter their table while the program starts, in no certain order.
 INSTANTIATE_TEST_SUITE_P(All, FuzzTargets, testing::Range<std::size_t>(0, 6), nameOfTarget);
 TEST(FuzzTargetTable, HoldsAllTargets) {
-  EXPECT_EQ(zc::fuzz::targets().size(), 6U);
+  EXPECT_EQ(zinccleat::fuzz::targets().size(), 6U);
 }
--- a/tests/golden_calls_test.cpp
+++ b/tests/golden_calls_test.cpp
@@ -11,7 +11,14 @@
 #include "golden_files.hpp"
 #include "runtime/event_loop.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::consensus;
+using namespace zinccleat::controller;
+using namespace zinccleat::runtime;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::storage;
+using namespace zinccleat::transport;
 namespace {
 /// A core machine whose surroundings the test sets. Nothing waits.
 struct FixedCore final : CoreServices {
@@ -20,7 +27,7 @@
   bool contact = true, reaches = true, commits = true, readsFresh = true;
   std::string leader;
   double rate = 0;
-  Outcome<std::string> hints = "seal\nnews";
+  Result<std::string> hints = "seal\nnews";
   std::int64_t writes = 0;
   std::string written;  // a line for each
 
@@ -28,29 +35,29 @@
   const Settings& settings() const override { return its; }
   const ReplicatedState& copy() const override { return state; }
   bool inContact() const override { return contact; }
-  bool awaitContact(Span /*within*/) override { return contact; }
+  bool awaitContact(Duration /*within*/) override { return contact; }
   bool heartbeatsReachLeader() const override { return reaches; }
   void noteHeartbeat(const std::string& /*runnerId*/) override {}
-  Outcome<std::int32_t> write(Entry entry, Span /*within*/) override {
+  Result<std::int32_t> write(LogEntry entry, Duration /*within*/) override {
     if (!commits)
-      return fault(503, "no outcome yet");
-    const auto id = entry.opId;
+      return makeError(ErrorCode::unavailable, "no outcome yet");
+    const auto id = entry.operationId;
     written += "writes " + id + ", kind " + std::to_string(entry.kind) + ", base " + std::to_string(entry.base) + "\n";
-    entry.num = ++writes;
+    entry.index = ++writes;
     state.apply(entry);
-    return *state.verdictOf(id);
+    return *state.outcomeOf(id);
   }
-  Outcome<void> fresh(Span /*within*/) override {
+  Result<void> fresh(Duration /*within*/) override {
     if (!readsFresh)
-      return fault(503, "no fresh lease");
+      return makeError(ErrorCode::unavailable, "no fresh lease");
     return {};
   }
   std::string operationId() override { return "operator/" + std::to_string(writes); }
   std::string leaderControl() const override { return leader; }
   double requestsPerS() const override { return rate; }
   std::string statusJson() const override { return R"({"status":"of the core"})"; }
-  std::string closuresJson() const override { return R"({"closures":"of the core"})"; }
-  Outcome<std::string> hintsFrom(std::string_view /*body*/, std::string_view /*seal*/) override { return hints; }
+  std::string zoneDrainsJson() const override { return R"({"closures":"of the core"})"; }
+  Result<std::string> hintsFrom(std::string_view /*body*/, std::string_view /*seal*/) override { return hints; }
 };
 
 using Situation = std::function<void(FixedCore&)>;
@@ -74,10 +81,10 @@
   core.rate = 321.5;
 }
 void withoutPartner(FixedCore& core) {
-  core.hints = fault(404, "no partner site");
+  core.hints = makeError(ErrorCode::notFound, "no partner site");
 }
 void withStranger(FixedCore& core) {
-  core.hints = fault(403, "hints of a stranger");
+  core.hints = makeError(ErrorCode::permissionDenied, "hints of a stranger");
 }
 std::string configuration(int version, const std::string& label = "a") {
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[],"serviceTable":[{"label":")" + label +
@@ -238,15 +245,15 @@
   FixedCore before;
   holdsVersion3(before);
   holdsRunner(before);
-  (void)before.write(runnerOp({"i-2", "t", "10.0.1.2:80", "z", 4, 8, 1}, "runner/i-2"), Span(0));
-  (void)before.write(closureOp({"zone-1", "a \"note\"", 50, false}, false, "closure/1"), Span(0));
-  (void)before.write(closureOp({"zone-2", "b", 100, true}, false, "closure/2"), Span(0));
+  (void)before.write(runnerEntry({"i-2", "t", "10.0.1.2:80", "z", 4, 8, 1}, "runner/i-2"), Duration(0));
+  (void)before.write(zoneDrainEntry({"zone-1", "a \"note\"", 50, false}, false, "closure/1"), Duration(0));
+  (void)before.write(zoneDrainEntry({"zone-2", "b", 100, true}, false, "closure/2"), Duration(0));
   DiskRecord record;
   record.seq = 1;
   record.term = 12;
   record.self = std::string(ip) + "#77";
   record.full = true;
-  record.snapshotNumber = before.writes;
+  record.snapshotIndex = before.writes;
   record.snapshotTerm = 11;
   record.snapshotConfig = record.self;
   record.state = before.state.snapshot();
@@ -254,7 +261,7 @@
 
   kept.push_back(std::make_unique<Core>(settings));
   const auto started = kept.back()->start();
-  EXPECT_TRUE(started) << started.error().text;
+  EXPECT_TRUE(started) << started.error().message;
   return *kept.back();
 }
 /// The text with the value of a number of this name set to 0: other tests of this process may have counted.
@@ -283,11 +290,11 @@
 
 // In the suite `Core`, whose tests run one at a time: it listens on loopback.
 TEST(Core, ReportsAsInTheGoldenFiles) {
-  EventLoop::get().launch([] {
+  EventLoop::get().spawn([] {
     const auto& core = recoveredCore();
     const auto status = withoutCount(withoutCount(core.statusJson(), "framesDeclined"), "framesOfOtherFormats");
     golden::expectStored("core_status.json", status);
-    golden::expectStored("core_closures.json", core.closuresJson());
+    golden::expectStored("core_closures.json", core.zoneDrainsJson());
     EventLoop::get().stop();
   });
   EventLoop::get().run();
--- a/tests/golden_files.cpp
+++ b/tests/golden_files.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-namespace zc::golden {
+namespace zinccleat::golden {
 namespace {
 const std::filesystem::path kFolder = "tests/golden";  // tests run in the root of the source tree
 constexpr std::size_t kBytesPerLine = 32;
@@ -46,15 +46,15 @@
 std::string spelled(const std::string& file, const std::string& bytes) {
   return isBinary(file) ? hexOf(bytes) : bytes;
 }
-Outcome<std::string> textOf(const std::string& file) {
+Result<std::string> textOf(const std::string& file) {
   std::ifstream in(kFolder / file, std::ios::binary);
   if (!in)
-    return fault(0, "no golden file " + file + "; see tests/golden/README.md");
+    return makeError(ErrorCode::ioError, "no golden file " + file + "; see tests/golden/README.md");
   std::ostringstream text;
   text << in.rdbuf();
   auto all = std::move(text).str();
   if (!all.ends_with('\n'))
-    return fault(0, "golden file " + file + " does not end with a line feed");
+    return makeError(ErrorCode::ioError, "golden file " + file + " does not end with a line feed");
   all.pop_back();
   return all;
 }
@@ -65,7 +65,7 @@
 }
 }  // namespace
 
-Outcome<std::string> stored(const std::string& file) {
+Result<std::string> stored(const std::string& file) {
   auto text = textOf(file);
   if (!text || !isBinary(file))
     return text;
@@ -75,7 +75,7 @@
   if (writesMissing())
     writeIfMissing(file, bytes);
   const auto text = textOf(file);
-  ASSERT_TRUE(text) << text.error().text;
+  ASSERT_TRUE(text) << text.error().message;
   EXPECT_EQ(spelled(file, bytes), *text) << file;
 }
 void check(const Case& golden) {
@@ -85,7 +85,7 @@
   if (!bytes || !golden.decodeAndEncode)
     return;
   const auto again = golden.decodeAndEncode(*bytes);
-  ASSERT_TRUE(again) << golden.file << ": " << again.error().text;
+  ASSERT_TRUE(again) << golden.file << ": " << again.error().message;
   EXPECT_EQ(spelled(golden.file, *again), spelled(golden.file, *bytes)) << golden.file << ", decoded";
 }
 std::set<std::string> files() {
@@ -97,4 +97,4 @@
   }
   return names;
 }
-}  // namespace zc::golden
+}  // namespace zinccleat::golden
--- a/tests/golden_files.hpp
+++ b/tests/golden_files.hpp
@@ -7,20 +7,20 @@
 
 #include "runtime/common.hpp"
 
-namespace zc::golden {
+namespace zinccleat::golden {
 /// A value whose encoding is stored. `decodeAndEncode` reads the stored bytes with the product's code and encodes what
 /// it has read again.
 struct Case {
   std::string file;  ///< in tests/golden; `.hex` for bytes, `.txt` or `.json` for text
   std::function<std::string()> encode;
-  std::function<Outcome<std::string>(std::string)> decodeAndEncode;
+  std::function<Result<std::string>(std::string)> decodeAndEncode;
   std::string weakValue;  ///< why a swapped or dropped field could go unseen in this value; empty: it can't
 
   std::string name() const { return file.substr(0, file.rfind('.')); }
   friend std::ostream& operator<<(std::ostream& out, const Case& golden) { return out << golden.name(); }
 };
 /// The content of a golden file as the bytes that it stands for.
-Outcome<std::string> stored(const std::string& file);
+Result<std::string> stored(const std::string& file);
 /// Expects that the file exists and holds exactly these bytes. With ZINCCLEAT_WRITE_GOLDEN=1 in the environment a file
 /// that does not exist is written first; one that exists is never changed.
 void expectStored(const std::string& file, const std::string& bytes);
@@ -75,4 +75,4 @@
   value.fields(fields);
   return fields.weakness();
 }
-}  // namespace zc::golden
+}  // namespace zinccleat::golden
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -11,7 +11,12 @@
 #include "transport/avro.hpp"
 #include "transport/peer_link.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::hints;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::storage;
+using namespace zinccleat::transport;
 using golden::Case;
 namespace {
 const std::string kSender = "10.0.0.4#77";
@@ -21,7 +26,7 @@
 /// A record without anything around it.
 template <class T>
 Case recordCase(const std::string& file, const T& value) {
-  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [](const std::string& bytes) -> Result<std::string> {
     auto decoded = avro::decode<T>(bytes);
     if (!decoded)
       return tl::unexpected(decoded.error());
@@ -32,29 +37,29 @@
 /// The consensus's own messages, without their frame.
 template <class T>
 Case consensusCase(const std::string& file, const T& message) {
-  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto decoded = decodeMessage(bytes);
     if (!decoded)
       return tl::unexpected(decoded.error());
     if (!std::holds_alternative<T>(*decoded))
-      return fault(0, "decoded as another message");
+      return makeError(ErrorCode::ioError, "decoded as another message");
     return encodeMessage(*decoded);
   };
   return {file, [message] { return encodeMessage(message); }, again, golden::weaknessOf(message)};
 }
-Outcome<Envelope> onlyEnvelopeIn(std::string frames) {
+Result<Envelope> onlyEnvelopeIn(std::string frames) {
   std::string pieces;
   auto envelopes = unframe(frames, &pieces);
   if (!envelopes)
     return tl::unexpected(envelopes.error());
   if (envelopes->size() != 1 || !frames.empty() || !pieces.empty())
-    return fault(0, "not one whole frame");
+    return makeError(ErrorCode::ioError, "not one whole frame");
   return std::move(envelopes->front());
 }
 /// A whole frame: head, type, sender, fields.
 template <class T>
 Case frameCase(const std::string& file, const T& message) {
-  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto envelope = onlyEnvelopeIn(bytes);
     if (!envelope)
       return tl::unexpected(envelope.error());
@@ -66,7 +71,7 @@
   return {file, [message] { return frameOf(pack(message, kSender)); }, again, golden::weaknessOf(message)};
 }
 Case diskCase(const std::string& file, const DiskRecord& record, std::string weakValue) {
-  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto decoded = decodeRecord(bytes);
     if (!decoded)
       return tl::unexpected(decoded.error());
@@ -75,13 +80,13 @@
   return {file, [record] { return encodeRecord(record); }, again, std::move(weakValue)};
 }
 Case configCase(const std::string& file, const ClusterConfig& config) {
-  const auto again = [](const std::string& text) -> Outcome<std::string> { return encodeConfig(decodeConfig(text)); };
+  const auto again = [](const std::string& text) -> Result<std::string> { return encodeConfig(decodeConfig(text)); };
   return {file, [config] { return encodeConfig(config); }, again, ""};
 }
 /// A snapshot that `held` restores; `encodeHeld` then writes it again.
 Case snapshotCase(const std::string& file, std::function<std::string()> encode, const ReplicatedState& held,
                   const std::function<std::string(const ReplicatedState&)>& encodeHeld) {
-  const auto again = [held, encodeHeld](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [held, encodeHeld](const std::string& bytes) -> Result<std::string> {
     auto copy = held;
     if (auto restored = copy.restore(bytes); !restored)
       return tl::unexpected(restored.error());
@@ -92,18 +97,18 @@
 
 // --- values: no field at its default, no two of one type alike ---
 
-Entry entryNumbered(std::int64_t serial) {
+LogEntry entryNumbered(std::int64_t serial) {
   const auto text = std::to_string(serial);
-  return {.num = 5000000000 + serial,
+  return {.index = 5000000000 + serial,
           .term = 60000 + serial,
           .kind = static_cast<std::int32_t>(serial),
           .base = 7000 + serial,
-          .opId = "10.0.0.4#77/00000000000000ff." + text + "@" + text,
+          .operationId = "10.0.0.4#77/00000000000000ff." + text + "@" + text,
           .digest = "digest-" + text,
-          .blob = "blob-" + text,
+          .body = "blob-" + text,
           .omitted = true};
 }
-const std::vector<Entry> kEntries{entryNumbered(1), entryNumbered(2)};
+const std::vector<LogEntry> kEntries{entryNumbered(1), entryNumbered(2)};
 std::vector<Grant> grants(const std::string& label, double from) {
   return {{.label = label + "-1", .rate = from + 0.25, .burst = from + 0.5},
           {.label = label + "-2", .rate = from + 1.25, .burst = from + 1.5}};
@@ -115,27 +120,27 @@
                                                               .preVote = true,
                                                               .transferredTerm = 299,
                                                               .endedLeaseTerm = 288,
-                                                              .lastNumber = 5000000001,
+                                                              .lastLogIndex = 5000000001,
                                                               .lastTerm = 277}),
       consensusCase("consensus_vote_response.hex", VoteResponse{.term = 301, .preVote = true}),
       consensusCase("consensus_append_entries.hex", AppendEntries{.term = 301,
-                                                                  .previousNumber = 4999999999,
-                                                                  .previousTerm = 300,
-                                                                  .commitNumber = 4999999998,
+                                                                  .prevLogIndex = 4999999999,
+                                                                  .prevLogTerm = 300,
+                                                                  .commitIndex = 4999999998,
                                                                   .heartbeatId = 70002,
                                                                   .leaderHasLease = true,
                                                                   .entries = kEntries}),
       consensusCase(
           "consensus_append_entries_response.hex",
-          AppendEntriesResponse{.term = 301, .heartbeatId = 70002, .matchedNumber = 4999999997, .mismatch = true}),
+          AppendEntriesResponse{.term = 301, .heartbeatId = 70002, .matchIndex = 4999999997, .mismatch = true}),
       consensusCase("consensus_append_entries_response_of_newcomer.hex",
-                    AppendEntriesResponse{.term = 301, .heartbeatId = 70002, .matchedNumber = -1, .mismatch = true}),
+                    AppendEntriesResponse{.term = 301, .heartbeatId = 70002, .matchIndex = -1, .mismatch = true}),
       consensusCase("consensus_install_snapshot.hex", InstallSnapshot{.term = 301,
-                                                                      .lastNumber = 5000000003,
+                                                                      .lastLogIndex = 5000000003,
                                                                       .lastTerm = 300,
                                                                       .config = "10.0.0.4#77 10.0.0.5#0",
                                                                       .state = "applied state",
-                                                                      .commitNumber = 5000000009}),
+                                                                      .commitIndex = 5000000009}),
       consensusCase("consensus_transfer_leadership.hex", TransferLeadership{.term = 301}),
       consensusCase("consensus_join_request.hex", JoinRequest{.member = "10.0.0.6#123", .forwarded = true}),
       consensusCase("consensus_leave_request.hex", LeaveRequest{.term = 301, .requestId = 987654321}),
@@ -149,7 +154,7 @@
   const auto frame = [] {
     return frameOf({MessageType::consensus, kSender, encodeMessage(VoteResponse{.term = 301, .preVote = true})});
   };
-  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto envelope = onlyEnvelopeIn(bytes);
     if (!envelope)
       return tl::unexpected(envelope.error());
@@ -161,45 +166,47 @@
   return {
       consensusFrameCase(),
       frameCase("frame_submit_entry.hex", SubmitEntry{.entry = entryNumbered(3)}),
-      frameCase("frame_submit_receipt.hex", SubmitReceipt{.accepted = true}),
-      frameCase("frame_read_index_question.hex", ReadIndexQuestion{.question = 4001}),
+      frameCase("frame_submit_receipt.hex", SubmitEntryResponse{.accepted = true}),
+      frameCase("frame_read_index_question.hex", ReadIndexRequest{.requestId = 4001}),
       frameCase("frame_read_index_answer.hex",
-                ReadIndexAnswer{.question = 4002, .underLease = true, .commitNumber = 5000000004}),
+                ReadIndexResponse{.requestId = 4002, .underLease = true, .commitIndex = 5000000004}),
       frameCase("frame_heartbeat_batch.hex",
                 HeartbeatBatch{.number = 41, .runners = {{.id = "i-1", .ageMs = 250}, {.id = "i-2", .ageMs = 1200}}}),
-      frameCase("frame_heartbeat_receipt.hex", HeartbeatReceipt{.number = 42}),
+      frameCase("frame_heartbeat_receipt.hex", HeartbeatBatchResponse{.number = 42}),
       frameCase("frame_agent_state.hex",
-                AgentState{.appliedNumber = 5000000005, .view = {"10.0.0.7/core", "10.0.0.8/core"}}),
-      frameCase("frame_cluster_standing.hex", ClusterStanding{.term = 301,
-                                                              .leader = "10.0.0.5#0",
-                                                              .voters = {"10.0.0.4#77", "10.0.0.5#0", "10.0.0.6#123"},
-                                                              .commitNumber = 5000000006,
-                                                              .view = {"10.0.0.9/core"}}),
+                AgentState{.lastApplied = 5000000005, .view = {"10.0.0.7/core", "10.0.0.8/core"}}),
+      frameCase("frame_cluster_standing.hex", ClusterStatus{.term = 301,
+                                                            .leader = "10.0.0.5#0",
+                                                            .voters = {"10.0.0.4#77", "10.0.0.5#0", "10.0.0.6#123"},
+                                                            .commitIndex = 5000000006,
+                                                            .view = {"10.0.0.9/core"}}),
       frameCase("frame_follow_log.hex",
-                FollowLog{.appliedNumber = 5000000007, .heldDigest = "digest-held", .refetch = true}),
+                FollowLog{.lastApplied = 5000000007, .cachedDigest = "digest-held", .refetch = true}),
       frameCase("frame_feed_entries.hex",
-                FeedEntries{.term = 301, .newestNumber = 5000000008, .entries = {entryNumbered(4), entryNumbered(5)}}),
+                FeedEntries{.term = 301, .newestIndex = 5000000008, .entries = {entryNumbered(4), entryNumbered(5)}}),
       frameCase("frame_feed_snapshot.hex", FeedSnapshot{.term = 301, .number = 5000000009, .state = "partial state"}),
       frameCase("frame_body_ahead.hex", BodyAhead{.digest = "digest-4", .body = "another large body"}),
-      frameCase("frame_lease_question.hex", LeaseQuestion{.question = 4003,
-                                                          .demand = grants("demand", 10),
-                                                          .holds = grants("holds", 20),
-                                                          .load = grants("load", 30),
-                                                          .attempts = grants("attempts", 40),
-                                                          .outliersVersion = 51}),
-      frameCase("frame_lease_answer.hex", LeaseAnswer{.question = 4004,
-                                                      .granted = true,
-                                                      .commitNumber = 5000000010,
-                                                      .accessMachines = 12,
-                                                      .grants = grants("grants", 50),
-                                                      .outliersVersion = 52,
-                                                      .outliers = grants("outliers", 60)}),
-      frameCase("frame_quota_draw.hex", QuotaDraw{.question = 4005, .waiting = grants("waiting", 70)}),
-      frameCase("frame_quota_drawn.hex", QuotaDrawn{.question = 4006, .granted = true, .grants = grants("grants", 80)}),
-      frameCase("frame_opening_question.hex",
-                OpeningQuestion{.question = 4007, .opening = -6148914691236517206, .tenantMark = 1311768467463790320}),
+      frameCase("frame_lease_question.hex", LeaseRequest{.requestId = 4003,
+                                                         .demand = grants("demand", 10),
+                                                         .holds = grants("holds", 20),
+                                                         .load = grants("load", 30),
+                                                         .attempts = grants("attempts", 40),
+                                                         .outliersVersion = 51}),
+      frameCase("frame_lease_answer.hex", LeaseResponse{.requestId = 4004,
+                                                        .granted = true,
+                                                        .commitIndex = 5000000010,
+                                                        .accessMachines = 12,
+                                                        .grants = grants("grants", 50),
+                                                        .outliersVersion = 52,
+                                                        .outliers = grants("outliers", 60)}),
+      frameCase("frame_quota_draw.hex", QuotaTokenRequest{.requestId = 4005, .waiting = grants("waiting", 70)}),
+      frameCase("frame_quota_drawn.hex",
+                QuotaTokenResponse{.requestId = 4006, .granted = true, .grants = grants("grants", 80)}),
+      frameCase(
+          "frame_opening_question.hex",
+          PrefixLookupRequest{.requestId = 4007, .opening = -6148914691236517206, .tenantDigest = 1311768467463790320}),
       frameCase("frame_opening_answer.hex",
-                OpeningAnswer{.question = 4008, .access = {"10.1.0.4:8405", "10.1.0.5:8405"}}),
+                PrefixLookupResponse{.requestId = 4008, .access = {"10.1.0.4:8405", "10.1.0.5:8405"}}),
   };
 }
 
@@ -210,11 +217,11 @@
           .self = "10.0.0.4#77",
           .votedFor = "10.0.0.5#0",
           .full = true,
-          .snapshotNumber = 5000000000,
+          .snapshotIndex = 5000000000,
           .snapshotTerm = 277,
           .snapshotConfig = "10.0.0.4#77 10.0.0.5#0|10.0.0.5#0 10.0.0.6#123",
           .state = "applied state",
-          .fromNumber = 5000000011,
+          .fromIndex = 5000000011,
           .entries = kEntries};
 }
 DiskRecord incrementalRecord() {
@@ -223,7 +230,7 @@
           .lastLedTerm = 289,
           .self = "10.0.0.4#78",
           .votedFor = "10.0.0.6#123",
-          .fromNumber = 5000000012,
+          .fromIndex = 5000000012,
           .entries = {entryNumbered(3)}};
 }
 std::vector<Case> diskCases() {
@@ -236,8 +243,7 @@
       configCase("cluster_config_joint.txt",
                  {.voters = {"10.0.0.4#77", "10.0.0.5#0"}, .nextVoters = {"10.0.0.5#0", "10.0.0.6#123"}}),
       {"disk_record_name.txt", [] { return recordName(901); },
-       [](const std::string& name) -> Outcome<std::string> { return recordName(recordSequence(name).value_or(0)); },
-       ""},
+       [](const std::string& name) -> Result<std::string> { return recordName(recordSequence(name).value_or(0)); }, ""},
   };
 }
 
@@ -264,34 +270,35 @@
           .sequence = 200 + serial,
           .state = static_cast<std::int32_t>(state)};
 }
-Closure closure(int serial, bool doorsShut) {
+ZoneDrain zoneDrain(int serial, bool notAccepting) {
   const auto text = std::to_string(serial);
-  return {.place = "place-" + text, .note = "note-" + text, .share = 10 * serial, .doorsShut = doorsShut};
+  return {.place = "place-" + text, .note = "note-" + text, .share = 10 * serial, .notAccepting = notAccepting};
 }
-ReplicatedState stateAfter(std::vector<Entry> writes) {
+ReplicatedState stateAfter(std::vector<LogEntry> writes) {
   ReplicatedState copy;
   std::int64_t number = 5000000000;
   for (auto& write : writes) {
-    write.num = ++number;
+    write.index = ++number;
     write.term = 301;
     copy.apply(write);
   }
   return copy;
 }
-Entry firstWrite() {
-  return configurationOp(0, 3, kFirstText, "operator/1");
+LogEntry firstWrite() {
+  return configurationEntry(0, 3, kFirstText, "operator/1");
 }
 ReplicatedState firstState() {
   return stateAfter({firstWrite()});
 }
 ReplicatedState laterState() {
-  return stateAfter(
-      {firstWrite(), changeOp(3, 5, kSecondText, "operator/2", firstState().state()),
-       configurationOp(3, 7, "loses its race", "operator/3"), runnerOp(runner(1, RunnerState::inService), "runner/i-1"),
-       runnerOp(runner(2, RunnerState::draining), "runner/i-2"),
-       runnerOp(runner(3, RunnerState::inService), "runner/i-3"),
-       runnerOp(runner(3, RunnerState::gone), "runner/i-3/gone"), closureOp(closure(4, true), false, "closure/4"),
-       closureOp(closure(5, false), false, "closure/5")});
+  return stateAfter({firstWrite(), configurationChangeEntry(3, 5, kSecondText, "operator/2", firstState().state()),
+                     configurationEntry(3, 7, "loses its race", "operator/3"),
+                     runnerEntry(runner(1, RunnerState::inService), "runner/i-1"),
+                     runnerEntry(runner(2, RunnerState::draining), "runner/i-2"),
+                     runnerEntry(runner(3, RunnerState::inService), "runner/i-3"),
+                     runnerEntry(runner(3, RunnerState::gone), "runner/i-3/gone"),
+                     zoneDrainEntry(zoneDrain(4, true), false, "closure/4"),
+                     zoneDrainEntry(zoneDrain(5, false), false, "closure/5")});
 }
 std::string snapshotFor(const ReplicatedState& copy, const std::string& held) {
   return copy.snapshotFor(held.empty() ? held : digestOf(held));
@@ -310,7 +317,7 @@
           "snapshot_access_whole.hex", [] { return snapshotFor(laterState(), ""); }, {}, forNobody),
       snapshotCase(
           "snapshot_access_same_configuration.hex", [] { return snapshotFor(laterState(), kSecondText); },
-          stateAfter({configurationOp(0, 5, kSecondText, "operator/2")}), forSecond),
+          stateAfter({configurationEntry(0, 5, kSecondText, "operator/2")}), forSecond),
       snapshotCase(
           "snapshot_access_difference.hex", [] { return snapshotFor(laterState(), kFirstText); }, firstState(),
           forFirst),
@@ -328,11 +335,11 @@
   }
 };
 struct OperationFormat1 {
-  std::string opId;
+  std::string operationId;
   std::int32_t verdict = 0;
   template <class V>
   void fields(V& v) {
-    v("opId", opId), v("verdict", verdict);
+    v("operationId", operationId), v("verdict", verdict);
   }
 };
 struct SnapshotFormat1 {
@@ -344,12 +351,12 @@
   std::vector<Runner> runners;
   std::vector<std::string> gone;
   std::vector<OperationFormat1> done;
-  std::vector<Closure> closures;
+  std::vector<ZoneDrain> zoneDrains;
   template <class V>
   void fields(V& v) {
     v("partial", partial), v("difference", difference), v("appliedTo", appliedTo), v("term", term);
     v("version", version), v("configuration", configuration), v("digest", digest), v("taken", taken);
-    v("runners", runners), v("gone", gone), v("done", done), v("closures", closures);
+    v("runners", runners), v("gone", gone), v("done", done), v("zoneDrains", zoneDrains);
   }
 };
 SnapshotFormat1 snapshotFormat1() {
@@ -361,8 +368,8 @@
           .taken = {{.version = 3, .digest = digestOf(kFirstText)}, {.version = 5, .digest = digestOf(kSecondText)}},
           .runners = {runner(1, RunnerState::inService), runner(2, RunnerState::draining)},
           .gone = {"i-3", "i-4"},
-          .done = {{.opId = "operator/1@3", .verdict = 200}, {.opId = "operator/3@7", .verdict = 412}},
-          .closures = {closure(4, true), closure(5, false)}};
+          .done = {{.operationId = "operator/1@3", .verdict = 200}, {.operationId = "operator/3@7", .verdict = 412}},
+          .zoneDrains = {zoneDrain(4, true), zoneDrain(5, false)}};
 }
 SnapshotFormat1 partialSnapshotFormat1() {
   auto snapshot = snapshotFormat1();
@@ -372,7 +379,7 @@
   return snapshot;
 }
 /// What a copy that holds the first configuration holds after a snapshot, in today's format.
-Outcome<std::string> inTodaysFormat(const std::string& snapshot) {
+Result<std::string> inTodaysFormat(const std::string& snapshot) {
   auto copy = firstState();
   if (auto restored = copy.restore(snapshot); !restored)
     return tl::unexpected(restored.error());
@@ -406,7 +413,7 @@
                        .runs = {{.from = 11, .length = 12, .text = "one"}, {.from = 13, .length = 14, .text = "two"}}}),
       {"delta_of_configurations.hex",
        [] { return deltaOf(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText)); },
-       [](const std::string& delta) -> Outcome<std::string> {
+       [](const std::string& delta) -> Result<std::string> {
          const auto text = applyDelta(kFirstText, digestOf(kFirstText), delta, digestOf(kSecondText));
          if (!text)
            return tl::unexpected(text.error());
@@ -415,20 +422,23 @@
        ""},
       recordCase("entry.hex", entryNumbered(1)),
       recordCase("runner.hex", runner(2, RunnerState::draining)),
-      recordCase("closure.hex", closure(4, true)),
+      recordCase("closure.hex", zoneDrain(4, true)),
       // Entries as the calls make them: `weakValue` does not apply, most of their fields are filled in later.
       {"write_configuration.hex", [] { return avro::encode(firstWrite()); }, {}, ""},
       {"write_difference.hex",
-       [on] { return avro::encode(changeOp(3, 5, kSecondText, "operator/2", on.state())); },
+       [on] { return avro::encode(configurationChangeEntry(3, 5, kSecondText, "operator/2", on.state())); },
        {},
        ""},
       {"write_runner_gone.hex",
-       [] { return avro::encode(runnerOp(runner(3, RunnerState::gone), "runner/i-3/gone")); },
+       [] { return avro::encode(runnerEntry(runner(3, RunnerState::gone), "runner/i-3/gone")); },
+       {},
+       ""},
+      {"write_closure.hex",
+       [] { return avro::encode(zoneDrainEntry(zoneDrain(4, true), false, "closure/4")); },
        {},
        ""},
-      {"write_closure.hex", [] { return avro::encode(closureOp(closure(4, true), false, "closure/4")); }, {}, ""},
       {"write_closure_open.hex",
-       [] { return avro::encode(closureOp(closure(4, true), true, "closure/4/open")); },
+       [] { return avro::encode(zoneDrainEntry(zoneDrain(4, true), true, "closure/4/open")); },
        {},
        ""},
   };
@@ -441,7 +451,7 @@
 }
 /// What a site tells first (everything) and then (what has changed).
 std::vector<std::string> toldInTurn() {
-  constexpr Instant now{1000s};
+  constexpr TimePoint now{1000s};
   constexpr std::int64_t epoch = 2937;
   HintTable table(hintKey(), {.most = 8, .fill = 4}, 7);
   const auto sendFromTwoTenants = [&](std::uint64_t opening) {
@@ -455,25 +465,25 @@
   told.push_back(avro::encode(table.news(now, epoch)));
   return told;
 }
-Outcome<std::string> againAsHints(const std::string& bytes) {
-  const auto news = avro::decode<HintNews>(bytes);
+Result<std::string> againAsHints(const std::string& bytes) {
+  const auto news = avro::decode<HintUpdate>(bytes);
   if (!news)
     return tl::unexpected(news.error());
   return avro::encode(*news);
 }
 std::vector<Case> hintCases() {
   return {
-      recordCase("hint_news.hex", HintNews{.epoch = 2937,
-                                           .known = 71,
-                                           .base = 72,
-                                           .version = 73,
-                                           .added = {-6148914691236517206, 1311768467463790320},
-                                           .gone = {-5, 6}}),
+      recordCase("hint_news.hex", HintUpdate{.epoch = 2937,
+                                             .known = 71,
+                                             .base = 72,
+                                             .version = 73,
+                                             .added = {-6148914691236517206, 1311768467463790320},
+                                             .gone = {-5, 6}}),
       {"hint_news_whole.hex", [] { return toldInTurn().at(0); }, againAsHints, ""},
       {"hint_news_changes.hex", [] { return toldInTurn().at(1); }, againAsHints, ""},
       {"hint_digest.txt", [] { return std::to_string(hintKey().digest(42, 2937)); }, {}, ""},
       {"hint_seal.txt", [] { return hintKey().seal("sealed text"); },
-       [](const std::string& seal) -> Outcome<std::string> {
+       [](const std::string& seal) -> Result<std::string> {
          return hintKey().fits("sealed text", seal) ? seal : "does not fit";
        },
        ""},
@@ -497,7 +507,7 @@
   const auto pieces = [] {
     return inPieces(frameOf(pack(BodyAhead{.digest = "digest-4", .body = "in several pieces"}, kSender)), 20);
   };
-  const auto again = [](const std::string& bytes) -> Outcome<std::string> {
+  const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto envelope = onlyEnvelopeIn(bytes);
     if (!envelope)
       return tl::unexpected(envelope.error());
--- a/tests/heartbeats_test.cpp
+++ b/tests/heartbeats_test.cpp
@@ -3,11 +3,13 @@
 
 #include <gtest/gtest.h>
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::controller;
+using namespace zinccleat::state_machine;
 namespace {
-const Instant kStart{std::chrono::seconds(1000)};
-constexpr Span kHeartbeat{1200};
-constexpr Span kPatience = kHeartbeat * 3 + Span(1500);
+const TimePoint kStart{std::chrono::seconds(1000)};
+constexpr Duration kHeartbeat{1200};
+constexpr Duration kPatience = kHeartbeat * 3 + Duration(1500);
 Runner runner(const std::string& id) {
   Runner r;
   r.id = id;
@@ -50,8 +52,8 @@
   EXPECT_TRUE(forwarder.leaderAnswers(kStart)) << "nothing was asked yet";
   std::optional<HeartbeatForwarder::Batch> last;
   for (int i = 0; i < 4; ++i) {
-    forwarder.heard("i1", kStart + Span(500 * i));
-    last = forwarder.nextBatch(kStart + Span(500 * i));
+    forwarder.heard("i1", kStart + Duration(500 * i));
+    last = forwarder.nextBatch(kStart + Duration(500 * i));
   }
   EXPECT_TRUE(forwarder.leaderAnswers(kStart + 1500ms));
   EXPECT_FALSE(forwarder.leaderAnswers(kStart + 1501ms));
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -4,8 +4,12 @@
 #include "standins.hpp"
 #include "transport/avro.hpp"
 
-using namespace zc;
-using namespace zc::standin;
+using namespace zinccleat;
+using namespace zinccleat::balancing;
+using namespace zinccleat::config;
+using namespace zinccleat::hints;
+using namespace zinccleat::runtime;
+using namespace zinccleat::standin;
 namespace {
 const std::string kSecret(64, 'a');
 HintKey key(char c = 'a') {
@@ -14,9 +18,9 @@
 HintTable desk(std::uint64_t seed = 1, char c = 'a') {
   return HintTable(key(c), HintBounds{}, seed);
 }
-constexpr Instant kStart{1000s};
+constexpr TimePoint kStart{1000s};
 // Both sites tell each other, as often as asked.
-void exchange(HintTable& a, HintTable& b, Instant now, std::int64_t epoch, int times = 2) {
+void exchange(HintTable& a, HintTable& b, TimePoint now, std::int64_t epoch, int times = 2) {
   for (int i = 0; i < times; ++i) {
     (void)b.heard(now, epoch, a.news(now, epoch));
     (void)a.heard(now, epoch, b.news(now, epoch));
@@ -103,12 +107,12 @@
   auto b = desk(2);
   (void)b.elsewhere(kStart, 7, 42, 1), (void)b.elsewhere(kStart, 7, 42, 2);
   exchange(a, b, kStart, 7);
-  HintNews flood;
+  HintUpdate flood;
   flood.epoch = 7;
   for (int i = 0; i < 10000; ++i)
     flood.added.push_back(i);
   EXPECT_FALSE(a.heard(kStart, 7, flood));
-  HintNews old;
+  HintUpdate old;
   old.epoch = 3;
   EXPECT_FALSE(a.heard(kStart, 7, old));
   EXPECT_EQ(a.errorResponse(), 2U);
@@ -128,7 +132,7 @@
 TEST(Hints, ThePartnerGetsFewAndFewerWhileItDisappoints) {
   PartnerTrust t;
   int went = 0;
-  Instant now = kStart;
+  TimePoint now = kStart;
   for (int i = 0; i < 1000; ++i, now += 10ms)
     went += t.allows(now);
   EXPECT_LE(went, 255);
@@ -136,7 +140,7 @@
   went = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
     if (t.allows(now))
-      ++went, t.disappointed(now);
+      ++went, t.recordFailure(now);
   EXPECT_LE(went, 5);
 }
 
@@ -147,7 +151,7 @@
   HintTable hints;
   std::set<std::string> held;
   int streams = 0, pushes = 0, fromPartner = 0;
-  Span reading{25};
+  Duration reading{25};
   explicit Site(std::shared_ptr<TestProxy> x, std::uint64_t seed) : h(std::move(x)), hints(desk(seed)) {
     h->context.configuration = *parseConfiguration(R"({"configVersion":7,"routeTable":[
       {"label":"recap","authority":"h.example","pathPrefix":"/recap/","routeType":"stream","streamResume":true,"sessionAffinity":true,"expiryMs":20000,"targetLatencyMs":500,"targetService":"s","maxAttempts":2},
@@ -164,7 +168,7 @@
       const auto at = text.find("X-Prompt-Prefix: ");
       const auto opening = text.substr(at, text.find(',', at) - at);
       if (held.insert(opening).second)
-        EventLoop::get().pause(reading);
+        EventLoop::get().sleepFor(reading);
       say(w, streamHead(id));
       std::string all;
       for (int e = 0; e < 5; ++e)
@@ -199,11 +203,11 @@
     }
     exchange(here->hints, there->hints, kStart, 7, 3);
     if (hints)
-      here->h->context.findAtPartner = [this](std::uint64_t opening, const std::string&) {
+      here->h->context.lookupPartner = [this](std::uint64_t opening, const std::string&) {
         return here->hints.elsewhere(kStart, 7, opening, 99) ? partnerDoor : std::string{};
       };
     else
-      here->h->context.findAtPartner = nullptr;
+      here->h->context.lookupPartner = nullptr;
     Played p;
     for (int i = 0; i < count; ++i) {
       const auto began = Clock::now();
@@ -254,7 +258,7 @@
     const auto q = two.play(false, 4, "m");
     EXPECT_EQ(p.whole, 16);
     EXPECT_EQ(p.pushes + q.pushes, 20);
-    two.here->h->context.findAtPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
+    two.here->h->context.lookupPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
     int whole = 0;
     for (int i = 0; i < 8; ++i)
       whole +=
@@ -277,11 +281,11 @@
       if (how == 3)
         two.there->h->runners[0]->act = [](StandIn&, Connection& w, const std::string& id, const std::string&) {
           say(w, streamHead(id) + chunk(event(0) + event(1)));  // begins, and is cut
-          w.shut();
+          w.close();
         };
       const auto p = [&] {
         auto r = two.play(true, 0, "s");
-        two.here->h->context.findAtPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
+        two.here->h->context.lookupPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
         return r;
       }();
       (void)p;
@@ -307,7 +311,7 @@
 TEST(PartnerSites, WhatCameFromAPartnerGoesNoFurther) {
   withProxy([](TestProxy& h) {
     Two two(h);
-    two.here->h->context.findAtPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
+    two.here->h->context.lookupPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
     const auto a =
         once(*two.here->h,
              ask("/recap/x", "z1", "X-Partner-Site: 1\r\nX-Prompt-Prefix: z:5000,o:1\r\nX-Token-Count: 5001,5\r\n"));
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -6,7 +6,9 @@
 
 #include "state_machine/replicated_state.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 constexpr int kAcknowledged = 200, kInvalid = 400, kOtherVersion = 412, kNoClearAnswer = 503;
 // Applies writes in order and tells what the operator would hear.
@@ -14,14 +16,14 @@
   ReplicatedState copy;
   std::int64_t applied = 0;
   int operations = 0;
-  ReplicatedState::Change put(Entry e) {
-    e.num = ++applied;
+  ReplicatedState::Change put(LogEntry e) {
+    e.index = ++applied;
     return copy.apply(e);
   }
   int replace(std::int64_t base, std::int64_t version, const std::string& body) {
-    const auto e = configurationOp(base, version, body, "operator/" + std::to_string(++operations));
+    const auto e = configurationEntry(base, version, body, "operator/" + std::to_string(++operations));
     put(e);
-    return copy.verdictOf(e.opId).value_or(-1);
+    return copy.outcomeOf(e.operationId).value_or(-1);
   }
   // A chain of changes with versions 1, 2, ... `count`, each on top of the one before.
   void changes(int count) {
@@ -30,7 +32,7 @@
   }
   void runner(const std::string& id, const std::string& address, RunnerState state, std::int64_t sequence) {
     const Runner r{id, "s", address, "z", 4, sequence, static_cast<std::int32_t>(state)};
-    put(runnerOp(r, "runner/" + id + "/" + std::to_string(r.state) + "/" + std::to_string(sequence)));
+    put(runnerEntry(r, "runner/" + id + "/" + std::to_string(r.state) + "/" + std::to_string(sequence)));
   }
 };
 }  // namespace
@@ -95,17 +97,17 @@
 TEST(History, OfManyOrdersUnderWayOneWinsAndItsRepeatsAreNeverRefused) {
   std::mt19937_64 random(14);
   Log log;
-  std::vector<std::pair<std::int64_t, Entry>> taken;
-  std::vector<std::pair<std::int64_t, Entry>> lost;
+  std::vector<std::pair<std::int64_t, LogEntry>> taken;
+  std::vector<std::pair<std::int64_t, LogEntry>> lost;
   for (int round = 0; round < 400; ++round) {
     const auto base = log.copy.state().version;
     const auto next = base + 1 + static_cast<std::int64_t>(random() % 3);
     int winners = 0;
     for (int i = 0; i < 8; ++i) {
       const auto body = "round " + std::to_string(round) + " operator " + std::to_string(i);
-      const auto e = configurationOp(base, next, body, body);
+      const auto e = configurationEntry(base, next, body, body);
       log.put(e);
-      const bool won = log.copy.verdictOf(e.opId) == kAcknowledged;
+      const bool won = log.copy.outcomeOf(e.operationId) == kAcknowledged;
       winners += won;
       (won ? taken : lost).emplace_back(next, e);
     }
@@ -113,9 +115,9 @@
     for (auto* list : {&taken, &lost}) {
       const auto& [version, order] = (*list)[random() % list->size()];
       const std::string who = list == &taken ? "winner" : "loser";
-      const auto again = configurationOp(order.base, version, order.blob, who + std::to_string(round));
+      const auto again = configurationEntry(order.base, version, order.body, who + std::to_string(round));
       log.put(again);
-      EXPECT_EQ(log.copy.verdictOf(again.opId), list == &taken ? kAcknowledged : kOtherVersion);
+      EXPECT_EQ(log.copy.outcomeOf(again.operationId), list == &taken ? kAcknowledged : kOtherVersion);
     }
   }
 }
@@ -123,11 +125,11 @@
   Log log;
   log.runner("i1", "a:1", RunnerState::inService, 1);
   const Runner missed{"i1", "s", "a:1", "z", 4, 0, static_cast<std::int32_t>(RunnerState::gone)};
-  log.put(runnerOp(missed, "missed/i1/1"));
+  log.put(runnerEntry(missed, "missed/i1/1"));
   log.runner("i1", "a:1", RunnerState::inService, 7);
   for (int i = 0; i < 2000; ++i)
     log.runner("other" + std::to_string(i), "b:" + std::to_string(i), RunnerState::inService, 1);
-  log.put(runnerOp(missed, "missed/i1/1"));
+  log.put(runnerEntry(missed, "missed/i1/1"));
   EXPECT_TRUE(log.copy.runner("i1")) << "a late copy of an older write undoes nothing";
 }
 TEST(History, ARunnerThatEndedLongAgoDoesNotComeBack) {
@@ -141,7 +143,7 @@
   }
   for (const int i : {0, 300, 1000, 1999}) {
     const auto id = "i" + std::to_string(i);
-    EXPECT_TRUE(log.copy.isGone(id)) << id;
+    EXPECT_TRUE(log.copy.isDetached(id)) << id;
     log.runner(id, "a:" + std::to_string(i), RunnerState::inService, 39);
     EXPECT_FALSE(log.copy.runner(id)) << id << ": its late beat is no new life";
   }
--- a/tests/illness_test.cpp
+++ b/tests/illness_test.cpp
@@ -5,15 +5,20 @@
 #include "quota.hpp"
 #include "standins.hpp"
 
-using namespace zc;
-using namespace zc::standin;
+using namespace zinccleat;
+using namespace zinccleat::balancing;
+using namespace zinccleat::config;
+using namespace zinccleat::controller;
+using namespace zinccleat::runtime;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::standin;
 namespace {
 // What the leader would make of this node's words, had another node seen the same.
-void exchange(TestProxy& h, OutlierDetector& desk, const std::vector<Runner>& runners, Instant now) {
+void exchange(TestProxy& h, OutlierDetector& desk, const std::vector<Runner>& runners, TimePoint now) {
   const auto seen = h.context.observer.report(24);
   desk.told(now, "node-a", seen);
   desk.told(now, "node-b", seen);
-  desk.weigh(now, runners);
+  desk.evaluate(now, runners);
   h.context.runners.setEjected(desk.list());
 }
 std::vector<Runner> known(const TestProxy& h) {
@@ -43,8 +48,8 @@
       h.runner("i-" + std::to_string(i), answers);
     OutlierDetector desk;
     const auto rs = known(h);
-    Instant now = Clock::now();
-    desk.weigh(now, rs);
+    TimePoint now = Clock::now();
+    desk.evaluate(now, rs);
     int served = 0;
     for (int i = 0; i < 120; ++i) {
       h.context.runners.recordSuccess(0);  // as seen by nodes that have not met it yet
@@ -73,11 +78,11 @@
       EXPECT_EQ(once(h, ask("/open/x", "a" + std::to_string(i))).status, 200);
     (void)h.context.observer.report(24);
     for (auto& r : {hangs, well})
-      r->act = [](StandIn&, Connection&, const std::string&, const std::string&) { EventLoop::get().pause(300ms); };
+      r->act = [](StandIn&, Connection&, const std::string&, const std::string&) { EventLoop::get().sleepFor(300ms); };
     auto w = h.dial();
     say(*w, ask("/open/x", "waits"));
     for (int i = 0; i < 200 && h.context.unanswered.empty(); ++i)
-      EventLoop::get().pause(1ms);
+      EventLoop::get().sleepFor(1ms);
     ASSERT_EQ(h.context.unanswered.size(), 1U);
     h.context.countSlow(Clock::now());
     EXPECT_TRUE(h.context.observer.report(24).empty()) << "not at once";
@@ -153,8 +158,8 @@
     auto act = [&n](StandIn& r, Connection& w, const std::string& id, const std::string& text) {
       if (++n == 2) {
         const linger now{1, 0};
-        ::setsockopt(w.sock().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-        return w.shut();  // as a connection that the far end has forgotten
+        ::setsockopt(w.socket().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+        return w.close();  // as a connection that the far end has forgotten
       }
       answers(r, w, id, text);
     };
@@ -173,8 +178,8 @@
     {"label":"flood","accessKeys":["a"],"ratePerS":20,"burstSize":20},{"label":"other","accessKeys":["b"],"ratePerS":20,"burstSize":20}]})");
   QuotaAllocator desk;
   desk.bounds({0.1, 20, 5});
-  Instant now{100s};
-  desk.takeOver(now);
+  TimePoint now{100s};
+  desk.noOp(now);
   std::vector<QuotaGrants> nodes(70);
   std::map<std::string, int> got;
   std::map<std::string, int> sent;
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -8,8 +8,11 @@
 
 #include "simulated_cluster.hpp"
 
-using namespace zc;
-using zc::sim::World;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::simulation;
+using namespace zinccleat::state_machine;
+using zinccleat::sim::World;
 namespace {
 using Kind = OperatorCall::Kind;
 using Answer = OperatorCall::Answer;
@@ -103,10 +106,10 @@
   explicit TrueRegister(std::uint64_t seed) : random(seed) {}
 
   void replace(std::int64_t moment, std::int64_t base, std::int64_t version, const std::string& body) {
-    auto e = configurationOp(base, version, body, std::to_string(moment));
-    e.num = ++applied;
+    auto e = configurationEntry(base, version, body, std::to_string(moment));
+    e.index = ++applied;
     copy.apply(e);
-    const auto verdict = *copy.verdictOf(e.opId);
+    const auto verdict = *copy.outcomeOf(e.operationId);
     if (random() % 4 == 0)
       return history.push_back(lostReplace(moment - early(), base, version, body));
     const auto answer = verdict == 200 ? kTaken : verdict == 400 ? kInvalid : kOther;
@@ -174,7 +177,7 @@
 class Operators {
  public:
   Operators(World& world, Planted planted) : world_(world), random_(world.seed * 77 + 1), planted_(planted) {}
-  void start(int count, Instant until) {
+  void start(int count, TimePoint until) {
     until_ = until;
     for (int i = 0; i < count; ++i)
       read("operator " + std::to_string(i));
@@ -186,10 +189,10 @@
     std::int64_t base = 0, version = 0;
     std::string body;
   };
-  static constexpr Span kPoll{20}, kWriteWait{2500}, kReadWait{900};
+  static constexpr Duration kPoll{20}, kWriteWait{2500}, kReadWait{900};
   static constexpr int kTries = 6;
 
-  std::int64_t at() const { return std::chrono::duration_cast<Span>(world_.now.time_since_epoch()).count(); }
+  std::int64_t at() const { return std::chrono::duration_cast<Duration>(world_.now.time_since_epoch()).count(); }
   std::string anyMachine() { return kFounders[random_() % kFounders.size()]; }
   World::Node& machine(const std::string& ip) { return world_.nodes[ip]; }
   bool runs(const std::string& ip, int life) {
@@ -197,7 +200,7 @@
     return m.up && m.life == life;
   }
   bool lost() { return random_() % 4 == 0; }
-  void later(Span wait, std::function<void()> next) { world_.at(wait, std::move(next)); }
+  void later(Duration wait, std::function<void()> next) { world_.at(wait, std::move(next)); }
 
   // An operator reads what is in force, builds on it, and sends that until it has a clear answer.
   void read(const std::string& who) {
@@ -207,13 +210,13 @@
     const auto call = recorder_.retrieveSent(who, at());
     askForRead(ip, machine(ip).life, world_.now + kReadWait, [this, who, ip, call](bool fresh) {
       if (!fresh || lost())
-        return later(Span(200), [this, who] { read(who); });
+        return later(Duration(200), [this, who] { read(who); });
       const auto& state = machine(ip).copy.state();
       recorder_.retrieveAnswered(call, at(), state.version, state.configuration);
       // Two operators may well pick one number.
       const Order order{state.version, state.version + 1 + static_cast<std::int64_t>(random_() % 2),
                         "by " + who + " at " + std::to_string(at())};
-      later(Span(random_() % 400), [this, who, order] { send(who, order, kTries); });
+      later(Duration(random_() % 400), [this, who, order] { send(who, order, kTries); });
     });
   }
   void send(const std::string& who, const Order& order, int triesLeft) {
@@ -226,14 +229,14 @@
         recorder_.replaceAnswered(call, at(), status);
         if (random_() % 5 == 0)
           repeatLate(who, order);
-        return later(Span(100), [this, who] { read(who); });
+        return later(Duration(100), [this, who] { read(who); });
       }
-      later(Span(150), [this, who, order, triesLeft] { send(who, order, triesLeft - 1); });
+      later(Duration(150), [this, who, order, triesLeft] { send(who, order, triesLeft - 1); });
     });
   }
   // The same order once more, long after: a copy of it that lay somewhere.
   void repeatLate(const std::string& who, const Order& order) {
-    later(Span(2000 + random_() % 8000), [this, who, order] {
+    later(Duration(2000 + random_() % 8000), [this, who, order] {
       const auto call = recorder_.replaceSent(who + ", late", at(), order.base, order.version, order.body);
       ask(anyMachine(), order, [this, call](int status) { recorder_.replaceAnswered(call, at(), status); });
     });
@@ -243,25 +246,25 @@
   void ask(const std::string& ip, const Order& order, const std::function<void(int)>& answer) {
     auto& m = machine(ip);
     if (!m.up || m.frozen)
-      return later(Span(1000), [answer] { answer(0); });
-    if (m.copy.judge(order.base, order.version, digestOf(order.body)) == ReplicatedState::kAcknowledged)
+      return later(Duration(1000), [answer] { answer(0); });
+    if (m.copy.evaluateReplace(order.base, order.version, digestOf(order.body)) == ReplicatedState::kAcknowledged)
       return answer(ReplicatedState::kAcknowledged);
-    const auto e = configurationOp(order.base, order.version, order.body, "write/" + std::to_string(++writes_));
-    world_.tryWrite(ip, m.life, e, static_cast<int>(kWriteWait / Span(120)));
+    const auto e = configurationEntry(order.base, order.version, order.body, "write/" + std::to_string(++writes_));
+    world_.tryWrite(ip, m.life, e, static_cast<int>(kWriteWait / Duration(120)));
     if (planted_ == Planted::earlyAcknowledgement && m.copy.state().version == order.base)
-      return later(Span(5), [answer] { answer(ReplicatedState::kAcknowledged); });
-    awaitVerdict(ip, m.life, e.opId, world_.now + kWriteWait, answer);
+      return later(Duration(5), [answer] { answer(ReplicatedState::kAcknowledged); });
+    awaitVerdict(ip, m.life, e.operationId, world_.now + kWriteWait, answer);
   }
-  void awaitVerdict(const std::string& ip, int life, const std::string& operation, Instant until,
+  void awaitVerdict(const std::string& ip, int life, const std::string& operation, TimePoint until,
                     const std::function<void(int)>& answer) {
     if (!runs(ip, life) || world_.now >= until)
       return answer(0);
-    if (const auto verdict = machine(ip).copy.verdictOf(operation); verdict && !machine(ip).frozen)
+    if (const auto verdict = machine(ip).copy.outcomeOf(operation); verdict && !machine(ip).frozen)
       return answer(*verdict);
     later(kPoll, [=, this] { awaitVerdict(ip, life, operation, until, answer); });
   }
   // What a machine does before it answers a Retrieve: it leads under a lease, or asks the leader how far it must be.
-  void askForRead(const std::string& ip, int life, Instant until, const std::function<void(bool)>& answer) {
+  void askForRead(const std::string& ip, int life, TimePoint until, const std::function<void(bool)>& answer) {
     if (!runs(ip, life) || machine(ip).frozen || world_.now >= until)
       return answer(false);
     if (planted_ == Planted::staleRead || machine(ip).raft->hasLease(world_.now))
@@ -269,35 +272,35 @@
     const auto leader = addressOf(machine(ip).raft->leader());
     const auto again = [=, this] { askForRead(ip, life, until, answer); };
     if (leader.empty() || world_.cut.contains({ip, leader}))
-      return later(Span(50), again);
-    later(Span(2), [=, this] {
+      return later(Duration(50), again);
+    later(Duration(2), [=, this] {
       auto& l = machine(leader);
       if (!l.up || l.frozen || !l.raft->hasLease(world_.now) || world_.cut.contains({leader, ip}))
-        return later(Span(50), again);
-      const auto number = l.raft->commitNumber();
-      later(Span(2), [=, this] { awaitNumber(ip, life, number, until, answer); });
+        return later(Duration(50), again);
+      const auto number = l.raft->commitIndex();
+      later(Duration(2), [=, this] { awaitIndex(ip, life, number, until, answer); });
     });
   }
-  void awaitNumber(const std::string& ip, int life, std::int64_t number, Instant until,
-                   const std::function<void(bool)>& answer) {
+  void awaitIndex(const std::string& ip, int life, std::int64_t number, TimePoint until,
+                  const std::function<void(bool)>& answer) {
     if (!runs(ip, life) || world_.now >= until)
       return answer(false);
-    if (!machine(ip).frozen && machine(ip).copy.state().num >= number)
+    if (!machine(ip).frozen && machine(ip).copy.state().index >= number)
       return answer(true);
-    later(kPoll, [=, this] { awaitNumber(ip, life, number, until, answer); });
+    later(kPoll, [=, this] { awaitIndex(ip, life, number, until, answer); });
   }
 
   World& world_;
   std::mt19937_64 random_;
   Planted planted_;
-  Instant until_{};
+  TimePoint until_{};
   OperatorRecorder recorder_;
   int writes_ = 0;
 };
 // One machine in trouble at a time: killed and back, cut off, frozen, or with a slow disk.
 void makeTrouble(World& w) {
   const auto& ip = kFounders[w.draw(kFounders.size())];
-  const Span lasting(500 + w.draw(4000));
+  const Duration lasting(500 + w.draw(4000));
   switch (w.draw(4)) {
     case 0:
       w.kill(ip);
@@ -312,11 +315,11 @@
       w.at(lasting, [&w, ip] { w.nodes[ip].frozen = false; });
       break;
     default:
-      w.nodes[ip].syncTime = Span(600);
-      w.at(lasting, [&w, ip] { w.nodes[ip].syncTime = Span(4); });
+      w.nodes[ip].syncTime = Duration(600);
+      w.at(lasting, [&w, ip] { w.nodes[ip].syncTime = Duration(4); });
       break;
   }
-  w.runFor(lasting + Span(w.draw(3000)));
+  w.runFor(lasting + Duration(w.draw(3000)));
 }
 std::vector<OperatorCall> recordedHistory(std::uint64_t seed, Planted planted) {
   World w(seed);
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -7,7 +7,7 @@
 
 int main(int argc, char** argv) {
   testing::InitGoogleTest(&argc, argv);
-  zc::EventLoop loop;
+  zinccleat::runtime::EventLoop loop;
   const int rc = RUN_ALL_TESTS();
   // Fibers parked on stand-ins' connections would hold an ordinary exit up.
   std::fflush(nullptr);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -4,12 +4,14 @@
 #include "consensus/membership_policy.hpp"
 #include "simulated_cluster.hpp"
 
-using namespace zc;
-using zc::sim::World;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::storage;
+using zinccleat::sim::World;
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
-constexpr Span kSettled{6000};
-constexpr Span kDiskBackAfter{6000};  // a lost machine counts as lost for so long after it is back
+constexpr Duration kSettled{6000};
+constexpr Duration kDiskBackAfter{6000};  // a lost machine counts as lost for so long after it is back
 
 std::vector<std::string> bootMachines(World& world, std::size_t count) {
   auto machines = kSeeds;
@@ -193,7 +195,7 @@
     world.boot("10.9.0.9", kSeeds, false);
     world.runFor(1000ms);
     world.leave(old);
-    world.runFor(Span(4000 + world.draw(16000)));
+    world.runFor(Duration(4000 + world.draw(16000)));
     ASSERT_FALSE(world.nodes[old].up) << "seed " << seed;
     world.nodes.erase(old);
     const auto left = machinesOf(world);
@@ -238,9 +240,9 @@
     }
     const auto& old = kSeeds[world.draw(3)];
     world.boot("10.9.0.9", kSeeds, false);
-    world.runFor(Span(world.draw(1200)));
+    world.runFor(Duration(world.draw(1200)));
     world.leave(old);
-    world.runFor(Span(world.draw(120)));
+    world.runFor(Duration(world.draw(120)));
     loseForGood(world, old);
     world.runFor(kDiskBackAfter);
     ASSERT_TRUE(serves(world));
@@ -276,7 +278,7 @@
     bootMachines(world, 3);
     const auto leader = world.leader();
     const auto others = seedsBut(leader);
-    world.nodes[others[0]].syncTime = Span(1500);  // the slow one lags
+    world.nodes[others[0]].syncTime = Duration(1500);  // the slow one lags
     world.write(leader);
     world.runFor(100ms);
     world.leave(others[1]);
@@ -292,7 +294,7 @@
       const auto record = decodeRecord(bytes);
       ASSERT_TRUE(record);
       for (const auto& entry : record->entries)
-        found = found || entry.opId == world.acked.begin()->first;
+        found = found || entry.operationId == world.acked.begin()->first;
     }
     EXPECT_TRUE(found) << "seed " << seed;
   }
@@ -313,7 +315,7 @@
   }
 }
 TEST(Membership, AnAnswerToAnEarlierLeaveLetsNobodyGo) {
-  const Instant now{100s};
+  const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
   node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   node.leave(now);
@@ -335,11 +337,11 @@
   world.boot(away, {ips[0], ips[1], ips[2]}, false);
   world.runFor(kSettled);
   ASSERT_TRUE(serves(world));
-  EXPECT_EQ(world.nodes[away].raft->commitNumber(), world.nodes[world.leader()].raft->commitNumber());
+  EXPECT_EQ(world.nodes[away].raft->commitIndex(), world.nodes[world.leader()].raft->commitIndex());
 }
 // Votes do not depend on the voter's own configuration: it may be the older one.
 TEST(Membership, AVoterWithTheOlderConfigurationVotesForANewVoter) {
-  const Instant now{100s};
+  const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
   node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   bool voted = false;
@@ -355,30 +357,30 @@
   settle();
   VoteRequest request;
   request.term = 3;
-  request.lastNumber = 9;
+  request.lastLogIndex = 9;
   request.lastTerm = 2;
   node.receive(now, "10.4.0.1#77", request);
   settle();
   EXPECT_TRUE(voted);
 }
 TEST(Consensus, ASnapshotThatCannotBeRestoredIsNotInstalled) {
-  const Instant now{100s};
+  const TimePoint now{100s};
   RaftOptions options;
   options.snapshotIsValid = [](const std::string& state) { return state == "good"; };
   RaftNode node("10.1.0.1#7", options, 1, now);
   InstallSnapshot snapshot;
   snapshot.term = 1;
-  snapshot.lastNumber = 5;
+  snapshot.lastLogIndex = 5;
   snapshot.lastTerm = 1;
   snapshot.config = "10.2.0.1#0";
   snapshot.state = "bad";
   node.receive(now, "10.2.0.1#0", snapshot);
-  EXPECT_EQ(node.commitNumber(), 0);
+  EXPECT_EQ(node.commitIndex(), 0);
   EXPECT_EQ(node.snapshotsRefused(), 1);
   EXPECT_TRUE(node.takeActions().empty());
   snapshot.state = "good";
   node.receive(now, "10.2.0.1#0", snapshot);
-  EXPECT_EQ(node.commitNumber(), 5);
+  EXPECT_EQ(node.commitIndex(), 5);
 }
 TEST(Consensus, MessagesThatDoNotParseAreRefused) {
   EXPECT_FALSE(decodeMessage(""));
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -3,7 +3,8 @@
 #include <random>
 #include <unordered_set>
 
-namespace zc::model {
+namespace zinccleat::model {
+using namespace zinccleat::consensus;
 namespace {
 struct Visited {
   std::size_t parent = 0;
@@ -118,7 +119,7 @@
     const auto actions = world.possibleActions();
     const auto found = std::find_if(actions.begin(), actions.end(),
                                     [&](const Action& action) { return world.describe(action) == wanted; });
-    must(found != actions.end(), "each action of a written prefix is possible");
+    checkInvariant(found != actions.end(), "each action of a written prefix is possible");
     world.apply(*found);
     rememberLeaders(world);
   }
@@ -201,4 +202,4 @@
   result.distinct = seen.size();
   return result;
 }
-}  // namespace zc::model
+}  // namespace zinccleat::model
--- a/tests/model_checker.hpp
+++ b/tests/model_checker.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include "model_world.hpp"
 
-namespace zc::model {
+namespace zinccleat::model {
 // The name of an invariant that the world breaks; empty: none.
 std::string brokenInvariant(const World& world);
 // Trouble ends here: a leader with a lease must come, a write must commit, and the losses owed must be borne.
@@ -34,4 +34,4 @@
 // Plays a trace as `SearchResult` gives it, without the actions that are not possible (any more: code that was mended
 // no longer sends such a message); returns the invariant broken on the way or after the trouble.
 std::string playTrace(const World& start, const std::vector<std::string>& trace);
-}  // namespace zc::model
+}  // namespace zinccleat::model
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -6,14 +6,15 @@
 
 #include <cstdlib>
 
-using namespace zc;
-using namespace zc::model;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::model;
 namespace {
 constexpr std::size_t kStatesInCi = 24000;
 constexpr std::size_t kWalksInCi = 120;
 constexpr std::size_t kStatesPerWalk = 200;
 constexpr std::size_t kStatesToFind = 400000;
-constexpr Span kElected{1500};
+constexpr Duration kElected{1500};
 
 std::size_t statesToVisit() {
   const char* text = std::getenv("ZINCCLEAT_MODEL_STATES");
@@ -37,7 +38,7 @@
   World world(options);
   world.left.mostInFlight = 1000;
   world.runFairly(kElected);
-  must(world.leaderWithLease() < kMachines, "the fair run elects a leader");
+  checkInvariant(world.leaderWithLease() < kMachines, "the fair run elects a leader");
   return world;
 }
 // The same, with the spare up for so long that it follows the log.
--- a/tests/model_invariants.cpp
+++ b/tests/model_invariants.cpp
@@ -1,10 +1,12 @@
 // What must hold in each state of a model world.
 #include "model_checker.hpp"
 
-namespace zc::model {
+namespace zinccleat::model {
+using namespace zinccleat::consensus;
+using namespace zinccleat::transport;
 namespace {
-constexpr Span kTroubleForgotten{6000};  // of the model's time, in which all must be well again
-constexpr Span kWriteTakes{1000};
+constexpr Duration kTroubleForgotten{6000};  // of the model's time, in which all must be well again
+constexpr Duration kWriteTakes{1000};
 
 // Whether any quorum of one overlaps with any quorum of the other.
 bool quorumsOverlap(const ClusterConfig& one, const ClusterConfig& other) {
@@ -30,7 +32,7 @@
     if (!machine->raft || !machine->raft->hasLease(world.now))
       continue;
     ++leases;
-    behind += !committed.empty() && machine->raft->commitNumber() < committed.rbegin()->first;
+    behind += !committed.empty() && machine->raft->commitIndex() < committed.rbegin()->first;
   }
   if (leases > 1)
     return "two leases at a moment";
@@ -46,7 +48,7 @@
       return "two leaders in a term";
     for (const auto& [number, entry] : world.history->committed) {
       const auto* held = node.entryAt(number);
-      const bool missing = number >= node.firstNumber() && (!held || contentOf(*held) != entry.content);
+      const bool missing = number >= node.firstIndex() && (!held || contentOf(*held) != entry.content);
       if (missing && node.term() > entry.committedInTerm)
         return "a leader lacks what is committed";
     }
@@ -60,7 +62,7 @@
         continue;
       const auto& left = *world.machines[one]->raft;
       const auto& right = *world.machines[other]->raft;
-      for (auto number = left.firstNumber(); left.entryAt(number); ++number) {
+      for (auto number = left.firstIndex(); left.entryAt(number); ++number) {
         const auto* entry = right.entryAt(number);
         if (entry && entry->term == left.entryAt(number)->term && contentOf(*entry) != contentOf(*left.entryAt(number)))
           return "two entries of one term under one number";
@@ -73,11 +75,11 @@
     if (!machine->raft)
       continue;
     std::optional<ClusterConfig> before;
-    for (auto number = machine->raft->firstNumber(); const auto* entry = machine->raft->entryAt(number); ++number) {
-      if (entry->op() != OpKind::members)
+    for (auto number = machine->raft->firstIndex(); const auto* entry = machine->raft->entryAt(number); ++number) {
+      if (entry->op() != OperationKind::members)
         continue;
-      auto config = decodeConfig(entry->blob);
-      if (!before && machine->raft->firstNumber() == 1)
+      auto config = decodeConfig(entry->body);
+      if (!before && machine->raft->firstIndex() == 1)
         before = ClusterConfig{{"a#0", "b#0", "c#0"}, {}};  // the founders'
       if (before && !quorumsOverlap(*before, config))
         return "two configurations without overlapping majorities";
@@ -125,13 +127,13 @@
   const auto leader = world.leaderWithLease();
   if (leader == kMachines)
     return "no leader after the trouble";
-  const auto before = world.machines[leader]->raft->commitNumber();
+  const auto before = world.machines[leader]->raft->commitIndex();
   world.left.writes = 1;
   world.apply({ActionKind::write});
   world.runFairly(kWriteTakes);
-  if (world.machines[leader]->raft && world.machines[leader]->raft->commitNumber() <= before)
+  if (world.machines[leader]->raft && world.machines[leader]->raft->commitIndex() <= before)
     return "no write commits after the trouble";
   const auto tolerance = checkTolerance(world, leader);
   return tolerance.empty() ? brokenInvariant(world) : tolerance;
 }
-}  // namespace zc::model
+}  // namespace zinccleat::model
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -2,7 +2,9 @@
 
 #include "transport/avro.hpp"
 
-namespace zc::model {
+namespace zinccleat::model {
+using namespace zinccleat::consensus;
+using namespace zinccleat::transport;
 namespace {
 constexpr std::array<const char*, kMachines> kAddresses = {"a", "b", "c", "d"};
 constexpr std::uint64_t kJitterSeed = 1;
@@ -24,7 +26,7 @@
   return hash64(text, hash);
 }
 // What a restart would make of a disk.
-RaftNode recovered(const Machine& machine, Instant now) {
+RaftNode recovered(const Machine& machine, TimePoint now) {
   RaftNode node(machine.id, modelOptions(), kJitterSeed, now);
   node.recover(machine.disk, now);
   return node;
@@ -42,9 +44,9 @@
     return " term " + std::to_string(response->term) + (response->preVote ? " (pre-vote)" : "");
   if (const auto* append = std::get_if<AppendEntries>(&message))
     return " term " + std::to_string(append->term) + ", " + std::to_string(append->entries.size()) + " after " +
-           std::to_string(append->previousNumber) + ", committed " + std::to_string(append->commitNumber);
+           std::to_string(append->prevLogIndex) + ", committed " + std::to_string(append->commitIndex);
   if (const auto* response = std::get_if<AppendEntriesResponse>(&message))
-    return " term " + std::to_string(response->term) + ", matched " + std::to_string(response->matchedNumber) +
+    return " term " + std::to_string(response->term) + ", matched " + std::to_string(response->matchIndex) +
            (response->mismatch ? " (mismatch)" : "");
   return {};
 }
@@ -57,7 +59,7 @@
   options.lease = kTimeStep * 3;
   options.leaseMargin = kTimeStep / 2;
   options.electionTimeout = kTimeStep * 4;
-  options.electionTimeoutSpread = Span(1);
+  options.electionTimeoutSpread = Duration(1);
   options.voteRetry = kTimeStep * 2;
   options.resendAfter = kTimeStep * 2;
   options.joinInterval = kTimeStep * 2;
@@ -66,19 +68,19 @@
   options.syncStalledAfter = kTimeStep * 4;
   return options;
 }
-std::string contentOf(const Entry& entry) {
-  return std::to_string(entry.term) + "|" + std::to_string(entry.kind) + "|" + entry.opId + "|" + entry.blob;
+std::string contentOf(const LogEntry& entry) {
+  return std::to_string(entry.term) + "|" + std::to_string(entry.kind) + "|" + entry.operationId + "|" + entry.body;
 }
-bool diskHolds(const Machine& machine, const Entry& entry) {
+bool diskHolds(const Machine& machine, const LogEntry& entry) {
   if (machine.disk.empty())
     return false;
-  const auto node = recovered(machine, Instant(std::chrono::seconds(1)));
-  if (entry.num < node.firstNumber())
+  const auto node = recovered(machine, TimePoint(std::chrono::seconds(1)));
+  if (entry.index < node.firstIndex())
     return true;
-  const auto* held = node.entryAt(entry.num);
+  const auto* held = node.entryAt(entry.index);
   return held && held->term == entry.term;
 }
-std::uint64_t Machine::hash(Instant now) const {
+std::uint64_t Machine::hash(TimePoint now) const {
   if (hashedAt_ == now)
     return hash_;
   auto text = id + "," + std::to_string(frozen) + std::to_string(leaving) + std::to_string(gone);
@@ -173,9 +175,9 @@
   longer->votes[key] = candidate;
   history = std::move(longer);
 }
-void World::noteCommitted(std::size_t machine, const Entry& entry) {
+void World::noteCommitted(std::size_t machine, const LogEntry& entry) {
   const auto& node = *machines[machine]->raft;
-  const auto known = history->committed.find(entry.num);
+  const auto known = history->committed.find(entry.index);
   if (known != history->committed.end()) {
     if (known->second.content != contentOf(entry))
       blame("two values under one number");
@@ -188,7 +190,7 @@
   if (!onQuorum)
     blame("committed without a quorum's disks");
   auto longer = std::make_shared<History>(*history);
-  longer->committed[entry.num] = {contentOf(entry), node.term()};
+  longer->committed[entry.index] = {contentOf(entry), node.term()};
   history = std::move(longer);
 }
 // A member that may end must leave a majority whose disks still exist. No disk is lost once somebody is leaving (see
@@ -197,7 +199,7 @@
   const auto& leaving = machines[machine]->id;
   std::shared_ptr<const RaftNode> newest;
   for (const auto& other : machines)
-    if (other->raft && (!newest || other->raft->commitNumber() > newest->commitNumber()))
+    if (other->raft && (!newest || other->raft->commitIndex() > newest->commitIndex()))
       newest = other->raft;
   const auto& config = newest->config();
   if (!config.isVoter(leaving) || config.voters.size() == 1)
@@ -267,8 +269,8 @@
 }
 void World::write() {
   const auto leader = leaderWithLease();
-  Entry entry;
-  entry.opId = "w" + std::to_string(left.writes);
+  LogEntry entry;
+  entry.operationId = "w" + std::to_string(left.writes);
   feed(leader, [&](RaftNode& node) { node.submit(now, entry); });
 }
 void World::cutOff(std::size_t machine, bool incoming, bool outgoing) {
@@ -298,7 +300,7 @@
     const auto at = machineAt(addressOf(voter));
     const auto& holder = *machines[at];
     const bool lives = at != machine && holder.id == voter && running(at) && !holder.leaving && at != cutMachine;
-    return lives && holder.raft->commitNumber() >= (committed.empty() ? 0 : committed.rbegin()->first);
+    return lives && holder.raft->commitIndex() >= (committed.empty() ? 0 : committed.rbegin()->first);
   });
 }
 
@@ -355,7 +357,7 @@
 }
 void World::addFaults(std::vector<Action>& actions, std::size_t machine) const {
   const auto& state = *machines[machine];
-  if (left.compactions > 0 && state.raft->commitNumber() >= state.raft->firstNumber())
+  if (left.compactions > 0 && state.raft->commitIndex() >= state.raft->firstIndex())
     actions.push_back({ActionKind::compact, machine});
   if (left.crashes > 0)
     actions.push_back({ActionKind::crash, machine});
@@ -433,7 +435,7 @@
       return;
     case ActionKind::compact:
       --left.compactions;
-      return feed(index, [&](RaftNode& node) { node.compact(node.commitNumber(), "state", now); });
+      return feed(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
   }
 }
 std::string World::describe(const Action& action) const {
@@ -504,7 +506,7 @@
       start(machine);
   }
 }
-void World::runFairly(Span duration) {
+void World::runFairly(Duration duration) {
   const auto end = now + duration;
   const auto settle = [&] {
     for (int round = 0; round < kRoundsPerStep; ++round) {
@@ -529,4 +531,4 @@
     advanceTime();
   }
 }
-}  // namespace zc::model
+}  // namespace zinccleat::model
--- a/tests/model_world.hpp
+++ b/tests/model_world.hpp
@@ -7,10 +7,12 @@
 
 #include "consensus/raft_node.hpp"
 
-namespace zc::model {
+namespace zinccleat::model {
+using namespace zinccleat::consensus;
+using namespace zinccleat::transport;
 constexpr std::size_t kFounders = 3;
 constexpr std::size_t kMachines = 4;  // the last one is the spare
-constexpr Span kTimeStep{100};        // the clock moves by whole steps; each running process ticks once in each
+constexpr Duration kTimeStep{100};    // the clock moves by whole steps; each running process ticks once in each
 
 // How much of each kind of trouble one path may hold.
 struct Budgets {
@@ -39,10 +41,10 @@
   std::deque<PersistRecord> pending;     // handed to the disk, not synced
   bool frozen = false, leaving = false;
   bool gone = false;  // has left for good
-  std::uint64_t hash(Instant now) const;
+  std::uint64_t hash(TimePoint now) const;
 
  private:
-  mutable Instant hashedAt_{};
+  mutable TimePoint hashedAt_{};
   mutable std::uint64_t hash_ = 0;
   friend struct World;
 };
@@ -97,7 +99,7 @@
 struct World {
   RaftOptions options;
   Budgets left;
-  Instant now{std::chrono::seconds(1000)};
+  TimePoint now{std::chrono::seconds(1000)};
   std::array<std::shared_ptr<const Machine>, kMachines> machines;
   std::vector<std::shared_ptr<const Message>> inFlight;  // sorted by their bytes
   std::set<std::pair<std::size_t, std::size_t>> cut;     // sender and receiver
@@ -115,7 +117,7 @@
   std::uint64_t hash() const;
   // All trouble ends, then everything that can happen does, in a fixed order, for so long.
   void healAll();
-  void runFairly(Span duration);
+  void runFairly(Duration duration);
   // The member that leads with a valid lease; `kMachines`: none.
   std::size_t leaderWithLease() const;
   bool running(std::size_t machine) const { return machines[machine]->raft && !machines[machine]->frozen; }
@@ -130,7 +132,7 @@
   void carryOut(std::size_t machine, std::vector<RaftAction> actions);
   void post(std::size_t machine, const SendMessage& action);
   void noteVote(std::size_t machine, const SendMessage& action);
-  void noteCommitted(std::size_t machine, const Entry& entry);
+  void noteCommitted(std::size_t machine, const LogEntry& entry);
   void noteExit(std::size_t machine);
   void deliver(std::size_t index, bool keep);
   void sync(std::size_t machine);
@@ -145,9 +147,9 @@
 };
 
 // Text that two equal entries share.
-std::string contentOf(const Entry& entry);
+std::string contentOf(const LogEntry& entry);
 // Whether the log that a restart would read from these records holds the entry.
-bool diskHolds(const Machine& machine, const Entry& entry);
+bool diskHolds(const Machine& machine, const LogEntry& entry);
 // The options of all model worlds: the order of the real time spans at a coarser grain, without jitter.
 RaftOptions modelOptions();
-}  // namespace zc::model
+}  // namespace zinccleat::model
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -5,7 +5,11 @@
 #include "operations/runbook.hpp"
 #include "state_machine/replicated_state.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::operations;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 const std::string kBook =
     "title T\nparam core x\nparam who someone\nstep look\nget /v1/Status\nexpect any node == {who}\nstep change\npost "
@@ -14,18 +18,18 @@
   std::vector<std::string> printed, called;
   std::string answer = "{\"node\":\"n1\",\"runners\":[{\"id\":\"r.1\",\"state\":\"draining\"}],\"leased\":true}";
   int status = 200;
-  Instant clock{100s};
+  TimePoint clock{100s};
   RunbookPorts ports() {
     RunbookPorts p;
-    p.any = [this](const Call& c) -> Outcome<Called> {
+    p.any = [this](const Call& c) -> Result<Called> {
       called.push_back(c.method + " " + c.path + " " + c.body);
       return Called{status, answer, "x"};
     };
     p.all = [this](const Call& c) {
       called.push_back("all " + c.path);
-      return std::vector<Outcome<Called>>{Called{200, answer, "x"}, fault(0, "no answer")};
+      return std::vector<Result<Called>>{Called{200, answer, "x"}, makeError(ErrorCode::ioError, "no answer")};
     };
-    p.pause = [this](Span d) { clock += d; };
+    p.sleepFor = [this](Duration d) { clock += d; };
     p.print = [this](const std::string& s) { printed.push_back(s); };
     p.now = [this] { return clock; };
     return p;
@@ -34,7 +38,7 @@
 }  // namespace
 TEST(Runbook, RunsItsStepsWhileTheObservationsAreMet) {
   auto b = parseRunbook(kBook, {{"who", "n1"}});
-  ASSERT_TRUE(b) << b.error().text;
+  ASSERT_TRUE(b) << b.error().message;
   Stage s;
   EXPECT_EQ(runRunbook(*b, s.ports(), false), 0);
   ASSERT_EQ(s.called.size(), 2U);
@@ -59,11 +63,11 @@
 }
 TEST(Runbook, AwaitAsksAgainUntilItsTime) {
   auto b = parseRunbook("step x\ngetall /v1/Status\nawait 3 all leased == true\n", {});
-  ASSERT_TRUE(b) << b.error().text;
+  ASSERT_TRUE(b) << b.error().message;
   Stage s;
   EXPECT_EQ(runRunbook(*b, s.ports(), false), 1) << "one node never answers";
   EXPECT_GT(s.called.size(), 8U);
-  EXPECT_GE(s.clock, Instant{103s});
+  EXPECT_GE(s.clock, TimePoint{103s});
 }
 TEST(Runbook, WhatIsNotUnderstoodIsNamedBeforeAnythingRuns) {
   for (auto bad : {"step x\nfrobnicate\n", "step x\nexpect any a == b\n", "step x\nget v1\n", "step {nobody}\n", "",
@@ -76,7 +80,7 @@
     auto text = readFile("runbooks/" + std::string(name) + ".run");
     ASSERT_TRUE(text) << name;
     auto b = parseRunbook(*text, sampleValues(*text));
-    EXPECT_TRUE(b) << name << ": " << (b ? "" : b.error().text);
+    EXPECT_TRUE(b) << name << ": " << (b ? "" : b.error().message);
   }
 }
 TEST(Observation, FieldsOfAnAnswer) {
@@ -91,25 +95,25 @@
   EXPECT_TRUE(meets(*o, {j, "{}"}));
   EXPECT_FALSE(meets(*o, {j, j}));
 }
-TEST(Closure, IsNumberedStateLikeTheRest) {
+TEST(ZoneDrain, IsNumberedStateLikeTheRest) {
   ReplicatedState c;
-  auto put = [&, n = 0](Entry e) mutable {
-    e.num = ++n;
+  auto put = [&, n = 0](LogEntry e) mutable {
+    e.index = ++n;
     return c.apply(e);
   };
-  EXPECT_TRUE(put(closureOp({"za", "sunday", 25, false}, false, "1")).closures);
-  put(closureOp({"za", "sunday", 100, true}, false, "2"));
-  ASSERT_EQ(c.state().closures.size(), 1U);
-  EXPECT_EQ(c.state().closures[0].share, 100);
+  EXPECT_TRUE(put(zoneDrainEntry({"za", "sunday", 25, false}, false, "1")).zoneDrains);
+  put(zoneDrainEntry({"za", "sunday", 100, true}, false, "2"));
+  ASSERT_EQ(c.state().zoneDrains.size(), 1U);
+  EXPECT_EQ(c.state().zoneDrains[0].share, 100);
   ReplicatedState d;
   ASSERT_TRUE(d.restore(c.snapshot()));
-  EXPECT_TRUE(d.state().closures[0].doorsShut);
-  put(closureOp({"za", "", 0, false}, true, "3"));
-  EXPECT_TRUE(c.state().closures.empty());
+  EXPECT_TRUE(d.state().zoneDrains[0].notAccepting);
+  put(zoneDrainEntry({"za", "", 0, false}, true, "3"));
+  EXPECT_TRUE(c.state().zoneDrains.empty());
 }
-TEST(Closure, CallsAreChecked) {
-  EXPECT_TRUE(parseClosure(R"({"place":"za","share":50,"calmBelowPerS":20})"));
+TEST(ZoneDrain, CallsAreChecked) {
+  EXPECT_TRUE(parseZoneDrainCall(R"({"place":"za","share":50,"calmBelowPerS":20})"));
   for (auto bad : {"{", "[]", "{}", R"({"place":"za","share":101})", R"({"place":"za","share":-1})", R"({"place":7})",
                    R"({"place":"z","doorsShut":"yes"})"})
-    EXPECT_FALSE(parseClosure(bad)) << bad;
+    EXPECT_FALSE(parseZoneDrainCall(bad)) << bad;
 }
--- a/tests/outlier_test.cpp
+++ b/tests/outlier_test.cpp
@@ -7,7 +7,11 @@
 #include "balancing/runner_pool.hpp"
 #include "outliers.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::balancing;
+using namespace zinccleat::controller;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 Runner runner(const std::string& id, const std::string& service = "s") {
   return Runner{id, service, id + ":1", "z", 16, 1, 0};
@@ -27,11 +31,11 @@
   std::mt19937_64 rng;
   OutlierDetector desk;
   std::vector<Runner> runners;
-  Instant now{100s};
+  TimePoint now{100s};
   std::function<double(const std::string&)> ill;
   int atIll = 0;
-  Play(std::uint64_t seed, int n) : rng(seed), runners(fleet(n)) { desk.weigh(now, runners); }
-  void run(Span d) {
+  Play(std::uint64_t seed, int n) : rng(seed), runners(fleet(n)) { desk.evaluate(now, runners); }
+  void run(Duration d) {
     for (const auto end = now + d; now < end; now += 200ms) {
       for (int node = 0; node < 70; ++node) {
         std::map<std::string, Grant> seen;
@@ -53,7 +57,7 @@
           v.push_back(g);
         desk.told(now, "n" + std::to_string(node), v);
       }
-      desk.weigh(now, runners);
+      desk.evaluate(now, runners);
     }
   }
 };
@@ -91,12 +95,12 @@
 }
 TEST(Outliers, OneNodesWordAloneSetsNobodyAside) {
   OutlierDetector d;
-  Instant now{100s};
+  TimePoint now{100s};
   const auto rs = fleet(10);
-  d.weigh(now, rs);
+  d.evaluate(now, rs);
   for (int i = 0; i < 50; ++i, now += 200ms) {
     d.told(now, "liar", {{"r1", 0, 1000}});
-    d.weigh(now, rs);
+    d.evaluate(now, rs);
     ASSERT_TRUE(d.list().empty());
   }
 }
@@ -111,28 +115,28 @@
 }
 TEST(Outliers, UnknownRunnersAreDeclinedAndCounted) {
   OutlierDetector d;
-  Instant now{100s};
-  d.weigh(now, fleet(3));
+  TimePoint now{100s};
+  d.evaluate(now, fleet(3));
   d.told(now, "a", {{"nobody", 0, 4}});
   d.told(now, "b", {{"nobody", 0, 4}, {"r1", 1, 0}});
   EXPECT_EQ(d.errorResponse(), 2U);
-  d.weigh(now, fleet(3));
+  d.evaluate(now, fleet(3));
   EXPECT_TRUE(d.list().empty());
 }
 TEST(Outliers, TheVersionChangesWithTheListOnly) {
   OutlierDetector d;
-  Instant now{100s};
+  TimePoint now{100s};
   const auto rs = fleet(10);
-  d.weigh(now, rs);
+  d.evaluate(now, rs);
   const auto before = d.version();
-  d.weigh(now + 1s, rs);
+  d.evaluate(now + 1s, rs);
   EXPECT_EQ(d.version(), before);
   for (const char* n : {"a", "b", "c"})
     d.told(now + 1s, n, {{"r1", 0, 4}});
-  d.weigh(now + 1s, rs);
+  d.evaluate(now + 1s, rs);
   EXPECT_NE(d.version(), before);
   EXPECT_TRUE(aside(d, "r1"));
-  d.takeOver(7);
+  d.noOp(7);
   EXPECT_TRUE(d.list().empty());
   EXPECT_NE(d.version(), before);
 }
@@ -158,7 +162,7 @@
   RunnerObserver w;
   int slow = 0;
   for (int i = 0; i < 5000; ++i) {
-    const auto took = Span(20 + rng() % 20 + (rng() % 6 == 0 ? rng() % 250 : 0));
+    const auto took = Duration(20 + rng() % 20 + (rng() % 6 == 0 ? rng() % 250 : 0));
     const bool fine = w.began("r", "s", 600, took);
     if (i > 200)
       slow += !fine;
@@ -183,9 +187,9 @@
   for (int i = 0; i < 2000; ++i) {
     RunnerQuery w;
     w.service = "s", w.zone = "z";
-    ++once[d.at(d.choose(w, Instant{100s})).id];
+    ++once[d.at(d.choose(w, TimePoint{100s})).id];
     w.repeatable = true;
-    ++safe[d.at(d.choose(w, Instant{100s})).id];
+    ++safe[d.at(d.choose(w, TimePoint{100s})).id];
   }
   EXPECT_EQ(once["r1"], 0);
   EXPECT_EQ(once["r2"], 0);
@@ -197,7 +201,7 @@
   for (int i = 0; i < 400; ++i) {
     RunnerQuery w;
     w.service = "s", w.zone = "z";
-    ++once[d.at(d.choose(w, Instant{100s})).id];
+    ++once[d.at(d.choose(w, TimePoint{100s})).id];
   }
   EXPECT_EQ(once.size(), 4U);
 }
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,8 +1,11 @@
 // One request through the proxy, against stand-ins for client and runner on loopback.
 #include "standins.hpp"
 
-using namespace zc;
-using namespace zc::standin;
+using namespace zinccleat;
+using namespace zinccleat::proxy;
+using namespace zinccleat::runtime;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::standin;
 
 TEST(Proxy, CarriesARequestAndItsAnswerUnchanged) {
   withProxy([](TestProxy& h) {
@@ -71,7 +74,7 @@
 }
 TEST(Proxy, AtMostOnceNothingGoesToASecondRunnerAfterASend) {
   withProxy([](TestProxy& h) {
-    const auto cut = [](StandIn&, Connection& w, const std::string&, const std::string&) { w.shut(); };
+    const auto cut = [](StandIn&, Connection& w, const std::string&, const std::string&) { w.close(); };
     auto r1 = h.runner("i-1", cut);
     auto r2 = h.runner("i-2", cut);
     for (auto path : {"/once/x", "/stream/x"}) {
@@ -88,7 +91,7 @@
     int n = 0;
     const auto act = [&n](StandIn&, Connection& w, const std::string& id, const std::string&) {
       if (n++ == 0)
-        w.shut();
+        w.close();
       else
         say(w, whole(id, "second"));
     };
@@ -180,7 +183,7 @@
     withProxy([&](TestProxy& h) {
       h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
         say(w, t(id));
-        w.shut();
+        w.close();
       });
       const auto a = once(h, ask("/once/x"));
       EXPECT_NE(a.status / 100, 2);
@@ -191,7 +194,7 @@
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
       say(w, streamHead(id) + chunk(event(1)));
-      EventLoop::get().pause(5ms);
+      EventLoop::get().sleepFor(5ms);
       say(w, chunk(event(2)) + "0\r\n\r\n");
     });
     for (auto path : {"/stream/x", "/resume/x"}) {
@@ -206,7 +209,7 @@
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
       say(w, streamHead(id) + chunk(event(1)));
-      w.shut();
+      w.close();
     });
     const auto a = once(h, ask("/stream/x"));
     EXPECT_EQ(a.status, 200);
@@ -220,7 +223,7 @@
     const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string& text) {
       if (n++ == 0) {
         say(w, streamHead(id, "seal-first") + chunk(event(1) + event(2) + "id: 3\nda"));
-        w.shut();
+        w.close();
         return;
       }
       second = text;
@@ -242,18 +245,18 @@
     h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
       say(w, streamHead(id) + chunk(event(1)));
       char c = 0;
-      Ec ec;
+      SocketError ec;
       w.read(asio::buffer(&c, 1), ec);
       ended = static_cast<bool>(ec);
-      w.shut();
+      w.close();
       done.wake();
     });
     auto w = h.dial();
     say(*w, ask("/stream/x"));
-    Ec ec;
+    SocketError ec;
     char buf[400];
     EXPECT_GT(w->read(asio::buffer(buf), ec), 0U);
-    w->shut();
+    w->close();
     EXPECT_TRUE(EventLoop::get().waitFor(done, 3000ms));
     EXPECT_TRUE(ended);
   });
@@ -273,9 +276,9 @@
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn&, Connection& w, const std::string&, const std::string&) {
       char c = 0;
-      Ec ec;
+      SocketError ec;
       w.read(asio::buffer(&c, 1), ec);
-      w.shut();
+      w.close();
     });
     EXPECT_EQ(once(h, ask("/once/x", "a1", "X-Deadline-Ms: 150\r\n")).status, 504);
   });
@@ -293,9 +296,9 @@
     auto c = h.dial();
     say(*c, ask("/safe/x", "c1"));
     EXPECT_EQ(hear(*c, bc).status, 0);
-    a->shut();
-    b->shut();
-    EventLoop::get().pause(20ms);
+    a->close();
+    b->close();
+    EventLoop::get().sleepFor(20ms);
     EXPECT_EQ(h.context.clients, 0);
     EXPECT_EQ(once(h, ask("/safe/x", "a2")).status, 200);
   });
@@ -307,7 +310,7 @@
     auto w = h.dial();
     Buffer b;
     say(*w, ask("/safe/x", "a1"));
-    EventLoop::get().pause(60ms);
+    EventLoop::get().sleepFor(60ms);
     EXPECT_TRUE(r->got.empty());
     h.context.bodyBytes = 0;
     EXPECT_EQ(hear(*w, b).status, 200);
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -7,8 +7,12 @@
 
 #include "standins.hpp"
 
-using namespace zc;
-using namespace zc::standin;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::proxy;
+using namespace zinccleat::runtime;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::standin;
 namespace {
 
 enum class CallKind { safe, unsafe, stream, resumable };
@@ -142,15 +146,15 @@
     h.context.runners.follow(rs);
   }
   void accept(const std::shared_ptr<Door>& d) {
-    d->acceptor->async_accept([this, d](Ec ec, tcp::socket s) {
+    d->acceptor->async_accept([this, d](SocketError ec, tcp::socket s) {
       if (ec)
         return;
       auto held = std::make_shared<tcp::socket>(std::move(s));
       ++fibers;
-      EventLoop::get().launch([this, d, held] {
+      EventLoop::get().spawn([this, d, held] {
         {
           Connection w(std::move(*held));
-          tune(w.sock());
+          tune(w.socket());
           while (serve(*d, w)) {
           }
         }
@@ -161,15 +165,15 @@
   }
   static bool readMore(Connection& w, std::string& got, std::size_t most) {
     char b[4096];
-    Ec ec;
+    SocketError ec;
     const auto n = w.read(asio::buffer(b, std::min(sizeof b, most)), ec);
     got.append(b, n);
     return !ec && n > 0;
   }
   static void resetIt(Connection& w) {
     const linger now{1, 0};
-    ::setsockopt(w.sock().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-    w.shut();
+    ::setsockopt(w.socket().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    w.close();
   }
   static std::string headOf(const std::string& request, const std::string& n) {
     const auto at = request.find("\r\n" + n + ": ");
@@ -180,10 +184,10 @@
   }
   // One request on a connection. False: the connection is over.
   bool serve(Door& d, Connection& w) {
-    Ec ec;
+    SocketError ec;
     w.awaitReadable(ec);
     char c = 0;
-    if (ec || ::recv(w.sock().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT) <= 0)
+    if (ec || ::recv(w.socket().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT) <= 0)
       return false;
     auto s = std::make_shared<Seen>();
     s->runner = d.id;
@@ -223,14 +227,14 @@
     if (const auto prefix = answerPrefix(kind, position, id); !prefix.empty()) {
       say(w, prefix);
       // It arrives by itself: a reset would take back what the proxy has not read yet.
-      EventLoop::get().pause(2ms);
+      EventLoop::get().sleepFor(2ms);
     }
     switch (trouble) {
       case Trouble::reset:
         resetIt(w);
         return false;
       case Trouble::close:
-        w.shut();
+        w.close();
         return false;
       case Trouble::silence: {
         std::string rest;
@@ -240,7 +244,7 @@
       }
       case Trouble::garbage:
         say(w, "\x16\x03\x01 nothing of this is an answer\r\n\r\n");
-        w.shut();
+        w.close();
         return false;
       case Trouble::notExecuted:
         s.notExecuted = true;
@@ -248,7 +252,7 @@
         if (position == Position::wholeRequest)
           return true;
         // The rest is read, so that the close does not take the answer back.
-        w.sock().shutdown(tcp::socket::shutdown_send, ignored_);
+        w.socket().shutdown(tcp::socket::shutdown_send, ignored_);
         for (std::string rest; readMore(w, rest, 4096);) {
         }
         return false;
@@ -263,22 +267,22 @@
   }
   // Closes everything and waits until nothing refers to this rig.
   void end() {
-    Ec ec;
+    SocketError ec;
     h.door->close(ec);
     for (auto& d : doors)
       d->acceptor->close(ec);
     fillers.clear();
     h.context.connections = ConnectionPool();
     for (int i = 0; i < 4000 && (fibers > 0 || h.context.clients > 0); ++i)
-      EventLoop::get().pause(1ms);
+      EventLoop::get().sleepFor(1ms);
     EXPECT_EQ(fibers, 0);
     EXPECT_EQ(h.context.clients, 0);
-    EventLoop::get().pause(1ms);  // handlers of closed acceptors
+    EventLoop::get().sleepFor(1ms);  // handlers of closed acceptors
   }
   int begun() const { return static_cast<int>(seen.size()); }
 
  private:
-  Ec ignored_;
+  SocketError ignored_;
 };
 
 struct Row {
@@ -304,7 +308,7 @@
     return streams(r.kind) ? r.position != Position::inAnswerBody : r.position <= Position::inAnswerHead;
   return true;
 }
-struct Result {
+struct PlayResult {
   int begun = 0;       // connections on which the runners saw a byte of this request
   int ran = 0;         // of those, the ones whose runner did not say X-Not-Executed
   int status = 0;      // what the client got; 0: a closed connection
@@ -312,8 +316,8 @@
   std::string body;
 };
 // The table in words.
-Result expected(const Row& r) {
-  Result right{1, 1, 200, true, rightBody(r.kind, "a1")};
+PlayResult expected(const Row& r) {
+  PlayResult right{1, 1, 200, true, rightBody(r.kind, "a1")};
   auto again = right;
   again.begun = 2, again.ran = 2;
   if (r.position == Position::beforeConnect)
@@ -325,7 +329,7 @@
   if (r.trouble == Trouble::otherId || r.trouble == Trouble::extraBytes)
     return right;  // those bytes belong to no request
   const bool begun = r.kind == CallKind::stream && r.position >= Position::afterAnswerHead;
-  Result cut{1, 1, 200, false, {}};  // a stream that had begun, and that no other runner may take up
+  PlayResult cut{1, 1, 200, false, {}};  // a stream that had begun, and that no other runner may take up
   if (r.position == Position::inAnswerBody)
     cut.body = event(1) + "id: 2";
   if (r.position == Position::allButLastByte)
@@ -338,7 +342,7 @@
                                                           : "";
       return cut;
     }
-    return begun ? cut : Result{1, 1, 504, true, {}};
+    return begun ? cut : PlayResult{1, 1, 504, true, {}};
   }
   if (begun)
     return cut;
@@ -347,13 +351,13 @@
   return {1, 1, 502, true, {}};
 }
 
-Result play(const Row& row) {
+PlayResult play(const Row& row) {
   auto rig = std::make_unique<Rig>();
   auto& h = rig->h;
   rig->kind = row.kind;
   rig->trouble = row.trouble;
   rig->position = row.position;
-  Ec ec;
+  SocketError ec;
   if (row.reused) {
     for (auto& d : rig->doors) {
       auto c = std::make_unique<Connection>();
@@ -376,9 +380,9 @@
       for (int i = 0; i < 2; ++i) {
         rig->fillers.push_back(std::make_unique<Connection>());
         auto& f = *rig->fillers.back();
-        f.due(Clock::now() + 20ms);
+        f.setDeadline(Clock::now() + 20ms);
         f.connect(deaf->local_endpoint(), ec);
-        f.undue();
+        f.clearDeadline();
       }
       rig->follow("127.0.0.1:" + std::to_string(deaf->local_endpoint().port()));
     }
@@ -392,7 +396,7 @@
   const bool waits = row.trouble == Trouble::silence && row.position != Position::beforeConnect;
   say(*client, ask(path(row.kind), "a1", waits ? "X-Deadline-Ms: 40\r\n" : "", kBody));
   const auto a = hear(*client, buf);
-  Result out;
+  PlayResult out;
   out.begun = rig->begun();
   for (auto& s : rig->seen)
     out.ran += !s->notExecuted;
@@ -418,7 +422,7 @@
       EXPECT_EQ(b.heads.contains("X-Attempt-Id") ? b.heads.at("X-Attempt-Id") : "", id) << text(row);
     }
   }
-  client->shut();
+  client->close();
   client.reset();
   rig->end();
   return out;
@@ -434,12 +438,12 @@
           if (const Row r{kind, reused, trouble, position}; exists(r))
             rows.push_back(r);
   ASSERT_EQ(rows.size(), 360U);
-  std::vector<Result> results(rows.size());
+  std::vector<PlayResult> results(rows.size());
   // Side by side, so that those that wait for a deadline wait together.
   std::size_t next = 0;
   std::size_t ended = 0;
   for (int worker = 0; worker < 24; ++worker)
-    EventLoop::get().launch([&] {
+    EventLoop::get().spawn([&] {
       while (next < rows.size()) {
         const auto i = next++;
         results[i] = play(rows[i]);
@@ -490,10 +494,10 @@
             say(w, streamHead(id) + chunk(event(1)));
           arrived.wake();
           char c = 0;
-          Ec ec;
+          SocketError ec;
           w.read(asio::buffer(&c, 1), ec);
           closed += static_cast<bool>(ec);
-          w.shut();
+          w.close();
           over.wake();
         };
         h.runner("i-1", act);
@@ -501,10 +505,10 @@
         auto client = h.dial();
         say(*client, ask(where));
         EXPECT_TRUE(EventLoop::get().waitFor(arrived, 3000ms));
-        EventLoop::get().pause(2ms);
-        client->shut();
+        EventLoop::get().sleepFor(2ms);
+        client->close();
         EXPECT_TRUE(EventLoop::get().waitFor(over, 3000ms)) << where;
-        EventLoop::get().pause(5ms);
+        EventLoop::get().sleepFor(5ms);
         EXPECT_EQ(closed, 1) << where;
         EXPECT_EQ(requests, 1) << where << ": nobody waits for a second one";
         EXPECT_EQ(h.context.inFlight, 0);
@@ -516,8 +520,8 @@
       int requests = 0;
       const auto act = [&](StandIn&, Connection& w, const std::string&, const std::string&) {
         ++requests;
-        EventLoop::get().pause(60ms);
-        w.shut();
+        EventLoop::get().sleepFor(60ms);
+        w.close();
       };
       h.runner("i-1", act);
       h.runner("i-2", act);
@@ -534,7 +538,7 @@
           ++requests;
           h.context.leaseEnds = Clock::now() - 1ms;
           if (sent)
-            return w.shut();
+            return w.close();
           say(w, whole(id, "full", 503, "X-Not-Executed: 1\r\n"));
         };
         h.runner("i-1", act);
@@ -552,7 +556,7 @@
         // All routes go, and the service with them.
         h.context.configuration =
             *parseConfiguration(R"({"configVersion":8,"routeTable":[],"serviceTable":[{"label":"other"}]})");
-        w.shut();
+        w.close();
       } else {
         say(w, whole(id, "second"));
       }
@@ -578,7 +582,7 @@
       const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
         h.context.draining = true;
         if (++requests == 1 && std::string_view(where) != "/once/x")
-          return w.shut();
+          return w.close();
         say(w, rightAnswer(stream ? CallKind::resumable : CallKind::safe, id));
       };
       h.runner("i-1", act);
@@ -628,8 +632,8 @@
             ask("/stream/x", "none") + ask("/stream/x", "after"));
     http::response_parser<http::string_body> head;
     head.skip(true);
-    Ec ec;
-    client->due(Clock::now() + 5s);
+    SocketError ec;
+    client->setDeadline(Clock::now() + 5s);
     pump(*client, buf, head, true, ec);
     EXPECT_FALSE(ec);
     EXPECT_EQ(head.get()["X-Attempt-Id"], "head");
@@ -663,7 +667,7 @@
         return say(w, whole(id, "ran"));
       const auto full = whole(id, "full", 503, "X-Not-Executed: 1\r\n");
       say(w, full.substr(0, full.size() - 2));
-      w.shut();
+      w.close();
     };
     h.runner("i-1", act);
     h.runner("i-2", act);
@@ -679,7 +683,7 @@
       const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
         ++requests;
         say(w, streamHead(id) + chunk((firstHasId ? event(1) : "") + "data: nameless\n\n"));
-        w.shut();
+        w.close();
       };
       h.runner("i-1", act);
       h.runner("i-2", act);
@@ -697,7 +701,7 @@
       if (++requests > 1)
         return say(w, streamHead(id) + chunk(event(2)) + "0\r\n\r\n");
       say(w, streamHead(id) + chunk(event(1) + ": still here\n\n"));
-      w.shut();
+      w.close();
     };
     h.runner("i-1", act);
     h.runner("i-2", act);
@@ -712,10 +716,10 @@
     h.saveUp(8, 12);
     h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
       say(w, streamHead(id) + chunk(event(1)));
-      h.context.runners.setClosing({{"z", {100, true}}});
-      EventLoop::get().pause(3ms);
+      h.context.runners.setZoneDrains({{"z", {100, true}}});
+      EventLoop::get().sleepFor(3ms);
       say(w, chunk(event(2)));
-      EventLoop::get().pause(3ms);
+      EventLoop::get().sleepFor(3ms);
       say(w, chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n");
     });
     const auto a = once(h, ask("/resume/x"));
@@ -751,11 +755,11 @@
   std::shared_ptr<tcp::acceptor> acceptor;
   std::function<void(Connection&, int, const std::string&)> act;  // the how many-th, and what was read
   void accept() {
-    acceptor->async_accept([this](Ec ec, tcp::socket s) {
+    acceptor->async_accept([this](SocketError ec, tcp::socket s) {
       if (ec)
         return;
       auto held = std::make_shared<tcp::socket>(std::move(s));
-      EventLoop::get().launch([this, held] {
+      EventLoop::get().spawn([this, held] {
         Connection w(std::move(*held));
         std::string got;
         if (Rig::readMore(w, got, 4096))
@@ -795,7 +799,7 @@
           if (n == 1 && how == 0)
             return Rig::resetIt(w);
           if (n == 1 && how == 1)
-            return w.shut();
+            return w.close();
           if (n == 1) {
             say(w, whole("a1", "full", 503, "X-Not-Executed: 1\r\n"));
             return Rig::resetIt(w);
@@ -824,7 +828,7 @@
   withProxy([](TestProxy&) {
     tcp::acceptor acceptor(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     Connection w;
-    Ec ec;
+    SocketError ec;
     w.connect(acceptor.local_endpoint(), ec);
     ASSERT_FALSE(ec);
     {
@@ -856,8 +860,8 @@
   withProxy([](TestProxy& h) {
     h.context.configuration = partnerRoutes(2);
     int there = 0;
-    auto& partner = *new PartReader([&there](Connection& w, int n, const std::string&) { there = n, w.shut(); });
-    h.context.findAtPartner = [&](std::uint64_t, const std::string&) { return partner.address(); };
+    auto& partner = *new PartReader([&there](Connection& w, int n, const std::string&) { there = n, w.close(); });
+    h.context.lookupPartner = [&](std::uint64_t, const std::string&) { return partner.address(); };
     const auto a = once(h, ask("/recap/x", "a1", kLongPrompt, "", ""));
     EXPECT_EQ(there, 1);
     EXPECT_EQ(a.status, 502) << "503 would promise that it has not run and never will";
@@ -869,12 +873,12 @@
       h.context.configuration = partnerRoutes(most);
       h.saveUp(8, 12);
       int all = 0;
-      auto& partner = *new PartReader([&all](Connection& w, int, const std::string&) { ++all, w.shut(); });
-      h.context.findAtPartner = [&](std::uint64_t, const std::string&) { return partner.address(); };
+      auto& partner = *new PartReader([&all](Connection& w, int, const std::string&) { ++all, w.close(); });
+      h.context.lookupPartner = [&](std::uint64_t, const std::string&) { return partner.address(); };
       for (int i = 0; i < 4; ++i)
         h.runner("i-" + std::to_string(i), [&all](StandIn&, Connection& w, const std::string&, const std::string&) {
           ++all;
-          w.shut();
+          w.close();
         });
       EXPECT_EQ(once(h, ask("/recap/x", "a1", kLongPrompt, "", "")).status, 502);
       EXPECT_EQ(all, most);
@@ -888,7 +892,7 @@
     for (int i = 0; i < 3; ++i)
       h.runner("i-" + std::to_string(i), [&all](StandIn&, Connection& w, const std::string&, const std::string&) {
         ++all;
-        w.shut();
+        w.close();
       });
     EXPECT_EQ(once(h, ask("/resume/x", "a1", "X-Partner-Site: 1\r\n")).status, 502);
     EXPECT_EQ(all, 1);
@@ -908,18 +912,18 @@
           say(w, rightAnswer(kind, id));
           if (me.got.size() > 1)
             return;
-          EventLoop::get().pause(3ms);
+          EventLoop::get().sleepFor(3ms);
           if (how == 0)
             Rig::resetIt(w);
           else if (how == 1)
-            w.shut();
+            w.close();
           else
             say(w, rightAnswer(kind, "late"));
           troubled.wake();
         });
         EXPECT_EQ(once(h, ask(where, "a1")).body, rightBody(kind, "a1"));
         EXPECT_TRUE(EventLoop::get().waitFor(troubled, 3000ms));
-        EventLoop::get().pause(2ms);
+        EventLoop::get().sleepFor(2ms);
         const auto a = once(h, ask(where, "a2"));
         EXPECT_EQ(a.status, 200) << where << " " << how;
         EXPECT_EQ(a.body, rightBody(kind, "a2")) << where << " " << how;
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -3,7 +3,9 @@
 
 #include <gtest/gtest.h>
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::proxy;
 namespace {
 constexpr RequestKind kKinds[] = {RequestKind::safe, RequestKind::unsafe, RequestKind::stream,
                                   RequestKind::resumableStream};
--- a/tests/scale_run_test.cpp
+++ b/tests/scale_run_test.cpp
@@ -1,8 +1,10 @@
 // A zone is closed in the middle of a match: live streams and pushes go on while its runners and doors are given up.
 #include "standins.hpp"
 
-using namespace zc;
-using namespace zc::standin;
+using namespace zinccleat;
+using namespace zinccleat::runtime;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::standin;
 
 namespace {
 constexpr int kEvents = 40;
@@ -19,8 +21,8 @@
   return request.substr(from, request.find('\n', from) - from);
 }
 void closeZone(TestProxy& h, int share, bool doors) {
-  h.context.runners.setClosing({{"za", {share, doors}}});
-  h.context.zoneClosing = doors && h.context.zone == "za";
+  h.context.runners.setZoneDrains({{"za", {share, doors}}});
+  h.context.zoneDraining = doors && h.context.zone == "za";
 }
 }  // namespace
 
@@ -38,15 +40,15 @@
           ++match.atClosedAfter;
         if (text.find("/once/") != std::string::npos) {
           ++match.pushRuns[id];
-          EventLoop::get().pause(2ms);
+          EventLoop::get().sleepFor(2ms);
           return say(w, whole(id, "pushed " + id));
         }
         ++match.streamStarts[id];
         const auto last = headOf(text, "Last-Event-Id");
         say(w, streamHead(id, "seal " + zone));
-        for (int e = last.empty() ? 1 : std::stoi(last) + 1; e <= kEvents && w.sock().is_open(); ++e) {
+        for (int e = last.empty() ? 1 : std::stoi(last) + 1; e <= kEvents && w.socket().is_open(); ++e) {
           say(w, chunk(event(e)));
-          EventLoop::get().pause(8ms);
+          EventLoop::get().sleepFor(8ms);
         }
         say(w, "0\r\n\r\n");
       };
@@ -76,7 +78,7 @@
     bool doors = false;
     auto consume = [&](bool push, int n) {
       ++open;
-      EventLoop::get().launch([&, push, n] {
+      EventLoop::get().spawn([&, push, n] {
         // The platform gives new clients of a zone whose doors are shut to the other.
         auto& h = doors || n % 2 ? *b : a;
         const auto id = (push ? "p" : "s") + std::to_string(n);
@@ -84,7 +86,7 @@
         const auto r = once(h, ask(push ? "/once/x" : "/resume/x", id, "X-Deadline-Ms: 20000\r\n"));
         if (push) {
           pushesFine += r.status == 200 && r.wholeBody && r.body == "pushed " + id;
-          latestMs = std::max(latestMs, static_cast<int>(toSpan(Clock::now() - began).count()));
+          latestMs = std::max(latestMs, static_cast<int>(toDuration(Clock::now() - began).count()));
         } else {
           streamsFine += r.status == 200 && r.wholeBody && r.body == wanted;
         }
@@ -104,11 +106,11 @@
         consume(true, pushes++);
         if (k % 2 == 0)
           consume(false, streams++);
-        EventLoop::get().pause(5ms);
+        EventLoop::get().sleepFor(5ms);
       }
     }
     while (open > 0)
-      EventLoop::get().pause(10ms);
+      EventLoop::get().sleepFor(10ms);
     EXPECT_EQ(pushesFine, pushes) << "every push arrived";
     EXPECT_EQ(static_cast<int>(match.pushRuns.size()), pushes);
     for (auto& [id, n] : match.pushRuns)
@@ -116,7 +118,7 @@
     EXPECT_LT(latestMs, 300) << "and on time";
     EXPECT_EQ(streamsFine, streams) << "every stream whole, nothing missing, nothing twice";
     EXPECT_EQ(match.atClosedAfter, 0) << "no new work at the place's runners once all keeps away";
-    EXPECT_GT(a.context.movedStreams + b->context.movedStreams, 0U) << "live sessions were carried over";
+    EXPECT_GT(a.context.migratedStreams + b->context.migratedStreams, 0U) << "live sessions were carried over";
     EXPECT_EQ(a.context.runners.inFlightIn({"za"}) + b->context.runners.inFlightIn({"za"}), 0)
         << "nothing is left there";
     static std::vector<std::shared_ptr<TestProxy>> kept;
@@ -127,7 +129,7 @@
   withProxy([](TestProxy& h) {
     h.runner("i-1",
              [](StandIn&, Connection& w, const std::string& id, const std::string&) { say(w, whole(id, "ok")); });
-    h.context.runners.setClosing({{"z", {100, true}}});
+    h.context.runners.setZoneDrains({{"z", {100, true}}});
     EXPECT_EQ(once(h, ask("/once/x")).status, 200);
   });
 }
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -9,7 +9,11 @@
 #include "state_machine/replicated_state.hpp"
 #include "storage/storage.hpp"
 
-namespace zc::sim {
+namespace zinccleat::sim {
+using namespace zinccleat::consensus;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::storage;
+using namespace zinccleat::transport;
 struct World {
   struct Node {
     std::string ip, id;
@@ -18,20 +22,20 @@
     std::vector<std::string> disk;  // sealed pages that a sync covered
     int life = 0;
     bool up = false, frozen = false, diskFull = false;
-    Span syncTime{4};
+    Duration syncTime{4};
     std::deque<std::pair<std::int64_t, DiskRecord>> pages;      // waiting for the disk
     std::vector<std::pair<std::int64_t, std::string>> applied;  // this life's numbers, with what stood under them
     std::int64_t lastApplied = 0;
   };
   struct Event {
-    Instant at;
+    TimePoint at;
     std::uint64_t no;
     std::function<void()> run;
     bool operator<(const Event& o) const { return at != o.at ? at > o.at : no > o.no; }
   };
   std::mt19937_64 rng;
   std::uint64_t seed;
-  Instant now{std::chrono::seconds(1000)};
+  TimePoint now{std::chrono::seconds(1000)};
   std::priority_queue<Event> events;
   std::uint64_t eventNo = 0;
   std::map<std::string, Node> nodes;  // by ip
@@ -50,7 +54,7 @@
 
   explicit World(std::uint64_t s) : rng(s), seed(s) {}
   std::uint64_t draw(std::uint64_t n) { return rng() % n; }
-  void at(Span d, std::function<void()> f) { events.push({now + d, ++eventNo, std::move(f)}); }
+  void at(Duration d, std::function<void()> f) { events.push({now + d, ++eventNo, std::move(f)}); }
   void blame(const std::string& what) { broken.push_back(what + " (seed " + std::to_string(seed) + ")"); }
 
   void boot(const std::string& ip, const std::vector<std::string>& seeds, bool first) {
@@ -66,7 +70,7 @@
     std::vector<DiskRecord> pages;
     for (auto& b : n.disk) {
       auto g = decodeRecord(b);
-      must(g.has_value(), "a synced page reads back");
+      checkInvariant(g.has_value(), "a synced page reads back");
       if (g->full)
         pages.clear();
       pages.push_back(*g);
@@ -88,7 +92,7 @@
     tickLater(ip, n.life);
   }
   void tickLater(const std::string& ip, int life) {
-    at(Span(40 + draw(20)), [this, ip, life] {
+    at(Duration(40 + draw(20)), [this, ip, life] {
       auto& n = nodes[ip];
       if (!n.up || n.life != life)
         return;
@@ -105,7 +109,7 @@
             blame("two sequencers in term " + std::to_string(n.raft->term()));
           // A valid lease must know of all that was acknowledged.
           for (auto& [op, num] : acked)
-            if (num > n.raft->commitNumber())
+            if (num > n.raft->commitIndex())
               blame("a lease older than an acknowledged write");
         }
       }
@@ -125,7 +129,7 @@
   bool lost(const std::string& from, const std::string& to) {
     return cut.contains({from, to}) || std::uniform_real_distribution<>(0, 1)(rng) < loss;
   }
-  Span delay() { return Span(1 + draw(static_cast<std::uint64_t>(delayMost))); }
+  Duration delay() { return Duration(1 + draw(static_cast<std::uint64_t>(delayMost))); }
   // Messages pass through their encoding: what the connection can't carry must not pass here either.
   void post(Node& from, const std::string& to, const std::string& bytes) {
     const auto ip = addressOf(to);
@@ -145,24 +149,24 @@
     if (!n)
       return;
     if (n->frozen)
-      return at(Span(50), [this, src, sender, ip, bytes] { deliver(src, sender, ip, bytes); });
+      return at(Duration(50), [this, src, sender, ip, bytes] { deliver(src, sender, ip, bytes); });
     auto message = decodeMessage(bytes);
-    must(message.has_value(), "a member's own message reads back");
+    checkInvariant(message.has_value(), "a member's own message reads back");
     n->raft->receive(now, sender, std::move(*message));
     step(*n);
   }
-  void postWrite(Node& from, const std::string& to, const Entry& entry) {
+  void postWrite(Node& from, const std::string& to, const LogEntry& entry) {
     const auto ip = addressOf(to);
     if (lost(from.ip, ip))
       return;
     at(delay(), [this, ip, entry, src = from.ip] { deliverWrite(src, ip, entry); });
   }
-  void deliverWrite(const std::string& src, const std::string& ip, const Entry& entry) {
+  void deliverWrite(const std::string& src, const std::string& ip, const LogEntry& entry) {
     auto* n = reach(src, ip);
     if (!n)
       return;
     if (n->frozen)
-      return at(Span(50), [this, src, ip, entry] { deliverWrite(src, ip, entry); });
+      return at(Duration(50), [this, src, ip, entry] { deliverWrite(src, ip, entry); });
     n->raft->submit(now, entry);
     step(*n);
   }
@@ -180,7 +184,7 @@
     if (n.life != life || !n.up)
       return;  // power was lost before the sync: the page is gone
     if (n.frozen)
-      return at(Span(50), [this, ip, life] { endSync(ip, life); });
+      return at(Duration(50), [this, ip, life] { endSync(ip, life); });
     const auto [ticket, g] = n.pages.front();
     n.pages.pop_front();
     if (!n.pages.empty())
@@ -200,17 +204,19 @@
     n.raft->persisted(now, ticket, ok);
     step(n);
   }
-  static std::string contentOf(const Entry& e) { return std::to_string(e.term) + "|" + e.opId + "|" + e.blob; }
-  void release(Node& n, const Entry& e) {
-    if (e.num != n.lastApplied + 1)
+  static std::string contentOf(const LogEntry& e) {
+    return std::to_string(e.term) + "|" + e.operationId + "|" + e.body;
+  }
+  void release(Node& n, const LogEntry& e) {
+    if (e.index != n.lastApplied + 1)
       blame("applied out of order at " + n.ip);
-    n.lastApplied = e.num;
-    auto [it, fresh] = agreed.emplace(e.num, contentOf(e));
+    n.lastApplied = e.index;
+    auto [it, fresh] = agreed.emplace(e.index, contentOf(e));
     if (!fresh && it->second != contentOf(e))
-      blame("two writes under number " + std::to_string(e.num));
+      blame("two writes under number " + std::to_string(e.index));
     n.copy.apply(e);
-    if (e.num % 16 == 0)
-      n.raft->compact(e.num, n.copy.snapshot(), now);
+    if (e.index % 16 == 0)
+      n.raft->compact(e.index, n.copy.snapshot(), now);
   }
   void install(Node& n, const RestoreSnapshot& snapshot) {
     if (snapshot.number < n.lastApplied)
@@ -225,17 +231,17 @@
     if (!n.up || n.frozen)
       return;
     const auto op = n.id + "/" + std::to_string(++opNo);
-    Entry e = configurationOp(0, opNo, std::string(bytes, 'x') + op, op);
-    e.opId = op + "@" + std::to_string(opNo);
+    LogEntry e = configurationEntry(0, opNo, std::string(bytes, 'x') + op, op);
+    e.operationId = op + "@" + std::to_string(opNo);
     tryWrite(ip, n.life, e, 12);
   }
-  void tryWrite(const std::string& ip, int life, Entry e, int left) {
+  void tryWrite(const std::string& ip, int life, LogEntry e, int left) {
     auto& n = nodes[ip];
     if (!n.up || n.life != life || left == 0)
       return;
     if (!n.frozen) {
-      if (n.copy.verdictOf(e.opId)) {
-        acked.emplace(e.opId, n.lastApplied);
+      if (n.copy.outcomeOf(e.operationId)) {
+        acked.emplace(e.operationId, n.lastApplied);
         return;
       }
       const auto seq = n.raft->leader();
@@ -246,7 +252,7 @@
         postWrite(n, seq, e);
       }
     }
-    at(Span(120), [this, ip, life, e, left] { tryWrite(ip, life, e, left - 1); });
+    at(Duration(120), [this, ip, life, e, left] { tryWrite(ip, life, e, left - 1); });
   }
   void kill(const std::string& ip) {
     auto& n = nodes[ip];
@@ -255,7 +261,7 @@
     n.raft.reset();
   }
   // Planned work: the member asks the others to do without it and ends when they can, or at the last moment.
-  void leave(const std::string& ip, Span grace = Span(6500)) {
+  void leave(const std::string& ip, Duration grace = Duration(6500)) {
     auto& n = nodes[ip];
     if (!n.up)
       return;
@@ -263,8 +269,8 @@
     step(n);
     endWhenAllowed(ip, n.life, now + grace);
   }
-  void endWhenAllowed(const std::string& ip, int life, Instant deadline) {
-    at(Span(50), [this, ip, life, deadline] {
+  void endWhenAllowed(const std::string& ip, int life, TimePoint deadline) {
+    at(Duration(50), [this, ip, life, deadline] {
       auto& n = nodes[ip];
       if (!n.up || n.life != life)
         return;
@@ -273,7 +279,7 @@
       endWhenAllowed(ip, life, deadline);
     });
   }
-  void runFor(Span d) {
+  void runFor(Duration d) {
     const auto end = now + d;
     while (!events.empty() && events.top().at <= end) {
       auto e = events.top();
@@ -300,4 +306,4 @@
       }
   }
 };
-}  // namespace zc::sim
+}  // namespace zinccleat::sim
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -10,7 +10,9 @@
 
 #include "storage/file_system.hpp"
 
-namespace zc {
+namespace zinccleat {
+using namespace zinccleat::runtime;
+using namespace zinccleat::storage;
 // Thrown in place of an operation: the process dies there.
 struct PowerLoss {};
 
@@ -170,14 +172,14 @@
     if (holdsLock_)
       disk_.locked = false;
   }
-  Outcome<bool> lock(const std::string&) override {
+  Result<bool> lock(const std::string&) override {
     if (failed(disk_.begin(Operation::lock)))
       return error("lock");
     if (disk_.locked)
       return false;
     return holdsLock_ = disk_.locked = true;
   }
-  Outcome<std::vector<std::string>> list() override {
+  Result<std::vector<std::string>> list() override {
     if (failed(disk_.begin(Operation::list)))
       return error("list");
     std::vector<std::string> all;
@@ -185,19 +187,19 @@
       all.push_back(name);
     return all;
   }
-  Outcome<std::string> read(const std::string& name) override {
+  Result<std::string> read(const std::string& name) override {
     if (failed(disk_.begin(Operation::read)))
       return error("read");
     if (!disk_.names.contains(name))
-      return fault(ENOENT, "no such file");
+      return makeError(ErrorCode::ioError, "no such file", ENOENT);
     return disk_.files[static_cast<std::size_t>(disk_.names[name])].content;
   }
-  Outcome<std::unique_ptr<WritableFile>> create(const std::string& name) override {
+  Result<std::unique_ptr<WritableFile>> create(const std::string& name) override {
     const auto fate = disk_.begin(Operation::create);
     if (fate == Fate::failsBefore)
       return error("create");
     if (disk_.names.contains(name))
-      return fault(EEXIST, "exists");
+      return makeError(ErrorCode::ioError, "exists", EEXIST);
     disk_.files.emplace_back();
     const int number = static_cast<int>(disk_.files.size()) - 1;
     disk_.change(name, number);
@@ -205,12 +207,12 @@
       return error("create");
     return std::make_unique<OpenFile>(disk_, static_cast<std::size_t>(number));
   }
-  Outcome<void> rename(const std::string& from, const std::string& to) override {
+  Result<void> rename(const std::string& from, const std::string& to) override {
     const auto fate = disk_.begin(Operation::rename);
     if (fate == Fate::failsBefore)
       return error("rename");
     if (!disk_.names.contains(from))
-      return fault(ENOENT, "no such file");
+      return makeError(ErrorCode::ioError, "no such file", ENOENT);
     const int number = disk_.names[from];
     disk_.change(from, -1);
     disk_.change(to, number);
@@ -218,7 +220,7 @@
       return error("rename");
     return {};
   }
-  Outcome<void> remove(const std::string& name) override {
+  Result<void> remove(const std::string& name) override {
     const auto fate = disk_.begin(Operation::remove);
     if (fate == Fate::failsBefore)
       return error("remove");
@@ -228,7 +230,7 @@
       return error("remove");
     return {};
   }
-  Outcome<void> syncFolder() override {
+  Result<void> syncFolder() override {
     const auto fate = disk_.begin(Operation::syncFolder);
     if (fate == Fate::failsAndDrops)
       for (auto& change : disk_.changes)
@@ -244,23 +246,23 @@
   class OpenFile : public WritableFile {
    public:
     OpenFile(SimulatedDisk& disk, std::size_t number) : disk_(disk), number_(number) {}
-    Outcome<std::size_t> write(std::string_view bytes) override {
+    Result<std::size_t> write(std::string_view bytes) override {
       const auto fate = disk_.begin(Operation::write);
       if (fate == Fate::failsBefore)
-        return fault(disk_.errorCode, "write");
+        return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       const auto used = disk_.used();
       const auto room = disk_.capacity > used ? disk_.capacity - used : 0;
       if (room == 0)
-        return fault(ENOSPC, "write: no space");
+        return makeError(ErrorCode::ioError, "write: no space", ENOSPC);
       auto& file = disk_.files[number_];
       const std::string taken(bytes.substr(0, std::min(room, disk_.longestWrite)));
       file.unsynced.push_back({file.content.size(), taken});
       file.content += taken;
       if (failed(fate))
-        return fault(disk_.errorCode, "write");
+        return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       return taken.size();
     }
-    Outcome<void> sync() override {
+    Result<void> sync() override {
       const auto fate = disk_.begin(Operation::syncFile);
       auto& file = disk_.files[number_];
       file.dropped = file.dropped || fate == Fate::failsAndDrops;
@@ -269,7 +271,7 @@
         file.unsynced.clear();
       }
       if (failed(fate))
-        return fault(disk_.errorCode, "sync");
+        return makeError(ErrorCode::ioError, "sync", disk_.errorCode);
       return {};
     }
 
@@ -279,8 +281,10 @@
   };
 
   static bool failed(Fate fate) { return fate != Fate::succeeds; }
-  tl::unexpected<Fault> error(const char* operation) const { return fault(disk_.errorCode, operation); }
+  tl::unexpected<Error> error(const char* operation) const {
+    return makeError(ErrorCode::ioError, operation, disk_.errorCode);
+  }
   SimulatedDisk& disk_;
   bool holdsLock_ = false;
 };
-}  // namespace zc
+}  // namespace zinccleat
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -6,7 +6,9 @@
 #include "state_machine/replicated_state.hpp"
 #include "transport/avro.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 // The format before the tables of history were packed, field by field.
 struct OldTaken {
@@ -18,31 +20,31 @@
   }
 };
 struct OldOperation {
-  std::string opId;
+  std::string operationId;
   std::int32_t verdict = 0;
   template <class V>
   void fields(V& v) {
-    v("opId", opId), v("verdict", verdict);
+    v("operationId", operationId), v("verdict", verdict);
   }
 };
 struct OldSnapshot {
   bool partial = false;
   std::string difference;
-  std::int64_t num = 0, term = 0, version = 0;
+  std::int64_t index = 0, term = 0, version = 0;
   std::string configuration, digest;
   std::vector<OldTaken> taken;
   std::vector<Runner> runners;
   std::vector<std::string> gone;
   std::vector<OldOperation> done;
-  std::vector<Closure> closures;
+  std::vector<ZoneDrain> zoneDrains;
   template <class V>
   void fields(V& v) {
     v("partial", partial), v("difference", difference);
-    v("num", num), v("term", term), v("version", version), v("configuration", configuration), v("digest", digest);
-    v("taken", taken), v("runners", runners), v("gone", gone), v("done", done), v("closures", closures);
+    v("index", index), v("term", term), v("version", version), v("configuration", configuration), v("digest", digest);
+    v("taken", taken), v("runners", runners), v("gone", gone), v("done", done), v("zoneDrains", zoneDrains);
   }
 };
-Entry randomRunnerWrite(std::mt19937_64& random, int serial) {
+LogEntry randomRunnerWrite(std::mt19937_64& random, int serial) {
   const auto id = std::to_string(random() % 40);
   const Runner r{"i" + id,
                  "s",
@@ -51,21 +53,21 @@
                  4,
                  static_cast<std::int64_t>(random() % 20),
                  static_cast<std::int32_t>(random() % 3)};
-  return runnerOp(r, "runner/" + std::to_string(random() % 4 ? serial : serial / 2));
+  return runnerEntry(r, "runner/" + std::to_string(random() % 4 ? serial : serial / 2));
 }
-Entry randomConfigurationWrite(std::mt19937_64& random, int serial, const StateContents& on) {
+LogEntry randomConfigurationWrite(std::mt19937_64& random, int serial, const StateContents& on) {
   const auto base = random() % 3 ? on.version : static_cast<std::int64_t>(random() % 300);
   const auto version = base + static_cast<std::int64_t>(random() % 3);
-  return configurationOp(base, version, "body " + std::to_string(version) + (random() % 4 ? "" : "b"),
-                         "operator/" + std::to_string(serial));
+  return configurationEntry(base, version, "body " + std::to_string(version) + (random() % 4 ? "" : "b"),
+                            "operator/" + std::to_string(serial));
 }
-Entry randomWrite(std::mt19937_64& random, int serial, const StateContents& on) {
+LogEntry randomWrite(std::mt19937_64& random, int serial, const StateContents& on) {
   const auto kind = random() % 8;
   if (kind < 3)
     return randomConfigurationWrite(random, serial, on);
   if (kind == 3)
-    return closureOp(Closure{"z" + std::to_string(random() % 3), "", 10, false}, random() % 2 == 0,
-                     "closure/" + std::to_string(serial));
+    return zoneDrainEntry(ZoneDrain{"z" + std::to_string(random() % 3), "", 10, false}, random() % 2 == 0,
+                          "closure/" + std::to_string(serial));
   return randomRunnerWrite(random, serial);
 }
 // What an access node works by.
@@ -75,14 +77,14 @@
 ReplicatedState fullOfHistory() {
   ReplicatedState copy;
   std::int64_t applied = 0;
-  auto put = [&](Entry e) {
-    e.num = ++applied;
+  auto put = [&](LogEntry e) {
+    e.index = ++applied;
     copy.apply(e);
   };
   for (int i = 1; i <= 6000; ++i)
-    put(configurationOp(i - 1, i, "{}", "operator/" + std::to_string(i)));
+    put(configurationEntry(i - 1, i, "{}", "operator/" + std::to_string(i)));
   for (int i = 1; i <= 6000; ++i)
-    put(runnerOp(Runner{"i" + std::to_string(i), "s", "a", "z", 4, 1, 2}, "gone/" + std::to_string(i)));
+    put(runnerEntry(Runner{"i" + std::to_string(i), "s", "a", "z", 4, 1, 2}, "gone/" + std::to_string(i)));
   return copy;
 }
 }  // namespace
@@ -96,7 +98,7 @@
     std::int64_t applied = 0;
     for (int i = 0; i < 600; ++i) {
       auto e = randomWrite(random, i, core.state());
-      e.num = ++applied;
+      e.index = ++applied;
       core.apply(e);
       access.apply(e);
       if (random() % 40 == 0) {
@@ -112,25 +114,25 @@
 TEST(Snapshot, AMemberOfTheCoreIsToldTheTableOfTakenConfigurations) {
   ReplicatedState first;
   for (int i = 1; i <= 1000; ++i) {
-    auto e = configurationOp(i - 1, i, "body " + std::to_string(i), "operator/" + std::to_string(i));
-    e.num = i;
+    auto e = configurationEntry(i - 1, i, "body " + std::to_string(i), "operator/" + std::to_string(i));
+    e.index = i;
     first.apply(e);
   }
   ReplicatedState second;
   ASSERT_TRUE(second.restore(first.snapshot()));
   EXPECT_EQ(second.snapshot(), first.snapshot());
-  EXPECT_EQ(second.judge(0, 1, digestOf("body 1")), ReplicatedState::kAcknowledged);
+  EXPECT_EQ(second.evaluateReplace(0, 1, digestOf("body 1")), ReplicatedState::kAcknowledged);
   ReplicatedState access;
   ASSERT_TRUE(access.restore(first.snapshotFor({})));
-  EXPECT_EQ(access.judge(0, 1, digestOf("body 1")), ReplicatedState::kNoClearAnswer)
+  EXPECT_EQ(access.evaluateReplace(0, 1, digestOf("body 1")), ReplicatedState::kNoClearAnswer)
       << "it can't tell, and does not refuse";
-  EXPECT_EQ(access.judge(999, 1000, digestOf("body 1000")), ReplicatedState::kAcknowledged);
+  EXPECT_EQ(access.evaluateReplace(999, 1000, digestOf("body 1000")), ReplicatedState::kAcknowledged);
 }
 TEST(Snapshot, TheTablesStaySmall) {
   const auto copy = fullOfHistory();
-  EXPECT_EQ(copy.state().taken.size(), TakenConfigurations::kMost);
-  EXPECT_EQ(copy.state().operations.size(), OperationHistory::kMost);
-  EXPECT_EQ(copy.state().endedRunners.size(), EndedRunners::kMost);
+  EXPECT_EQ(copy.state().taken.size(), AcceptedConfigurations::kMost);
+  EXPECT_EQ(copy.state().operations.size(), OperationDeduplication::kMost);
+  EXPECT_EQ(copy.state().detachedRunners.size(), DetachedRunners::kMost);
   EXPECT_LT(copy.snapshot().size(), 145'000U) << "a core's: 64 + 41 + 33 KB";
   EXPECT_LT(copy.snapshotFor({}).size(), 76'000U) << "an access node's: 41 + 33 KB";
   ReplicatedState other;
@@ -139,28 +141,28 @@
 }
 TEST(Snapshot, OneOfTheFormatBeforeIsRead) {
   OldSnapshot old;
-  old.num = 90, old.term = 4, old.version = 70;
+  old.index = 90, old.term = 4, old.version = 70;
   old.configuration = "body 70", old.digest = digestOf("body 70");
   for (int i = 7; i <= 70; ++i)
     old.taken.push_back({i, digestOf("body " + std::to_string(i))});
   old.runners = {Runner{"i1", "s", "a:1", "z", 4, 3, 1}};
   old.gone = {"i0"};
   old.done = {{"operator/1@70", 200}, {"operator/2@70", 412}};
-  old.closures = {Closure{"z", "note", 50, false}};
+  old.zoneDrains = {ZoneDrain{"z", "note", 50, false}};
   ReplicatedState copy;
   ASSERT_TRUE(copy.restore(avro::encode(old)));
-  EXPECT_EQ(copy.state().num, 90);
+  EXPECT_EQ(copy.state().index, 90);
   EXPECT_EQ(copy.state().term, 4);
   EXPECT_EQ(copy.state().configuration, "body 70");
-  EXPECT_EQ(copy.judge(6, 7, digestOf("body 7")), 200);
-  EXPECT_EQ(copy.judge(5, 6, digestOf("body 6")), 503) << "the older format did not keep it: no clear answer";
-  EXPECT_EQ(copy.judge(6, 7, digestOf("another")), 412);
-  EXPECT_TRUE(copy.isGone("i0"));
-  EXPECT_EQ(copy.verdictOf("operator/2@70"), 412);
+  EXPECT_EQ(copy.evaluateReplace(6, 7, digestOf("body 7")), 200);
+  EXPECT_EQ(copy.evaluateReplace(5, 6, digestOf("body 6")), 503) << "the older format did not keep it: no clear answer";
+  EXPECT_EQ(copy.evaluateReplace(6, 7, digestOf("another")), 412);
+  EXPECT_TRUE(copy.isDetached("i0"));
+  EXPECT_EQ(copy.outcomeOf("operator/2@70"), 412);
   ASSERT_TRUE(copy.runner("i1"));
   EXPECT_EQ(copy.runner("i1")->at(), RunnerState::draining);
-  ASSERT_EQ(copy.state().closures.size(), 1U);
-  EXPECT_EQ(copy.state().closures[0].share, 50);
+  ASSERT_EQ(copy.state().zoneDrains.size(), 1U);
+  EXPECT_EQ(copy.state().zoneDrains[0].share, 50);
   ReplicatedState again;
   ASSERT_TRUE(again.restore(copy.snapshot()));
   EXPECT_EQ(again.snapshot(), copy.snapshot());
@@ -171,13 +173,13 @@
   later[7] = '3';
   const auto result = copy.restore(later);
   ASSERT_FALSE(result);
-  EXPECT_EQ(result.error().text, "a snapshot of another format version");
+  EXPECT_EQ(result.error().message, "a snapshot of another format version");
 }
 TEST(Snapshot, WhatIsDeclinedChangesNothing) {
   const auto full = fullOfHistory().snapshot();
   ReplicatedState copy;
-  auto e = configurationOp(0, 1, "mine", "operator/1");
-  e.num = 1;
+  auto e = configurationEntry(0, 1, "mine", "operator/1");
+  e.index = 1;
   copy.apply(e);
   const auto before = copy.snapshot();
   for (std::size_t cut = 1; cut < full.size(); cut += 997) {
@@ -193,5 +195,5 @@
   auto copy = fullOfHistory();
   ASSERT_TRUE(copy.restore({}));
   EXPECT_EQ(copy.snapshot(), ReplicatedState{}.snapshot());
-  EXPECT_EQ(copy.judge(0, 1, "x"), ReplicatedState::kUndecided);
+  EXPECT_EQ(copy.evaluateReplace(0, 1, "x"), ReplicatedState::kAcceptable);
 }
--- a/tests/standins.hpp
+++ b/tests/standins.hpp
@@ -5,7 +5,12 @@
 #include "events.hpp"
 #include "proxy/proxy.hpp"
 
-namespace zc::standin {
+namespace zinccleat::standin {
+using namespace zinccleat::balancing;
+using namespace zinccleat::config;
+using namespace zinccleat::proxy;
+using namespace zinccleat::runtime;
+using namespace zinccleat::state_machine;
 // A runner that does what a test tells it, one connection at a time.
 struct StandIn {
   std::string id, service = "s";
@@ -17,7 +22,7 @@
   std::string address() const { return "127.0.0.1:" + std::to_string(acc->local_endpoint().port()); }
 };
 inline void say(Connection& w, const std::string& s) {
-  Ec ec;
+  SocketError ec;
   w.write(asio::buffer(s), ec);
 }
 inline std::string whole(const std::string& attempt, const std::string& body, int status = 200,
@@ -43,14 +48,14 @@
       std::make_shared<tcp::acceptor>(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
   auto acceptNext = std::make_shared<std::function<void()>>();
   *acceptNext = [r, acceptNext] {
-    r->acc->async_accept([r, acceptNext](Ec ec, tcp::socket s) {
+    r->acc->async_accept([r, acceptNext](SocketError ec, tcp::socket s) {
       if (ec)
         return;
       ++r->connections;
       auto held = std::make_shared<tcp::socket>(std::move(s));
-      EventLoop::get().launch([r, held] {
+      EventLoop::get().spawn([r, held] {
         Connection w(std::move(*held));
-        tune(w.sock());
+        tune(w.socket());
         Buffer buf;
         for (;;) {
           RequestParser p;
@@ -63,7 +68,7 @@
           text += "\n" + q.body();
           r->got.push_back(text);
           r->act(*r, w, std::string(q["X-Attempt-Id"]), text);
-          if (!w.sock().is_open())
+          if (!w.socket().is_open())
             return;
         }
       });
@@ -76,7 +81,7 @@
   ProxyContext context;
   // A budget with so much saved already, and room for no more than most.
   void saveUp(double saved, double most) {
-    context.budget = Budget(0.15, Span(2500));
+    context.budget = Budget(0.15, Duration(2500));
     context.budget.share(most, 0.5);
     for (double x = 0; x < saved; x += 0.15)
       context.budget.earn("s", Clock::now() - 10s);
@@ -100,7 +105,7 @@
     take();
   }
   void take() {
-    door->async_accept([this](Ec ec, tcp::socket s) {
+    door->async_accept([this](SocketError ec, tcp::socket s) {
       if (ec)
         return;
       takeClient(context, std::move(s));
@@ -124,7 +129,7 @@
   }
   std::unique_ptr<Connection> dial() {
     auto w = std::make_unique<Connection>();
-    Ec ec;
+    SocketError ec;
     w->connect(door->local_endpoint(), ec);
     EXPECT_FALSE(ec);
     return w;
@@ -140,10 +145,10 @@
   Answer a;
   http::response_parser<http::string_body> p;
   p.eager(true);
-  Ec ec;
-  w.due(Clock::now() + 20s);
+  SocketError ec;
+  w.setDeadline(Clock::now() + 20s);
   pump(w, buf, p, false, ec);
-  w.undue();
+  w.clearDeadline();
   if (p.is_header_done()) {
     a.status = static_cast<int>(p.get().result_int());
     for (auto& f : p.get())
@@ -169,7 +174,7 @@
 template <class F>
 void withProxy(F f) {
   bool ended = false;
-  EventLoop::get().launch([&] {
+  EventLoop::get().spawn([&] {
     auto h = std::make_shared<TestProxy>();
     f(*h);
     static std::vector<std::shared_ptr<TestProxy>> kept;  // its fibers may still refer to it
@@ -183,4 +188,4 @@
 const auto answers = [](StandIn&, Connection& w, const std::string& id, const std::string&) {
   say(w, whole(id, "body of " + id));
 };
-}  // namespace zc::standin
+}  // namespace zinccleat::standin
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -8,29 +8,32 @@
 #include "transport/partial_view.hpp"
 #include "transport/peer_link.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::consensus;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
 namespace {
 struct Log {
   ReplicatedState copy;
   std::int64_t n = 0;
-  ReplicatedState::Change put(Entry e) {
-    e.num = ++n;
+  ReplicatedState::Change put(LogEntry e) {
+    e.index = ++n;
     return copy.apply(e);
   }
   int replace(std::int64_t base, std::int64_t version, const std::string& body, const std::string& op) {
-    auto e = configurationOp(base, version, body, op);
-    const auto id = e.opId;
+    auto e = configurationEntry(base, version, body, op);
+    const auto id = e.operationId;
     put(e);
-    return copy.verdictOf(id).value_or(-1);
+    return copy.outcomeOf(id).value_or(-1);
   }
 };
 Runner runner(const std::string& id, const std::string& addr, RunnerState st, std::int64_t seq) {
   return Runner{id, "s", addr, "z", 4, seq, static_cast<std::int32_t>(st)};
 }
-Entry numbered(std::int64_t n, const std::string& blob = "b") {
-  Entry e;
-  e.num = n;
-  e.blob = blob;
+LogEntry numbered(std::int64_t n, const std::string& blob = "b") {
+  LogEntry e;
+  e.index = n;
+  e.body = blob;
   return e;
 }
 }  // namespace
@@ -59,67 +62,67 @@
 }
 TEST(ReplicatedState, RunnersJoinDrainAndLeave) {
   Log l;
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 1), "1"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 1), "1"));
   ASSERT_TRUE(l.copy.runner("i1"));
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::draining, 5), "2"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::draining, 5), "2"));
   EXPECT_EQ(l.copy.runner("i1")->at(), RunnerState::draining);
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 4), "3"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 4), "3"));
   EXPECT_EQ(l.copy.runner("i1")->at(), RunnerState::draining) << "a late beat changes nothing";
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 9), "4"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 9), "4"));
   EXPECT_EQ(l.copy.runner("i1")->at(), RunnerState::draining) << "who leaves does not come back in the same life";
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::gone, 9), "5"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::gone, 9), "5"));
   EXPECT_FALSE(l.copy.runner("i1"));
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 10), "6"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 10), "6"));
   EXPECT_FALSE(l.copy.runner("i1")) << "it has left for good";
 }
 TEST(ReplicatedState, AMissedRunnerMayBeatAgainANewLifeTakesTheAddress) {
   Log l;
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 1), "1"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 1), "1"));
   auto missed = runner("i1", "a:1", RunnerState::gone, 0);
-  l.put(runnerOp(missed, "2"));
+  l.put(runnerEntry(missed, "2"));
   EXPECT_FALSE(l.copy.runner("i1"));
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 7), "3"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 7), "3"));
   EXPECT_TRUE(l.copy.runner("i1"));
-  l.put(runnerOp(runner("i2", "a:1", RunnerState::inService, 1), "4"));
+  l.put(runnerEntry(runner("i2", "a:1", RunnerState::inService, 1), "4"));
   EXPECT_FALSE(l.copy.runner("i1"));
   EXPECT_TRUE(l.copy.runner("i2"));
 }
 TEST(ReplicatedState, AWriteThatCameTwiceIsOneWrite) {
   Log l;
   EXPECT_EQ(l.replace(0, 2, "A", "x"), 200);
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::gone, 0), "missed"));
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::inService, 3), "join"));
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::gone, 0), "missed"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::gone, 0), "missed"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::inService, 3), "join"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::gone, 0), "missed"));
   EXPECT_TRUE(l.copy.runner("i1")) << "the late copy of an older write undoes nothing";
   EXPECT_EQ(l.replace(0, 2, "A", "x"), 200);
-  EXPECT_EQ(l.copy.state().num, 5) << "but its number is taken";
+  EXPECT_EQ(l.copy.state().index, 5) << "but its number is taken";
 }
 TEST(ReplicatedState, ASnapshotHoldsEverything) {
   Log l;
   l.replace(0, 2, "A", "x");
-  l.put(runnerOp(runner("i1", "a:1", RunnerState::draining, 1), "1"));
+  l.put(runnerEntry(runner("i1", "a:1", RunnerState::draining, 1), "1"));
   ReplicatedState other;
   ASSERT_TRUE(other.restore(l.copy.snapshot()));
   EXPECT_EQ(other.snapshot(), l.copy.snapshot());
-  EXPECT_EQ(other.state().num, 2);
+  EXPECT_EQ(other.state().index, 2);
   EXPECT_FALSE(other.restore("no snapshot at all \xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff"));
 }
-TEST(Queue, TakesTheHeadInStrictOrderOnly) {
-  Queue q;
+TEST(EntryQueue, TakesTheHeadInStrictOrderOnly) {
+  EntryQueue q;
   q.offer(numbered(3));
   q.offer(numbered(2));
   EXPECT_FALSE(q.next());
   EXPECT_TRUE(q.gap());
   q.offer(numbered(1));
   for (int i = 1; i <= 3; ++i)
-    EXPECT_EQ(q.next()->num, i);
+    EXPECT_EQ(q.next()->index, i);
   EXPECT_FALSE(q.gap());
   q.offer(numbered(2));
   EXPECT_FALSE(q.next()) << "what was applied is not applied again";
   EXPECT_FALSE(q.gap());
 }
-TEST(Queue, ALargeWriteWaitsForItsBody) {
-  Queue q;
+TEST(EntryQueue, ALargeWriteWaitsForItsBody) {
+  EntryQueue q;
   auto e = numbered(1, "");
   e.omitted = true;
   e.digest = "d1";
@@ -127,26 +130,26 @@
   EXPECT_FALSE(q.next());
   EXPECT_TRUE(q.gap()) << "asked for again if the body never comes";
   q.body("d1", "the body");
-  EXPECT_EQ(q.next()->blob, "the body");
-  e.num = 2;
+  EXPECT_EQ(q.next()->body, "the body");
+  e.index = 2;
   e.digest = "d2";
   q.offer(e);
   EXPECT_FALSE(q.next());
   q.offer(numbered(2, "whole"));  // the refetch
-  EXPECT_EQ(q.next()->blob, "whole");
+  EXPECT_EQ(q.next()->body, "whole");
 }
-TEST(Queue, ASnapshotSkipsWhatItHolds) {
-  Queue q;
+TEST(EntryQueue, ASnapshotSkipsWhatItHolds) {
+  EntryQueue q;
   q.offer(numbered(5));
   q.offer(numbered(6));
   q.restart(5);
-  EXPECT_EQ(q.next()->num, 6);
+  EXPECT_EQ(q.next()->index, 6);
 }
 TEST(Frames, GoAndComeBack) {
   FeedEntries feed;
-  feed.newestNumber = -7;
+  feed.newestIndex = -7;
   feed.entries = {numbered(1, std::string(100000, 'z')), numbered(2)};
-  LeaseAnswer lease;
+  LeaseResponse lease;
   lease.grants = {{"t", 1.5, 2.5}};
   auto buf = frameOf(pack(feed, "x")) + frameOf(pack(lease)) + std::string(2, char(0));
   auto out = unframe(buf);
@@ -156,12 +159,12 @@
   EXPECT_TRUE((*out)[1].sender.empty());
   const auto feedBack = unpack<FeedEntries>((*out)[0]);
   ASSERT_TRUE(feedBack);
-  EXPECT_EQ(feedBack->newestNumber, -7);
-  EXPECT_EQ(feedBack->entries[0].blob.size(), 100000U);
-  const auto leaseBack = unpack<LeaseAnswer>((*out)[1]);
+  EXPECT_EQ(feedBack->newestIndex, -7);
+  EXPECT_EQ(feedBack->entries[0].body.size(), 100000U);
+  const auto leaseBack = unpack<LeaseResponse>((*out)[1]);
   ASSERT_TRUE(leaseBack);
   EXPECT_DOUBLE_EQ(leaseBack->grants[0].burst, 2.5);
-  EXPECT_FALSE(unpack<LeaseQuestion>((*out)[1])) << "a message of another type";
+  EXPECT_FALSE(unpack<LeaseRequest>((*out)[1])) << "a message of another type";
   EXPECT_EQ(buf.size(), 2U) << "a frame not whole yet stays";
 }
 TEST(Frames, WhatIsNotOursIsDeclined) {
