--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -15,7 +15,11 @@
 #include "core.hpp"
 #include "simulated_disk.hpp"
 
-using namespace zc;
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::consensus;
+using namespace zinccleat::controller;
+using namespace zinccleat::storage;
 namespace {
 using Disk = SimulatedDisk;
 using Fate = SimulatedDisk::Fate;
@@ -32,7 +36,7 @@
 Storage storageOn(Disk& disk) {
   return Storage(std::make_unique<SimulatedFolder>(disk));
 }
-Outcome<std::vector<DiskRecord>> loadFrom(Disk& disk) {
+Result<std::vector<DiskRecord>> loadFrom(Disk& disk) {
   return storageOn(disk).load();
 }
 std::vector<std::int64_t> sequencesOf(const std::vector<DiskRecord>& records) {
@@ -84,9 +88,9 @@
   return base;
 }
 // What is wrong with records that were recovered after this history; empty: nothing.
-std::string wrongWith(const Outcome<std::vector<DiskRecord>>& records, const History& history) {
+std::string wrongWith(const Result<std::vector<DiskRecord>>& records, const History& history) {
   if (!records)
-    return "load: " + records.error().text;
+    return "load: " + records.error().message;
   const auto last = records->empty() ? 0 : records->back().seq;
   if (last != history.acknowledged && last != history.begun)
     return "recovered up to " + std::to_string(last) + ", acknowledged " + std::to_string(history.acknowledged) +
@@ -207,7 +211,7 @@
   Disk disk(folderOf("f-i-f"));
   auto storage = storageOn(disk);
   const auto records = storage.load();
-  ASSERT_TRUE(records) << records.error().text;
+  ASSERT_TRUE(records) << records.error().message;
   EXPECT_EQ(sequencesOf(*records), (Sequences{5}));
   EXPECT_EQ(disk.names.size(), 1U) << "the rubbish is removed";
   EXPECT_TRUE(storage.append(recordOf(6, false)));
@@ -231,7 +235,7 @@
     }
     Disk disk(folder);
     const auto records = loadFrom(disk);
-    ASSERT_TRUE(records) << state << ": " << records.error().text;
+    ASSERT_TRUE(records) << state << ": " << records.error().message;
     ASSERT_EQ(sequencesOf(*records), (Sequences{5, 6, 7}));
     ASSERT_EQ(disk.names.size(), 3U);
   }
@@ -239,7 +243,7 @@
 TEST(Storage, ARunFromNumberOneNeedsNoFullRecord) {
   Disk disk(folderOf("iii"));
   const auto records = loadFrom(disk);
-  ASSERT_TRUE(records) << records.error().text;
+  ASSERT_TRUE(records) << records.error().message;
   EXPECT_EQ(sequencesOf(*records), (Sequences{1, 2, 3}));
 }
 TEST(Storage, WhatMayHaveBeenAcknowledgedAndIsGoneIsDamage) {
@@ -249,7 +253,7 @@
     Disk disk(folder);
     const auto records = loadFrom(disk);
     ASSERT_FALSE(records) << shape;
-    EXPECT_EQ(records.error().code, kDamaged) << shape;
+    EXPECT_EQ(records.error().code, ErrorCode::corruption) << shape;
     EXPECT_EQ(disk.content(), folder) << shape << ": nothing is changed by looking";
   }
 }
@@ -259,7 +263,7 @@
   Disk disk(folder);
   const auto records = loadFrom(disk);
   ASSERT_FALSE(records);
-  EXPECT_EQ(records.error().code, kDamaged);
+  EXPECT_EQ(records.error().code, ErrorCode::corruption);
 }
 TEST(Storage, OnlyItsOwnNamesCount) {
   auto folder = folderOf("fi");
@@ -274,7 +278,7 @@
   folder.insert(foreign.begin(), foreign.end());
   Disk disk(folder);
   const auto records = loadFrom(disk);
-  ASSERT_TRUE(records) << records.error().text;
+  ASSERT_TRUE(records) << records.error().message;
   EXPECT_EQ(sequencesOf(*records), (Sequences{1, 2}));
   EXPECT_EQ(disk.content(), folder) << "files of others stay";
 }
@@ -288,9 +292,9 @@
   for (auto& found : {folder, older}) {
     Disk disk(found);
     auto storage = storageOn(disk);
-    const auto recovery = recoverStorage(storage, [](const Fault&) { return false; });
+    const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
     ASSERT_FALSE(recovery);
-    EXPECT_EQ(recovery.error().code, kOtherFormat);
+    EXPECT_EQ(recovery.error().code, ErrorCode::incompatibleFormat);
     EXPECT_EQ(disk.content(), found);
   }
 }
@@ -307,12 +311,12 @@
         Disk disk(flipped);
         const auto records = loadFrom(disk);
         if (*recordSequence(name) < 4) {
-          ASSERT_TRUE(records) << name << " byte " << i << ": " << records.error().text;
+          ASSERT_TRUE(records) << name << " byte " << i << ": " << records.error().message;
           ASSERT_EQ(sequencesOf(*records), (Sequences{4, 5, 6}));
           ++harmless;
         } else {
           ASSERT_FALSE(records) << name << " byte " << i;
-          ASSERT_EQ(records.error().code, kDamaged) << name << " byte " << i;
+          ASSERT_EQ(records.error().code, ErrorCode::corruption) << name << " byte " << i;
           ++found;
         }
       }
@@ -489,7 +493,7 @@
     const auto before = disk.content();
     const auto refused = storage.append(recordOf(3, false));
     ASSERT_FALSE(refused);
-    ASSERT_EQ(refused.error().code, ENOSPC);
+    ASSERT_EQ(refused.error().subcode, ENOSPC);
     ASSERT_EQ(disk.content(), before) << "the room of the failed attempt is given back";
     ASSERT_EQ(Checker().check(disk, history), "");
     disk.makeNamesDurable();  // else what each attempt made and removed adds up
@@ -520,8 +524,8 @@
     return looks || operation == Operation::syncFolder ? Fate::succeeds : Fate::failsBefore;
   };
   auto storage = storageOn(disk);
-  const auto recovery = recoverStorage(storage, [](const Fault&) { return false; });
-  ASSERT_TRUE(recovery) << recovery.error().text;
+  const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
+  ASSERT_TRUE(recovery) << recovery.error().message;
   EXPECT_EQ(sequencesOf(recovery->records), (Sequences{5, 6}));
   EXPECT_EQ(recovery->warnings.size(), 1U) << "no lock could be made";
   EXPECT_FALSE(storage.append(recordOf(7, false)));
@@ -562,7 +566,7 @@
     auto storage = storageOn(disk);
     const auto records = storage.load();
     ASSERT_FALSE(records) << failing;
-    EXPECT_EQ(records.error().code, EIO);
+    EXPECT_EQ(records.error().subcode, EIO);
     EXPECT_EQ(disk.content(), folder) << failing << ": nothing is changed";
     const auto again = storage.load();
     ASSERT_TRUE(again);
@@ -576,9 +580,9 @@
   };
   auto storage = storageOn(disk);
   int waits = 0;
-  const auto recovery = recoverStorage(storage, [&](const Fault& trouble) {
-    EXPECT_EQ(trouble.code, EIO);
-    EXPECT_EQ(trouble.text, "record-000000000003 can't be read: read");
+  const auto recovery = recoverStorage(storage, [&](const Error& trouble) {
+    EXPECT_EQ(trouble.subcode, EIO);
+    EXPECT_EQ(trouble.message, "record-000000000003 can't be read: read");
     if (++waits == 100)
       disk.fate = {};
     return true;
@@ -597,9 +601,9 @@
     };
     auto storage = storageOn(disk);
     int asked = 0;
-    const auto recovery = recoverStorage(storage, [&](const Fault&) { return ++asked < 3; });
+    const auto recovery = recoverStorage(storage, [&](const Error&) { return ++asked < 3; });
     ASSERT_FALSE(recovery);
-    EXPECT_EQ(recovery.error().code, code);
+    EXPECT_EQ(recovery.error().subcode, code);
     EXPECT_EQ(asked, code == EIO ? 3 : 0) << "rights that are missing don't come by waiting";
     EXPECT_EQ(disk.content(), folderOf("fii"));
   }
@@ -613,8 +617,8 @@
     folder["record-000000000009.tmp"] = "half";
     Disk disk(folder);
     auto storage = storageOn(disk);
-    const auto recovery = recoverStorage(storage, [](const Fault&) { return false; });
-    ASSERT_TRUE(recovery) << shape << ": " << recovery.error().text;
+    const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
+    ASSERT_TRUE(recovery) << shape << ": " << recovery.error().message;
     EXPECT_TRUE(recovery->records.empty());
     EXPECT_TRUE(recovery->identityLost);
     ASSERT_EQ(recovery->warnings.size(), 1U) << "said once, in a line";
@@ -638,7 +642,7 @@
       lost = 0;
       try {
         auto storage = storageOn(disk);
-        const auto recovery = recoverStorage(storage, [](const Fault&) { return false; });
+        const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
         ASSERT_TRUE(recovery);
       } catch (const PowerLoss&) {
         lost = 1;
@@ -647,7 +651,7 @@
         ++outcomes;
         Disk found(folder);
         const auto records = loadFrom(found);
-        const bool safe = records ? records->empty() : records.error().code == kDamaged;
+        const bool safe = records ? records->empty() : records.error().code == ErrorCode::corruption;
         ASSERT_TRUE(safe) << shape << " cut before operation " << operation;
       }
     }
@@ -666,7 +670,7 @@
         return how;
       };
       auto storage = storageOn(disk);
-      const auto recovery = recoverStorage(storage, [](const Fault&) { return true; });
+      const auto recovery = recoverStorage(storage, [](const Error&) { return true; });
       ASSERT_TRUE(recovery) << failing;
       ASSERT_TRUE(recovery->records.empty());
       ASSERT_TRUE(recovery->identityLost);
@@ -685,7 +689,7 @@
   Disk disk(folderOf("fx"));
   for (int set = 1; set <= 3; ++set) {
     auto storage = storageOn(disk);
-    ASSERT_TRUE(recoverStorage(storage, [](const Fault&) { return false; }));
+    ASSERT_TRUE(recoverStorage(storage, [](const Error&) { return false; }));
     for (int sequence = 1; sequence <= 2; ++sequence)
       ASSERT_TRUE(storage.append(recordOf(sequence, sequence == 1)));
     if (set < 3)
@@ -712,16 +716,16 @@
 TEST(StorageLock, ASecondOneIsRefusedAndNothingIsChanged) {
   const auto folder = freshDir();
   auto first = std::make_unique<Storage>(folder);
-  ASSERT_TRUE(recoverStorage(*first, [](const Fault&) { return false; }));
+  ASSERT_TRUE(recoverStorage(*first, [](const Error&) { return false; }));
   ASSERT_TRUE(first->append(recordOf(1, true)));
   std::ofstream(folder + "/record-000000000002.tmp") << "under way";
   Storage second(folder);
-  const auto refused = recoverStorage(second, [](const Fault&) { return true; });
+  const auto refused = recoverStorage(second, [](const Error&) { return true; });
   ASSERT_FALSE(refused);
-  EXPECT_EQ(refused.error().code, kLocked);
+  EXPECT_EQ(refused.error().code, ErrorCode::locked);
   EXPECT_TRUE(std::filesystem::exists(folder + "/record-000000000002.tmp"));
   first.reset();
-  EXPECT_TRUE(recoverStorage(second, [](const Fault&) { return false; }));
+  EXPECT_TRUE(recoverStorage(second, [](const Error&) { return false; }));
   std::filesystem::remove_all(folder);
 }
 TEST(StorageLock, TheKernelFreesItWhenAProcessIsKilled) {
@@ -746,7 +750,7 @@
   ::close(ready[0]);
   ::close(ready[1]);
   ASSERT_FALSE(refused);
-  EXPECT_EQ(refused.error().code, kLocked);
+  EXPECT_EQ(refused.error().code, ErrorCode::locked);
   EXPECT_TRUE(other.lock());
   std::filesystem::remove_all(folder);
 }
@@ -759,7 +763,7 @@
   ASSERT_TRUE(held.lock());
   const auto locked = Core(settings).start();
   ASSERT_FALSE(locked);
-  EXPECT_EQ(locked.error().text, settings.dataDir + ": another process uses this folder");
+  EXPECT_EQ(locked.error().message, settings.dataDir + ": another process uses this folder");
   EXPECT_EQ(filesIn(settings.dataDir), 1);
   std::filesystem::remove_all(settings.dataDir);
 
@@ -767,7 +771,7 @@
   std::ofstream(settings.dataDir + "/page-000000000001") << "zcpage2 and so on";
   const auto older = Core(settings).start();
   ASSERT_FALSE(older);
-  EXPECT_NE(older.error().text.find("page-000000000001 is in an older format"), std::string::npos);
+  EXPECT_NE(older.error().message.find("page-000000000001 is in an older format"), std::string::npos);
   EXPECT_TRUE(std::filesystem::exists(settings.dataDir + "/page-000000000001"));
   std::filesystem::remove_all(settings.dataDir);
 }
@@ -826,7 +830,7 @@
     Storage next(folder);
     const auto records = next.load();
     ASSERT_FALSE(records) << how;
-    EXPECT_EQ(records.error().code, kDamaged) << how;
+    EXPECT_EQ(records.error().code, ErrorCode::corruption) << how;
     ASSERT_TRUE(next.setAside());
     EXPECT_TRUE(next.load()->empty());
     EXPECT_TRUE(next.hasSetAside());
@@ -840,7 +844,7 @@
   std::ofstream(file) << encodeRecordAs(kRecordFormat + 1, recordOf(1, true));
   const auto records = Storage(folder).load();
   ASSERT_FALSE(records);
-  EXPECT_EQ(records.error().code, kOtherFormat);
+  EXPECT_EQ(records.error().code, ErrorCode::incompatibleFormat);
   EXPECT_TRUE(std::filesystem::exists(file));
   std::filesystem::remove_all(folder);
 }
@@ -864,9 +868,9 @@
   std::ofstream(folder + "/file") << "x";
   Storage storage(folder + "/file");
   int waits = 0;
-  const auto recovery = recoverStorage(storage, [&](const Fault&) { return ++waits < 3; });
+  const auto recovery = recoverStorage(storage, [&](const Error&) { return ++waits < 3; });
   ASSERT_FALSE(recovery);
-  EXPECT_EQ(recovery.error().code, ENOTDIR);
+  EXPECT_EQ(recovery.error().subcode, ENOTDIR);
   EXPECT_EQ(waits, 0);
   std::filesystem::remove_all(folder);
 }
