--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -1,5 +1,7 @@
 #include "simulation/linearizability.hpp"
 
+#include <algorithm>
+#include <optional>
 #include <set>
 #include <unordered_set>
 
@@ -23,6 +25,12 @@
     body = c.body;
     taken.emplace(c.version, c.body);
   }
+  // Undoes take() of a change that was not taken before.
+  void untake(const OperatorCall& c, std::int64_t versionBefore, std::string bodyBefore) {
+    taken.erase({c.version, c.body});
+    version = versionBefore;
+    body = std::move(bodyBefore);
+  }
   // Whether the call, answered as it was, fits here without changing anything.
   bool explains(const OperatorCall& c) const {
     if (c.kind == Kind::retrieve)
@@ -45,7 +53,7 @@
         open_(std::count_if(calls_.begin(), calls_.end(), isAnswered)) {}
   LinearizabilityResult run() {
     LinearizabilityResult result;
-    result.linearizable = explainRest(Register{});
+    result.linearizable = explainAll();
     result.statesVisited = visited_.size();
     if (!result.linearizable)
       result.explanation = visited_.size() >= kMostStates ? "the search gave up" : furthest_;
@@ -106,24 +114,59 @@
     }
     return result;
   }
-  bool explainRest(const Register& state) {
-    const auto fitting = placeAllThatFit(state);
-    bool explained = open_ == 0;
-    if (!explained && isNew(state)) {
-      noteFurthest(state);
-      for (auto i : changes(state)) {
-        auto next = state;
-        next.take(calls_[i]);
-        place(i);
-        explained = explainRest(next);
-        takeBack(i);
-        if (explained)
-          break;
-      }
+  // One change that was placed, and what followed from it. The search keeps these in a vector rather than on the call
+  // stack: a history may hold thousands of changes, and a fiber's stack is small.
+  struct Step {
+    std::vector<std::size_t> fitting;   // calls placed because they fit without a change
+    std::vector<std::size_t> untried;   // changes that may come next, the last one first
+    std::optional<std::size_t> change;  // the change taken last from here
+    std::int64_t version = 0;           // of the register before it
+    std::string body;
+  };
+  // Depth first over the orders of the changes. True: every answered call has found a place.
+  bool explainAll() {
+    enter();
+    while (open_ != 0 && !steps_.empty()) {
+      takeBackChange();
+      if (steps_.back().untried.empty())
+        leave();
+      else
+        tryNextChange();
     }
-    for (auto i : fitting)
-      takeBack(i);
-    return explained;
+    return open_ == 0;
+  }
+  void enter() {
+    auto& step = steps_.emplace_back();
+    step.fitting = placeAllThatFit(register_);
+    if (open_ == 0 || !isNew(register_))
+      return;
+    noteFurthest(register_);
+    step.untried = changes(register_);
+    std::reverse(step.untried.begin(), step.untried.end());
+  }
+  void leave() {
+    for (auto call : steps_.back().fitting)
+      takeBack(call);
+    steps_.pop_back();
+  }
+  void tryNextChange() {
+    auto& step = steps_.back();
+    const auto call = step.untried.back();
+    step.untried.pop_back();
+    step.change = call;
+    step.version = register_.version;
+    step.body = register_.body;
+    register_.take(calls_[call]);
+    place(call);
+    enter();
+  }
+  void takeBackChange() {
+    auto& step = steps_.back();
+    if (!step.change)
+      return;
+    register_.untake(calls_[*step.change], step.version, std::move(step.body));
+    takeBack(*step.change);
+    step.change.reset();
   }
   // The state: what is placed, and what of the register the placing does not tell.
   bool isNew(const Register& state) {
@@ -154,6 +197,8 @@
 
   std::vector<OperatorCall> calls_;
   std::vector<bool> placed_;
+  Register register_;
+  std::vector<Step> steps_;
   std::ptrdiff_t open_ = 0, fewestOpen_ = 0;  // answered calls without a place
   std::unordered_set<std::string> visited_;
   std::string furthest_;
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -6,6 +6,7 @@
 
 #include <random>
 
+#include "runtime/event_loop.hpp"
 #include "simulated_cluster.hpp"
 
 using namespace zc;
@@ -93,6 +94,47 @@
   }
 }
 
+namespace {
+// Runs the check where the trial runs it: on a fiber, whose stack is small.
+LinearizabilityResult checkOnFiber(const std::vector<OperatorCall>& history) {
+  LinearizabilityResult result;
+  auto& loop = EventLoop::get();
+  loop.launch([&] {
+    result = checkLinearizable(history);
+    loop.stop();
+  });
+  loop.run();
+  return result;
+}
+// One change after the other, each read back.
+std::vector<OperatorCall> longHistory(std::int64_t changes) {
+  std::vector<OperatorCall> history;
+  std::int64_t now = 0;
+  for (std::int64_t version = 1; version <= changes; ++version) {
+    const auto body = "body " + std::to_string(version);
+    history.push_back(replace(now + 1, now + 2, version - 1, version, body, kTaken));
+    history.push_back(retrieve(now + 3, now + 4, version, body));
+    now += 4;
+  }
+  return history;
+}
+}  // namespace
+
+// Found by the trial at its default length: a search that called itself once a change overran a fiber's stack.
+TEST(Linearizability, AHistoryOfThousandsOfChangesIsCheckedOnAFiber) {
+  constexpr std::int64_t kChanges = 2000;
+  auto history = longHistory(kChanges);
+  const auto result = checkOnFiber(history);
+  EXPECT_TRUE(result.linearizable) << result.explanation;
+  EXPECT_GE(result.statesVisited, static_cast<std::size_t>(kChanges));
+  // A stale read at the very end: the search goes all the way back before it says no.
+  const auto end = history.back().ended;
+  history.push_back(retrieve(end + 1, end + 2, 1, "body 1"));
+  const auto stale = checkOnFiber(history);
+  EXPECT_FALSE(stale.linearizable);
+  EXPECT_NE(stale.explanation.find("Retrieve of version 1: read body 1"), std::string::npos) << stale.explanation;
+}
+
 namespace {
 // Histories of a register that is one: each call takes effect at a moment between its sending and its answer.
 struct TrueRegister {
