--- /dev/null
+++ b/tests/nested_json_test.cpp
@@ -0,0 +1,97 @@
+// A body of 100,000 brackets at each place that reads JSON, on a fiber with its small stack: one clear refusal.
+#include <gtest/gtest.h>
+
+#include "config/calls.hpp"
+#include "config/configuration.hpp"
+#include "config/settings.hpp"
+#include "operations/observe.hpp"
+#include "operations/runbook.hpp"
+#include "runtime/event_loop.hpp"
+#include "simulation/plan.hpp"
+
+using namespace zc;
+namespace {
+constexpr std::size_t kDepth = 100'000;
+
+std::string repeated(std::string_view text) {
+  std::string out;
+  for (std::size_t i = 0; i < kDepth; ++i)
+    out += text;
+  return out;
+}
+struct Body {
+  const char* what;
+  std::string text;
+};
+std::vector<Body> nestedBodies() {
+  return {{"lists", repeated("[") + repeated("]")},
+          {"lists left open", repeated("[")},
+          {"objects", repeated("{\"a\":") + "1" + repeated("}")},
+          {"objects left open", repeated("{\"a\":")},
+          {"lists in a field", "{\"configVersion\":" + repeated("[") + repeated("]") + "}"},
+          {"objects in an unknown field", "{\"unknown\":" + repeated("{\"a\":") + "1" + repeated("}") + "}"}};
+}
+void onFiber(const std::function<void()>& body) {
+  auto& loop = EventLoop::get();
+  loop.launch([&] {
+    body();
+    loop.stop();
+  });
+  loop.run();
+}
+// `read` returns the text of the refusal, or nothing if it took the body.
+void expectRefusals(const std::string& word,
+                    const std::function<std::optional<std::string>(const std::string&)>& read) {
+  onFiber([&] {
+    for (const auto& body : nestedBodies()) {
+      const auto refusal = read(body.text);
+      ASSERT_TRUE(refusal) << body.what;
+      EXPECT_NE(refusal->find(word), std::string::npos) << body.what << ": " << *refusal;
+      constexpr std::size_t kOneLine = 200;
+      EXPECT_LT(refusal->size(), kOneLine) << body.what;
+      EXPECT_EQ(refusal->find('\n'), std::string::npos) << body.what;
+    }
+  });
+}
+template <class T>
+std::optional<std::string> refusalOf(const Outcome<T>& outcome) {
+  if (outcome)
+    return std::nullopt;
+  return outcome.error().text;
+}
+}  // namespace
+
+TEST(NestedJson, AConfigurationIsRefused) {
+  expectRefusals("configuration is no JSON: ",
+                 [](const std::string& body) { return refusalOf(parseConfiguration(body)); });
+}
+TEST(NestedJson, SettingsAreRefused) {
+  expectRefusals("settings are no JSON: ", [](const std::string& body) { return refusalOf(parseSettings(body)); });
+}
+TEST(NestedJson, AHeartbeatIsRefused) {
+  expectRefusals("heartbeat is no JSON object",
+                 [](const std::string& body) { return refusalOf(parseBeat("i1", body)); });
+}
+TEST(NestedJson, AClosureIsRefused) {
+  expectRefusals("closure is no JSON object", [](const std::string& body) { return refusalOf(parseClosure(body)); });
+}
+TEST(NestedJson, APlanOfAScaleRunIsRefused) {
+  expectRefusals("plan is no JSON object", [](const std::string& body) { return refusalOf(parsePlan(body)); });
+}
+TEST(NestedJson, AnAnswerThatARunbookObservesHasNoSuchField) {
+  onFiber([] {
+    for (const auto& body : nestedBodies())
+      EXPECT_FALSE(fieldOf(body.text, "configVersion")) << body.what;
+  });
+}
+// Its bodies are passed on as they are, and its own syntax does not nest.
+TEST(NestedJson, ARunbookPassesABodyOn) {
+  onFiber([] {
+    const auto body = repeated("[") + repeated("]");
+    const auto book = parseRunbook("post /v1/Configuration.Replace " + body, {});
+    ASSERT_TRUE(book);
+    ASSERT_EQ(book->steps.size(), 1);
+    EXPECT_EQ(book->steps[0].body, body);
+    EXPECT_FALSE(parseRunbook("get /v1/Status\nexpect any " + repeated("["), {}));
+  });
+}
