--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -1,7 +1,5 @@
 #include "fleet.hpp"
 
-#include <fcntl.h>
-#include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -9,6 +7,8 @@
 #include <filesystem>
 #include <fstream>
 
+#include "child_process.hpp"
+
 namespace zc {
 LocalFleet::LocalFleet(std::string binary, int core) : binary_(std::move(binary)) {
   std::string t = std::filesystem::temp_directory_path() / "zinccleat-fleet-XXXXXX";
@@ -25,7 +25,8 @@
     network_ = kFirst + (::getpid() + tried) % kCount;
     boost::system::error_code ec;
     reservation_.open(tcp::v4(), ec);
-    // Without address reuse: the kernel gives the address to one process at a time and frees it when that one ends.
+    // Without address reuse: the kernel gives the address to one socket at a time. The children inherit the socket
+    // (see spawn), so the network is free again when the last process of the fleet has ended, not when the first has.
     reservation_.bind({boost::asio::ip::make_address_v4(ip(255, 254)), kControl}, ec);
     if (!ec)
       return;
@@ -63,17 +64,12 @@
 }
 bool LocalFleet::spawn(Process& p) {
   const auto path = "--settings=" + dir_ + "/" + p.settings + ".json";
-  char* argv[] = {binary_.data(), p.role.data(), const_cast<char*>(path.c_str()), nullptr};
-  posix_spawn_file_actions_t act;
-  ::posix_spawn_file_actions_init(&act);
   const auto log = dir_ + "/" + p.name + ".log";
-  ::posix_spawn_file_actions_addopen(&act, 1, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  ::posix_spawn_file_actions_adddup2(&act, 1, 2);
-  // Why: a child that kept our sockets would keep connections alive that we have closed.
-  ::posix_spawn_file_actions_addclosefrom_np(&act, 3);
-  const int rc = ::posix_spawn(&p.pid, binary_.c_str(), &act, nullptr, argv, environ);
-  ::posix_spawn_file_actions_destroy(&act);
-  return rc == 0;
+  const pid_t pid = startChild({binary_, p.role, path}, log, reservation_.native_handle());
+  if (pid < 0)
+    return false;
+  p.pid = pid;
+  return true;
 }
 bool LocalFleet::startCore() {
   for (std::size_t i = 0; i < core_.size(); ++i) {
--- a/libs/simulation/src/fleet.hpp
+++ b/libs/simulation/src/fleet.hpp
@@ -1,5 +1,9 @@
-// Real processes of the system on loopback addresses, with a folder of their own that goes when they do. Each fleet
-// reserves a network 127.N.0.0/16 for itself, so that several fleets on one machine never meet.
+// Real processes of the system on loopback addresses, with a folder of their own that goes when they do.
+//
+// Each fleet reserves a network 127.N.0.0/16 for itself, so that several on one machine, of trials and of scale runs,
+// never share an address: it binds a socket to 127.N.255.254, which the kernel grants to one at a time, and its processes
+// inherit that socket, so that the network is not free before the last of them has ended. They end with the process
+// that holds the fleet, also when that is killed (see child_process.hpp).
 #pragma once
 #include <sys/types.h>
 
--- /dev/null
+++ b/tests/child_process_test.cpp
@@ -0,0 +1,163 @@
+// The processes of a trial or a scale run end with the one that started them, and no two runs share addresses.
+#include "child_process.hpp"
+
+#include <gtest/gtest.h>
+#include <poll.h>
+#include <sys/prctl.h>
+#include <sys/stat.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <csignal>
+#include <filesystem>
+#include <fstream>
+#include <memory>
+#include <set>
+
+#include "fleet.hpp"
+
+using namespace zc;
+namespace {
+constexpr int kMostWaitMs = 20'000;
+constexpr const char* kEndless[] = {"/usr/bin/tail", "-f", "/dev/null"};
+
+std::vector<std::string> endless() {
+  return {std::begin(kEndless), std::end(kEndless)};
+}
+// A program that takes any arguments and goes on until it is killed, in a folder of its own.
+class EndlessProgram {
+ public:
+  EndlessProgram() {
+    std::string folder = std::filesystem::temp_directory_path() / "zinccleat-endless-XXXXXX";
+    folder_ = ::mkdtemp(folder.data());
+    std::ofstream(path()) << "#!/bin/sh\nexec tail -f /dev/null\n";
+    ::chmod(path().c_str(), 0755);
+  }
+  ~EndlessProgram() { std::filesystem::remove_all(folder_); }
+  EndlessProgram(const EndlessProgram&) = delete;
+  std::string path() const { return folder_ + "/program"; }
+
+ private:
+  std::string folder_;
+};
+// True: every process that held the other end of the pipe has ended.
+bool awaitEnd(int readEnd) {
+  pollfd waited{readEnd, POLLIN, 0};
+  char byte = 0;
+  return ::poll(&waited, 1, kMostWaitMs) == 1 && ::read(readEnd, &byte, 1) == 0;
+}
+// The kernel's answer to another who wants the address by which a fleet reserves its network.
+int errorOfReserving(const std::string& ip) {
+  boost::asio::io_context io;
+  boost::asio::ip::tcp::acceptor acceptor(io);
+  boost::system::error_code ec;
+  acceptor.open(boost::asio::ip::tcp::v4());
+  acceptor.bind({boost::asio::ip::make_address_v4(ip), LocalFleet::kControl}, ec);
+  return ec.value();
+}
+std::string reservedIp(const LocalFleet& fleet) {
+  return fleet.ip(255, 254);
+}
+}  // namespace
+
+// Found when a trial crashed: its processes went on, and after nine such trials the next one served nobody.
+TEST(ChildProcess, EndsWhenItsParentIsKilled) {
+  int alive[2];
+  ASSERT_EQ(::pipe(alive), 0);
+  const pid_t parent = ::fork();
+  if (parent == 0) {
+    if (startChild(endless(), "/dev/null", alive[1]) > 0)
+      ::kill(::getpid(), SIGKILL);
+    ::_exit(1);
+  }
+  ::close(alive[1]);
+  int status = 0;
+  ASSERT_EQ(::waitpid(parent, &status, 0), parent);
+  EXPECT_TRUE(WIFSIGNALED(status)) << "the child could not be started";
+  EXPECT_TRUE(awaitEnd(alive[0]));
+  ::close(alive[0]);
+}
+TEST(ChildProcess, LivesOnWhileItsParentDoes) {
+  int alive[2];
+  ASSERT_EQ(::pipe(alive), 0);
+  const pid_t child = startChild(endless(), "/dev/null", alive[1]);
+  ASSERT_GT(child, 0);
+  ::close(alive[1]);
+  pollfd waited{alive[0], POLLIN, 0};
+  EXPECT_EQ(::poll(&waited, 1, 0), 0);
+  EXPECT_EQ(::waitpid(child, nullptr, WNOHANG), 0);
+  ::kill(child, SIGKILL);
+  EXPECT_EQ(::waitpid(child, nullptr, 0), child);
+  EXPECT_TRUE(awaitEnd(alive[0]));
+  ::close(alive[0]);
+}
+TEST(ChildProcess, AProgramThatThereIsNotIsToldWithItsError) {
+  EXPECT_EQ(startChild({"/nowhere/program"}, "/dev/null", STDIN_FILENO), -1);
+  EXPECT_EQ(errno, ENOENT);
+  EXPECT_EQ(startChild(endless(), "/nowhere/log", STDIN_FILENO), -1);
+  EXPECT_EQ(errno, ENOENT);
+}
+TEST(ChildProcess, KeepsNoOtherDescriptorThanTheOneItIsGiven) {
+  int kept[2];
+  int notKept[2];
+  ASSERT_EQ(::pipe(kept), 0);
+  ASSERT_EQ(::pipe(notKept), 0);
+  const pid_t child = startChild(endless(), "/dev/null", kept[1]);
+  ASSERT_GT(child, 0);
+  ::close(kept[1]);
+  ::close(notKept[1]);
+  EXPECT_TRUE(awaitEnd(notKept[0]));
+  pollfd waited{kept[0], POLLIN, 0};
+  EXPECT_EQ(::poll(&waited, 1, 0), 0);
+  ::kill(child, SIGKILL);
+  ::waitpid(child, nullptr, 0);
+  ::close(kept[0]);
+  ::close(notKept[0]);
+}
+TEST(LocalFleet, TwoNeverShareANetwork) {
+  std::vector<std::unique_ptr<LocalFleet>> fleets;
+  std::set<std::string> reserved;
+  constexpr int kFleets = 20;
+  for (int i = 0; i < kFleets; ++i) {
+    fleets.push_back(std::make_unique<LocalFleet>("/nowhere/program", 1));
+    EXPECT_TRUE(reserved.insert(reservedIp(*fleets.back())).second);
+    EXPECT_EQ(errorOfReserving(reservedIp(*fleets.back())), EADDRINUSE);
+  }
+}
+TEST(LocalFleet, ItsNetworkStaysReservedAsLongAsOneOfItsProcessesLives) {
+  const EndlessProgram program;
+  struct Report {
+    pid_t child = 0;
+    char ip[16] = {};
+  };
+  int reports[2];
+  ASSERT_EQ(::pipe(reports), 0);
+  // The fleet's process, once killed, leaves its children to this one, which can then wait for them.
+  ASSERT_EQ(::prctl(PR_SET_CHILD_SUBREAPER, 1), 0);
+  const pid_t parent = ::fork();
+  if (parent == 0) {
+    LocalFleet fleet(program.path(), 1);
+    Report report;
+    if (!fleet.startCore())
+      ::_exit(1);
+    report.child = fleet.processes()[0].pid;
+    reservedIp(fleet).copy(report.ip, sizeof report.ip - 1);
+    // The parent's own socket goes, as it does first when a process ends.
+    ::close_range(STDERR_FILENO + 1, static_cast<unsigned>(reports[1]) - 1, 0);
+    ::close_range(static_cast<unsigned>(reports[1]) + 1, ~0U, 0);
+    (void)!::write(reports[1], &report, sizeof report);
+    for (;;)
+      ::pause();
+  }
+  ::close(reports[1]);
+  Report report;
+  ASSERT_EQ(::read(reports[0], &report, sizeof report), static_cast<ssize_t>(sizeof report));
+  EXPECT_EQ(errorOfReserving(report.ip), EADDRINUSE);
+  ::kill(parent, SIGKILL);
+  EXPECT_EQ(::waitpid(parent, nullptr, 0), parent);
+  EXPECT_EQ(::waitpid(report.child, nullptr, 0), report.child);
+  EXPECT_EQ(errorOfReserving(report.ip), 0);
+  ::prctl(PR_SET_CHILD_SUBREAPER, 0);
+  ::close(reports[0]);
+}
