--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -10,6 +10,15 @@
 #include "child_process.hpp"
 
 namespace zc {
+namespace {
+constexpr int kFirstNetwork = 16;
+constexpr int kNetworks = 224;
+// Internal ports: so many for each network, all below those that the kernel gives out itself (from 32768 by default).
+constexpr int kFirstInternalPort = 20'000;
+constexpr int kInternalPorts = 16;
+static_assert(kFirstInternalPort + kNetworks * kInternalPorts < 32'768);
+}  // namespace
+
 LocalFleet::LocalFleet(std::string binary, int core) : binary_(std::move(binary)) {
   std::string t = std::filesystem::temp_directory_path() / "zinccleat-fleet-XXXXXX";
   dir_ = ::mkdtemp(t.data());
@@ -19,10 +28,8 @@
 }
 void LocalFleet::reserveNetwork() {
   using boost::asio::ip::tcp;
-  constexpr int kFirst = 16;
-  constexpr int kCount = 224;
-  for (int tried = 0; tried < kCount; ++tried) {
-    network_ = kFirst + (::getpid() + tried) % kCount;
+  for (int tried = 0; tried < kNetworks; ++tried) {
+    network_ = kFirstNetwork + (::getpid() + tried) % kNetworks;
     boost::system::error_code ec;
     reservation_.open(tcp::v4(), ec);
     // Without address reuse: the kernel gives the address to one socket at a time. The children inherit the socket
@@ -37,6 +44,9 @@
 std::string LocalFleet::ip(int third, int fourth) const {
   return "127." + std::to_string(network_) + "." + std::to_string(third) + "." + std::to_string(fourth);
 }
+unsigned short LocalFleet::internalPort() const {
+  return static_cast<unsigned short>(kFirstInternalPort + (network_ - kFirstNetwork) * kInternalPorts);
+}
 LocalFleet::~LocalFleet() {
   for (std::size_t i = 0; i < processes_.size(); ++i)
     kill(i);
@@ -56,8 +66,9 @@
   std::ofstream(dir_ + "/" + name + ".json")
       << "{\"nodeName\":\"" << name << "\",\"role\":\"" << role << "\",\"ip\":\"" << ip
       << "\",\"zone\":\"z\",\"region\":\"r\",\"zones\":{\"z\":\"r\"},"
-      << "\"bindAddresses\":{" << addresses << "},\"internalPorts\":[" << kPort << "," << kPort + 15
-      << "],\"seedNodes\":[" << seeds << "],\"initialAttach\":true,\"quorumMember\":" << (disk ? "true" : "false")
+      << "\"bindAddresses\":{" << addresses << "},\"internalPorts\":[" << internalPort() << ","
+      << internalPort() + kInternalPorts - 1 << "],\"seedNodes\":[" << seeds
+      << "],\"initialAttach\":true,\"quorumMember\":" << (disk ? "true" : "false")
       << ",\"dataDir\":" << (disk ? "\"" + dir_ + "/" + name + "\"" : "null")
       << ",\"heartbeatMs\":1200,\"limits\":{\"memoryMb\":256,\"fdLimit\":8192},"
       << "\"faultTolerance\":{\"machines\":" << (core_.size() - 1) / 2 << "},\"timers\":{}}";
--- a/libs/simulation/src/fleet.hpp
+++ b/libs/simulation/src/fleet.hpp
@@ -1,9 +1,10 @@
 // Real processes of the system on loopback addresses, with a folder of their own that goes when they do.
 //
 // Each fleet reserves a network 127.N.0.0/16 for itself, so that several on one machine, of trials and of scale runs,
-// never share an address: it binds a socket to 127.N.255.254, which the kernel grants to one at a time, and its processes
-// inherit that socket, so that the network is not free before the last of them has ended. They end with the process
-// that holds the fleet, also when that is killed (see child_process.hpp).
+// never share an address: it binds a socket to 127.N.255.254, which the kernel grants to one at a time, and its
+// processes inherit that socket, so that the network is not free before the last of them has ended. They end with the
+// process that holds the fleet, also when that is killed (see child_process.hpp). The network's number gives the fleet
+// its internal ports too, since an agent and its proxy meet on 127.0.0.1 whatever their own addresses are.
 #pragma once
 #include <sys/types.h>
 
@@ -14,7 +15,7 @@
 namespace zc {
 class LocalFleet {
  public:
-  static constexpr unsigned short kPort = 7660, kControl = 8407, kAccess = 8405;
+  static constexpr unsigned short kControl = 8407, kAccess = 8405;
   struct Process {
     std::string name, role, settings;
     pid_t pid = 0;
@@ -32,6 +33,8 @@
   std::string control(std::size_t i) const;
   // Address and port where the proxy serves clients.
   std::string access() const { return ip(3, 1) + ":" + std::to_string(kAccess); }
+  // The first of the fleet's internal ports. They are its own, as agent and proxy meet on 127.0.0.1.
+  unsigned short internalPort() const;
   // An address of the fleet's own network.
   std::string ip(int third, int fourth) const;
   const std::vector<std::string>& core() const { return core_; }
--- a/libs/simulation/src/scale_run.cpp
+++ b/libs/simulation/src/scale_run.cpp
@@ -174,7 +174,7 @@
   for (int i = 0; i < p_.nodes; ++i) {
     nodes_.push_back(
         std::make_unique<HollowNode>("127.4." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + "#agent",
-                                     fleet_.core(), LocalFleet::kPort, rng_()));
+                                     fleet_.core(), fleet_.internalPort(), rng_()));
     nodes_.back()->start();
   }
   auto all = [&] {
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -5,6 +5,7 @@
 #include <poll.h>
 #include <sys/prctl.h>
 #include <sys/stat.h>
+#include <sys/syscall.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -19,7 +20,7 @@
 
 using namespace zc;
 namespace {
-constexpr int kMostWaitMs = 20'000;
+constexpr int kMostWaitMs = 10'000;
 constexpr const char* kEndless[] = {"/usr/bin/tail", "-f", "/dev/null"};
 
 std::vector<std::string> endless() {
@@ -47,6 +48,17 @@
   char byte = 0;
   return ::poll(&waited, 1, kMostWaitMs) == 1 && ::read(readEnd, &byte, 1) == 0;
 }
+// Waits for a child, or for an orphan left to this process, and kills it if it does not end by itself.
+bool endsByItself(pid_t process) {
+  const int handle = static_cast<int>(::syscall(SYS_pidfd_open, process, 0));
+  pollfd waited{handle, POLLIN, 0};
+  const bool ended = handle >= 0 && ::poll(&waited, 1, kMostWaitMs) == 1;
+  if (!ended)
+    ::kill(process, SIGKILL);
+  ::waitpid(process, nullptr, 0);
+  ::close(handle);
+  return ended;
+}
 // The kernel's answer to another who wants the address by which a fleet reserves its network.
 int errorOfReserving(const std::string& ip) {
   boost::asio::io_context io;
@@ -115,13 +127,15 @@
   ::close(kept[0]);
   ::close(notKept[0]);
 }
-TEST(LocalFleet, TwoNeverShareANetwork) {
+TEST(LocalFleet, TwoNeverShareANetworkOrInternalPorts) {
   std::vector<std::unique_ptr<LocalFleet>> fleets;
   std::set<std::string> reserved;
+  std::set<unsigned short> ports;
   constexpr int kFleets = 20;
   for (int i = 0; i < kFleets; ++i) {
     fleets.push_back(std::make_unique<LocalFleet>("/nowhere/program", 1));
     EXPECT_TRUE(reserved.insert(reservedIp(*fleets.back())).second);
+    EXPECT_TRUE(ports.insert(fleets.back()->internalPort()).second);
     EXPECT_EQ(errorOfReserving(reservedIp(*fleets.back())), EADDRINUSE);
   }
 }
@@ -156,7 +170,7 @@
   EXPECT_EQ(errorOfReserving(report.ip), EADDRINUSE);
   ::kill(parent, SIGKILL);
   EXPECT_EQ(::waitpid(parent, nullptr, 0), parent);
-  EXPECT_EQ(::waitpid(report.child, nullptr, 0), report.child);
+  EXPECT_TRUE(endsByItself(report.child));
   EXPECT_EQ(errorOfReserving(report.ip), 0);
   ::prctl(PR_SET_CHILD_SUBREAPER, 0);
   ::close(reports[0]);
