--- a/tests/fiber_stack_test.cpp
+++ b/tests/fiber_stack_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_EXIT(descendOnFiber(kSizes.stackBytes + kSizes.guardBytes / 2), testing::KilledBySignal(SIGSEGV), "");
 }
 TEST(FiberStackDeathTest, AFiberWithinItsStackEndsWell) {
-  constexpr std::size_t kOfTheLibraryAndTheLoop = 8 * 1024;
+  constexpr std::size_t kOfTheLibraryAndTheLoop = std::size_t{8} * 1024;
   EXPECT_EXIT(descendOnFiber(kSizes.stackBytes - kOfTheLibraryAndTheLoop), testing::ExitedWithCode(0), "");
 }
 TEST(FiberStackDeathTest, TheGuardAreaLiesBelowTheLowestByteAlsoOfAReusedStack) {
@@ -58,12 +58,14 @@
 }
 TEST(FiberStack, FreeStacksAreUsedAgainAndNoMoreAreKeptThanAllowed) {
   FiberStackSizes sizes;
+  constexpr std::size_t kStacks = 5;
   sizes.mostKept = 2;
   FiberStackPool pool(sizes);
   std::vector<boost::context::stack_context> stacks;
-  for (int i = 0; i < 5; ++i)
+  stacks.reserve(kStacks);
+  for (std::size_t i = 0; i < kStacks; ++i)
     stacks.push_back(pool.allocate());
-  EXPECT_EQ(pool.guarded(), 5);
+  EXPECT_EQ(pool.guarded(), kStacks);
   for (auto& stack : stacks)
     pool.deallocate(stack);
   EXPECT_EQ(pool.kept(), 2);
