--- a/libs/proxy/include/proxy/http.hpp
+++ b/libs/proxy/include/proxy/http.hpp
@@ -19,6 +19,8 @@
   ReadEnd end = ReadEnd::closed;
   int status = 0;  // for errorResponse
 };
+// Waits until the first bytes of a request are in buf, for as long as the connection may be idle. False: it has ended.
+bool awaitRequest(Connection& w, Buffer& buf, Span idle);
 // Reads one request; whatever follows it stays in buf.
 ReadResult readRequest(Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l);
 // Feeds the parser from buf and the connection until its head (or all of it) is read.
--- /dev/null
+++ b/libs/proxy/include/proxy/idle_connections.hpp
@@ -0,0 +1,31 @@
+/// Clients' connections that are open and on which no request has begun.
+#pragma once
+#include "runtime/event_loop.hpp"
+namespace zc {
+class IdleConnections {
+ public:
+  /// Closes those that have been idle for `longest`, and the others once they have. One on which bytes have come is
+  /// left to be read.
+  void limit(Span longest);
+  std::size_t size() const { return idleSince_.size(); }
+
+ private:
+  friend class IdleScope;
+  std::unordered_map<Connection*, Instant> idleSince_;
+};
+
+/// Counts a connection as idle for the length of a scope, in which its fiber awaits the first bytes of a request.
+class IdleScope {
+ public:
+  IdleScope(IdleConnections& connections, Connection& connection) : connections_(connections), connection_(connection) {
+    connections_.idleSince_.emplace(&connection_, Clock::now());
+  }
+  ~IdleScope() { connections_.idleSince_.erase(&connection_); }
+  IdleScope(const IdleScope&) = delete;
+  IdleScope& operator=(const IdleScope&) = delete;
+
+ private:
+  IdleConnections& connections_;
+  Connection& connection_;
+};
+}  // namespace zc
--- a/libs/proxy/include/proxy/proxy_context.hpp
+++ b/libs/proxy/include/proxy/proxy_context.hpp
@@ -11,6 +11,8 @@
 #include "balancing/runner_pool.hpp"
 #include "config/configuration.hpp"
 #include "proxy/connection_pool.hpp"
+#include "proxy/graceful_shutdown.hpp"
+#include "proxy/idle_connections.hpp"
 #include "runtime/event_loop.hpp"
 namespace zc {
 
@@ -63,7 +65,8 @@
   // When a client that finds no lease here should come back.
   Span retryAfterLease(Instant now);
 
-  bool draining = false;                            // SIGTERM came: connections close after the answer under way
+  GracefulShutdown shutdown;                        // from SIGTERM on connections close after the answer under way
+  IdleConnections idleConnections;                  // clients'
   bool zoneClosing = false;                         // this zone takes no new clients
   int inFlight = 0;                                 // requests read whole and not ended
   int clients = 0;                                  // their connections
--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -4,6 +4,10 @@
 
 namespace zc {
 namespace {
+// When a client that finds this process about to end should try again, which other nodes can serve at once.
+constexpr Span kRetryElsewhere{100};
+constexpr std::uint64_t kRetrySpreadMs = 200;
+
 std::string_view bearerKey(const http::fields& f) {
   auto v = field(f, "Authorization");
   constexpr std::string_view scheme = "bearer ";
@@ -85,7 +89,12 @@
   auto& context = x.context;
   x.attemptId = std::string(field(x.request, "X-Attempt-Id"));
 
-  // Why first of all: without a fresh lease this copy may be older than a key that was taken away.
+  // Why a refusal: a process that is about to end could not answer what it takes on now.
+  if (!context.shutdown.takesRequests(x.arrived))
+    return Refusal{503, kRetryElsewhere + Span(static_cast<std::int64_t>(context.rng() % kRetrySpreadMs)),
+                   "shutting down"};
+
+  // Why before all else: without a fresh lease this copy may be older than a key that was taken away.
   if (!context.hasLease(x.arrived))
     return Refusal{503, context.retryAfterLease(x.arrived), "no fresh lease"};
 
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -6,7 +6,6 @@
 namespace zc {
 namespace {
 constexpr Span kLeastBodyTime{5000};
-constexpr Span kIdleWhileLeaving{300};
 constexpr auto kHeldPause = 20ms;
 constexpr auto kDrainTime = 500ms;
 
@@ -20,10 +19,15 @@
     l.headerTime = limits.headerTimer;
     l.bodyTime = std::max(limits.idleTimer, kLeastBodyTime);
   }
-  if (context.draining)
+  if (context.shutdown.begun())
     l.idle = std::min(l.idle, kIdleWhileLeaving);
   return l;
 }
+// Waits, as an idle connection, for the next request to begin. False: the connection ends first.
+bool awaitNextRequest(ProxyContext& context, Connection& client, Buffer& buffer, Span idle) {
+  const IdleScope scope(context.idleConnections, client);
+  return awaitRequest(client, buffer, idle);
+}
 // A request that can't be read in full: answered, and its connection ends.
 void turnAway(Connection& client, int status) {
   Ec ec;
@@ -57,6 +61,8 @@
     // Why wait here: what is not read yet stands in the client's own window and costs us nothing.
     while (context.bodyBytes > context.maxBodyBytes)
       EventLoop::get().pause(kHeldPause);
+    if (!awaitNextRequest(context, client, buffer, limits.idle))
+      return;
     RequestParser parser;
     const auto read = readRequest(client, buffer, parser, limits);
     if (read.end == ReadEnd::closed)
--- a/libs/proxy/src/exchange.hpp
+++ b/libs/proxy/src/exchange.hpp
@@ -48,7 +48,7 @@
 
   static Instant now() { return Clock::now(); }
   // Whether the client's connection stays open after this answer, as things stand when its head is written.
-  bool staysOpen() { return keepAlive = keepAlive && !context.draining && !context.zoneClosing; }
+  bool staysOpen() { return keepAlive = keepAlive && !context.shutdown.begun() && !context.zoneClosing; }
   std::string_view connectionHead() { return staysOpen() ? "" : "Connection: close\r\n"; }
 
   // Writes to the client. False: it is gone, or has taken nothing for too long.
--- a/libs/proxy/src/http.cpp
+++ b/libs/proxy/src/http.cpp
@@ -6,6 +6,8 @@
 
 namespace zc {
 namespace {
+constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
+
 int statusOf(const Ec& ec) {
   if (ec == http::error::header_limit)
     return 431;
@@ -18,19 +20,31 @@
 }
 }  // namespace
 
+bool awaitRequest(Connection& w, Buffer& buf, Span idle) {
+  if (buf.size() > 0)
+    return true;
+  Ec ec;
+  w.due(Clock::now() + idle);
+  auto n = w.read(buf.prepare(kReadBytes), ec);
+  w.undue();
+  // Why once more: bytes may have come in the very turn in which the wait was cancelled.
+  Ec unknown;
+  if (ec == asio::error::operation_aborted && w.sock().available(unknown) > 0) {
+    ec = {};
+    n = w.read(buf.prepare(kReadBytes), ec);
+  }
+  if (ec || n == 0)
+    return false;
+  buf.commit(n);
+  return true;
+}
 ReadResult readRequest(Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l) {
   Ec ec;
   p.header_limit(static_cast<std::uint32_t>(l.header));
   p.body_limit(l.body);
   p.eager(true);
-  if (buf.size() == 0) {
-    w.due(Clock::now() + l.idle);
-    const auto n = w.read(buf.prepare(std::size_t{8} * 1024), ec);
-    w.undue();
-    if (ec || n == 0)
-      return {ReadEnd::closed, 0};
-    buf.commit(n);
-  }
+  if (!awaitRequest(w, buf, l.idle))
+    return {ReadEnd::closed, 0};
   const auto began = Clock::now();
   w.due(began + l.headerTime);
   pump(w, buf, p, true, ec);
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kQuestionsRemembered = 16;
 constexpr auto kOpeningHeldHere = 20s;  // an opening sent so lately is not asked about again
 constexpr auto kPartnerQueryWait = 10ms;
-constexpr auto kLinger = 2600ms;  // after SIGTERM: until the platform has surely noticed
+constexpr auto kShutdownTick = 100ms;  // how often a shutdown is looked at
 
 std::int64_t firstQuestion() {
   constexpr int kBits = 40;  // so that a number stays short on the wire
@@ -68,10 +68,11 @@
           link->send(pack(message));
           renewLease();
         });
-    auto ok = listen(*access, [this](tcp::socket sock) { takeClient(context_, std::move(sock)); });
-    if (!ok)
-      return ok;
-    ok = listen(*ready, [this](tcp::socket sock) {
+    auto accessListener = openListener(*access, [this](tcp::socket sock) { takeClient(context_, std::move(sock)); });
+    if (!accessListener)
+      return tl::unexpected(accessListener.error());
+    accessListener_ = std::move(*accessListener);
+    auto ok = listen(*ready, [this](tcp::socket sock) {
       auto held = std::make_shared<tcp::socket>(std::move(sock));
       EventLoop::get().launch([this, held] { serveReadiness(std::move(*held)); });
     });
@@ -87,20 +88,20 @@
     return {};
   }
   void leave() {
-    if (context_.draining)
-      return;
-    context_.draining = true;
-    const auto end = Clock::now() + settings_.timers.grace * 9 / 10;
-    const auto from = Clock::now() + std::min(Span(kLinger), settings_.timers.grace / 2);
-    EventLoop::get().every(100ms, [this, end, from] {
-      const auto now = Clock::now();
-      if (now >= end || (now >= from && context_.inFlight == 0))
-        EventLoop::get().stop();
-    });
+    if (context_.shutdown.begin(Clock::now(), settings_.timers.grace))
+      EventLoop::get().every(kShutdownTick, [this] { advanceShutdown(Clock::now()); });
   }
   void reread(const Settings& s) { settings_.timers = s.timers; }
 
  private:
+  void advanceShutdown(Instant now) {
+    if (!context_.shutdown.takesRequests(now)) {
+      accessListener_->close();
+      context_.idleConnections.limit(kIdleWhileLeaving);
+    }
+    if (context_.shutdown.mayExit(now, context_.clients, context_.inFlight))
+      EventLoop::get().stop();
+  }
   void renewLease() {
     if (!agentLink_->up())
       return;
@@ -312,7 +313,7 @@
       if (r.end != ReadEnd::whole)
         return;
       const bool known = p.get().target() == "/v1/readiness";
-      const bool ready = context_.hasLease(Clock::now()) && !context_.draining && !context_.zoneClosing;
+      const bool ready = context_.hasLease(Clock::now()) && !context_.shutdown.begun() && !context_.zoneClosing;
       const bool keep = p.get().keep_alive();
       Ec ec;
       w.write(asio::buffer(plainAnswer(!known  ? 404
@@ -329,6 +330,7 @@
   ProxyContext context_;
   Queue updates_;
   ReplicatedState state_;
+  std::optional<Listener> accessListener_;
   std::unique_ptr<Dialer> agentLink_;
   std::map<std::int64_t, Instant> renewals_;
   // Questions are numbered from a point drawn for this life: an answer to an earlier one fits none.
--- a/libs/transport/include/transport/peer_link.hpp
+++ b/libs/transport/include/transport/peer_link.hpp
@@ -78,6 +78,19 @@
   struct Impl;
   std::shared_ptr<Impl> impl_;
 };
+/// An address on which connections are accepted.
+class Listener {
+ public:
+  explicit Listener(std::shared_ptr<tcp::acceptor> acceptor) : acceptor_(std::move(acceptor)) {}
+  /// Accepts no more; new connections are refused.
+  void close();
+  tcp::endpoint endpoint() const { return acceptor_->local_endpoint(); }
+
+ private:
+  std::shared_ptr<tcp::acceptor> acceptor_;
+};
+/// Accepts on an address until the listener is closed.
+Outcome<Listener> openListener(const tcp::endpoint& ep, std::function<void(tcp::socket)> take);
 // Accepts on an address for as long as the loop runs.
 Outcome<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take);
 }  // namespace zc
--- a/libs/transport/src/peer_link.cpp
+++ b/libs/transport/src/peer_link.cpp
@@ -340,7 +340,17 @@
     impl_->link->end();
 }
 
+void Listener::close() {
+  Ec ec;
+  acceptor_->close(ec);
+}
 Outcome<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take) {
+  auto listener = openListener(ep, std::move(take));
+  if (!listener)
+    return tl::unexpected(listener.error());
+  return {};
+}
+Outcome<Listener> openListener(const tcp::endpoint& ep, std::function<void(tcp::socket)> take) {
   auto acc = std::make_shared<tcp::acceptor>(EventLoop::get().io());
   Ec ec;
   acc->open(ep.protocol(), ec);
@@ -353,6 +363,8 @@
     return fault(0, "cannot listen: " + ec.message());
   auto go = std::make_shared<std::function<void()>>();
   *go = [acc, take = std::move(take), go] {
+    if (!acc->is_open())
+      return;
     acc->async_accept([take, go, acc](Ec e, tcp::socket s) {
       if (e == asio::error::operation_aborted)
         return;
@@ -366,6 +378,6 @@
     });
   };
   (*go)();
-  return {};
+  return Listener(std::move(acc));
 }
 }  // namespace zc
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -576,7 +576,7 @@
       const bool stream = std::string_view(where) == "/resume/x";
       int requests = 0;
       const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
-        h.context.draining = true;
+        h.context.shutdown.begin(Clock::now(), 8s);
         if (++requests == 1 && std::string_view(where) != "/once/x")
           return w.shut();
         say(w, rightAnswer(stream ? CallKind::resumable : CallKind::safe, id));
