--- a/libs/controller/src/calls.cpp
+++ b/libs/controller/src/calls.cpp
@@ -15,9 +15,6 @@
 constexpr std::size_t kBytesPerExtraMs = 1024;
 constexpr Span kAnswerWithinMost{2500};
 
-ApiResponse errorResponse(int status, std::string_view why) {
-  return {status, jsonError(why), status == 503 ? "Retry-After: 0.2\r\n" : ""};
-}
 ApiResponse noContact() {
   return errorResponse(503, "no contact with a majority of the core");
 }
@@ -200,6 +197,10 @@
 }
 }  // namespace
 
+ApiResponse errorResponse(int status, std::string_view why) {
+  return {status, jsonError(why), status == 503 ? "Retry-After: 0.2\r\n" : ""};
+}
+
 // One function a call, read top to bottom.
 ApiResponse answerCall(CoreServices& core, const ApiRequest& request, const std::string& heartbeatUri) {
   constexpr std::string_view beat = "/v1/Instances.Heartbeat/";
--- a/libs/controller/src/calls.hpp
+++ b/libs/controller/src/calls.hpp
@@ -51,6 +51,8 @@
   std::string body = "{}";
   std::string heads;
 };
+/// An answer that tells of a failure; a 503 says when to come back.
+ApiResponse errorResponse(int status, std::string_view why);
 /// heartbeatUri: where a runner that was acknowledged here may send its next beats.
 ApiResponse answerCall(CoreServices& core, const ApiRequest& request, const std::string& heartbeatUri);
 }  // namespace zc
--- a/libs/controller/src/core.cpp
+++ b/libs/controller/src/core.cpp
@@ -184,17 +184,17 @@
   shared_.settings.timers = settings.timers;
   ring::note("settings read again");
 }
-void Core::leave(const std::function<void()>& done) {
+void Core::leave(const std::function<void(bool)>& mayEnd) {
   if (std::exchange(leaving_, true))
     return;
   shared_.raft->leave(Clock::now());
   run();
   const auto begun = Clock::now();
   const auto deadline = begun + std::max(kLeaveAtLeast, shared_.settings.timers.grace - kLeaveReserve);
-  EventLoop::get().every(kTick, [this, done, begun, deadline] {
+  EventLoop::get().every(kTick, [this, mayEnd, begun, deadline] {
     const auto now = Clock::now();
     if (now - begun >= kLeaveAtLeast && (shared_.raft->mayExit() || now >= deadline))
-      done();
+      mayEnd(now >= deadline);
   });
 }
 
--- a/libs/controller/src/core.hpp
+++ b/libs/controller/src/core.hpp
@@ -28,9 +28,9 @@
   Outcome<void> start();
   /// The settings file has changed.
   void reread(const Settings& settings);
-  /// Ends this machine's part in good order; `done` is called once the others can do without it, or in time to end
-  /// before being killed.
-  void leave(const std::function<void()>& done);
+  /// Ends this machine's part in good order. `mayEnd` is called again and again once the others can do without it, or
+  /// in time to end before being killed; with true: that time has come, nothing more may be waited for.
+  void leave(const std::function<void(bool timeIsUp)>& mayEnd);
 
   const Settings& settings() const override { return shared_.settings; }
   const ReplicatedState& copy() const override { return shared_.copy; }
--- /dev/null
+++ b/tests/call_server_test.cpp
@@ -0,0 +1,98 @@
+// Calls of runners and operators on connections, around SIGTERM.
+#include "call_server.hpp"
+
+#include "standin_core.hpp"
+#include "standins.hpp"
+#include "transport/peer_link.hpp"
+
+using namespace zc;
+using standin::Answer;
+using standin::hear;
+using standin::say;
+
+namespace {
+/// Its writes take until the test lets them go on.
+struct SlowCore final : StandInCore {
+  Waiter writing;  // woken when a write has come
+  Waiter mayWrite;
+  Outcome<std::int32_t> write(Entry entry, Span within) override {
+    writing.wake();
+    mayWrite.wait();
+    return StandInCore::write(std::move(entry), within);
+  }
+};
+struct TestServer {
+  SlowCore core;
+  CallServer calls{core, kStandInUri};
+  Listener listener = *openListener({asio::ip::make_address("127.0.0.1"), 0}, [this](tcp::socket socket) {
+    auto held = std::make_shared<tcp::socket>(std::move(socket));
+    EventLoop::get().launch([this, held] { calls.serve(std::move(*held)); });
+  });
+  std::unique_ptr<Connection> dial() const {
+    auto connection = std::make_unique<Connection>();
+    Ec ec;
+    connection->connect(listener.endpoint(), ec);
+    EXPECT_FALSE(ec);
+    return connection;
+  }
+};
+const std::string kStatusCall = "GET /v1/Status HTTP/1.1\r\nHost: c\r\n\r\n";
+const std::string kDetachCall = "POST /v1/Instances.Detach/i1 HTTP/1.1\r\nHost: c\r\nContent-Length: 0\r\n\r\n";
+
+template <class Test>
+void withServer(Test test) {
+  static std::vector<std::shared_ptr<TestServer>> kept;  // its fibers may still refer to it
+  EventLoop::get().launch([&test] {
+    kept.push_back(std::make_shared<TestServer>());
+    test(*kept.back());
+    EventLoop::get().stop();
+  });
+  EventLoop::get().run();
+}
+}  // namespace
+
+TEST(CallServer, ACallInFlightIsAnsweredAfterNoMoreAreTaken) {
+  withServer([](TestServer& server) {
+    auto caller = server.dial();
+    auto idle = server.dial();
+    Buffer buffer;
+    Buffer idleBuffer;
+    say(*idle, kStatusCall);
+    EXPECT_EQ(hear(*idle, idleBuffer).status, 200);
+    say(*caller, kDetachCall);
+    server.core.writing.wait();
+    server.calls.stopTakingCalls();
+    EXPECT_EQ(hear(*idle, idleBuffer).status, 0) << "an idle connection is closed";
+    EXPECT_EQ(server.calls.inFlight(), 1);
+    server.core.mayWrite.wake();
+    const auto answer = hear(*caller, buffer);
+    EXPECT_EQ(answer.status, 200);
+    EXPECT_EQ(answer.heads.at("Connection"), "close");
+    EXPECT_EQ(server.calls.inFlight(), 0);
+  });
+}
+TEST(CallServer, ACallThatArrivesLateIsSentOnAndNothingIsWritten) {
+  withServer([](TestServer& server) {
+    server.calls.stopTakingCalls();
+    auto caller = server.dial();
+    Buffer buffer;
+    say(*caller, kDetachCall);
+    const auto answer = hear(*caller, buffer);
+    EXPECT_EQ(answer.status, 503);
+    EXPECT_TRUE(answer.heads.contains("Retry-After"));
+    EXPECT_EQ(answer.heads.at("Connection"), "close");
+    EXPECT_TRUE(server.core.written.empty());
+  });
+}
+TEST(CallServer, ServesOneCallAfterAnother) {
+  withServer([](TestServer& server) {
+    auto caller = server.dial();
+    Buffer buffer;
+    for (int i = 0; i < 2; ++i) {
+      say(*caller, kStatusCall);
+      const auto answer = hear(*caller, buffer);
+      EXPECT_EQ(answer.status, 200);
+      EXPECT_FALSE(answer.heads.contains("Connection"));
+    }
+  });
+}
--- a/tests/calls_test.cpp
+++ b/tests/calls_test.cpp
@@ -1,71 +1,10 @@
 // The calls of runners and operators against a core machine that is cut off, lags or can't write.
-#include "calls.hpp"
-
-#include <gtest/gtest.h>
-
-#include "operation_ids.hpp"
+#include "standin_core.hpp"
 
 using namespace zc;
 namespace {
 constexpr Span kCallersSecond{1000};
-const std::string kUri = "http://10.0.0.4:8080";
-
-/// A core machine whose surroundings the test sets. Its waits take no time; they are added up.
-struct StandInCore final : CoreServices {
-  Settings its;
-  ReplicatedState state;
-  bool contact = true, reaches = true, commits = true;
-  std::string leader;
-  std::int64_t number = 0;
-  std::vector<std::string> noted, written;
-  Span waited{0};
-  OperationIds ids{"10.0.0.4#7", 1};
 
-  const Settings& settings() const override { return its; }
-  const ReplicatedState& copy() const override { return state; }
-  bool inContact() const override { return contact; }
-  bool awaitContact(Span within) override {
-    if (!contact)
-      waited += within;
-    return contact;
-  }
-  bool heartbeatsReachLeader() const override { return reaches; }
-  void noteHeartbeat(const std::string& id) override { noted.push_back(id); }
-  Outcome<std::int32_t> write(Entry e, Span within) override {
-    written.push_back(e.opId);
-    if (!commits) {
-      waited += within;
-      return fault(503, "no outcome yet");
-    }
-    const auto id = e.opId;
-    e.num = ++number;
-    state.apply(e);
-    return *state.verdictOf(id);
-  }
-  Outcome<void> fresh(Span within) override {
-    if (commits)
-      return {};
-    waited += within;
-    return fault(503, "no fresh lease");
-  }
-  std::string operationId() override { return ids.next(); }
-  std::string leaderControl() const override { return leader; }
-  double requestsPerS() const override { return 0; }
-  std::string statusJson() const override { return "{}"; }
-  std::string closuresJson() const override { return "{}"; }
-  Outcome<std::string> hintsFrom(std::string_view, std::string_view) override { return fault(404, "no partner site"); }
-
-  ApiResponse post(const std::string& target, const std::string& body, const std::string& base = "0") {
-    return answerCall(*this, {"POST", target, body, base, ""}, kUri);
-  }
-  ApiResponse get(const std::string& target) { return answerCall(*this, {"GET", target, "", "", ""}, kUri); }
-  ApiResponse beat(const std::string& id, int sequence, const std::string& how = "in_service") {
-    return post("/v1/Instances.Heartbeat/" + id,
-                R"({"targetService":"s","address":"10.0.1.1:80","zone":"z","capacity":4,)"
-                R"("state":")" +
-                    how + R"(","sequence":)" + std::to_string(sequence) + "}");
-  }
-};
 std::string configuration(int version, const std::string& label = "a") {
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[],"serviceTable":[{"label":")" + label +
          R"("}],"limits":{}})";
@@ -84,7 +23,7 @@
   EXPECT_TRUE(core.copy().runner("i1")) << "a join is acknowledged once it is committed";
   const auto again = core.beat("i1", 2);
   EXPECT_EQ(again.status, 200);
-  EXPECT_NE(again.body.find(kUri), std::string::npos);
+  EXPECT_NE(again.body.find(kStandInUri), std::string::npos);
   EXPECT_EQ(core.written.size(), 1U) << "a beat without news is no write";
   EXPECT_EQ(core.noted.size(), 2U);
 }
