--- a/libs/controller/src/calls.cpp
+++ b/libs/controller/src/calls.cpp
@@ -69,7 +69,7 @@
   if (!core.heartbeatsReachLeader())
     return errorResponse(503, "the leader does not answer");
   core.noteHeartbeat(id);
-  const ApiResponse acknowledged{200, "{\"heartbeatUri\":" + quoteJson(uri) + "}", ""};
+  ApiResponse acknowledged{200, "{\"heartbeatUri\":" + quoteJson(uri) + "}", ""};
   const auto heard = runnerOf(*beat);
   if (core.copy().isGone(id) || !isNews(heard, core.copy().runner(id)))
     return acknowledged;
@@ -115,7 +115,7 @@
   if (!base)
     return errorResponse(base.error().code, base.error().text);
   const auto version = (*configuration)->version;
-  const ApiResponse taken{200, "{\"configVersion\":" + std::to_string(version) + "}", ""};
+  ApiResponse taken{200, "{\"configVersion\":" + std::to_string(version) + "}", ""};
   // Why this copy may be old: what was taken once stays taken. Anything but a 200 it may not say.
   if (core.copy().judge(*base, version, digestOf(request.body)) == 200)
     return taken;
--- a/tests/call_server_test.cpp
+++ b/tests/call_server_test.cpp
@@ -6,7 +6,6 @@
 #include "transport/peer_link.hpp"
 
 using namespace zc;
-using standin::Answer;
 using standin::hear;
 using standin::say;
 
