--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -68,6 +68,23 @@
     }
   });
 }
+TEST(RequestRules, WeightVersionsPassOnInHeadsAndEvents) {
+  const std::string changed = "x-weight-versions: 8\n" + event(2);
+  for (const char* path : kPaths)
+    withProxy([&](TestProxy& h) {
+      const bool stream = std::string_view(path) == "/stream/x" || std::string_view(path) == "/resume/x";
+      h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
+        auto answer = stream ? streamHead(id) + chunk(event(1) + changed) + "0\r\n\r\n" : whole(id, "ok");
+        answer.insert(answer.find("\r\n") + 2, "X-Weight-Versions: 7\r\n");
+        say(w, answer);
+      });
+      const auto a = once(h, ask(path));
+      EXPECT_EQ(a.status, 200) << path;
+      ASSERT_TRUE(a.heads.count("X-Weight-Versions")) << path;
+      EXPECT_EQ(a.heads.at("X-Weight-Versions"), "7") << path;
+      EXPECT_EQ(a.body, stream ? event(1) + changed : "ok") << path;
+    });
+}
 TEST(RequestRules, PrecedenceIsTheConfigurationsAndNeverTheClients) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", answers);
