--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -215,6 +215,23 @@
       EXPECT_LE(cancelledAt - left, kCancelMargin) << path;
     });
 }
+// A client may leave while its request waits unread because much is in work (`maxBodyBytes`).
+TEST(RequestRules, AClientThatLeftBeforeItsRequestWasReadReachesNoRunner) {
+  withProxy([](TestProxy& h) {
+    auto r = h.runner("i-1", answers);
+    EXPECT_EQ(once(h, ask("/safe/x", "a1")).status, 200);  // leaves a connection to the runner for the next request
+    h.context.bodyBytes = 2;
+    h.context.maxBodyBytes = 1;
+    auto client = h.dial();
+    say(*client, ask("/safe/x", "a2"));
+    EventLoop::get().pause(60ms);
+    client->shut();
+    EventLoop::get().pause(kCancelMargin + 100ms);
+    h.context.bodyBytes = 0;
+    EventLoop::get().pause(100ms);
+    EXPECT_EQ(r->got.size(), 1U);
+  });
+}
 TEST(RequestRules, AnAnswerWithoutALengthIsCompleteOnlyIfItsConnectionEnds) {
   const struct {
     const char* path;
