--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -5,6 +5,7 @@
 #include <sys/socket.h>
 
 #include <filesystem>
+#include <regex>
 
 #include "operations/observe.hpp"
 #include "operations/runbook.hpp"
@@ -220,3 +221,23 @@
   cut.resize(cut.size() / 2);
   EXPECT_FALSE(snapshotIsValid(cut));
 }
+// A runbook waits for fields by name: one that the answer does not have would never be met.
+TEST(Core, EachFieldOfAClosureThatARunbookWaitsForIsInTheAnswer) {
+  onLoop([] {
+    kept().push_back(std::make_unique<Alone>("127.0.5.15"));
+    auto& a = *kept().back();
+    ASSERT_TRUE(a.core->start());
+    ASSERT_TRUE(a.until(5000ms, [&] { return a.core->inContact(); }));
+    ASSERT_TRUE(a.core->write(closureOp({"place", "note", 0, false}, false, a.core->operationId()), 3000ms));
+    const auto book = readFile("runbooks/close-zone.run");
+    ASSERT_TRUE(book);
+    const std::regex awaited(R"(closures\[place=\{place\}\]\.(\w+))");
+    int fields = 0;
+    for (std::sregex_iterator match(book->begin(), book->end(), awaited), end; match != end; ++match) {
+      const auto field = (*match)[1].str();
+      EXPECT_TRUE(fieldOf(a.core->closuresJson(), "closures[place=place]." + field)) << field;
+      ++fields;
+    }
+    EXPECT_GT(fields, 0);
+  });
+}
