--- a/libs/controller/src/calls.cpp
+++ b/libs/controller/src/calls.cpp
@@ -15,25 +15,6 @@
 constexpr std::size_t kBytesPerExtraMs = 1024;
 constexpr Duration kAnswerWithinMost{2500};
 
-ApiResponse errorResponse(int status, std::string_view why) {
-  return {status, proxy::jsonError(why), status == 503 ? "Retry-After: 0.2\r\n" : ""};
-}
-/// The HTTP status that tells a caller of the control interface about an error.
-int httpStatusOf(ErrorCode code) {
-  switch (code) {
-    case ErrorCode::invalidArgument:
-      return 400;
-    case ErrorCode::permissionDenied:
-      return 403;
-    case ErrorCode::notFound:
-      return 404;
-    default:
-      return 503;
-  }
-}
-ApiResponse errorResponse(const Error& error) {
-  return errorResponse(httpStatusOf(error.code), error.message);
-}
 ApiResponse noContact() {
   return errorResponse(503, "no contact with a majority of the core");
 }
@@ -90,7 +71,7 @@
   if (!core.heartbeatsReachLeader())
     return errorResponse(503, "the leader does not answer");
   core.noteHeartbeat(id);
-  const ApiResponse acknowledged{200, "{\"heartbeatUri\":" + config::quoteJson(uri) + "}", ""};
+  ApiResponse acknowledged{200, "{\"heartbeatUri\":" + config::quoteJson(uri) + "}", ""};
   const auto heard = runnerOf(*beat);
   if (core.copy().isDetached(id) || !isNews(heard, core.copy().runner(id)))
     return acknowledged;
@@ -136,7 +117,7 @@
   if (!base)
     return errorResponse(base.error());
   const auto version = (*configuration)->version;
-  const ApiResponse taken{200, "{\"configVersion\":" + std::to_string(version) + "}", ""};
+  ApiResponse taken{200, "{\"configVersion\":" + std::to_string(version) + "}", ""};
   // Why this copy may be old: what was taken once stays taken. Anything but a 200 it may not say.
   if (core.copy().evaluateReplace(*base, version, digestOf(request.body)) == 200)
     return taken;
@@ -220,6 +201,28 @@
 }
 }  // namespace
 
+namespace {
+/// The HTTP status that tells a caller of the control interface about an error.
+int httpStatusOf(ErrorCode code) {
+  switch (code) {
+    case ErrorCode::invalidArgument:
+      return 400;
+    case ErrorCode::permissionDenied:
+      return 403;
+    case ErrorCode::notFound:
+      return 404;
+    default:
+      return 503;
+  }
+}
+}  // namespace
+ApiResponse errorResponse(int status, std::string_view why) {
+  return {status, proxy::jsonError(why), status == 503 ? "Retry-After: 0.2\r\n" : ""};
+}
+ApiResponse errorResponse(const Error& error) {
+  return errorResponse(httpStatusOf(error.code), error.message);
+}
+
 // One function a call, read top to bottom.
 ApiResponse answerCall(CoreServices& core, const ApiRequest& request, const std::string& heartbeatUri) {
   constexpr std::string_view beat = "/v1/Instances.Heartbeat/";
--- a/libs/controller/src/core.cpp
+++ b/libs/controller/src/core.cpp
@@ -190,17 +190,17 @@
   shared_.settings.timers = settings.timers;
   log::debug("settings read again");
 }
-void Core::leave(const std::function<void()>& done) {
+void Core::leave(const std::function<void(bool)>& mayEnd) {
   if (std::exchange(leaving_, true))
     return;
   shared_.raft->leave(Clock::now());
   run();
   const auto begun = Clock::now();
   const auto deadline = begun + std::max(kLeaveAtLeast, shared_.settings.timers.grace - kLeaveReserve);
-  runtime::EventLoop::get().callEvery(kTick, [this, done, begun, deadline] {
+  runtime::EventLoop::get().callEvery(kTick, [this, mayEnd, begun, deadline] {
     const auto now = Clock::now();
     if (now - begun >= kLeaveAtLeast && (shared_.raft->mayExit() || now >= deadline))
-      done();
+      mayEnd(now >= deadline);
   });
 }
 
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -1,4 +1,4 @@
-#include <sys/socket.h>
+#include "client_watch.hpp"
 
 #include "proxy/proxy.hpp"
 #include "request_handler.hpp"
@@ -6,8 +6,7 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr Duration kLeastBodyTime{5000};
-constexpr Duration kIdleWhileLeaving{300};
-constexpr auto kHeldPause = 20ms;
+constexpr auto kBodyCapacityPollInterval = 20ms;
 constexpr auto kDrainTime = 500ms;
 
 ReadLimits limitsOf(const ProxyContext& context) {
@@ -20,10 +19,24 @@
     l.headerTime = limits.headerTimer;
     l.bodyTime = std::max(limits.idleTimer, kLeastBodyTime);
   }
-  if (context.draining)
+  if (context.shutdown.begun())
     l.idle = std::min(l.idle, kIdleWhileLeaving);
   return l;
 }
+// Waits, as an idle connection, for the next request to begin. False: the connection ends first.
+bool awaitNextRequest(ProxyContext& context, runtime::Connection& client, Buffer& buffer, Duration idle) {
+  const IdleScope scope(context.idleConnections, client);
+  return awaitRequest(client, buffer, idle);
+}
+// Waits while the bodies in work exceed their limit: what is not read yet stays in the client's own send window and
+// costs nothing here. Returns whether there was a wait.
+bool waitForBodyCapacity(const ProxyContext& context) {
+  if (context.bodyBytes <= context.maxBodyBytes)
+    return false;
+  while (context.bodyBytes > context.maxBodyBytes)
+    runtime::EventLoop::get().sleepFor(kBodyCapacityPollInterval);
+  return true;
+}
 // A request that can't be read in full: answered, and its connection ends.
 void turnAway(runtime::Connection& client, int status) {
   runtime::SocketError ec;
@@ -54,15 +67,18 @@
   Buffer buffer;
   for (;;) {
     const auto limits = limitsOf(context);
-    // Why wait here: what is not read yet stands in the client's own window and costs us nothing.
-    while (context.bodyBytes > context.maxBodyBytes)
-      runtime::EventLoop::get().sleepFor(kHeldPause);
+    const bool waited = waitForBodyCapacity(context);
+    if (!awaitNextRequest(context, client, buffer, limits.idle))
+      return;
     RequestParser parser;
     const auto read = readRequest(client, buffer, parser, limits);
     if (read.end == ReadEnd::closed)
       return;
     if (read.end == ReadEnd::errorResponse)
       return turnAway(client, read.status);
+    // A client may have left while its request waited unread: a runner must not begin on it.
+    if (waited && hasLeft(client))
+      return;
     ++context.inFlight;
     const auto bytes = parser.get().body().size();
     context.bodyBytes += bytes;
--- a/libs/proxy/src/client_watch.cpp
+++ b/libs/proxy/src/client_watch.cpp
@@ -3,13 +3,15 @@
 #include <sys/socket.h>
 
 namespace zinccleat::proxy {
+bool hasLeft(runtime::Connection& client) {
+  char next = 0;
+  const auto count = ::recv(client.socket().native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT);
+  const bool isOpen = count > 0 || (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
+  return !isOpen;
+}
 ClientWatch::ClientWatch(runtime::Connection& client) : client_(client) {
   client.socket().async_wait(tcp::socket::wait_read, [state = state_, &client](runtime::SocketError ec) {
-    if (ec || state->over)
-      return;
-    char c = 0;
-    const auto n = ::recv(client.socket().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (n > 0 || (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))
+    if (ec || state->over || !hasLeft(client))
       return;
     state->gone = true;
     // Why shut and not only cancelled: whoever is about to read from it again must not park there.
--- a/libs/proxy/src/client_watch.hpp
+++ b/libs/proxy/src/client_watch.hpp
@@ -3,6 +3,9 @@
 #pragma once
 #include "runtime/event_loop.hpp"
 namespace zinccleat::proxy {
+/// Whether the client's connection has ended or failed. Bytes that are still unread hide its end.
+bool hasLeft(runtime::Connection& client);
+
 class ClientWatch {
  public:
   // Watches from now until it is destroyed; the client's connection must outlive it and must not be read meanwhile.
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t kQuestionsRemembered = 16;
 constexpr auto kOpeningHeldHere = 20s;  // an opening sent so lately is not asked about again
 constexpr auto kPartnerQueryWait = 10ms;
-constexpr auto kLinger = 2600ms;  // after SIGTERM: until the platform has surely noticed
+constexpr auto kShutdownTick = 100ms;  // how often a shutdown is looked at
 
 std::int64_t firstQuestion() {
   constexpr int kBits = 40;  // so that a number stays short on the wire
@@ -71,10 +71,12 @@
           link->send(transport::pack(message));
           renewLease();
         });
-    auto ok = transport::listen(*access, [this](tcp::socket sock) { proxy::takeClient(context_, std::move(sock)); });
-    if (!ok)
-      return ok;
-    ok = transport::listen(*ready, [this](tcp::socket sock) {
+    auto accessListener =
+        transport::openListener(*access, [this](tcp::socket sock) { proxy::takeClient(context_, std::move(sock)); });
+    if (!accessListener)
+      return tl::unexpected(accessListener.error());
+    accessListener_ = std::move(*accessListener);
+    auto ok = transport::listen(*ready, [this](tcp::socket sock) {
       auto held = std::make_shared<tcp::socket>(std::move(sock));
       runtime::EventLoop::get().spawn([this, held] { serveReadiness(std::move(*held)); });
     });
@@ -90,20 +92,20 @@
     return {};
   }
   void leave() {
-    if (context_.draining)
-      return;
-    context_.draining = true;
-    const auto end = Clock::now() + settings_.timers.grace * 9 / 10;
-    const auto from = Clock::now() + std::min(Duration(kLinger), settings_.timers.grace / 2);
-    runtime::EventLoop::get().callEvery(100ms, [this, end, from] {
-      const auto now = Clock::now();
-      if (now >= end || (now >= from && context_.inFlight == 0))
-        runtime::EventLoop::get().stop();
-    });
+    if (context_.shutdown.begin(Clock::now(), settings_.timers.grace))
+      runtime::EventLoop::get().callEvery(kShutdownTick, [this] { advanceShutdown(Clock::now()); });
   }
   void reread(const config::Settings& s) { settings_.timers = s.timers; }
 
  private:
+  void advanceShutdown(TimePoint now) {
+    if (!context_.shutdown.takesRequests(now)) {
+      accessListener_->close();
+      context_.idleConnections.limit(proxy::kIdleWhileLeaving);
+    }
+    if (context_.shutdown.mayExit(now, context_.clients, context_.inFlight))
+      runtime::EventLoop::get().stop();
+  }
   void renewLease() {
     if (!agentLink_->up())
       return;
@@ -320,7 +322,7 @@
       if (r.end != proxy::ReadEnd::whole)
         return;
       const bool known = p.get().target() == "/v1/readiness";
-      const bool ready = context_.hasLease(Clock::now()) && !context_.draining && !context_.zoneDraining;
+      const bool ready = context_.hasLease(Clock::now()) && !context_.shutdown.begun() && !context_.zoneDraining;
       const bool keep = p.get().keep_alive();
       runtime::SocketError ec;
       w.write(asio::buffer(proxy::plainAnswer(!known  ? 404
@@ -338,6 +340,7 @@
   proxy::ProxyContext context_;
   consensus::EntryQueue updates_;
   state_machine::ReplicatedState state_;
+  std::optional<transport::Listener> accessListener_;
   std::unique_ptr<transport::Dialer> agentLink_;
   std::map<std::int64_t, TimePoint> renewals_;
   // Questions are numbered from a point drawn for this life: an answer to an earlier one fits none.
--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -1,7 +1,5 @@
 #include "fleet.hpp"
 
-#include <fcntl.h>
-#include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -9,7 +7,18 @@
 #include <filesystem>
 #include <fstream>
 
+#include "child_process.hpp"
+
 namespace zinccleat::simulation {
+namespace {
+constexpr int kFirstNetwork = 16;
+constexpr int kNetworks = 224;
+// Internal ports: so many for each network, all below those that the kernel gives out itself (from 32768 by default).
+constexpr int kFirstInternalPort = 20'000;
+constexpr int kInternalPorts = 16;
+static_assert(kFirstInternalPort + kNetworks * kInternalPorts < 32'768);
+}  // namespace
+
 LocalFleet::LocalFleet(std::string binary, int core) : binary_(std::move(binary)) {
   std::string t = std::filesystem::temp_directory_path() / "zinccleat-fleet-XXXXXX";
   dir_ = ::mkdtemp(t.data());
@@ -19,13 +28,12 @@
 }
 void LocalFleet::reserveNetwork() {
   using boost::asio::ip::tcp;
-  constexpr int kFirst = 16;
-  constexpr int kCount = 224;
-  for (int tried = 0; tried < kCount; ++tried) {
-    network_ = kFirst + (::getpid() + tried) % kCount;
+  for (int tried = 0; tried < kNetworks; ++tried) {
+    network_ = kFirstNetwork + (::getpid() + tried) % kNetworks;
     boost::system::error_code ec;
     reservation_.open(tcp::v4(), ec);
-    // Without address reuse: the kernel gives the address to one process at a time and frees it when that one ends.
+    // Without address reuse: the kernel gives the address to one socket at a time. The children inherit the socket
+    // (see spawn), so the network is free again when the last process of the fleet has ended, not when the first has.
     reservation_.bind({boost::asio::ip::make_address_v4(ip(255, 254)), kControl}, ec);
     if (!ec)
       return;
@@ -36,6 +44,9 @@
 std::string LocalFleet::ip(int third, int fourth) const {
   return "127." + std::to_string(network_) + "." + std::to_string(third) + "." + std::to_string(fourth);
 }
+unsigned short LocalFleet::internalPort() const {
+  return static_cast<unsigned short>(kFirstInternalPort + (network_ - kFirstNetwork) * kInternalPorts);
+}
 LocalFleet::~LocalFleet() {
   for (std::size_t i = 0; i < processes_.size(); ++i)
     kill(i);
@@ -55,25 +66,21 @@
   std::ofstream(dir_ + "/" + name + ".json")
       << "{\"nodeName\":\"" << name << "\",\"role\":\"" << role << "\",\"ip\":\"" << ip
       << "\",\"zone\":\"z\",\"region\":\"r\",\"zones\":{\"z\":\"r\"},"
-      << "\"bindAddresses\":{" << addresses << "},\"internalPorts\":[" << kPort << "," << kPort + 15
-      << "],\"seedNodes\":[" << seeds << "],\"initialAttach\":true,\"quorumMember\":" << (disk ? "true" : "false")
+      << "\"bindAddresses\":{" << addresses << "},\"internalPorts\":[" << internalPort() << ","
+      << internalPort() + kInternalPorts - 1 << "],\"seedNodes\":[" << seeds
+      << "],\"initialAttach\":true,\"quorumMember\":" << (disk ? "true" : "false")
       << ",\"dataDir\":" << (disk ? "\"" + dir_ + "/" + name + "\"" : "null")
       << ",\"heartbeatMs\":1200,\"limits\":{\"memoryMb\":256,\"fdLimit\":8192},"
       << "\"faultTolerance\":{\"machines\":" << (core_.size() - 1) / 2 << "},\"timers\":{}}";
 }
 bool LocalFleet::spawn(Process& p) {
   const auto path = "--settings=" + dir_ + "/" + p.settings + ".json";
-  char* argv[] = {binary_.data(), p.role.data(), const_cast<char*>(path.c_str()), nullptr};
-  posix_spawn_file_actions_t act;
-  ::posix_spawn_file_actions_init(&act);
   const auto log = dir_ + "/" + p.name + ".log";
-  ::posix_spawn_file_actions_addopen(&act, 1, log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  ::posix_spawn_file_actions_adddup2(&act, 1, 2);
-  // Why: a child that kept our sockets would keep connections alive that we have closed.
-  ::posix_spawn_file_actions_addclosefrom_np(&act, 3);
-  const int rc = ::posix_spawn(&p.pid, binary_.c_str(), &act, nullptr, argv, environ);
-  ::posix_spawn_file_actions_destroy(&act);
-  return rc == 0;
+  const pid_t pid = startChild({binary_, p.role, path}, log, reservation_.native_handle());
+  if (pid < 0)
+    return false;
+  p.pid = pid;
+  return true;
 }
 bool LocalFleet::startCore() {
   for (std::size_t i = 0; i < core_.size(); ++i) {
--- a/libs/transport/src/peer_link.cpp
+++ b/libs/transport/src/peer_link.cpp
@@ -342,7 +342,17 @@
     impl_->link->end();
 }
 
+void Listener::close() {
+  runtime::SocketError ec;
+  acceptor_->close(ec);
+}
 Result<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take) {
+  auto listener = openListener(ep, std::move(take));
+  if (!listener)
+    return tl::unexpected(listener.error());
+  return {};
+}
+Result<Listener> openListener(const tcp::endpoint& ep, std::function<void(tcp::socket)> take) {
   auto acc = std::make_shared<tcp::acceptor>(runtime::EventLoop::get().io());
   runtime::SocketError ec;
   acc->open(ep.protocol(), ec);
@@ -356,6 +366,8 @@
     return makeError(ErrorCode::corruption, "cannot listen: " + ec.message());
   auto go = std::make_shared<std::function<void()>>();
   *go = [acc, take = std::move(take), go] {
+    if (!acc->is_open())
+      return;
     acc->async_accept([take, go, acc](runtime::SocketError e, tcp::socket s) {
       if (e == asio::error::operation_aborted)
         return;
@@ -369,6 +381,6 @@
     });
   };
   (*go)();
-  return {};
+  return Listener(std::move(acc));
 }
 }  // namespace zinccleat::transport
