--- a/libs/balancing/include/balancing/runner_observer.hpp
+++ b/libs/balancing/include/balancing/runner_observer.hpp
@@ -2,7 +2,7 @@
 // the same work takes elsewhere. Few samples a runner, so they are told to the leader, which weighs all nodes' words
 // (controller/outliers). Judged against peers, never against a figure from the configuration. Pure.
 #pragma once
-#include "transport/messages.hpp"
+#include "transport/lease_records.hpp"
 namespace zinccleat::balancing {
 class RunnerObserver {
  public:
@@ -17,7 +17,7 @@
   // Beyond this a runner that still says nothing is counted as slow. Max: too few answers seen to tell.
   Duration patience(const std::string& service, std::int64_t tokens) const;
   // Since the last call: runner, attempts that went well, that did not; at most `most` of them, the worst first.
-  std::vector<transport::Grant> report(std::size_t most);
+  std::vector<transport::RunnerAttempts> report(std::size_t most);
 
  private:
   struct Seen {
--- a/libs/balancing/include/balancing/runner_pool.hpp
+++ b/libs/balancing/include/balancing/runner_pool.hpp
@@ -5,6 +5,7 @@
 
 #include "config/configuration.hpp"
 #include "state_machine/replicated_state.hpp"
+#include "transport/lease_records.hpp"
 namespace zinccleat::balancing {
 
 // One runner, as this node knows it.
@@ -50,8 +51,8 @@
   };
   void setZoneDrains(std::map<std::string, ZoneDrainLevel> zones);
   void regions(std::map<std::string, std::string> zoneToRegion) { regions_ = std::move(zoneToRegion); }
-  // What the leader tells of ill runners (label, how far); those not named are well.
-  void setEjected(const std::vector<transport::Grant>& runners);
+  // What the leader tells of ill runners (runner, how far); those not named are well.
+  void setEjected(const std::vector<transport::RunnerEjection>& runners);
 
   // The place of the runner that a request should go to; -1: none. Never a draining one or one it has been to.
   int choose(const RunnerQuery& query, TimePoint now);
--- a/libs/balancing/src/quota.cpp
+++ b/libs/balancing/src/quota.cpp
@@ -9,27 +9,27 @@
 bool QuotaGrants::busy(const TokenBucket& p) {
   return p.steady >= kSteady;
 }
-void QuotaGrants::drawn(const std::vector<transport::Grant>& gs, TimePoint asked) {
+void QuotaGrants::drawn(const std::vector<transport::QuotaGrant>& gs, TimePoint asked) {
   for (auto& g : gs) {
-    auto& p = buckets_[g.label];
+    auto& p = buckets_[g.tenant];
     // Why from the asking: the purse counts them from its answer, which came later.
     if (asked - p.told > life)
       p.tokens = 0;
-    p.tokens += g.rate;
-    p.hint = g.burst;
+    p.tokens += g.tokens;
+    p.hint = g.secondsUntilMore;
     p.told = asked;
     p.heard = std::max(p.heard, asked);
   }
 }
-void QuotaGrants::loose(const std::vector<transport::Grant>& gs, TimePoint now) {
+void QuotaGrants::loose(const std::vector<transport::QuotaGrant>& gs, TimePoint now) {
   heard_ = now;
   for (auto& g : gs) {
-    auto& p = buckets_[g.label];
+    auto& p = buckets_[g.tenant];
     if (now - p.freed > immediateTokenLifetime)
       p.free = 0;
-    p.free += g.rate;
+    p.free += g.tokens;
     p.freed = p.heard = now;
-    p.hint = g.burst;
+    p.hint = g.secondsUntilMore;
   }
 }
 bool QuotaGrants::take(const std::string& label, TimePoint now) {
@@ -65,8 +65,8 @@
   if (p.unasked > 0)
     --p.unasked;
 }
-std::vector<transport::Grant> QuotaGrants::unasked() {
-  std::vector<transport::Grant> out;
+std::vector<transport::QuotaDemand> QuotaGrants::unasked() {
+  std::vector<transport::QuotaDemand> out;
   for (auto& [l, p] : buckets_)
     if (p.unasked > 0)
       out.push_back({l, 0, static_cast<double>(std::exchange(p.unasked, 0))});
@@ -83,7 +83,7 @@
   const auto it = buckets_.find(label);
   return Duration(static_cast<std::int64_t>((it == buckets_.end() ? 0.05 : it->second.hint) * 1000));
 }
-std::vector<transport::Grant> QuotaGrants::demand(TimePoint now) {
+std::vector<transport::QuotaDemand> QuotaGrants::demand(TimePoint now) {
   const auto dt = now - counted_;
   if (dt >= kCount) {
     const double s = std::min(5.0, std::chrono::duration<double>(dt).count());
@@ -101,14 +101,14 @@
     }
     counted_ = now;
   }
-  std::vector<transport::Grant> out;
+  std::vector<transport::QuotaDemand> out;
   for (auto& [l, p] : buckets_)
     if (busy(p))
       out.push_back({l, p.perS, 0});
   return out;
 }
-std::vector<transport::Grant> QuotaGrants::holds(TimePoint now) const {
-  std::vector<transport::Grant> out;
+std::vector<transport::QuotaHolding> QuotaGrants::holds(TimePoint now) const {
+  std::vector<transport::QuotaHolding> out;
   for (auto& [l, p] : buckets_)
     if (busy(p) && now - p.told <= life && p.tokens > 0)
       out.push_back({l, p.tokens, 0});
--- a/libs/balancing/src/runner_observer.cpp
+++ b/libs/balancing/src/runner_observer.cpp
@@ -46,12 +46,12 @@
     s.good += 1;
   return !slow;
 }
-std::vector<transport::Grant> RunnerObserver::report(std::size_t most) {
-  std::vector<transport::Grant> out;
+std::vector<transport::RunnerAttempts> RunnerObserver::report(std::size_t most) {
+  std::vector<transport::RunnerAttempts> out;
   for (auto& [id, s] : seen_)
     out.push_back({id, s.good, s.bad});
   seen_.clear();
-  std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.burst > b.burst; });
+  std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.failed > b.failed; });
   if (out.size() > most)
     out.resize(most);
   return out;
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -107,12 +107,12 @@
   --d.unread;
   d.unreadTokens -= tokens;
 }
-void RunnerPool::setEjected(const std::vector<transport::Grant>& runners) {
+void RunnerPool::setEjected(const std::vector<transport::RunnerEjection>& runners) {
   for (auto& d : runners_)
     d.ejected = 0;
   for (auto& g : runners)
-    if (const auto it = byId_.find(g.label); it != byId_.end())
-      runners_[static_cast<std::size_t>(it->second)].ejected = g.rate;
+    if (const auto it = byId_.find(g.runner); it != byId_.end())
+      runners_[static_cast<std::size_t>(it->second)].ejected = g.level;
 }
 int RunnerPool::choose(const RunnerQuery& query, TimePoint now) {
   std::vector<int> good;
--- a/libs/controller/src/access_desk.cpp
+++ b/libs/controller/src/access_desk.cpp
@@ -56,8 +56,8 @@
   for (auto& [agent, load] : loads_)
     if (now - load.at < kLoadCounts)
       for (auto& place : load.places)
-        if (place.label.empty())
-          sum += place.rate;
+        if (place.zone.empty())
+          sum += place.runnerRequests;
   return sum;
 }
 AgentRequestHandler::Progress AgentRequestHandler::progressOf(const std::string& name, TimePoint now) const {
@@ -67,9 +67,9 @@
       continue;
     ++sum.nodesHeard;
     for (auto& place : load.places)
-      if (place.label == name) {
-        sum.atItsRunners += place.rate;
-        sum.atItsProxies += place.burst;
+      if (place.zone == name) {
+        sum.atItsRunners += place.runnerRequests;
+        sum.atItsProxies += place.proxyRequests;
       }
   }
   return sum;
--- a/libs/controller/src/access_desk.hpp
+++ b/libs/controller/src/access_desk.hpp
@@ -30,7 +30,7 @@
 
  private:
   struct Load {
-    std::vector<transport::Grant> places;
+    std::vector<transport::ZoneLoad> places;
     TimePoint at;
   };
   const CoreContext& core_;
--- a/libs/controller/src/outliers.cpp
+++ b/libs/controller/src/outliers.cpp
@@ -41,18 +41,18 @@
   list_.clear();
   version_ = (term << 24) + 1;
 }
-void OutlierDetector::told(TimePoint now, const std::string& node, const std::vector<transport::Grant>& seen) {
+void OutlierDetector::told(TimePoint now, const std::string& node, const std::vector<transport::RunnerAttempts>& seen) {
   for (auto& g : seen) {
     // Why nothing beyond some: one node's word counts, its shouting does not.
-    const double good = std::clamp(g.rate, 0.0, 50.0);
-    const double bad = std::clamp(g.burst, 0.0, 4.0);
-    if (!known_.contains(g.label)) {
+    const double good = std::clamp(g.succeeded, 0.0, 50.0);
+    const double bad = std::clamp(g.failed, 0.0, 4.0);
+    if (!known_.contains(g.runner)) {
       ++declined_;
       continue;
     }
     if (!(good + bad > 0))
       continue;
-    auto& m = marks_[g.label];
+    auto& m = marks_[g.runner];
     fade(m, now);
     m.good += good;
     m.bad += bad;
@@ -118,7 +118,7 @@
     ++s.fleet->aside;
     set(*s.mark, Standing::aside, now);
   }
-  std::vector<transport::Grant> list;
+  std::vector<transport::RunnerEjection> list;
   for (auto& r : runners) {
     const auto it = marks_.find(r.id);
     if (it == marks_.end() || it->second.standing == Standing::fine)
@@ -132,7 +132,7 @@
   });
   const bool same = list.size() == list_.size() &&
                     std::equal(list.begin(), list.end(), list_.begin(),
-                               [](auto& a, auto& b) { return a.label == b.label && a.rate == b.rate; });
+                               [](auto& a, auto& b) { return a.runner == b.runner && a.level == b.level; });
   if (same)
     return;
   list_ = std::move(list);
--- a/libs/controller/src/outliers.hpp
+++ b/libs/controller/src/outliers.hpp
@@ -4,17 +4,17 @@
 #include <set>
 
 #include "state_machine/replicated_state.hpp"
-#include "transport/messages.hpp"
+#include "transport/lease_records.hpp"
 namespace zinccleat::controller {
 class OutlierDetector {
  public:
   // seen: runner, attempts that went well, that did not, since this node's last word.
-  void told(TimePoint now, const std::string& node, const std::vector<transport::Grant>& seen);
+  void told(TimePoint now, const std::string& node, const std::vector<transport::RunnerAttempts>& seen);
   // Weighs anew. Runners are those in service.
   void evaluate(TimePoint now, const std::vector<state_machine::Runner>& runners);
   void noOp(std::int64_t term);
   // Runner and how far it is set aside: 1 wholly, less while a few requests try it again. At most a fifth of a service.
-  const std::vector<transport::Grant>& list() const { return list_; }
+  const std::vector<transport::RunnerEjection>& list() const { return list_; }
   std::uint64_t errorResponse() const { return declined_; }  // words about runners that nobody knows
   std::int64_t version() const { return version_; }          // changes with the list; 0 is never used
 
@@ -31,7 +31,7 @@
   void fade(Mark& m, TimePoint now);
   void set(Mark& m, Standing s, TimePoint now);  // the one place where a standing changes
   std::unordered_map<std::string, Mark> marks_;
-  std::vector<transport::Grant> list_;
+  std::vector<transport::RunnerEjection> list_;
   std::set<std::string> known_;
   std::uint64_t declined_ = 0;
   std::int64_t version_ = 1;
--- a/libs/controller/src/quota.hpp
+++ b/libs/controller/src/quota.hpp
@@ -3,7 +3,7 @@
 // nodes held when it began; both together stay within what the window may hold. Only tenants named in a draw cost.
 #pragma once
 #include "config/configuration.hpp"
-#include "transport/messages.hpp"
+#include "transport/lease_records.hpp"
 namespace zinccleat::controller {
 class QuotaAllocator {
  public:
@@ -16,9 +16,10 @@
   // demand: label, requests a second that a stash is wanted for, requests waiting right now. holds: label, tokens in
   // the stash. Tokens for waiting requests count as spent at once; a stash is told of by its node until it ends.
   // Answer: label, tokens, seconds until more could be had.
-  std::vector<transport::Grant> draw(TimePoint now, const std::string& node,
-                                     const std::vector<transport::Grant>& demand,
-                                     const std::vector<transport::Grant>& holds, const config::Configuration* cfg);
+  std::vector<transport::QuotaGrant> draw(TimePoint now, const std::string& node,
+                                          const std::vector<transport::QuotaDemand>& demand,
+                                          const std::vector<transport::QuotaHolding>& holds,
+                                          const config::Configuration* cfg);
   static constexpr double reserveFor = 1.6;  // seconds of its demand that a node may keep, to bridge a take-over
 
  private:
--- a/libs/proxy/include/proxy/proxy_context.hpp
+++ b/libs/proxy/include/proxy/proxy_context.hpp
@@ -54,7 +54,7 @@
   std::function<void()> askTokens = [] {};   // asks for the tokens that requests wait for, once a turn of the loop
   std::vector<QuotaWait> quotaWaits;
   // Wakes the requests whose tenants these grants name.
-  void wakeQuotaWaits(const std::vector<transport::Grant>& grants);
+  void wakeQuotaWaits(const std::vector<transport::QuotaGrant>& grants);
 
   // Until when this copy may serve: a later configuration may have taken a key away.
   TimePoint leaseEnds{};
--- a/libs/proxy/src/proxy_context.cpp
+++ b/libs/proxy/src/proxy_context.cpp
@@ -24,9 +24,9 @@
     return std::max(kRetryAfterStart, kFirstLeaseAfter - toDuration(now - startedAt)) + spread;
   return kRetryWithoutLease + spread;
 }
-void ProxyContext::wakeQuotaWaits(const std::vector<transport::Grant>& grants) {
+void ProxyContext::wakeQuotaWaits(const std::vector<transport::QuotaGrant>& grants) {
   for (auto& wait : quotaWaits)
-    if (std::any_of(grants.begin(), grants.end(), [&](auto& g) { return g.label == *wait.tenant; }))
+    if (std::any_of(grants.begin(), grants.end(), [&](auto& g) { return g.tenant == *wait.tenant; }))
       wait.waiter->wake();
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -294,8 +294,8 @@
     context_.runners.setZoneDrains(std::move(zones));
   }
   // What the core tells operators of a closing place's progress, and how busy the fleet is.
-  std::vector<transport::Grant> load(TimePoint now) {
-    std::vector<transport::Grant> out;
+  std::vector<transport::ZoneLoad> load(TimePoint now) {
+    std::vector<transport::ZoneLoad> out;
     const double s = std::max(0.05, std::chrono::duration<double>(now - loadAt_).count());
     const auto all = context_.served + context_.refused;
     if (now - loadAt_ > 900ms) {
@@ -353,7 +353,7 @@
   std::map<std::int64_t, PartnerQuery*> partnerQueries_;  // questions under way
   std::unordered_map<std::uint64_t, TimePoint> sentOpenings_;
   std::int64_t ejectionsVersion_ = 0;
-  std::vector<transport::Grant> ejections_;  // runners set aside, as last told
+  std::vector<transport::RunnerEjection> ejections_;  // runners set aside, as last told
   TimePoint pendingEnd_{};
   TimePoint loadAt_ = Clock::now();
   std::uint64_t loadCount_ = 0;
--- a/libs/simulation/src/hollow_node.cpp
+++ b/libs/simulation/src/hollow_node.cpp
@@ -175,9 +175,9 @@
   drawMs.push_back(std::chrono::duration<double, std::milli>(now - drawnAt_).count());
   reserve_.loose(drawn.grants, now);
   for (auto& grant : drawn.grants) {
-    auto& waiting = waiting_[grant.label];
+    auto& waiting = waiting_[grant.tenant];
     for (; waiting > 0; --waiting)
-      ++(reserve_.retake(grant.label, now) ? granted : refused);
+      ++(reserve_.retake(grant.tenant, now) ? granted : refused);
   }
 }
 }  // namespace zinccleat::simulation
--- a/libs/transport/include/transport/access_messages.hpp
+++ b/libs/transport/include/transport/access_messages.hpp
@@ -2,6 +2,7 @@
 /// know of. Each question has a number that its answer brings back; the numbers of one asker never return in its life.
 #pragma once
 #include "transport/envelope.hpp"
+#include "transport/lease_records.hpp"
 #include "transport/messages.hpp"
 namespace zinccleat::transport {
 // --- between core machines ---
@@ -143,10 +144,10 @@
 struct LeaseRequest {
   static constexpr auto kType = MessageType::leaseRequest;
   std::int64_t requestId = 0;
-  std::vector<Grant> demand;    // tenant, requests a second
-  std::vector<Grant> holds;     // tenant, tokens still held
-  std::vector<Grant> load;      // place that closes (empty: all), requests at its runners, requests at its proxies
-  std::vector<Grant> attempts;  // runner, attempts gone well, gone ill, since the last question
+  std::vector<QuotaDemand> demand;
+  std::vector<QuotaHolding> holds;
+  std::vector<ZoneLoad> load;
+  std::vector<RunnerAttempts> attempts;  // since the last request
   std::int64_t outliersVersion = 0;
   template <class V>
   void fields(V& v) {
@@ -160,9 +161,9 @@
   bool granted = false;  // else nothing below counts
   std::int64_t commitIndex = 0;
   std::int64_t accessMachines = 0;  // that were heard lately
-  std::vector<Grant> grants;        // tenant, tokens, seconds until more could be had
+  std::vector<QuotaGrant> grants;
   std::int64_t outliersVersion = 0;
-  std::vector<Grant> outliers;  // runner, how far set aside; empty where the asker has this version
+  std::vector<RunnerEjection> outliers;  // empty where the sender of the request has this version
   template <class V>
   void fields(V& v) {
     v("requestId", requestId), v("granted", granted), v("commitIndex", commitIndex);
@@ -174,7 +175,7 @@
 struct QuotaTokenRequest {
   static constexpr auto kType = MessageType::quotaTokenRequest;
   std::int64_t requestId = 0;
-  std::vector<Grant> waiting;  // tenant, and in `burst` its requests
+  std::vector<QuotaDemand> waiting;  // only `waitingRequests` is set
   template <class V>
   void fields(V& v) {
     v("requestId", requestId), v("waiting", waiting);
@@ -184,7 +185,7 @@
   static constexpr auto kType = MessageType::quotaTokenResponse;
   std::int64_t requestId = 0;
   bool granted = false;
-  std::vector<Grant> grants;
+  std::vector<QuotaGrant> grants;
   template <class V>
   void fields(V& v) {
     v("requestId", requestId), v("granted", granted), v("grants", grants);
--- a/libs/transport/include/transport/messages.hpp
+++ b/libs/transport/include/transport/messages.hpp
@@ -28,12 +28,4 @@
   }
   OperationKind op() const { return static_cast<OperationKind>(kind); }
 };
-struct Grant {  // a share of a subscriber's quota, or the demand for one
-  std::string label;
-  double rate = 0, burst = 0;
-  template <class V>
-  void fields(V& v) {
-    v("label", label), v("rate", rate), v("burst", burst);
-  }
-};
 }  // namespace zinccleat::transport
--- a/tests/balancing_test.cpp
+++ b/tests/balancing_test.cpp
@@ -49,7 +49,7 @@
     struct Late {
       std::size_t node;
       TimePoint asked, due;
-      std::vector<Grant> grants;
+      std::vector<QuotaGrant> grants;
       bool loose;
     };
     std::vector<Node> nodes(count);
@@ -176,7 +176,7 @@
         ASSERT_EQ(d.size(), 1U);
       }
       for (auto& g : d)
-        EXPECT_EQ(g.label, "steady");
+        EXPECT_EQ(g.tenant, "steady");
     }
   }
   for (int i = 0; i < 200; ++i, now += 400ms)
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -109,9 +109,10 @@
           .omitted = true};
 }
 const std::vector<LogEntry> kEntries{entryNumbered(1), entryNumbered(2)};
-std::vector<Grant> grants(const std::string& label, double from) {
-  return {{.label = label + "-1", .rate = from + 0.25, .burst = from + 0.5},
-          {.label = label + "-2", .rate = from + 1.25, .burst = from + 1.5}};
+/// Two records of a lease or quota message: each is a name and two numbers.
+template <class Record>
+std::vector<Record> recordsOf(const std::string& label, double from) {
+  return {Record{label + "-1", from + 0.25, from + 0.5}, Record{label + "-2", from + 1.25, from + 1.5}};
 }
 
 std::vector<Case> consensusCases() {
@@ -187,21 +188,22 @@
       frameCase("frame_feed_snapshot.hex", FeedSnapshot{.term = 301, .number = 5000000009, .state = "partial state"}),
       frameCase("frame_body_ahead.hex", BodyAhead{.digest = "digest-4", .body = "another large body"}),
       frameCase("frame_lease_question.hex", LeaseRequest{.requestId = 4003,
-                                                         .demand = grants("demand", 10),
-                                                         .holds = grants("holds", 20),
-                                                         .load = grants("load", 30),
-                                                         .attempts = grants("attempts", 40),
+                                                         .demand = recordsOf<QuotaDemand>("demand", 10),
+                                                         .holds = recordsOf<QuotaHolding>("holds", 20),
+                                                         .load = recordsOf<ZoneLoad>("load", 30),
+                                                         .attempts = recordsOf<RunnerAttempts>("attempts", 40),
                                                          .outliersVersion = 51}),
       frameCase("frame_lease_answer.hex", LeaseResponse{.requestId = 4004,
                                                         .granted = true,
                                                         .commitIndex = 5000000010,
                                                         .accessMachines = 12,
-                                                        .grants = grants("grants", 50),
+                                                        .grants = recordsOf<QuotaGrant>("grants", 50),
                                                         .outliersVersion = 52,
-                                                        .outliers = grants("outliers", 60)}),
-      frameCase("frame_quota_draw.hex", QuotaTokenRequest{.requestId = 4005, .waiting = grants("waiting", 70)}),
+                                                        .outliers = recordsOf<RunnerEjection>("outliers", 60)}),
+      frameCase("frame_quota_draw.hex",
+                QuotaTokenRequest{.requestId = 4005, .waiting = recordsOf<QuotaDemand>("waiting", 70)}),
       frameCase("frame_quota_drawn.hex",
-                QuotaTokenResponse{.requestId = 4006, .granted = true, .grants = grants("grants", 80)}),
+                QuotaTokenResponse{.requestId = 4006, .granted = true, .grants = recordsOf<QuotaGrant>("grants", 80)}),
       frameCase(
           "frame_opening_question.hex",
           PrefixLookupRequest{.requestId = 4007, .opening = -6148914691236517206, .tenantDigest = 1311768467463790320}),
--- a/tests/illness_test.cpp
+++ b/tests/illness_test.cpp
@@ -61,7 +61,7 @@
     const auto before = asked(*ill);
     EXPECT_GT(before, 4);
     ASSERT_FALSE(desk.list().empty());
-    EXPECT_EQ(desk.list()[0].label, "i-0");
+    EXPECT_EQ(desk.list()[0].runner, "i-0");
     EXPECT_EQ(desk.list().size(), 1U);
     for (int i = 0; i < 40; ++i)
       EXPECT_EQ(once(h, ask("/open/x", "b" + std::to_string(i))).status, 200);
@@ -90,7 +90,7 @@
     h.context.countSlow(Clock::now() + 4s);
     const auto report = h.context.observer.report(24);
     ASSERT_EQ(report.size(), 1U);
-    EXPECT_EQ(report[0].burst, RunnerObserver::slowWeight) << "once a request";
+    EXPECT_EQ(report[0].failed, RunnerObserver::slowWeight) << "once a request";
   });
 }
 TEST(Illness, ARunnerThatFlapsCostsNobodyAnAnswer) {
@@ -106,9 +106,9 @@
       EXPECT_EQ(once(h, ask(i % 2 ? "/open/x" : "/once/x", "a" + std::to_string(i))).status, 200) << i;
     }
     const auto report = h.context.observer.report(24);
-    const auto it = std::find_if(report.begin(), report.end(), [](auto& g) { return g.label == "i-0"; });
+    const auto it = std::find_if(report.begin(), report.end(), [](auto& g) { return g.runner == "i-0"; });
     ASSERT_NE(it, report.end());
-    EXPECT_GT(it->burst, 3);
+    EXPECT_GT(it->failed, 3);
   });
 }
 // A new one takes its share, not the crowd: what it is given follows from what it has in work.
@@ -167,7 +167,7 @@
     EXPECT_EQ(once(h, ask("/open/x", "a1")).status, 200);
     (void)once(h, ask("/open/x", "a2"));
     for (auto& g : h.context.observer.report(24))
-      EXPECT_EQ(g.burst, 0) << g.label;
+      EXPECT_EQ(g.failed, 0) << g.runner;
     EXPECT_EQ(h.context.runners.at(0).failures, 0);
   });
 }
--- a/tests/outlier_test.cpp
+++ b/tests/outlier_test.cpp
@@ -24,7 +24,7 @@
   return v;
 }
 bool aside(const OutlierDetector& d, const std::string& id) {
-  return std::any_of(d.list().begin(), d.list().end(), [&](auto& g) { return g.label == id && g.rate >= 1; });
+  return std::any_of(d.list().begin(), d.list().end(), [&](auto& g) { return g.runner == id && g.level >= 1; });
 }
 // 70 nodes, 8 requests a second each, spread evenly; `ill` says whether an attempt at a runner goes badly.
 struct Play {
@@ -38,7 +38,7 @@
   void run(Duration d) {
     for (const auto end = now + d; now < end; now += 200ms) {
       for (int node = 0; node < 70; ++node) {
-        std::map<std::string, Grant> seen;
+        std::map<std::string, RunnerAttempts> seen;
         for (int k = 0; k < 2; ++k) {
           if (rng() % 10 >= 8)
             continue;
@@ -46,12 +46,12 @@
           if (aside(desk, r.id))
             continue;
           auto& g = seen[r.id];
-          g.label = r.id;
+          g.runner = r.id;
           const bool bad = static_cast<double>(rng() % 1000) < ill(r.id) * 1000;
-          (bad ? g.burst : g.rate) += 1;
+          (bad ? g.failed : g.succeeded) += 1;
           atIll += ill(r.id) > 0.1;
         }
-        std::vector<Grant> v;
+        std::vector<RunnerAttempts> v;
         v.reserve(seen.size());
         for (auto& [id, g] : seen)
           v.push_back(g);
@@ -73,7 +73,7 @@
       p.run(200ms);
       times += aside(p.desk, "r7");
       for (auto& g : p.desk.list())
-        EXPECT_TRUE(g.label == "r7" || g.label == "r40") << g.label << " seed " << seed;
+        EXPECT_TRUE(g.runner == "r7" || g.runner == "r40") << g.runner << " seed " << seed;
     }
     EXPECT_GE(times, 10) << "seed " << seed;
   }
@@ -151,9 +151,9 @@
   EXPECT_TRUE(w.began("r2", "s", 9000, 500ms));
   const auto response = w.report(100);
   ASSERT_EQ(response.size(), 2U);
-  EXPECT_EQ(response[0].label, "r1") << "the worst first";
-  EXPECT_EQ(response[0].burst, RunnerObserver::slowWeight);
-  EXPECT_EQ(response[1].rate, 1);
+  EXPECT_EQ(response[0].runner, "r1") << "the worst first";
+  EXPECT_EQ(response[0].failed, RunnerObserver::slowWeight);
+  EXPECT_EQ(response[1].succeeded, 1);
   EXPECT_TRUE(w.report(100).empty()) << "only what is new";
 }
 // Short prompts wait behind long ones now and then; that is how things are, no illness.
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -163,7 +163,7 @@
   EXPECT_EQ(feedBack->entries[0].body.size(), 100000U);
   const auto leaseBack = unpack<LeaseResponse>((*out)[1]);
   ASSERT_TRUE(leaseBack);
-  EXPECT_DOUBLE_EQ(leaseBack->grants[0].burst, 2.5);
+  EXPECT_DOUBLE_EQ(leaseBack->grants[0].secondsUntilMore, 2.5);
   EXPECT_FALSE(unpack<LeaseRequest>((*out)[1])) << "a message of another type";
   EXPECT_EQ(buf.size(), 2U) << "a frame not whole yet stays";
 }
