--- a/libs/agent/src/agent.cpp
+++ b/libs/agent/src/agent.cpp
@@ -4,7 +4,7 @@
 
 #include "agent/port.hpp"
 #include "consensus/cluster_config.hpp"
-#include "consensus/queue.hpp"
+#include "consensus/entry_queue.hpp"
 #include "runtime/lifecycle.hpp"
 #include "runtime/log_ring.hpp"
 #include "state_machine/replicated_state.hpp"
--- a/libs/consensus/include/consensus/membership_policy.hpp
+++ b/libs/consensus/include/consensus/membership_policy.hpp
@@ -8,7 +8,7 @@
 namespace zinccleat::consensus {
 enum class VoterHealth {
   healthy,
-  silent,     // has not been heard for `RaftOptions::silentAfter`
+  silent,     // has not been heard for `RaftOptions::unreachableAfter`
   leaving,    // has asked to leave
   superseded  // its machine runs again with an empty disk, under another identity: it never comes back
 };
@@ -17,8 +17,8 @@
   VoterHealth health = VoterHealth::healthy;
 };
 // The set of voters to move to; equal to the present one where nothing is to be changed. `voters`: the present ones,
-// the leader first. `learners`: those that are caught up and answer, in the order of preference. `mostVoters`: more
+// the leader first. `learners`: those that are caught up and answer, in the order of preference. `maxVoters`: more
 // machines than this only follow.
 std::vector<MemberId> chooseVoters(const std::vector<VoterStatus>& voters, const std::vector<MemberId>& learners,
-                                   std::size_t mostVoters);
+                                   std::size_t maxVoters);
 }  // namespace zinccleat::consensus
--- a/libs/consensus/include/consensus/messages.hpp
+++ b/libs/consensus/include/consensus/messages.hpp
@@ -14,11 +14,11 @@
   std::int64_t transferredTerm = 0;
   // The candidate led this term in an earlier life of its process, so that term's lease is void; 0: it did not.
   std::int64_t endedLeaseTerm = 0;
-  std::int64_t lastLogIndex = 0, lastTerm = 0;  // the end of the candidate's log
+  std::int64_t lastLogIndex = 0, lastLogTerm = 0;  // the end of the candidate's log
   template <class V>
   void fields(V& v) {
     v("term", term), v("preVote", preVote), v("transferredTerm", transferredTerm);
-    v("endedLeaseTerm", endedLeaseTerm), v("lastLogIndex", lastLogIndex), v("lastTerm", lastTerm);
+    v("endedLeaseTerm", endedLeaseTerm), v("lastLogIndex", lastLogIndex), v("lastTerm", lastLogTerm);
   }
 };
 // A vote granted. A refusal is not answered.
@@ -59,13 +59,14 @@
 };
 struct InstallSnapshot {
   std::int64_t term = 0;
-  std::int64_t lastLogIndex = 0, lastTerm = 0;  // the last entry that the snapshot covers
-  std::string config;                           // see `encodeConfig`
+  std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0;  // the last entry that the snapshot covers
+  std::string config;                                        // see `encodeConfig`
   std::string state;
   std::int64_t commitIndex = 0;
   template <class V>
   void fields(V& v) {
-    v("term", term), v("lastLogIndex", lastLogIndex), v("lastTerm", lastTerm), v("config", config), v("state", state);
+    v("term", term), v("lastLogIndex", lastIncludedIndex), v("lastTerm", lastIncludedTerm), v("config", config),
+        v("state", state);
     v("commitIndex", commitIndex);
   }
 };
--- a/libs/consensus/include/consensus/raft_node.hpp
+++ b/libs/consensus/include/consensus/raft_node.hpp
@@ -10,7 +10,7 @@
 enum class Role { learner, follower, candidate, leader };
 
 // Faults that a test plants to show that its checks would find them. Never set outside of tests.
-struct PlantedFaults {
+struct InjectedFaults {
   bool commitWithoutMajority = false;
   bool voteBeforeSync = false;
   bool leaseOutlivesStepDown = false;
@@ -24,19 +24,19 @@
   Duration leaseMargin{80};       // the leader stops relying on the promise so much sooner
   Duration electionTimeout{550};  // longer than the lease
   Duration electionTimeoutSpread{300};
-  Duration tickInterval{50};       // how often `tick` is called
-  Duration syncStalledAfter{700};  // a sync this old makes a leader hand over, if another member has synced more
-  Duration silentAfter{2500};      // a voter not heard for so long may be replaced or removed
-  Duration voteRetry{100};         // a pre-vote without a majority is asked again
-  Duration resendAfter{400};       // entries without an acknowledgement are sent again
+  Duration tickInterval{50};        // how often `tick` is called
+  Duration syncStallTimeout{700};   // a sync this old makes a leader hand over, if another member has synced more
+  Duration unreachableAfter{2500};  // a voter not heard for so long may be replaced or removed
+  Duration voteRetryInterval{100};  // a pre-vote without a majority is asked again
+  Duration resendTimeout{400};      // entries without an acknowledgement are sent again
   Duration joinInterval{500};
   Duration leaveInterval{100};
-  Duration persistRetry{300};     // a record that the disk refused is handed to it again
-  std::size_t largeBody = 16384;  // bytes; bodies above this are sent ahead by the node that took the write
-  std::size_t mostVoters = 9;     // further machines only follow: each write would wait for more syncs
+  Duration persistRetryInterval{300};  // a record that the disk refused is handed to it again
+  std::size_t largeBodyBytes = 16384;  // bytes; bodies above this are sent ahead by the node that took the write
+  std::size_t maxVoters = 9;           // further machines only follow: each write would wait for more syncs
   // Whether the applied state could be restored from a snapshot's text; a snapshot that fails it is not installed.
   std::function<bool(const std::string&)> snapshotIsValid;
-  PlantedFaults faults;
+  InjectedFaults faults;
 };
 
 struct SendMessage {
@@ -54,7 +54,7 @@
 };
 // Replaces the applied state.
 struct RestoreSnapshot {
-  std::int64_t number = 0, term = 0;
+  std::int64_t index = 0, term = 0;
   std::string state;
 };
 using RaftAction = std::variant<SendMessage, PersistRecord, ApplyEntry, RestoreSnapshot>;
@@ -69,10 +69,10 @@
 
   // Start with exactly one of: the founders, on the first start of the whole system; the records that the disk
   // held; or neither, with an empty disk: a learner.
-  void found(const std::vector<MemberId>& founders, TimePoint now);
+  void bootstrap(const std::vector<MemberId>& founders, TimePoint now);
   void recover(const std::vector<DiskRecord>& records, TimePoint now);
   // Addresses to ask where no configuration is known.
-  void setSeeds(std::vector<std::string> addresses);
+  void setSeedAddresses(std::vector<std::string> addresses);
 
   void tick(TimePoint now);
   void receive(TimePoint now, const MemberId& from, ConsensusMessage message);
--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -4,7 +4,7 @@
 namespace zinccleat::consensus {
 void RaftNode::Core::tickElection(TimePoint now) {
   const bool asking = role == Role::candidate && preVoting;
-  if (asking && now < electionAt && now - lastVoteRequestAt >= options.voteRetry) {
+  if (asking && now < electionAt && now - lastVoteRequestAt >= options.voteRetryInterval) {
     lastVoteRequestAt = now;
     requestVotes(0);
   }
@@ -48,7 +48,7 @@
   if (restarted && lastLedTerm > 0 && lastLedTerm == request.term - 1)
     request.endedLeaseTerm = lastLedTerm;
   request.lastLogIndex = log.lastLogIndex();
-  request.lastTerm = log.lastTerm();
+  request.lastLogTerm = log.lastLogTerm();
   for (const auto& voter : log.config().allVoters())
     if (voter != self)
       send(voter, request, after);
@@ -99,7 +99,7 @@
     return tellTerm(from);
   if (boundByLease(now, request))
     return;
-  if (log.isUpToDate(request.lastTerm, request.lastLogIndex))
+  if (log.isUpToDate(request.lastLogTerm, request.lastLogIndex))
     send(from, VoteResponse{request.term, true});
 }
 // A candidate behind in terms learns of it. Why: of two voters that are left, one with the newer term and one with the
@@ -120,7 +120,7 @@
     return tellTerm(from);
   if (boundByLease(now, request))
     return;
-  const bool upToDate = log.isUpToDate(request.lastTerm, request.lastLogIndex);
+  const bool upToDate = log.isUpToDate(request.lastLogTerm, request.lastLogIndex);
   if (request.term > currentTerm)
     enterTerm(now, request.term, upToDate ? from : MemberId{});
   if (!upToDate || role == Role::leader || !(votedFor.empty() || votedFor == from))
--- a/libs/consensus/src/queue.cpp
+++ b/libs/consensus/src/entry_queue.cpp
@@ -1,4 +1,4 @@
-#include "consensus/queue.hpp"
+#include "consensus/entry_queue.hpp"
 
 namespace zinccleat::consensus {
 namespace {
--- a/libs/consensus/src/fingerprint.cpp
+++ b/libs/consensus/src/fingerprint.cpp
@@ -63,7 +63,7 @@
     writer(core.ownVoteTicket - core.persistence.newestTicket());
   }
   for (const auto& pending : core.persistence.pending()) {
-    writer(pending.ticket - core.persistence.newestTicket())(pending.lastLogIndex)(pending.lastTerm)(pending.failed);
+    writer(pending.ticket - core.persistence.newestTicket())(pending.lastLogIndex)(pending.lastLogTerm)(pending.failed);
     writer(pending.inFlight);
     writer(pending.retryAt)(static_cast<std::int64_t>(pending.waited.count()));
   }
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -102,7 +102,8 @@
   if (message.term < currentTerm)
     return;
   const auto config = decodeConfig(message.config);
-  const bool valid = message.lastLogIndex == 0 || !options.snapshotIsValid || options.snapshotIsValid(message.state);
+  const bool valid =
+      message.lastIncludedIndex == 0 || !options.snapshotIsValid || options.snapshotIsValid(message.state);
   if (config.empty() || !valid) {
     ++snapshotsRefused;
     return;
@@ -110,15 +111,15 @@
   if (!followLeader(now, from, message.term, leaderHadLease))
     return;
   // Why the log stays where it agrees: what lies above the snapshot may have been counted on already.
-  const bool agrees = log.termAt(message.lastLogIndex) == message.lastTerm;
-  if (!log.holdsNothing() && (message.lastLogIndex <= commitIndex || agrees)) {
-    matchIndex = std::max(matchIndex, std::max(commitIndex, message.lastLogIndex));
-    commitUpTo(message.lastLogIndex);
+  const bool agrees = log.termAt(message.lastIncludedIndex) == message.lastIncludedTerm;
+  if (!log.holdsNothing() && (message.lastIncludedIndex <= commitIndex || agrees)) {
+    matchIndex = std::max(matchIndex, std::max(commitIndex, message.lastIncludedIndex));
+    commitUpTo(message.lastIncludedIndex);
     return acknowledge(0, termTicket);
   }
-  log.reset({message.lastLogIndex, message.lastTerm, config, std::move(message.state)});
-  commitIndex = message.lastLogIndex;
-  matchIndex = message.lastLogIndex;
+  log.reset({message.lastIncludedIndex, message.lastIncludedTerm, config, std::move(message.state)});
+  commitIndex = message.lastIncludedIndex;
+  matchIndex = message.lastIncludedIndex;
   persistedIndex = 0;
   followConfig();
   emitRestore();
--- a/libs/consensus/src/leader.cpp
+++ b/libs/consensus/src/leader.cpp
@@ -64,14 +64,14 @@
 }
 void RaftNode::Core::sendTo(TimePoint now, const MemberId& peer, PeerProgress& progress, bool heartbeatDue) {
   const bool unacknowledged = progress.matchIndex + 1 < progress.nextIndex;
-  if (unacknowledged && now - std::max(progress.progressAt, progress.sentAt) > options.resendAfter) {
+  if (unacknowledged && now - std::max(progress.progressAt, progress.sentAt) > options.resendTimeout) {
     progress.sendWholeUpTo = std::max(progress.sendWholeUpTo, progress.nextIndex - 1);
     progress.nextIndex = progress.matchIndex + 1;
     progress.sentAt = now;
   }
   if (progress.nextIndex <= log.snapshot().number) {
     const bool waiting =
-        progress.snapshotUnderWay && now - progress.sentAt < options.resendAfter * kSnapshotResendFactor;
+        progress.snapshotUnderWay && now - progress.sentAt < options.resendTimeout * kSnapshotResendFactor;
     if (!waiting)
       return sendSnapshot(now, peer, progress);
     if (heartbeatDue)
@@ -89,8 +89,8 @@
 void RaftNode::Core::sendSnapshot(TimePoint now, const MemberId& peer, PeerProgress& progress) {
   InstallSnapshot message;
   message.term = currentTerm;
-  message.lastLogIndex = log.snapshot().number;
-  message.lastTerm = log.snapshot().term;
+  message.lastIncludedIndex = log.snapshot().number;
+  message.lastIncludedTerm = log.snapshot().term;
   message.config = encodeConfig(log.snapshot().config);
   message.state = log.snapshot().state;
   message.commitIndex = commitIndex;
@@ -107,7 +107,7 @@
     auto& entry = entries.back();
     // The node that took a large write has sent its body ahead; only the numbered entry goes from here.
     const bool takenElsewhere = entry.operationId.rfind(self + "/", 0) != 0;
-    const bool sentAhead = entry.body.size() > options.largeBody && !entry.digest.empty() && takenElsewhere;
+    const bool sentAhead = entry.body.size() > options.largeBodyBytes && !entry.digest.empty() && takenElsewhere;
     if (sentAhead && progress.nextIndex > progress.sendWholeUpTo) {
       entry.body.clear();
       entry.omitted = true;
@@ -164,7 +164,7 @@
     progress.leasePromisedFrom = std::max(progress.leasePromisedFrom, sent->second);
   if (response.mismatch) {
     // A snapshot on its way will answer this.
-    if (progress.snapshotUnderWay && now - progress.sentAt < options.resendAfter)
+    if (progress.snapshotUnderWay && now - progress.sentAt < options.resendTimeout)
       return;
     progress.snapshotUnderWay = false;
     progress.nextIndex = std::clamp<std::int64_t>(response.matchIndex + 1, 0, log.lastLogIndex() + 1);
--- a/libs/consensus/src/membership.cpp
+++ b/libs/consensus/src/membership.cpp
@@ -6,11 +6,11 @@
 namespace {
 constexpr std::int64_t kCaughtUpWithin = 8;  // entries that a learner may still lack
 constexpr int kJoinAfterHeartbeats = 4;      // a learner without a leader for so long asks again
-constexpr int kLearnerGoneFactor = 2;        // times `silentAfter`
+constexpr int kLearnerGoneFactor = 2;        // times `unreachableAfter`
 constexpr int kSupersededAfterHeartbeats = 3;
 constexpr int kLostAfterElections = 3;  // a voter without a leader for so many election timeouts asks anybody
 constexpr int kLeavingForIntervals = 10;
-// For `PlantedFaults::newcomerIsAddedOnly`.
+// For `InjectedFaults::newcomerIsAddedOnly`.
 std::vector<MemberId> addNewcomersOnly(const std::vector<VoterStatus>& voters, const std::vector<MemberId>& learners) {
   std::vector<MemberId> chosen;
   std::vector<MemberId> silent;
@@ -36,7 +36,7 @@
   const auto status = voterStatus(now);
   const auto learners = readyLearners(now);
   auto chosen = options.faults.newcomerIsAddedOnly ? addNewcomersOnly(status, learners)
-                                                   : chooseVoters(status, learners, options.mostVoters);
+                                                   : chooseVoters(status, learners, options.maxVoters);
   auto present = log.config().voters;
   std::sort(chosen.begin(), chosen.end());
   std::sort(present.begin(), present.end());
@@ -88,7 +88,7 @@
       health = VoterHealth::superseded;
     else if (isLeaving(now, progress))
       health = VoterHealth::leaving;
-    else if (silence > options.silentAfter)
+    else if (silence > options.unreachableAfter)
       health = VoterHealth::silent;
     status.push_back({voter, health});
   }
@@ -122,7 +122,8 @@
 }
 void RaftNode::Core::dropSilentLearners(TimePoint now) {
   std::erase_if(peers, [&](const auto& peer) {
-    return !log.config().isVoter(peer.first) && now - peer.second.heardAt > options.silentAfter * kLearnerGoneFactor;
+    return !log.config().isVoter(peer.first) &&
+           now - peer.second.heardAt > options.unreachableAfter * kLearnerGoneFactor;
   });
 }
 void RaftNode::Core::onJoinRequest(TimePoint now, const MemberId& from, const JoinRequest& request) {
--- a/libs/consensus/src/membership_policy.cpp
+++ b/libs/consensus/src/membership_policy.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::vector<MemberId> chooseVoters(const std::vector<VoterStatus>& voters, const std::vector<MemberId>& learners,
-                                   std::size_t mostVoters) {
+                                   std::size_t maxVoters) {
   std::vector<MemberId> candidates;
   for (const auto& voter : voters)
     if (voter.health == VoterHealth::healthy)
@@ -37,7 +37,7 @@
   const auto unhealthy = unhealthyInOrder(voters);
 
   auto target = targetSize(candidates.size(), voters.size(), !unhealthy.empty());
-  target = std::min(target, oddAtMost(mostVoters));
+  target = std::min(target, oddAtMost(maxVoters));
   target = std::max(target, std::min(kFewestVoters, voters.size()));
 
   auto chosen = candidates;
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -1,13 +1,13 @@
 #include "persistence.hpp"
 
 namespace zinccleat::consensus {
-const Persistence::Pending& Persistence::add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastTerm) {
+const Persistence::Pending& Persistence::add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm) {
   const bool waits = oldestFailed();
   Pending pending;
   pending.ticket = ++lastTicket_;
   pending.record = std::move(record);
   pending.lastLogIndex = lastLogIndex;
-  pending.lastTerm = lastTerm;
+  pending.lastLogTerm = lastLogTerm;
   pending.inFlight = !waits;
   pending.failed = waits;
   pending_.push_back(std::move(pending));
@@ -58,14 +58,15 @@
   pending_.front().inFlight = true;
   return pending_.front();
 }
-const Persistence::Pending& Persistence::replaceAll(DiskRecord full, std::int64_t lastLogIndex, std::int64_t lastTerm) {
+const Persistence::Pending& Persistence::replaceAll(DiskRecord full, std::int64_t lastLogIndex,
+                                                    std::int64_t lastLogTerm) {
   auto merged = pending_.front();
   merged.ticket = pending_.back().ticket;
   full.seq = merged.record.seq;
   lastSequence_ = full.seq;
   merged.record = std::move(full);
   merged.lastLogIndex = lastLogIndex;
-  merged.lastTerm = lastTerm;
+  merged.lastLogTerm = lastLogTerm;
   merged.inFlight = true;
   pending_.clear();
   pending_.push_back(std::move(merged));
--- a/libs/consensus/src/persistence.hpp
+++ b/libs/consensus/src/persistence.hpp
@@ -16,8 +16,8 @@
   struct Pending {
     PersistTicket ticket = 0;
     DiskRecord record;
-    std::int64_t lastLogIndex = 0, lastTerm = 0;  // the end of the log that it makes durable
-    bool inFlight = false;                        // handed to the disk and not answered yet
+    std::int64_t lastLogIndex = 0, lastLogTerm = 0;  // the end of the log that it makes durable
+    bool inFlight = false;                           // handed to the disk and not answered yet
     bool failed = false;
     TimePoint retryAt{};
     Duration waited{0};
@@ -26,7 +26,7 @@
   std::int64_t nextSequence() { return ++lastSequence_; }
   void recoveredSequence(std::int64_t sequence) { lastSequence_ = std::max(lastSequence_, sequence); }
   // Notes a record. Its `inFlight` says whether it is to be handed to the disk now: behind one that failed it waits.
-  const Pending& add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastTerm);
+  const Pending& add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
   PersistTicket newestTicket() const { return lastTicket_; }
   // Keeps a message until `ticket` is on the disk. False: it is there already, the message may go.
   bool hold(PersistTicket ticket, HeldMessage message);
@@ -41,7 +41,7 @@
   const Pending& retryOldest();
   // Puts one full record in the place of all that wait, under the oldest one's sequence and the newest one's ticket:
   // what came while the disk refused to write is made durable by a single write.
-  const Pending& replaceAll(DiskRecord full, std::int64_t lastLogIndex, std::int64_t lastTerm);
+  const Pending& replaceAll(DiskRecord full, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
   // Adds `step` to the age of all records under way.
   void age(Duration step);
   bool oldestFailed() const { return !pending_.empty() && pending_.front().failed; }
--- a/libs/consensus/src/raft_core.cpp
+++ b/libs/consensus/src/raft_core.cpp
@@ -40,7 +40,7 @@
   return record;
 }
 PersistTicket RaftNode::Core::handToDisk(DiskRecord record) {
-  const auto& pending = persistence.add(std::move(record), log.lastLogIndex(), log.lastTerm());
+  const auto& pending = persistence.add(std::move(record), log.lastLogIndex(), log.lastLogTerm());
   if (pending.inFlight)
     actions.emplace_back(PersistRecord{pending.ticket, pending.record});
   return pending.ticket;
@@ -118,7 +118,7 @@
   persistence.age(std::min(sinceTick, options.tickInterval * 2));
 }
 bool RaftNode::Core::diskStalled() const {
-  return persistence.oldestFailed() || persistence.oldestWait() > options.syncStalledAfter;
+  return persistence.oldestFailed() || persistence.oldestWait() > options.syncStallTimeout;
 }
 // Only the oldest record is tried again, since the disk takes them in order. What came behind it meanwhile goes along
 // in one full record: a backlog of single records would take longer to write than it took to gather.
@@ -127,7 +127,7 @@
     return;
   const bool alone = persistence.pending().size() == 1 || log.holdsNothing();
   const auto& retried =
-      alone ? persistence.retryOldest() : persistence.replaceAll(fullRecord(), log.lastLogIndex(), log.lastTerm());
+      alone ? persistence.retryOldest() : persistence.replaceAll(fullRecord(), log.lastLogIndex(), log.lastLogTerm());
   actions.emplace_back(PersistRecord{retried.ticket, retried.record});
 }
 void RaftNode::Core::onPersisted(TimePoint now, PersistTicket ticket) {
@@ -135,7 +135,7 @@
   if (!done)
     return;
   // What was replaced meanwhile is not the log's any more.
-  if (done->lastLogIndex <= log.lastLogIndex() && log.termAt(done->lastLogIndex) == done->lastTerm)
+  if (done->lastLogIndex <= log.lastLogIndex() && log.termAt(done->lastLogIndex) == done->lastLogTerm)
     persistedIndex = std::max(persistedIndex, done->lastLogIndex);
   if (role == Role::candidate && !preVoting && ticket >= ownVoteTicket)
     votes.insert(self);
@@ -159,13 +159,13 @@
   *core_ = *other.core_;
   return *this;
 }
-void RaftNode::found(const std::vector<MemberId>& founders, TimePoint) {
-  core_->found(founders);
+void RaftNode::bootstrap(const std::vector<MemberId>& founders, TimePoint) {
+  core_->bootstrap(founders);
 }
 void RaftNode::recover(const std::vector<DiskRecord>& records, TimePoint now) {
   core_->recover(records, now);
 }
-void RaftNode::setSeeds(std::vector<std::string> addresses) {
+void RaftNode::setSeedAddresses(std::vector<std::string> addresses) {
   core_->seedAddresses = std::move(addresses);
 }
 void RaftNode::tick(TimePoint now) {
@@ -205,7 +205,7 @@
   if (ok)
     core_->onPersisted(now, ticket);
   else
-    core_->persistence.failed(ticket, now + core_->options.persistRetry);
+    core_->persistence.failed(ticket, now + core_->options.persistRetryInterval);
 }
 void RaftNode::compact(std::int64_t number, std::string state, TimePoint) {
   core_->compact(number, std::move(state));
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -82,7 +82,7 @@
   void onPersisted(TimePoint now, PersistTicket ticket);
 
   // recovery.cpp
-  void found(const std::vector<MemberId>& founders);
+  void bootstrap(const std::vector<MemberId>& founders);
   void recover(const std::vector<DiskRecord>& records, TimePoint now);
   void compact(std::int64_t number, std::string state);
   void emitRestore();
--- a/libs/consensus/src/raft_log.cpp
+++ b/libs/consensus/src/raft_log.cpp
@@ -41,6 +41,6 @@
   return &entries_[static_cast<std::size_t>(number - snapshot_.number - 1)];
 }
 bool RaftLog::isUpToDate(std::int64_t term, std::int64_t number) const {
-  return term > lastTerm() || (term == lastTerm() && number >= lastLogIndex());
+  return term > lastLogTerm() || (term == lastLogTerm() && number >= lastLogIndex());
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/raft_log.hpp
+++ b/libs/consensus/src/raft_log.hpp
@@ -21,7 +21,7 @@
 
   bool holdsNothing() const { return snapshot_.config.empty(); }
   std::int64_t lastLogIndex() const { return snapshot_.number + static_cast<std::int64_t>(entries_.size()); }
-  std::int64_t lastTerm() const { return termAt(lastLogIndex()); }
+  std::int64_t lastLogTerm() const { return termAt(lastLogIndex()); }
   // -1: not known here.
   std::int64_t termAt(std::int64_t number) const;
   const transport::LogEntry* at(std::int64_t number) const;
--- a/libs/consensus/src/recovery.cpp
+++ b/libs/consensus/src/recovery.cpp
@@ -7,7 +7,7 @@
 constexpr std::int64_t kRestartDelay = 20, kRestartSpread = 200;           // ms
 }  // namespace
 
-void RaftNode::Core::found(const std::vector<MemberId>& founders) {
+void RaftNode::Core::bootstrap(const std::vector<MemberId>& founders) {
   Snapshot start;
   start.config.voters = founders;
   log.reset(std::move(start));
--- a/libs/controller/src/core.cpp
+++ b/libs/controller/src/core.cpp
@@ -128,11 +128,11 @@
   operationIds_.emplace(self, boot_);
 
   consensus::RaftOptions options;
-  options.largeBody = kLargeBody;
+  options.largeBodyBytes = kLargeBody;
   options.snapshotIsValid = snapshotIsValid;
   const auto now = Clock::now();  // after the disk, which may have taken its time
   shared_.raft = std::make_unique<consensus::RaftNode>(self, options, boot_, now);
-  shared_.raft->setSeeds(seeds);
+  shared_.raft->setSeedAddresses(seeds);
   for (auto& seed : seeds)
     shared_.view.add(seed + "/core");
   disk_ = std::make_unique<StorageThread>(std::move(disk.storage));
@@ -143,7 +143,7 @@
     founders.reserve(seeds.size());
     for (auto& seed : seeds)
       founders.push_back(seed + "#0");
-    shared_.raft->found(founders, now);
+    shared_.raft->bootstrap(founders, now);
   }
   // Why it does not end: the others may only be down, and a settings file read again may name them.
   if (records.empty() && !founder && seedsHoldNobodyElse(settings)) {
@@ -185,7 +185,7 @@
   const auto seeds = hostsOf(settings.seeds);
   for (auto& seed : seeds)
     shared_.view.add(seed + "/core");
-  shared_.raft->setSeeds(seeds);
+  shared_.raft->setSeedAddresses(seeds);
   shared_.settings.seeds = settings.seeds;
   shared_.settings.timers = settings.timers;
   log::debug("settings read again");
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -3,7 +3,7 @@
 #include <set>
 
 #include "agent/port.hpp"
-#include "consensus/queue.hpp"
+#include "consensus/entry_queue.hpp"
 #include "proxy/proxy.hpp"
 #include "runtime/lifecycle.hpp"
 #include "runtime/log_ring.hpp"
--- a/libs/simulation/src/hollow_node.hpp
+++ b/libs/simulation/src/hollow_node.hpp
@@ -3,7 +3,7 @@
 #include <random>
 
 #include "balancing/quota.hpp"
-#include "consensus/queue.hpp"
+#include "consensus/entry_queue.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -333,7 +333,7 @@
 TEST(Order, ALateSnapshotTakesNothingBackThatWasSynced) {
   const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
-  node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
+  node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   auto settle = [&] {
     for (auto actions = node.takeActions(); !actions.empty(); actions = node.takeActions())
       for (auto& action : actions)
@@ -355,8 +355,8 @@
   settle();
   InstallSnapshot snapshot;
   snapshot.term = 1;
-  snapshot.lastLogIndex = 3;
-  snapshot.lastTerm = 1;
+  snapshot.lastIncludedIndex = 3;
+  snapshot.lastIncludedTerm = 1;
   snapshot.config = encodeConfig(node.config());
   node.receive(now, leader, snapshot);
   settle();
@@ -419,7 +419,7 @@
   for (const bool late : {true, false}) {
     TimePoint now{100s};
     RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
-    node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
+    node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
     bool handedOver = false;
     bool diskSilent = false;
     auto settle = [&] {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -138,8 +138,8 @@
     ASSERT_FALSE(ec);
     InstallSnapshot snapshot;
     snapshot.term = 1;
-    snapshot.lastLogIndex = 40;
-    snapshot.lastTerm = 1;
+    snapshot.lastIncludedIndex = 40;
+    snapshot.lastIncludedTerm = 1;
     snapshot.commitIndex = 40;
     snapshot.config = "127.0.5.5#0 127.0.5.6#0 127.0.5.7#0";
     snapshot.state = "no state at all \xff\xff\xff\xff\xff\xff\xff\xff\xff\xff";
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -317,7 +317,7 @@
 TEST(Membership, AnAnswerToAnEarlierLeaveLetsNobodyGo) {
   const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
-  node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
+  node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   node.leave(now);
   node.receive(now, "10.2.0.1#0", LeaveResponse{0, -1});
   EXPECT_FALSE(node.mayExit());
@@ -343,7 +343,7 @@
 TEST(Membership, AVoterWithTheOlderConfigurationVotesForANewVoter) {
   const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
-  node.found({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
+  node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   bool voted = false;
   const auto settle = [&] {
     for (auto actions = node.takeActions(); !actions.empty(); actions = node.takeActions())
@@ -358,7 +358,7 @@
   VoteRequest request;
   request.term = 3;
   request.lastLogIndex = 9;
-  request.lastTerm = 2;
+  request.lastLogTerm = 2;
   node.receive(now, "10.4.0.1#77", request);
   settle();
   EXPECT_TRUE(voted);
@@ -370,8 +370,8 @@
   RaftNode node("10.1.0.1#7", options, 1, now);
   InstallSnapshot snapshot;
   snapshot.term = 1;
-  snapshot.lastLogIndex = 5;
-  snapshot.lastTerm = 1;
+  snapshot.lastIncludedIndex = 5;
+  snapshot.lastIncludedTerm = 1;
   snapshot.config = "10.2.0.1#0";
   snapshot.state = "bad";
   node.receive(now, "10.2.0.1#0", snapshot);
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -24,7 +24,7 @@
   return statesToVisit() * kWalksInCi / kStatesInCi;
 }
 // The founders, one step of time before their first election.
-World beforeElection(const PlantedFaults& faults = {}) {
+World beforeElection(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
   World world(options);
@@ -32,7 +32,7 @@
   return world;
 }
 // Machine a leads, an entry is committed everywhere.
-World led(const PlantedFaults& faults = {}) {
+World led(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
   World world(options);
@@ -42,7 +42,7 @@
   return world;
 }
 // The same, with the spare up for so long that it follows the log.
-World ledWithSpare(const PlantedFaults& faults = {}) {
+World ledWithSpare(const InjectedFaults& faults = {}) {
   auto world = led(faults);
   world.left.spares = 1;
   world.apply({ActionKind::startSpare, kFounders});
@@ -158,14 +158,14 @@
       "");
 }
 TEST(ModelChecker, FindsACommitWithoutMajority) {
-  PlantedFaults faults;
+  InjectedFaults faults;
   faults.commitWithoutMajority = true;
   auto world = beforeElection(faults);
   world.left.timeSteps = 6;
   expectFound("commit without majority", search(world, {kStatesToFind, 0}), "committed without a quorum's disks");
 }
 TEST(ModelChecker, FindsSeparateMajorities) {
-  PlantedFaults faults;
+  InjectedFaults faults;
   faults.separateMajorities = true;
   auto world = ledWithSpare(faults);
   world.left = allTrouble();
@@ -174,7 +174,7 @@
 }
 // Point A of issue 14: the newcomer is added, the member that left stays in the configuration for good.
 TEST(ModelChecker, FindsTheDeadMemberThatIsNeverRemoved) {
-  PlantedFaults faults;
+  InjectedFaults faults;
   faults.newcomerIsAddedOnly = true;
   auto world = ledWithSpare(faults);
   world.left = Budgets{};
@@ -185,7 +185,7 @@
   EXPECT_EQ(result.violation.rfind("the loss of ", 0), 0U) << result.violation;
 }
 TEST(ModelChecker, FindsALeaseThatOutlivesTheLeadership) {
-  PlantedFaults faults;
+  InjectedFaults faults;
   faults.leaseOutlivesStepDown = true;
   auto world = led(faults);
   world.left = Budgets{};
@@ -197,7 +197,7 @@
 // From the moment at which a vote is on its way and not on the disk: the voter is killed, and the candidate stands
 // still from then on.
 TEST(ModelChecker, FindsAVoteToldBeforeItsSync) {
-  PlantedFaults faults;
+  InjectedFaults faults;
   faults.voteBeforeSync = true;
   auto world = beforeElection(faults);
   world.left.freezes = 1;
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -60,12 +60,12 @@
   options.leaseMargin = kTimeStep / 2;
   options.electionTimeout = kTimeStep * 4;
   options.electionTimeoutSpread = Duration(1);
-  options.voteRetry = kTimeStep * 2;
-  options.resendAfter = kTimeStep * 2;
+  options.voteRetryInterval = kTimeStep * 2;
+  options.resendTimeout = kTimeStep * 2;
   options.joinInterval = kTimeStep * 2;
   options.leaveInterval = kTimeStep;
-  options.silentAfter = kTimeStep * 8;
-  options.syncStalledAfter = kTimeStep * 4;
+  options.unreachableAfter = kTimeStep * 8;
+  options.syncStallTimeout = kTimeStep * 4;
   return options;
 }
 std::string contentOf(const LogEntry& entry) {
@@ -237,11 +237,11 @@
       changed.id = identityOf(changed.address, changed.identities++);
   }
   auto node = std::make_shared<RaftNode>(changed.id, options, kJitterSeed, now);
-  node->setSeeds({kAddresses.begin(), kAddresses.begin() + kFounders});
+  node->setSeedAddresses({kAddresses.begin(), kAddresses.begin() + kFounders});
   if (!changed.disk.empty())
     node->recover(changed.disk, now);
   else if (founder)
-    node->found(founders(), now);
+    node->bootstrap(founders(), now);
   auto actions = node->takeActions();
   changed.raft = std::move(node);
   carryOut(machine, std::move(actions));
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -78,7 +78,7 @@
     const bool founder = first && std::find(seeds.begin(), seeds.end(), ip) != seeds.end();
     n.id = !pages.empty() ? pages.front().self : founder ? ip + "#0" : ip + "#" + std::to_string(draw(1000000) + 1);
     n.raft = std::make_unique<RaftNode>(n.id, options, rng(), now);
-    n.raft->setSeeds(seeds);
+    n.raft->setSeedAddresses(seeds);
     if (!pages.empty())
       n.raft->recover(pages, now);
     else if (founder) {
@@ -86,7 +86,7 @@
       f.reserve(seeds.size());
       for (auto& s : seeds)
         f.push_back(s + "#0");
-      n.raft->found(f, now);
+      n.raft->bootstrap(f, now);
     }
     step(n);
     tickLater(ip, n.life);
@@ -219,9 +219,9 @@
       n.raft->compact(e.index, n.copy.snapshot(), now);
   }
   void install(Node& n, const RestoreSnapshot& snapshot) {
-    if (snapshot.number < n.lastApplied)
+    if (snapshot.index < n.lastApplied)
       blame("went back in number at " + n.ip);
-    n.lastApplied = snapshot.number;
+    n.lastApplied = snapshot.index;
     if (!n.copy.restore(snapshot.state))
       blame("snapshot unreadable");
   }
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,7 +1,7 @@
 // The applied copy, the receiver's queue, and frames: conformance tables after docs/design.md.
 #include <gtest/gtest.h>
 
-#include "consensus/queue.hpp"
+#include "consensus/entry_queue.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/avro.hpp"
