--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -1,152 +1,149 @@
-// Elections: pre-vote, votes on the disk before they are told, leases that bind voters, leadership transfer.
+// Elections: pre-vote, votes that are on the disk before they are sent, lease promises that bind voters, and
+// leadership transfer to this member.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
-void RaftNode::Core::tickElection(TimePoint now) {
-  const bool asking = role == Role::candidate && preVoting;
-  if (asking && now < electionAt && now - lastVoteRequestAt >= options.voteRetryInterval) {
-    lastVoteRequestAt = now;
+void RaftCore::tickElection(TimePoint now) {
+  const bool awaitingPreVotes = role == Role::candidate && election.preVoting;
+  const bool retryDue = now - election.lastVoteRequestAt >= options.voteRetryInterval;
+  if (awaitingPreVotes && now < election.timeoutAt && retryDue) {
+    election.lastVoteRequestAt = now;
     requestVotes(0);
   }
-  if (now >= electionAt && now >= noElectionBefore)
+  if (now >= election.timeoutAt && now >= election.suppressedUntil)
     startPreVote(now);
 }
-// Asks whether an election would be won, without entering a new term: a member that was cut off unsettles nobody.
-void RaftNode::Core::startPreVote(TimePoint now) {
-  armElection(now);
+// Finds out whether an election would be won, without entering a new term: a member that was cut off from the others
+// disturbs no leader when it comes back.
+void RaftCore::startPreVote(TimePoint now) {
+  resetElectionTimer(now);
   if (!isVoter() || diskStalled())
     return;
-  transferredTerm = 0;
-  preVoting = true;
-  votes = {self};
+  election.transferredTerm = 0;
+  election.preVoting = true;
+  election.votes = {self};
   setRole(Role::candidate);
-  lastVoteRequestAt = now;
+  election.lastVoteRequestAt = now;
   requestVotes(0);
   winIfElected(now);
 }
-void RaftNode::Core::startElection(TimePoint now) {
-  armElection(now);
-  const bool transferred = std::exchange(transferAccepted, false);
+void RaftCore::startElection(TimePoint now) {
+  resetElectionTimer(now);
+  const bool transferred = std::exchange(election.transferAccepted, false);
   if (!isVoter() || diskStalled())
     return;
-  transferredTerm = transferred ? currentTerm : 0;
-  preVoting = false;
-  ++currentTerm;
-  votedFor = self;
-  leader.clear();
-  matchIndex = 0;
-  votes.clear();  // its own counts once it is on the disk
+  election.transferredTerm = transferred ? term.current : 0;
+  election.preVoting = false;
+  ++term.current;
+  term.votedFor = self;
+  follower.leader.clear();
+  follower.matchIndex = 0;
+  election.votes.clear();  // its own vote counts once it is on the disk
   setRole(Role::candidate);
-  ownVoteTicket = termTicket = persist(0, {});
-  requestVotes(ownVoteTicket);
+  term.ticket = persist(0, {});
+  election.ownVoteTicket = term.ticket;
+  requestVotes(election.ownVoteTicket);
 }
-void RaftNode::Core::requestVotes(PersistTicket after) {
+void RaftCore::requestVotes(PersistTicket after) {
   VoteRequest request;
-  request.term = preVoting ? currentTerm + 1 : currentTerm;
-  request.preVote = preVoting;
-  request.transferredTerm = transferredTerm;
-  if (restarted && lastLedTerm > 0 && lastLedTerm == request.term - 1)
-    request.endedLeaseTerm = lastLedTerm;
+  request.term = election.preVoting ? term.current + 1 : term.current;
+  request.preVote = election.preVoting;
+  request.transferredTerm = election.transferredTerm;
+  if (term.restarted && term.lastLed > 0 && term.lastLed == request.term - 1)
+    request.endedLeaseTerm = term.lastLed;
   request.lastLogIndex = log.lastLogIndex();
   request.lastLogTerm = log.lastLogTerm();
   for (const auto& voter : log.config().allVoters())
     if (voter != self)
       send(voter, request, after);
 }
-void RaftNode::Core::winIfElected(TimePoint now) {
+void RaftCore::winIfElected(TimePoint now) {
   if (role != Role::candidate)
     return;
-  if (!log.config().hasQuorum([&](const MemberId& voter) { return votes.contains(voter); }))
+  if (!log.config().hasQuorum([&](const MemberId& voter) { return election.votes.contains(voter); }))
     return;
-  if (preVoting)
+  if (election.preVoting)
     return startElection(now);
   becomeLeader(now);
 }
-void RaftNode::Core::becomeLeader(TimePoint now) {
+void RaftCore::becomeLeader(TimePoint now) {
   setRole(Role::leader);
-  lastLedTerm = currentTerm;
-  restarted = false;
-  leader = self;
-  lastQuorumAt = now;
-  peers.clear();
-  heartbeatSentAt.clear();
-  // An entry of its own term: with it, all entries of earlier terms become committed.
-  transport::LogEntry entry;
-  entry.kind = static_cast<std::int32_t>(transport::OperationKind::noOp);
-  entry.body = self;
-  firstIndexOfTerm = log.lastLogIndex() + 1;
+  term.lastLed = term.current;
+  term.restarted = false;
+  follower.leader = self;
+  leading.startTerm(now, log.lastLogIndex() + 1);
   for (const auto& voter : log.config().allVoters())
     if (voter != self)
       trackPeer(now, voter);
-  appendAsLeader(now, std::move(entry));
-  heartbeat(now);
+  // An entry of its own term: once it is committed, all entries of earlier terms are.
+  transport::LogEntry noOp;
+  noOp.kind = static_cast<std::int32_t>(transport::OperationKind::noOp);
+  noOp.body = self;
+  appendAsLeader(now, std::move(noOp));
+  sendHeartbeats(now);
 }
-// Whether a promise to another leader forbids this vote.
-bool RaftNode::Core::boundByLease(TimePoint now, const VoteRequest& request) const {
+bool RaftCore::boundByLease(TimePoint now, const VoteRequest& request) const {
   if (role == Role::leader)
     return leaseValid(now);
-  if (now >= leasePromisedUntil)
+  if (now >= follower.leasePromisedUntil)
     return false;
-  // A lease that was handed over binds nobody.
-  if (request.transferredTerm > 0 && request.transferredTerm >= currentTerm)
+  // A lease that was given up by a leadership transfer binds nobody.
+  if (request.transferredTerm > 0 && request.transferredTerm >= term.current)
     return false;
-  // Nor does one whose owner has restarted: who led this very term asks without any memory of its lease. Safe since a
-  // promise to a later leader is given only once that term is on the disk (`acknowledge`), and then the terms differ.
-  return !(request.endedLeaseTerm > 0 && request.endedLeaseTerm == currentTerm);
+  // Nor does the lease of a candidate that led this very term and has restarted: it has no memory of that lease. Safe,
+  // since a promise to a later leader is sent only once that later term is on the disk (`acknowledge`); then the terms
+  // differ.
+  return !(request.endedLeaseTerm > 0 && request.endedLeaseTerm == term.current);
 }
-void RaftNode::Core::onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
-  if (request.term <= currentTerm)
-    return tellTerm(from);
+void RaftCore::onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
+  if (request.term <= term.current)
+    return sendCurrentTerm(from);
   if (boundByLease(now, request))
     return;
   if (log.isUpToDate(request.lastLogTerm, request.lastLogIndex))
     send(from, VoteResponse{request.term, true});
 }
-// A candidate behind in terms learns of it. Why: of two voters that are left, one with the newer term and one with the
-// longer log, only the second can win, and it asks in vain until it stands for a term above the first one's.
-void RaftNode::Core::tellTerm(const MemberId& to) {
-  AppendEntriesResponse newerTerm;
-  newerTerm.term = currentTerm;
-  send(to, newerTerm, termTicket);
-}
-// Votes are given whatever this member's configuration says of the candidate or of itself: its configuration may be
-// the older one, and only the candidate's decides whose votes count.
-void RaftNode::Core::onVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
+// A vote does not depend on what this member's configuration says of the candidate or of itself: that configuration
+// may be the older one, and only the candidate's decides whose votes count.
+void RaftCore::onVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
   if (role == Role::leader && !log.config().isVoter(from))
-    trackPeer(now, from);  // it was removed and does not know
+    trackPeer(now, from);  // a removed member that has not learned of its removal
   if (request.preVote)
     return onPreVoteRequest(now, from, request);
-  if (request.term < currentTerm)
-    return tellTerm(from);
+  if (request.term < term.current)
+    return sendCurrentTerm(from);
   if (boundByLease(now, request))
     return;
   const bool upToDate = log.isUpToDate(request.lastLogTerm, request.lastLogIndex);
-  if (request.term > currentTerm)
+  if (request.term > term.current)
     enterTerm(now, request.term, upToDate ? from : MemberId{});
-  if (!upToDate || role == Role::leader || !(votedFor.empty() || votedFor == from))
-    return;
-  if (votedFor.empty()) {
-    votedFor = from;
+  const bool voteFree = term.votedFor.empty() || term.votedFor == from;
+  if (upToDate && role != Role::leader && voteFree)
+    grantVote(now, from);
+}
+void RaftCore::grantVote(TimePoint now, const MemberId& candidate) {
+  if (term.votedFor.empty()) {
+    term.votedFor = candidate;
     persist(0, {});
   }
-  armElection(now);
-  // A vote is on the disk before it is told.
+  resetElectionTimer(now);
+  // The vote is on the disk before it is sent: a restart must not cast it again for another candidate.
   const auto after = options.faults.voteBeforeSync ? 0 : persistence.newestTicket();
-  send(from, VoteResponse{currentTerm, false}, after);
+  send(candidate, VoteResponse{term.current, false}, after);
 }
-void RaftNode::Core::onVoteResponse(TimePoint now, const MemberId& from, const VoteResponse& response) {
-  if (role != Role::candidate || response.preVote != preVoting)
+void RaftCore::onVoteResponse(TimePoint now, const MemberId& from, const VoteResponse& response) {
+  if (role != Role::candidate || response.preVote != election.preVoting)
     return;
-  if (response.term != (preVoting ? currentTerm + 1 : currentTerm))
+  if (response.term != (election.preVoting ? term.current + 1 : term.current))
     return;
-  votes.insert(from);
+  election.votes.insert(from);
   winIfElected(now);
 }
-void RaftNode::Core::onTransferLeadership(TimePoint now, const TransferLeadership& message) {
-  if (message.term != currentTerm || role != Role::follower || diskStalled())
+void RaftCore::onTransferLeadership(TimePoint now, const TransferLeadership& message) {
+  if (message.term != term.current || role != Role::follower || diskStalled())
     return;
-  leasePromisedUntil = {};
-  transferAccepted = true;
+  follower.leasePromisedUntil = {};
+  election.transferAccepted = true;
   startElection(now);
 }
 }  // namespace zinccleat::consensus
--- /dev/null
+++ b/libs/consensus/src/election_state.hpp
@@ -0,0 +1,21 @@
+/// What a member keeps for standing in elections and for starting them.
+#pragma once
+#include <set>
+
+#include "consensus/cluster_config.hpp"
+#include "persistence_queue.hpp"
+namespace zinccleat::consensus {
+/// Invariant: `votes` holds only votes of the present attempt (the pre-vote, or the election of the current term); the
+/// member's own vote in an election joins them only once `ownVoteTicket` is on the disk.
+struct ElectionState {
+  TimePoint timeoutAt{};            ///< a member that hears no leader until then starts a pre-vote
+  TimePoint suppressedUntil{};      ///< no election before that: the leadership was just transferred away
+  TimePoint lastVoteRequestAt{};    ///< when the pre-vote was last requested
+  bool preVoting = false;           ///< a candidate in the pre-vote, which has not entered the new term yet
+  std::set<MemberId> votes;         ///< who has voted for this member in the present attempt
+  PersistTicket ownVoteTicket = 0;  ///< the record with the vote for itself
+  /// The leader of this term has transferred its leadership to this candidate; 0: no transfer.
+  std::int64_t transferredTerm = 0;
+  bool transferAccepted = false;  ///< the next election starts on behalf of the present leader
+};
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/entry_queue.cpp
+++ b/libs/consensus/src/entry_queue.cpp
@@ -2,46 +2,44 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr std::size_t kBodies = 4;
-}
-void EntryQueue::offer(transport::LogEntry e) {
-  if (e.index <= applied_)
+constexpr std::size_t kMaxBodies = 4;
+}  // namespace
+
+void EntryQueue::offer(transport::LogEntry entry) {
+  if (entry.index <= applied_)
     return;
-  // Why the full one wins: an entry without its body can't be applied, one with it can.
-  auto [it, fresh] = waiting_.try_emplace(e.index, e);
-  if (!fresh && it->second.omitted && !e.omitted)
-    it->second = std::move(e);
+  const auto [queued, added] = queued_.try_emplace(entry.index, entry);
+  // An entry with its body can be applied, one without it cannot.
+  if (!added && queued->second.omitted && !entry.omitted)
+    queued->second = std::move(entry);
 }
-void EntryQueue::body(const std::string& digest, std::string blob) {
-  bodies_.emplace_back(digest, std::move(blob));
-  if (bodies_.size() > kBodies)
+void EntryQueue::body(const std::string& digest, std::string content) {
+  bodies_.push_back({digest, std::move(content)});
+  if (bodies_.size() > kMaxBodies)
     bodies_.pop_front();
 }
+bool EntryQueue::restoreBody(transport::LogEntry& entry) const {
+  if (!entry.omitted)
+    return true;
+  const auto sentAhead = std::find_if(bodies_.begin(), bodies_.end(),
+                                      [&](const SentAheadBody& known) { return known.digest == entry.digest; });
+  if (sentAhead == bodies_.end())
+    return false;
+  entry.body = sentAhead->content;
+  entry.omitted = false;
+  return true;
+}
 std::optional<transport::LogEntry> EntryQueue::next() {
-  const auto it = waiting_.find(applied_ + 1);
-  if (it == waiting_.end())
+  const auto head = queued_.find(applied_ + 1);
+  if (head == queued_.end() || !restoreBody(head->second))
     return std::nullopt;
-  auto& e = it->second;
-  if (e.omitted) {
-    for (auto& [d, b] : bodies_)
-      if (d == e.digest) {
-        e.body = b;
-        e.omitted = false;
-        break;
-      }
-    if (e.omitted)
-      return std::nullopt;
-  }
-  transport::LogEntry out = std::move(e);
-  waiting_.erase(it);
+  auto entry = std::move(head->second);
+  queued_.erase(head);
   ++applied_;
-  return out;
+  return entry;
 }
 void EntryQueue::restart(std::int64_t applied) {
   applied_ = applied;
-  waiting_.erase(waiting_.begin(), waiting_.upper_bound(applied));
-}
-bool EntryQueue::gap() const {
-  return !waiting_.empty();
+  queued_.erase(queued_.begin(), queued_.upper_bound(applied));
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/fingerprint.cpp
+++ b/libs/consensus/src/fingerprint.cpp
@@ -1,74 +1,85 @@
-// The text that a search over states takes for one state: all that decides how the member goes on.
+// The fingerprint of a member: a text of all that decides how it goes on. The model checker takes two states for one
+// if their fingerprints are equal, so each field of `RaftCore` that a transition reads belongs here.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr Duration kForgotten{6000};  // beyond this, how long ago something was makes no difference
+constexpr Duration kIrrelevantAge{6000};  // beyond this, how long ago something was makes no difference
 
-class Writer {
+class FingerprintWriter {
  public:
-  explicit Writer(TimePoint now) : now_(now) {}
-  Writer& operator()(std::int64_t value) {
+  explicit FingerprintWriter(TimePoint now) : now_(now) {}
+  FingerprintWriter& operator()(std::int64_t value) {
     text_ += std::to_string(value);
     text_ += ',';
     return *this;
   }
-  Writer& operator()(const std::string& value) {
+  FingerprintWriter& operator()(const std::string& value) {
     text_ += value;
     text_ += ',';
     return *this;
   }
-  Writer& operator()(TimePoint at) {
-    const auto relative = at == TimePoint{} ? -kForgotten : std::max(-kForgotten, toDuration(at - now_));
+  // Relative to the present.
+  FingerprintWriter& operator()(TimePoint at) {
+    const auto relative = at == TimePoint{} ? -kIrrelevantAge : std::max(-kIrrelevantAge, toDuration(at - now_));
     return (*this)(static_cast<std::int64_t>(relative.count()));
   }
+  // A time that makes no difference once it has passed.
+  FingerprintWriter& deadline(TimePoint at) { return (*this)(std::max(at, now_)); }
   std::string take() { return std::move(text_); }
 
  private:
   TimePoint now_;
   std::string text_;
 };
-void writeEntry(Writer& writer, const transport::LogEntry& entry) {
-  writer(entry.index)(entry.term)(static_cast<std::int64_t>(entry.kind))(entry.operationId)(entry.body);
+void writeLog(FingerprintWriter& writer, const RaftLog& log) {
+  const auto& snapshot = log.snapshot();
+  writer(snapshot.lastIncludedIndex)(snapshot.lastIncludedTerm)(encodeConfig(snapshot.config));
+  for (const auto& entry : log.entries())
+    writer(entry.index)(entry.term)(static_cast<std::int64_t>(entry.kind))(entry.operationId)(entry.body);
+}
+void writePeer(FingerprintWriter& writer, const MemberId& peer, const PeerProgress& progress) {
+  writer(peer)(progress.nextIndex)(progress.matchIndex)(progress.sendBodiesUpTo)(progress.lastHeardAt);
+  writer(progress.lastSentAt)(progress.lastProgressAt)(progress.leasePromisedFrom)(progress.lastLeaveRequestAt);
+  writer(progress.firstLeaveRequestAt)(progress.snapshotInFlight)(progress.leaveGrantedAt);
+}
+void writeLeading(FingerprintWriter& writer, const LeaderState& leading) {
+  for (const auto& [peer, progress] : leading.peers)
+    writePeer(writer, peer, progress);
+  writer(leading.heartbeatId);  // absolute: answers in flight name a heartbeat by its id
+  for (const auto& [id, sentAt] : leading.heartbeatSentAt)
+    writer(id)(sentAt);
+  writer(leading.firstIndexOfTerm)(leading.lastHeartbeatAt)(leading.lastQuorumAt);
+}
+// Tickets relative to the newest one: their absolute values make no difference.
+void writePersistence(FingerprintWriter& writer, const RaftCore& core) {
+  const auto newest = core.persistence.newestTicket();
+  if (!core.persistence.pending().empty())
+    writer(core.term.ticket - newest)(core.election.ownVoteTicket - newest);
+  for (const auto& pending : core.persistence.pending()) {
+    writer(pending.ticket - newest)(pending.lastLogIndex)(pending.lastLogTerm)(pending.failed);
+    writer(pending.inFlight)(pending.retryAt)(static_cast<std::int64_t>(pending.pendingFor.count()));
+  }
+  for (const auto& deferred : core.persistence.deferred())
+    writer(deferred.after - newest)(deferred.to)(encodeMessage(deferred.message));
 }
 }  // namespace
 
-std::string RaftNode::fingerprint(TimePoint now) const {
-  const auto& core = *core_;
-  Writer writer(now);
-  writer(core.self)(core.currentTerm)(core.lastLedTerm)(core.votedFor);
-  writer(core.log.snapshot().number)(core.log.snapshot().term)(encodeConfig(core.log.snapshot().config));
-  for (const auto& entry : core.log.entries())
-    writeEntry(writer, entry);
-  writer(static_cast<std::int64_t>(core.role))(core.leader)(core.commitIndex)(core.persistedIndex);
-  writer(core.matchIndex)(std::max(core.leasePromisedUntil, now))(std::max(core.electionAt, now));
-  writer(core.leaderHeardAt)(core.leaderHadLease)(core.restarted)(core.preVoting)(core.transferAccepted);
-  writer(core.transferredTerm)(core.lastVoteRequestAt)(std::max(core.noElectionBefore, now))(core.lastTickAt);
-  for (const auto& vote : core.votes)
+std::string RaftCore::fingerprint(TimePoint now) const {
+  FingerprintWriter writer(now);
+  writer(self)(term.current)(term.lastLed)(term.votedFor);
+  writeLog(writer, log);
+  writer(static_cast<std::int64_t>(role))(follower.leader)(log.commitIndex())(log.persistedIndex());
+  writer(follower.matchIndex).deadline(follower.leasePromisedUntil).deadline(election.timeoutAt);
+  writer(follower.leaderHeardAt)(follower.leaderHadLease)(term.restarted)(election.preVoting);
+  writer(election.transferAccepted)(election.transferredTerm)(election.lastVoteRequestAt);
+  writer.deadline(election.suppressedUntil)(lastTickAt);
+  for (const auto& vote : election.votes)
     writer(vote);
-  for (const auto& [peer, progress] : core.peers) {
-    writer(peer)(progress.nextIndex)(progress.matchIndex)(progress.sendWholeUpTo)(progress.heardAt);
-    writer(progress.sentAt)(progress.progressAt)(progress.leasePromisedFrom)(progress.leaveAskedAt);
-    writer(progress.leaveFirstAskedAt);
-    writer(progress.snapshotUnderWay)(progress.leaveGrantedAt);
-  }
-  // Absolute: answers on their way name a heartbeat by its number.
-  writer(core.heartbeatId);
-  for (const auto& [id, at] : core.heartbeatSentAt)
-    writer(id)(at);
-  writer(core.firstIndexOfTerm)(core.lastHeartbeatAt)(core.lastQuorumAt)(core.lastJoinAt)(core.lastLeaveAt);
-  writer(core.leaving)(core.exitAllowed);
-  if (!core.persistence.pending().empty()) {
-    writer(core.termTicket - core.persistence.newestTicket());
-    writer(core.ownVoteTicket - core.persistence.newestTicket());
-  }
-  for (const auto& pending : core.persistence.pending()) {
-    writer(pending.ticket - core.persistence.newestTicket())(pending.lastLogIndex)(pending.lastLogTerm)(pending.failed);
-    writer(pending.inFlight);
-    writer(pending.retryAt)(static_cast<std::int64_t>(pending.waited.count()));
-  }
-  for (const auto& [ticket, held] : core.persistence.held())
-    writer(ticket - core.persistence.newestTicket())(held.to)(encodeMessage(held.message));
+  writeLeading(writer, leading);
+  writer(membership.lastJoinRequestAt)(membership.lastLeaveRequestAt);
+  writer(membership.leaving)(membership.exitAllowed);
+  writePersistence(writer, *this);
   return writer.take();
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -1,128 +1,137 @@
-// Following a leader: its entries, its snapshots, and the promise of its lease.
+// The follower: entries and snapshots of a leader, and the promise of its lease.
 #include "raft_core.hpp"
+#include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
-// Whoever speaks with the leader's voice in this term or a higher one is followed, and promised its lease.
-bool RaftNode::Core::followLeader(TimePoint now, const MemberId& from, std::int64_t term, bool leaderHasLease) {
-  if (term > currentTerm)
-    enterTerm(now, term);
+namespace {
+// The matchIndex that asks for a snapshot: the sender has no configuration yet.
+constexpr std::int64_t kNeedsSnapshot = -1;
+}  // namespace
+
+bool RaftCore::followLeader(TimePoint now, const MemberId& from, std::int64_t leaderTerm, bool leaderHasLease) {
+  if (leaderTerm > term.current)
+    enterTerm(now, leaderTerm);
   if (role == Role::leader)
     return false;
   if (role == Role::candidate)
-    setRole(idleRole());
-  leader = from;
-  leaderHeardAt = now;
-  leaderHadLease = leaderHasLease;
-  leasePromisedUntil = now + options.lease;
-  armElection(now);
+    setRole(passiveRole());
+  follower.leader = from;
+  follower.leaderHeardAt = now;
+  follower.leaderHadLease = leaderHasLease;
+  follower.leasePromisedUntil = now + options.lease;
+  resetElectionTimer(now);
   return true;
 }
-// Why after the term's record: the answer is a promise to this leader, which a restart must not forget.
-void RaftNode::Core::acknowledge(std::int64_t heartbeat, PersistTicket after) {
-  if (leader.empty())
+// The answer is a promise to this leader which a restart must not forget: callers wait for the term's record.
+void RaftCore::acknowledge(std::int64_t heartbeatId, PersistTicket after) {
+  if (follower.leader.empty())
     return;
   AppendEntriesResponse response;
-  response.term = currentTerm;
-  response.heartbeatId = heartbeat;
-  response.matchIndex = std::min(matchIndex, persistedIndex);
-  send(leader, response, after);
+  response.term = term.current;
+  response.heartbeatId = heartbeatId;
+  response.matchIndex = std::min(follower.matchIndex, log.persistedIndex());
+  send(follower.leader, response, after);
+}
+void RaftCore::rejectEntries(const AppendEntries& message, const MemberId& from, std::int64_t matchIndex) {
+  AppendEntriesResponse response;
+  response.term = term.current;
+  response.heartbeatId = message.heartbeatId;
+  response.matchIndex = matchIndex;
+  response.mismatch = true;
+  send(from, response, term.ticket);
 }
-void RaftNode::Core::onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message) {
-  AppendEntriesResponse mismatch;
-  mismatch.mismatch = true;
-  if (message.term < currentTerm)
-    return tellTerm(from);
+void RaftCore::onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message) {
+  if (message.term < term.current)
+    return sendCurrentTerm(from);
   if (!followLeader(now, from, message.term, message.leaderHasLease))
     return;
-  mismatch.term = currentTerm;
-  mismatch.heartbeatId = message.heartbeatId;
-  if (log.holdsNothing()) {
-    mismatch.matchIndex = -1;
-    return send(from, mismatch, termTicket);
-  }
+  if (log.isUninitialized())
+    return rejectEntries(message, from, kNeedsSnapshot);
   skipBelowSnapshot(message);
   if (log.termAt(message.prevLogIndex) != message.prevLogTerm) {
-    // Too far ahead: go on from our end. Another term there: go on from what is committed, and so equal.
-    mismatch.matchIndex = message.prevLogIndex > log.lastLogIndex() ? log.lastLogIndex() : commitIndex;
-    return send(from, mismatch, termTicket);
+    // Beyond the end of this log: continue from its end. Another term there: continue from what is committed and
+    // therefore equal.
+    const bool beyondEnd = message.prevLogIndex > log.lastLogIndex();
+    return rejectEntries(message, from, beyondEnd ? log.lastLogIndex() : log.commitIndex());
   }
-  const auto withoutBody = takeEntries(message);
-  commitUpTo(std::min(message.commitIndex, matchIndex));
-  acknowledge(message.heartbeatId, termTicket);
-  if (!withoutBody)
+  const auto missingBody = appendNewEntries(message);
+  commitUpTo(std::min(message.commitIndex, follower.matchIndex));
+  acknowledge(message.heartbeatId, term.ticket);
+  if (!missingBody)
     return;
-  mismatch.heartbeatId = 0;
-  mismatch.matchIndex = *withoutBody - 1;
-  send(from, mismatch);
+  AppendEntriesResponse resend;
+  resend.term = term.current;
+  resend.matchIndex = *missingBody - 1;
+  resend.mismatch = true;
+  send(from, resend);
 }
-// What lies below our snapshot is committed and so equal: it is skipped.
-void RaftNode::Core::skipBelowSnapshot(AppendEntries& message) const {
-  const auto base = log.snapshot().number;
+void RaftCore::skipBelowSnapshot(AppendEntries& message) const {
+  const auto& snapshot = log.snapshot();
+  const auto base = snapshot.lastIncludedIndex;
   if (message.prevLogIndex >= base)
     return;
   std::erase_if(message.entries, [&](const transport::LogEntry& entry) { return entry.index <= base; });
   message.prevLogIndex = base;
-  message.prevLogTerm = log.snapshot().term;
+  message.prevLogTerm = snapshot.lastIncludedTerm;
   if (!message.entries.empty() && message.entries.front().index != base + 1)
     message.entries.clear();
 }
-// Appends what is new, replacing what another leader left. Returns the number of the first entry whose body is
-// neither in the message nor here; nothing from it on was taken.
-std::optional<std::int64_t> RaftNode::Core::takeEntries(AppendEntries& message) {
+std::optional<std::int64_t> RaftCore::appendNewEntries(AppendEntries& message) {
   std::vector<transport::LogEntry> added;
-  std::optional<std::int64_t> withoutBody;
-  auto last = message.prevLogIndex;
+  std::optional<std::int64_t> missingBody;
+  auto lastMatching = message.prevLogIndex;
   for (auto& entry : message.entries) {
     if (log.termAt(entry.index) == entry.term) {
-      last = entry.index;
+      lastMatching = entry.index;
       continue;
     }
-    if (!fillBody(entry)) {
-      withoutBody = entry.index;
+    if (!bodies.restoreBody(entry)) {
+      missingBody = entry.index;
       break;
     }
     if (entry.index <= log.lastLogIndex()) {
-      checkInvariant(entry.index > commitIndex, "a committed entry is never replaced");
+      checkInvariant(entry.index > log.commitIndex(), "a committed entry is never replaced");
       log.truncateFrom(entry.index);
-      persistedIndex = std::min(persistedIndex, entry.index - 1);
     }
-    last = entry.index;
+    lastMatching = entry.index;
     log.append(entry);
     added.push_back(std::move(entry));
   }
-  matchIndex = std::max(matchIndex, last);
+  follower.matchIndex = std::max(follower.matchIndex, lastMatching);
   if (added.empty())
-    return withoutBody;
-  const auto first = added.front().index;
-  persist(first, std::move(added));
-  followConfig();
-  return withoutBody;
+    return missingBody;
+  const auto firstIndex = added.front().index;
+  persist(firstIndex, std::move(added));
+  updatePassiveRole();
+  return missingBody;
+}
+bool RaftCore::isInstallable(const InstallSnapshot& message, const ClusterConfig& config) const {
+  if (config.empty())
+    return false;
+  return message.lastIncludedIndex == 0 || !options.snapshotIsValid || options.snapshotIsValid(message.state);
 }
-void RaftNode::Core::onInstallSnapshot(TimePoint now, const MemberId& from, InstallSnapshot message) {
-  if (message.term < currentTerm)
+void RaftCore::onInstallSnapshot(TimePoint now, const MemberId& from, InstallSnapshot message) {
+  if (message.term < term.current)
     return;
   const auto config = decodeConfig(message.config);
-  const bool valid =
-      message.lastIncludedIndex == 0 || !options.snapshotIsValid || options.snapshotIsValid(message.state);
-  if (config.empty() || !valid) {
-    ++snapshotsRefused;
+  if (!isInstallable(message, config)) {
+    ++rejectedSnapshots;
+    log::debug("snapshot_rejected", {{"member", self}, {"peer", from}, {"index", message.lastIncludedIndex}});
     return;
   }
-  if (!followLeader(now, from, message.term, leaderHadLease))
+  if (!followLeader(now, from, message.term, follower.leaderHadLease))
     return;
-  // Why the log stays where it agrees: what lies above the snapshot may have been counted on already.
+  // A log that agrees with the snapshot stays: entries above it may already count for a commit.
   const bool agrees = log.termAt(message.lastIncludedIndex) == message.lastIncludedTerm;
-  if (!log.holdsNothing() && (message.lastIncludedIndex <= commitIndex || agrees)) {
-    matchIndex = std::max(matchIndex, std::max(commitIndex, message.lastIncludedIndex));
+  if (!log.isUninitialized() && (message.lastIncludedIndex <= log.commitIndex() || agrees)) {
+    follower.matchIndex = std::max({follower.matchIndex, log.commitIndex(), message.lastIncludedIndex});
     commitUpTo(message.lastIncludedIndex);
-    return acknowledge(0, termTicket);
+    return acknowledge(0, term.ticket);
   }
   log.reset({message.lastIncludedIndex, message.lastIncludedTerm, config, std::move(message.state)});
-  commitIndex = message.lastIncludedIndex;
-  matchIndex = message.lastIncludedIndex;
-  persistedIndex = 0;
-  followConfig();
-  emitRestore();
+  follower.matchIndex = message.lastIncludedIndex;
+  updatePassiveRole();
+  restoreFromSnapshot();
   persistAll();
 }
 }  // namespace zinccleat::consensus
--- /dev/null
+++ b/libs/consensus/src/join_leave.cpp
@@ -0,0 +1,116 @@
+// Joining and leaving: a member's own requests, and the leader's answers to those of others.
+#include "raft_core.hpp"
+
+namespace zinccleat::consensus {
+namespace {
+constexpr int kJoinAfterHeartbeats = 4;        // a learner without a leader for so long asks again
+constexpr int kJoinAfterElectionTimeouts = 3;  // so does a voter after so long
+constexpr int kLeaveRequestIntervals = 10;     // how long one leave request counts
+}  // namespace
+
+// A learner asks for the log. So does a voter without a leader for long: it may have been removed, and all members that
+// its configuration names may be gone.
+void RaftCore::tickJoin(TimePoint now) {
+  const auto patience = role == Role::learner ? options.heartbeatInterval * kJoinAfterHeartbeats
+                                              : options.electionTimeout * kJoinAfterElectionTimeouts;
+  const bool askedLately = now - membership.lastJoinRequestAt < options.joinInterval;
+  if (askedLately || now - follower.leaderHeardAt < patience)
+    return;
+  membership.lastJoinRequestAt = now;
+  std::set<std::string> addresses(seedAddresses.begin(), seedAddresses.end());
+  for (const auto& voter : log.config().allVoters())
+    addresses.insert(addressOf(voter));
+  addresses.erase(addressOf(self));
+  for (const auto& address : addresses)
+    send(address, JoinRequest{self, false});
+}
+void RaftCore::onJoinRequest(TimePoint now, const MemberId& from, const JoinRequest& request) {
+  if (role == Role::leader)
+    return trackPeer(now, request.forwarded ? request.member : from);
+  const bool leaderKnown = !follower.leader.empty() && now - follower.leaderHeardAt < options.lease;
+  if (!request.forwarded && leaderKnown)
+    send(follower.leader, JoinRequest{from, true});
+}
+void RaftCore::beginLeave(TimePoint now) {
+  membership.leaving = true;
+  membership.leaveRequestId = static_cast<std::int64_t>(random());
+  tickLeave(now);
+}
+void RaftCore::tickLeave(TimePoint now) {
+  if (!membership.leaving || membership.exitAllowed)
+    return;
+  const bool onlyVoter = log.config().voters == std::vector<MemberId>{self} && !log.config().joint();
+  if (onlyVoter)
+    membership.exitAllowed = true;
+  if (now - membership.lastLeaveRequestAt < options.leaveInterval)
+    return;
+  membership.lastLeaveRequestAt = now;
+  if (role == Role::leader)
+    return transferLeadership(now);
+  if (!follower.leader.empty())
+    send(follower.leader, LeaveRequest{term.current, membership.leaveRequestId});
+}
+void RaftCore::onLeaveResponse(const LeaveResponse& response) {
+  if (membership.leaving && response.requestId == membership.leaveRequestId)
+    membership.exitAllowed = true;
+}
+Duration RaftCore::leaveRequestValidity() const {
+  return options.leaveInterval * kLeaveRequestIntervals;
+}
+bool RaftCore::isLeaving(TimePoint now, const PeerProgress& progress) const {
+  const bool asked = progress.lastLeaveRequestAt != TimePoint{};
+  return asked && now - progress.lastLeaveRequestAt < leaveRequestValidity();
+}
+void RaftCore::onLeaveRequest(TimePoint now, const MemberId& from, const LeaveRequest& request) {
+  if (role != Role::leader)
+    return;
+  trackPeer(now, from);
+  auto& progress = leading.peers[from];
+  const bool first = !isLeaving(now, progress);
+  progress.lastLeaveRequestAt = now;
+  if (first) {
+    progress.firstLeaveRequestAt = now;
+    sendHeartbeats(now);  // whose answers show which other disks are there: see `holdsCommitted`
+  }
+  tickMembership(now);
+  if (!canDoWithout(now, from))
+    return;
+  progress.leaveGrantedAt = now;
+  send(from, LeaveResponse{term.current, request.requestId});
+}
+bool RaftCore::canDoWithout(TimePoint now, const MemberId& member) const {
+  if (!configSettled(now) || log.config().joint())
+    return false;
+  if (!log.config().isVoter(member))
+    return true;
+  return !learnerCatchingUp(now) && othersHoldCommitted(member);
+}
+bool RaftCore::othersHoldCommitted(const MemberId& leavingMember) const {
+  const auto& voters = log.config().voters;
+  const auto* leavingPeer = leading.find(leavingMember);
+  std::size_t others = 0;
+  std::size_t holding = 0;
+  for (const auto& voter : voters) {
+    if (voter == leavingMember)
+      continue;
+    ++others;
+    if (voter == self)
+      holding += log.persistedIndex() >= log.commitIndex();
+    else
+      holding += leavingPeer && holdsCommitted(voter, *leavingPeer);
+  }
+  return holding >= std::min(majorityOf(voters.size()), others);
+}
+// A voter counts only if it has answered a heartbeat sent since the leaving member asked: one whose disk was lost a
+// moment ago, unknown here, answers under that identity no more. One that was itself allowed to exit counts again only
+// if it answers when it should have exited: then it was restarted.
+bool RaftCore::holdsCommitted(const MemberId& voter, const PeerProgress& leavingPeer) const {
+  const auto* peer = leading.find(voter);
+  if (!peer)
+    return false;
+  const bool allowedToExit = peer->leaveGrantedAt != TimePoint{};
+  const auto exitedBy = allowedToExit ? peer->leaveGrantedAt + leaveRequestValidity() : TimePoint{};
+  const bool answered = peer->leasePromisedFrom >= std::max(leavingPeer.firstLeaveRequestAt, exitedBy);
+  return answered && peer->matchIndex >= log.commitIndex();
+}
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/membership_policy.cpp
+++ b/libs/consensus/src/membership_policy.cpp
@@ -7,7 +7,7 @@
 // Unhealthy voters that may be kept to fill up an odd number, the most likely to come back first.
 std::vector<MemberId> unhealthyInOrder(const std::vector<VoterStatus>& voters) {
   std::vector<MemberId> ordered;
-  for (const auto health : {VoterHealth::silent, VoterHealth::leaving, VoterHealth::superseded})
+  for (const auto health : {VoterHealth::unreachable, VoterHealth::leaving, VoterHealth::superseded})
     for (const auto& voter : voters)
       if (voter.health == health)
         ordered.push_back(voter.id);
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -1,79 +1,78 @@
-#include "persistence.hpp"
+// Persistence: which records go to the disk, how a refused one is retried, and what a synced one allows.
+#include "raft_core.hpp"
 
 namespace zinccleat::consensus {
-const Persistence::Pending& Persistence::add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm) {
-  const bool waits = oldestFailed();
-  Pending pending;
-  pending.ticket = ++lastTicket_;
-  pending.record = std::move(record);
-  pending.lastLogIndex = lastLogIndex;
-  pending.lastLogTerm = lastLogTerm;
-  pending.inFlight = !waits;
-  pending.failed = waits;
-  pending_.push_back(std::move(pending));
-  return pending_.back();
+DiskRecord RaftCore::emptyRecord() {
+  DiskRecord record;
+  record.seq = persistence.nextSequence();
+  record.term = term.current;
+  record.lastLedTerm = term.lastLed;
+  record.self = self;
+  record.votedFor = term.votedFor;
+  return record;
 }
-bool Persistence::hold(PersistTicket ticket, HeldMessage message) {
-  if (ticket == 0 || pending_.empty() || pending_.front().ticket > ticket)
-    return false;
-  held_.emplace_back(ticket, std::move(message));
-  return true;
+DiskRecord RaftCore::fullRecord() {
+  const auto& snapshot = log.snapshot();
+  auto record = emptyRecord();
+  record.full = true;
+  record.snapshotIndex = snapshot.lastIncludedIndex;
+  record.snapshotTerm = snapshot.lastIncludedTerm;
+  record.snapshotConfig = encodeConfig(snapshot.config);
+  record.state = snapshot.state;
+  record.fromIndex = snapshot.lastIncludedIndex + 1;
+  record.entries.assign(log.entries().begin(), log.entries().end());
+  return record;
 }
-std::optional<Persistence::Pending> Persistence::completed(PersistTicket ticket) {
-  const auto found = std::find_if(pending_.begin(), pending_.end(), [&](auto& p) { return p.ticket == ticket; });
-  if (found == pending_.end())
-    return std::nullopt;
-  auto done = std::move(*found);
-  pending_.erase(found);
-  return done;
+PersistTicket RaftCore::enqueueRecord(DiskRecord record) {
+  const auto& pending = persistence.add(std::move(record), log.lastLogIndex(), log.lastLogTerm());
+  if (pending.inFlight)
+    actions.emplace_back(PersistRecord{pending.ticket, pending.record});
+  return pending.ticket;
 }
-std::vector<HeldMessage> Persistence::releasedMessages() {
-  const auto oldest = pending_.empty() ? std::numeric_limits<PersistTicket>::max() : pending_.front().ticket;
-  std::vector<HeldMessage> released;
-  std::vector<std::pair<PersistTicket, HeldMessage>> still;
-  for (auto& [ticket, message] : held_) {
-    if (ticket < oldest)
-      released.push_back(std::move(message));
-    else
-      still.emplace_back(ticket, std::move(message));
-  }
-  held_ = std::move(still);
-  return released;
+PersistTicket RaftCore::persist(std::int64_t fromIndex, std::vector<transport::LogEntry> entries) {
+  auto record = emptyRecord();
+  record.fromIndex = fromIndex;
+  record.entries = std::move(entries);
+  return enqueueRecord(std::move(record));
 }
-void Persistence::failed(PersistTicket ticket, TimePoint retryAt) {
-  for (auto& pending : pending_) {
-    if (pending.ticket != ticket)
-      continue;
-    pending.inFlight = false;
-    pending.failed = true;
-    pending.retryAt = retryAt;
-  }
+PersistTicket RaftCore::persistAll() {
+  return enqueueRecord(fullRecord());
 }
-bool Persistence::retryDue(TimePoint now) const {
-  if (!oldestFailed() || now < pending_.front().retryAt)
-    return false;
-  return std::none_of(pending_.begin(), pending_.end(), [](const Pending& pending) { return pending.inFlight; });
+// A pending record ages by the ticks of this process, each counted as two regular ones at most. Where the event loop
+// itself is late, the answer of a healthy disk waits unread; by the clock alone the leadership would go round among
+// members that are all equally busy.
+void RaftCore::agePendingRecords(TimePoint now) {
+  const auto sinceTick = lastTickAt == TimePoint{} ? Duration(0) : toDuration(now - lastTickAt);
+  lastTickAt = now;
+  persistence.age(std::min(sinceTick, options.tickInterval * 2));
 }
-const Persistence::Pending& Persistence::retryOldest() {
-  pending_.front().inFlight = true;
-  return pending_.front();
+bool RaftCore::diskStalled() const {
+  return persistence.oldestFailed() || persistence.oldestAge() > options.syncStallTimeout;
 }
-const Persistence::Pending& Persistence::replaceAll(DiskRecord full, std::int64_t lastLogIndex,
-                                                    std::int64_t lastLogTerm) {
-  auto merged = pending_.front();
-  merged.ticket = pending_.back().ticket;
-  full.seq = merged.record.seq;
-  lastSequence_ = full.seq;
-  merged.record = std::move(full);
-  merged.lastLogIndex = lastLogIndex;
-  merged.lastLogTerm = lastLogTerm;
-  merged.inFlight = true;
-  pending_.clear();
-  pending_.push_back(std::move(merged));
-  return pending_.front();
+// Only the oldest record is retried, since the disk takes them in order. Whatever was queued behind it goes along in
+// one full record: a backlog of single records would take longer to write than it took to gather.
+void RaftCore::retryPersist(TimePoint now) {
+  if (!persistence.retryDue(now))
+    return;
+  const bool unchanged = persistence.pending().size() == 1 || log.isUninitialized();
+  const auto& retried = unchanged ? persistence.retryOldest()
+                                  : persistence.replaceAll(fullRecord(), log.lastLogIndex(), log.lastLogTerm());
+  actions.emplace_back(PersistRecord{retried.ticket, retried.record});
 }
-void Persistence::age(Duration step) {
-  for (auto& pending : pending_)
-    pending.waited += step;
+void RaftCore::onPersisted(TimePoint now, PersistTicket ticket) {
+  const auto synced = persistence.complete(ticket);
+  if (!synced)
+    return;
+  log.markPersisted(synced->lastLogIndex, synced->lastLogTerm);
+  if (role == Role::candidate && !election.preVoting && ticket >= election.ownVoteTicket)
+    election.votes.insert(self);
+  for (auto& deferred : persistence.releaseMessages())
+    if (deferred.term == term.current)  // a vote or a request of an earlier term is void
+      actions.emplace_back(SendMessage{std::move(deferred.to), std::move(deferred.message)});
+  winIfElected(now);
+  if (role == Role::leader)
+    return advanceCommit(now);
+  if (std::min(follower.matchIndex, log.persistedIndex()) > 0)
+    acknowledge(0, 0);
 }
 }  // namespace zinccleat::consensus
--- /dev/null
+++ b/libs/consensus/src/persistence_queue.cpp
@@ -0,0 +1,78 @@
+#include "persistence_queue.hpp"
+
+namespace zinccleat::consensus {
+const PendingRecord& PersistenceQueue::add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm) {
+  const bool queuedBehindFailure = oldestFailed();
+  PendingRecord pending;
+  pending.ticket = ++lastTicket_;
+  pending.record = std::move(record);
+  pending.lastLogIndex = lastLogIndex;
+  pending.lastLogTerm = lastLogTerm;
+  pending.inFlight = !queuedBehindFailure;
+  pending.failed = queuedBehindFailure;
+  pending_.push_back(std::move(pending));
+  return pending_.back();
+}
+bool PersistenceQueue::defer(DeferredMessage& message) {
+  if (message.after == 0 || pending_.empty() || pending_.front().ticket > message.after)
+    return false;
+  deferred_.push_back(std::move(message));
+  return true;
+}
+std::optional<PendingRecord> PersistenceQueue::complete(PersistTicket ticket) {
+  const auto synced = std::find_if(pending_.begin(), pending_.end(),
+                                   [&](const PendingRecord& pending) { return pending.ticket == ticket; });
+  if (synced == pending_.end())
+    return std::nullopt;
+  auto completed = std::move(*synced);
+  pending_.erase(synced);
+  return completed;
+}
+std::vector<DeferredMessage> PersistenceQueue::releaseMessages() {
+  const auto oldest = pending_.empty() ? std::numeric_limits<PersistTicket>::max() : pending_.front().ticket;
+  std::vector<DeferredMessage> released;
+  std::vector<DeferredMessage> stillDeferred;
+  for (auto& message : deferred_) {
+    auto& destination = message.after < oldest ? released : stillDeferred;
+    destination.push_back(std::move(message));
+  }
+  deferred_ = std::move(stillDeferred);
+  return released;
+}
+void PersistenceQueue::fail(PersistTicket ticket, TimePoint retryAt) {
+  for (auto& pending : pending_) {
+    if (pending.ticket != ticket)
+      continue;
+    pending.inFlight = false;
+    pending.failed = true;
+    pending.retryAt = retryAt;
+  }
+}
+bool PersistenceQueue::retryDue(TimePoint now) const {
+  if (!oldestFailed() || now < pending_.front().retryAt)
+    return false;
+  return std::none_of(pending_.begin(), pending_.end(), [](const PendingRecord& pending) { return pending.inFlight; });
+}
+const PendingRecord& PersistenceQueue::retryOldest() {
+  pending_.front().inFlight = true;
+  return pending_.front();
+}
+const PendingRecord& PersistenceQueue::replaceAll(DiskRecord fullRecord, std::int64_t lastLogIndex,
+                                                  std::int64_t lastLogTerm) {
+  auto merged = pending_.front();
+  merged.ticket = pending_.back().ticket;
+  fullRecord.seq = merged.record.seq;
+  lastSequence_ = fullRecord.seq;
+  merged.record = std::move(fullRecord);
+  merged.lastLogIndex = lastLogIndex;
+  merged.lastLogTerm = lastLogTerm;
+  merged.inFlight = true;
+  pending_.clear();
+  pending_.push_back(std::move(merged));
+  return pending_.front();
+}
+void PersistenceQueue::age(Duration step) {
+  for (auto& pending : pending_)
+    pending.pendingFor += step;
+}
+}  // namespace zinccleat::consensus
--- /dev/null
+++ b/libs/consensus/src/persistence_queue.hpp
@@ -0,0 +1,74 @@
+/// Records on their way to the disk, and the messages that may only be sent once a record is there.
+#pragma once
+#include "consensus/disk_record.hpp"
+#include "consensus/messages.hpp"
+namespace zinccleat::consensus {
+/// Names a record that was handed to the disk; tickets rise. 0: no record.
+using PersistTicket = std::int64_t;
+
+/// A message that waits until all records up to `after` are on the disk.
+struct DeferredMessage {
+  MemberId to;
+  ConsensusMessage message;
+  std::int64_t term = 0;    ///< the sender's term when it was written; in a later term the message is void
+  PersistTicket after = 0;  ///< the newest record that it depends on
+};
+
+/// A record that is not on the disk yet.
+struct PendingRecord {
+  PersistTicket ticket = 0;
+  DiskRecord record;
+  std::int64_t lastLogIndex = 0, lastLogTerm = 0;  ///< the end of the log that the record makes durable
+  bool inFlight = false;                           ///< handed to the disk and not answered yet
+  bool failed = false;                             ///< refused by the disk, or queued behind one that was
+  TimePoint retryAt{};                             ///< not handed over again before
+  Duration pendingFor{0};                          ///< its age, see `RaftCore::agePendingRecords`
+};
+
+/// The queue of pending records, oldest first.
+///
+/// Guarantees: records reach the disk in the order of their sequence numbers, without gaps; once a record has failed,
+/// none behind it is handed over before the oldest one succeeds; a deferred message is released only when no record up
+/// to its ticket is pending.
+class PersistenceQueue {
+ public:
+  /// The next record's sequence number on this disk.
+  std::int64_t nextSequence() { return ++lastSequence_; }
+  /// Continues behind a sequence number that was read back from the disk.
+  void recoverSequence(std::int64_t sequence) { lastSequence_ = std::max(lastSequence_, sequence); }
+  /// Queues a record.
+  /// @return the queued record; its `inFlight` says whether it is to be handed to the disk now.
+  const PendingRecord& add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
+  PersistTicket newestTicket() const { return lastTicket_; }
+  /// Keeps a message until its record is on the disk; takes `message` only then.
+  /// @return false if the record is there already: the message may be sent now.
+  bool defer(DeferredMessage& message);
+  /// The disk has synced a record.
+  /// @return the record, no longer pending; nothing for an unknown ticket.
+  std::optional<PendingRecord> complete(PersistTicket ticket);
+  /// Removes and returns the messages whose records are all on the disk.
+  std::vector<DeferredMessage> releaseMessages();
+  /// The disk has refused a record.
+  void fail(PersistTicket ticket, TimePoint retryAt);
+  /// Whether the oldest record failed, its retry is due, and nothing is in flight.
+  bool retryDue(TimePoint now) const;
+  /// Hands the oldest record to the disk once more.
+  const PendingRecord& retryOldest();
+  /// Replaces all pending records by one full record, under the sequence number of the oldest and the ticket of the
+  /// newest: what was queued while the disk refused to write becomes durable by a single write.
+  const PendingRecord& replaceAll(DiskRecord fullRecord, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
+  /// Adds `step` to the age of all pending records.
+  void age(Duration step);
+  bool oldestFailed() const { return !pending_.empty() && pending_.front().failed; }
+  /// The age of the oldest pending record.
+  Duration oldestAge() const { return pending_.empty() ? Duration(0) : pending_.front().pendingFor; }
+  const std::deque<PendingRecord>& pending() const { return pending_; }
+  const std::vector<DeferredMessage>& deferred() const { return deferred_; }
+
+ private:
+  std::int64_t lastSequence_ = 0;
+  PersistTicket lastTicket_ = 0;
+  std::deque<PendingRecord> pending_;
+  std::vector<DeferredMessage> deferred_;
+};
+}  // namespace zinccleat::consensus
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -1,152 +1,189 @@
-// The state of a RaftNode and its transitions, split over one file for each job: election, leader, follower,
-// membership, recovery. Internal.
+/// The state machine behind `RaftNode`: its state, in parts that each keep their own invariants, and the transitions
+/// between them, in one file for each job. Why one machine and which file owns what: docs/consensus.md, "Structure of
+/// the code". Internal to the library.
 #pragma once
 #include <random>
-#include <set>
 
+#include "body_cache.hpp"
 #include "consensus/membership_policy.hpp"
 #include "consensus/raft_node.hpp"
-#include "peer_progress.hpp"
-#include "persistence.hpp"
+#include "election_state.hpp"
+#include "follower_state.hpp"
+#include "leader_state.hpp"
+#include "membership_state.hpp"
+#include "persistence_queue.hpp"
 #include "raft_log.hpp"
+#include "term_state.hpp"
 namespace zinccleat::consensus {
-struct RaftNode::Core {
+/// One member. A value: a copy behaves like the original from then on, which the model checker builds on.
+struct RaftCore {
   MemberId self;
   RaftOptions options;
   std::minstd_rand random;
   std::vector<std::string> seedAddresses;
 
-  // Kept on disk, with the log.
-  std::int64_t currentTerm = 0, lastLedTerm = 0;
-  MemberId votedFor;
+  Role role = Role::learner;
+  TermState term;
   RaftLog log;
-  Persistence persistence;
+  PersistenceQueue persistence;
+  BodyCache bodies;
+  ElectionState election;
+  FollowerState follower;
+  LeaderState leading;
+  MembershipState membership;
+
+  TimePoint lastTickAt{};
+  std::int64_t rejectedSnapshots = 0;
+  std::vector<RaftAction> actions;  ///< since the last `RaftNode::takeActions`, in the order in which they are due
+
+  RaftCore(MemberId member, RaftOptions raftOptions, std::uint64_t seed);
+
+  // --- raft_core.cpp: what all roles share ---
 
-  // In memory.
-  Role role = Role::learner;
-  MemberId leader;
-  std::int64_t commitIndex = 0;
-  std::int64_t persistedIndex = 0;  // up to here the log is on this disk
-  std::int64_t matchIndex = 0;      // up to here the log is known to be equal to this term's leader's
-  TimePoint leasePromisedUntil{}, electionAt{}, leaderHeardAt{}, lastTickAt{};
-  bool leaderHadLease = false;
-  PersistTicket termTicket = 0;  // the record that holds the present term
-  // This life began from a disk and has led no term since: the lease that this member once had is void.
-  bool restarted = false;
-
-  // As a candidate.
-  bool preVoting = false, transferAccepted = false;
-  std::set<MemberId> votes;
-  std::int64_t transferredTerm = 0;
-  PersistTicket ownVoteTicket = 0;
-  TimePoint lastVoteRequestAt{}, noElectionBefore{};
-
-  // As the leader.
-  std::map<MemberId, PeerProgress> peers;
-  std::int64_t heartbeatId = 0;
-  std::map<std::int64_t, TimePoint> heartbeatSentAt;
-  std::int64_t firstIndexOfTerm = 0;
-  TimePoint lastHeartbeatAt{}, lastQuorumAt{};
-
-  // Joining and leaving.
-  TimePoint lastJoinAt{}, lastLeaveAt{};
-  bool leaving = false, exitAllowed = false;
-  std::int64_t leaveRequestId = 0;
-
-  std::map<std::string, std::string> bodies;  // by digest, sent ahead of their entries
-  std::deque<std::string> bodyOrder;
-  std::int64_t snapshotsRefused = 0;
-  std::vector<RaftAction> actions;
-
-  Core(MemberId member, RaftOptions raftOptions, std::uint64_t seed);
-
-  // raft_core.cpp: what all roles share.
   bool isVoter() const { return log.config().isVoter(self); }
-  Role idleRole() const { return isVoter() ? Role::follower : Role::learner; }
+  /// The role of a member that neither leads nor stands for election.
+  Role passiveRole() const { return isVoter() ? Role::follower : Role::learner; }
   void setRole(Role next);
-  void followConfig();
+  /// Follows a change of configuration: a learner that became a voter is a follower, and the other way round.
+  void updatePassiveRole();
+  /// Sends a message, once the record `after` and all before it are on the disk.
   void send(const MemberId& to, ConsensusMessage message, PersistTicket after = 0);
+  /// Answers a message of an older term, so that its sender learns of the newer one.
+  void sendCurrentTerm(const MemberId& to);
+  /// Enters a higher term, which ends whatever this member did in the lower one.
+  /// @param voteFor the candidate that gets the vote of the new term; empty: nobody yet.
+  void enterTerm(TimePoint now, std::int64_t newTerm, const MemberId& voteFor = {});
+  /// Restarts the election timer with a fresh jitter.
+  void resetElectionTimer(TimePoint now);
+  /// Commits and applies all entries up to `index`, as far as the log reaches.
+  void commitUpTo(std::int64_t index);
+
+  // --- persistence.cpp: records to the disk ---
+
+  /// Persists the term, the vote and the entries from `fromIndex` on (0: no entries).
   PersistTicket persist(std::int64_t fromIndex, std::vector<transport::LogEntry> entries);
+  /// Persists the term, the vote, the snapshot and the whole log.
   PersistTicket persistAll();
-  PersistTicket handToDisk(DiskRecord record);
+  PersistTicket enqueueRecord(DiskRecord record);
   DiskRecord emptyRecord();
   DiskRecord fullRecord();
-  PersistTicket enterTerm(TimePoint now, std::int64_t term, const MemberId& voteFor = {});
-  void armElection(TimePoint now);
-  void commitUpTo(std::int64_t number);
-  void rememberBody(EntryBody body);
-  bool fillBody(transport::LogEntry& entry) const;
-  void ageSyncs(TimePoint now);
+  void agePendingRecords(TimePoint now);
+  /// Whether the disk has refused a record or has not answered for `RaftOptions::syncStallTimeout`.
   bool diskStalled() const;
   void retryPersist(TimePoint now);
   void onPersisted(TimePoint now, PersistTicket ticket);
 
-  // recovery.cpp
+  // --- recovery.cpp: start and compaction ---
+
   void bootstrap(const std::vector<MemberId>& founders);
   void recover(const std::vector<DiskRecord>& records, TimePoint now);
-  void compact(std::int64_t number, std::string state);
-  void emitRestore();
+  void replay(const DiskRecord& record);
+  void compact(std::int64_t index, std::string state);
+  void restoreFromSnapshot();
+
+  // --- election.cpp: pre-vote, votes, leadership transfer to this member ---
 
-  // election.cpp
   void tickElection(TimePoint now);
   void startPreVote(TimePoint now);
   void startElection(TimePoint now);
   void requestVotes(PersistTicket after);
   void winIfElected(TimePoint now);
   void becomeLeader(TimePoint now);
+  /// Whether a lease promise forbids this member to help the candidate.
   bool boundByLease(TimePoint now, const VoteRequest& request) const;
   void onVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request);
   void onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request);
-  void tellTerm(const MemberId& to);
+  void grantVote(TimePoint now, const MemberId& candidate);
   void onVoteResponse(TimePoint now, const MemberId& from, const VoteResponse& response);
   void onTransferLeadership(TimePoint now, const TransferLeadership& message);
 
-  // leader.cpp
+  // --- leader.cpp: writes, commit, lease, giving the leadership away ---
+
   void tickLeader(TimePoint now);
-  void appendAsLeader(TimePoint now, transport::LogEntry entry);
   bool submit(TimePoint now, transport::LogEntry entry);
-  void heartbeat(TimePoint now);
-  void replicate(TimePoint now);
-  void sendTo(TimePoint now, const MemberId& peer, PeerProgress& progress, bool heartbeatDue);
-  void sendSnapshot(TimePoint now, const MemberId& peer, PeerProgress& progress);
-  void sendEntries(const MemberId& peer, std::int64_t previous, std::vector<transport::LogEntry> entries);
-  std::vector<transport::LogEntry> nextEntries(PeerProgress& progress) const;
+  void appendAsLeader(TimePoint now, transport::LogEntry entry);
+  void advanceCommit(TimePoint now);
+  /// Until when a quorum has promised to elect nobody else, less a safety margin.
   TimePoint leaseEnd() const;
   bool leaseValid(TimePoint now) const;
-  void onAppendResponse(TimePoint now, const MemberId& from, const AppendEntriesResponse& response);
-  void advanceCommit(TimePoint now);
-  void trackPeer(TimePoint now, const MemberId& peer);
   bool recentlyHeard(TimePoint now, const PeerProgress& progress) const;
+  /// Whether another voter has synced more than this member: otherwise no disk is better off than this one.
   bool anotherHasSyncedMore(TimePoint now) const;
+  /// Hands the leadership to the voter that has most on its disk and was heard lately; stays leader without one.
   void transferLeadership(TimePoint now);
+  MemberId bestSuccessor(TimePoint now) const;
   void stepDown(TimePoint now);
 
-  // follower.cpp
-  bool followLeader(TimePoint now, const MemberId& from, std::int64_t term, bool leaderHasLease);
+  // --- replication.cpp: the leader's side of log replication ---
+
+  /// Sends every peer a heartbeat, with entries that it lacks.
+  void sendHeartbeats(TimePoint now);
+  /// Sends every peer the entries that it lacks.
+  void replicate(TimePoint now);
+  void sendTo(TimePoint now, const MemberId& peer, PeerProgress& progress, bool heartbeatDue);
+  void sendSnapshot(TimePoint now, const MemberId& peer, PeerProgress& progress);
+  void sendEntries(const MemberId& peer, std::int64_t prevLogIndex, std::vector<transport::LogEntry> entries);
+  /// Takes as many entries as fit one message and counts them as sent.
+  std::vector<transport::LogEntry> nextEntries(PeerProgress& progress) const;
+  bool bodyWasSentAhead(const transport::LogEntry& entry) const;
+  /// Starts to replicate to a member, or notes that it was heard.
+  void trackPeer(TimePoint now, const MemberId& peer);
+  void onAppendEntriesResponse(TimePoint now, const MemberId& from, const AppendEntriesResponse& response);
+  void onMismatch(TimePoint now, const MemberId& from, PeerProgress& progress, std::int64_t matchIndex);
+
+  // --- follower.cpp: entries and snapshots of a leader, the promise of its lease ---
+
+  /// Follows whoever speaks as the leader of this term or a higher one, and promises its lease.
+  /// @return false if this member leads that term itself.
+  bool followLeader(TimePoint now, const MemberId& from, std::int64_t leaderTerm, bool leaderHasLease);
   void onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message);
+  /// Skips entries below this member's snapshot: they are committed and therefore equal.
   void skipBelowSnapshot(AppendEntries& message) const;
-  std::optional<std::int64_t> takeEntries(AppendEntries& message);
+  /// Appends the entries that are new, replacing what another leader left.
+  /// @return the index of the first entry whose body is neither in the message nor cached; nothing from it on is taken.
+  std::optional<std::int64_t> appendNewEntries(AppendEntries& message);
+  void rejectEntries(const AppendEntries& message, const MemberId& from, std::int64_t matchIndex);
   void onInstallSnapshot(TimePoint now, const MemberId& from, InstallSnapshot message);
-  void acknowledge(std::int64_t heartbeat, PersistTicket after);
+  bool isInstallable(const InstallSnapshot& message, const ClusterConfig& config) const;
+  /// Tells the leader how far the log is equal and on the disk.
+  void acknowledge(std::int64_t heartbeatId, PersistTicket after);
+
+  // --- voter_changes.cpp: the leader's changes of the configuration ---
 
-  // membership.cpp
   void tickMembership(TimePoint now);
-  void tickJoin(TimePoint now);
-  void tickLeave(TimePoint now);
+  /// Whether the leader's term and the newest configuration are committed under a valid lease.
+  bool configSettled(TimePoint now) const;
+  void proposeConfig(TimePoint now, const ClusterConfig& config);
   void changeVoters(TimePoint now, const std::vector<MemberId>& voters);
-  void leaveJointConfig(TimePoint now);
   std::vector<VoterStatus> voterStatus(TimePoint now) const;
+  VoterHealth healthOf(TimePoint now, const MemberId& voter, const PeerProgress& progress) const;
+  /// Whether a learner at the voter's address is in contact: that machine has lost its disk.
+  bool isSuperseded(TimePoint now, const MemberId& voter) const;
+  /// The learners that may become voters, those at the address of a voter first: that voter is lost for good.
   std::vector<MemberId> readyLearners(TimePoint now) const;
   bool learnerCatchingUp(TimePoint now) const;
-  Duration leavingFor() const;
-  bool isLeaving(TimePoint now, const PeerProgress& progress) const;
   bool caughtUp(const PeerProgress& progress) const;
-  void dropSilentLearners(TimePoint now);
-  void onJoinRequest(TimePoint now, const MemberId& from, const JoinRequest& request);
+  void dropUnreachableLearners(TimePoint now);
+
+  // --- join_leave.cpp: requests to join and to leave, of this member and of others ---
+
+  void tickJoin(TimePoint now);
+  void tickLeave(TimePoint now);
   void beginLeave(TimePoint now);
+  void onJoinRequest(TimePoint now, const MemberId& from, const JoinRequest& request);
   void onLeaveRequest(TimePoint now, const MemberId& from, const LeaveRequest& request);
   void onLeaveResponse(const LeaveResponse& response);
+  /// How long a member counts as leaving after a request.
+  Duration leaveRequestValidity() const;
+  bool isLeaving(TimePoint now, const PeerProgress& progress) const;
+  /// Whether a member may exit: it is out of the committed configuration, or removing it would bear no more losses
+  /// than keeping it; and a majority without it has on disk all that is committed.
   bool canDoWithout(TimePoint now, const MemberId& member) const;
-  bool othersHoldCommitted(const MemberId& without) const;
+  bool othersHoldCommitted(const MemberId& leavingMember) const;
+  bool holdsCommitted(const MemberId& voter, const PeerProgress& leavingPeer) const;
+
+  // --- fingerprint.cpp ---
+
+  std::string fingerprint(TimePoint now) const;
 };
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/recovery.cpp
+++ b/libs/consensus/src/recovery.cpp
@@ -1,59 +1,61 @@
-// Starting from founders or from a disk, and compaction of the log.
+// Recovery: the first start of a cluster, the restart from a disk, and compaction of the log.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr std::int64_t kFormerLeaderDelay = 20, kFormerLeaderSpread = 30;  // ms
-constexpr std::int64_t kRestartDelay = 20, kRestartSpread = 200;           // ms
+// How long a restarted member waits before it starts an election: a delay and a random part on top of it.
+constexpr Duration kFormerLeaderDelay{20}, kFormerLeaderJitter{30};
+constexpr Duration kRestartDelay{20}, kRestartJitter{200};
 }  // namespace
 
-void RaftNode::Core::bootstrap(const std::vector<MemberId>& founders) {
-  Snapshot start;
-  start.config.voters = founders;
-  log.reset(std::move(start));
-  followConfig();
+void RaftCore::bootstrap(const std::vector<MemberId>& founders) {
+  Snapshot initial;
+  initial.config.voters = founders;
+  log.reset(std::move(initial));
+  updatePassiveRole();
   persistAll();
 }
-void RaftNode::Core::recover(const std::vector<DiskRecord>& records, TimePoint now) {
-  for (const auto& record : records) {
-    persistence.recoveredSequence(record.seq);
-    currentTerm = record.term;
-    lastLedTerm = record.lastLedTerm;
-    votedFor = record.votedFor;
-    if (record.full)
-      log.reset({record.snapshotIndex, record.snapshotTerm, decodeConfig(record.snapshotConfig), record.state});
-    if (record.fromIndex == 0 || record.entries.empty())
-      continue;
-    log.truncateFrom(record.fromIndex);
-    for (const auto& entry : record.entries)
-      if (entry.index == log.lastLogIndex() + 1)
-        log.append(entry);
-  }
-  persistedIndex = log.lastLogIndex();
-  commitIndex = log.snapshot().number;
-  followConfig();
-  emitRestore();
-  // A promise made before the restart is not remembered, so it is kept by waiting.
-  leasePromisedUntil = now + options.lease;
-  restarted = true;
-  // Why soon after: where all came back at once nobody is there to wait for. Who led the newest term that it knows of
-  // need not wait: the lease was its own, and it is gone.
-  const bool ledNewestTerm = lastLedTerm > 0 && lastLedTerm == currentTerm;
-  const auto jitter = [&](std::int64_t delay, std::int64_t spread) {
-    return Duration(delay + static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(spread)));
+void RaftCore::replay(const DiskRecord& record) {
+  persistence.recoverSequence(record.seq);
+  term.current = record.term;
+  term.lastLed = record.lastLedTerm;
+  term.votedFor = record.votedFor;
+  if (record.full)
+    log.reset({record.snapshotIndex, record.snapshotTerm, decodeConfig(record.snapshotConfig), record.state});
+  if (record.fromIndex == 0 || record.entries.empty())
+    return;
+  log.truncateFrom(record.fromIndex);
+  for (const auto& entry : record.entries)
+    if (entry.index == log.lastLogIndex() + 1)
+      log.append(entry);
+}
+void RaftCore::recover(const std::vector<DiskRecord>& records, TimePoint now) {
+  for (const auto& record : records)
+    replay(record);
+  log.markPersisted(log.lastLogIndex(), log.lastLogTerm());
+  updatePassiveRole();
+  restoreFromSnapshot();
+  // A lease promised before the restart is not on the disk: it is kept by waiting it out.
+  follower.leasePromisedUntil = now + options.lease;
+  term.restarted = true;
+  const auto jitter = [&](Duration delay, Duration spread) {
+    return delay + Duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(spread.count())));
   };
-  electionAt = ledNewestTerm ? now + jitter(kFormerLeaderDelay, kFormerLeaderSpread)
-                             : leasePromisedUntil + jitter(kRestartDelay, kRestartSpread);
+  // Sooner than an election timeout: after a restart of all members there is no leader to wait for. The leader of the
+  // newest term that this member knows of need not wait at all: the lease was its own, and it is void.
+  const bool ledNewestTerm = term.lastLed > 0 && term.lastLed == term.current;
+  election.timeoutAt = ledNewestTerm ? now + jitter(kFormerLeaderDelay, kFormerLeaderJitter)
+                                     : follower.leasePromisedUntil + jitter(kRestartDelay, kRestartJitter);
 }
-void RaftNode::Core::emitRestore() {
+void RaftCore::restoreFromSnapshot() {
   const auto& snapshot = log.snapshot();
-  if (snapshot.number > 0)
-    actions.emplace_back(RestoreSnapshot{snapshot.number, snapshot.term, snapshot.state});
+  if (snapshot.lastIncludedIndex > 0)
+    actions.emplace_back(RestoreSnapshot{snapshot.lastIncludedIndex, snapshot.lastIncludedTerm, snapshot.state});
 }
-void RaftNode::Core::compact(std::int64_t number, std::string state) {
-  if (number <= log.snapshot().number || number > commitIndex)
+void RaftCore::compact(std::int64_t index, std::string state) {
+  if (index <= log.snapshot().lastIncludedIndex || index > log.commitIndex())
     return;
-  log.compact(number, std::move(state));
+  log.compact(index, std::move(state));
   persistAll();
 }
 }  // namespace zinccleat::consensus
--- /dev/null
+++ b/libs/consensus/src/replication.cpp
@@ -0,0 +1,131 @@
+// Replication: what the leader sends to each peer, and what it learns from the answers.
+#include "raft_core.hpp"
+
+namespace zinccleat::consensus {
+namespace {
+constexpr std::size_t kMaxBytesPerMessage = 1U << 20;
+constexpr std::size_t kEntryOverheadBytes = 100;  // of an entry besides its body, roughly
+constexpr int kSnapshotResendFactor = 4;          // times `resendTimeout`: a snapshot takes longer than entries
+}  // namespace
+
+void RaftCore::sendHeartbeats(TimePoint now) {
+  leading.startHeartbeat(now);
+  for (auto& [peer, progress] : leading.peers)
+    sendTo(now, peer, progress, true);
+}
+void RaftCore::replicate(TimePoint now) {
+  for (auto& [peer, progress] : leading.peers)
+    sendTo(now, peer, progress, false);
+}
+void RaftCore::sendTo(TimePoint now, const MemberId& peer, PeerProgress& progress, bool heartbeatDue) {
+  const auto lastActivity = std::max(progress.lastProgressAt, progress.lastSentAt);
+  if (progress.hasUnacknowledged() && now - lastActivity > options.resendTimeout) {
+    progress.sendBodiesUpTo = std::max(progress.sendBodiesUpTo, progress.nextIndex - 1);
+    progress.nextIndex = progress.matchIndex + 1;
+    progress.lastSentAt = now;
+  }
+  if (progress.nextIndex <= log.snapshot().lastIncludedIndex) {
+    const auto snapshotTimeout = options.resendTimeout * kSnapshotResendFactor;
+    if (!progress.snapshotInFlight || now - progress.lastSentAt >= snapshotTimeout)
+      return sendSnapshot(now, peer, progress);
+    if (heartbeatDue)
+      sendEntries(peer, log.lastLogIndex(), {});
+    return;
+  }
+  const auto prevLogIndex = progress.nextIndex - 1;
+  auto entries = nextEntries(progress);
+  if (entries.empty() && !heartbeatDue)
+    return;
+  if (!entries.empty())
+    progress.lastSentAt = now;
+  sendEntries(peer, prevLogIndex, std::move(entries));
+}
+void RaftCore::sendSnapshot(TimePoint now, const MemberId& peer, PeerProgress& progress) {
+  const auto& snapshot = log.snapshot();
+  InstallSnapshot message;
+  message.term = term.current;
+  message.lastIncludedIndex = snapshot.lastIncludedIndex;
+  message.lastIncludedTerm = snapshot.lastIncludedTerm;
+  message.config = encodeConfig(snapshot.config);
+  message.state = snapshot.state;
+  message.commitIndex = log.commitIndex();
+  progress.snapshotInFlight = true;
+  progress.lastSentAt = now;
+  send(peer, std::move(message));
+}
+// The node that accepted a large write from its client has sent the body to all members ahead of the entry.
+bool RaftCore::bodyWasSentAhead(const transport::LogEntry& entry) const {
+  const bool acceptedElsewhere = entry.operationId.rfind(self + "/", 0) != 0;
+  return entry.body.size() > options.largeBodyBytes && !entry.digest.empty() && acceptedElsewhere;
+}
+std::vector<transport::LogEntry> RaftCore::nextEntries(PeerProgress& progress) const {
+  std::vector<transport::LogEntry> entries;
+  std::size_t bytes = 0;
+  while (progress.nextIndex <= log.lastLogIndex() && bytes < kMaxBytesPerMessage) {
+    entries.push_back(*log.at(progress.nextIndex));
+    auto& entry = entries.back();
+    if (progress.nextIndex > progress.sendBodiesUpTo && bodyWasSentAhead(entry)) {
+      entry.body.clear();
+      entry.omitted = true;
+    }
+    bytes += entry.body.size() + kEntryOverheadBytes;
+    ++progress.nextIndex;
+  }
+  return entries;
+}
+void RaftCore::sendEntries(const MemberId& peer, std::int64_t prevLogIndex, std::vector<transport::LogEntry> entries) {
+  AppendEntries message;
+  message.term = term.current;
+  message.prevLogIndex = prevLogIndex;
+  message.prevLogTerm = log.termAt(prevLogIndex);
+  message.commitIndex = log.commitIndex();
+  message.heartbeatId = leading.heartbeatId;
+  message.leaderHasLease = leaseValid(lastTickAt);
+  message.entries = std::move(entries);
+  send(peer, std::move(message));
+}
+void RaftCore::trackPeer(TimePoint now, const MemberId& peer) {
+  if (peer.empty() || peer == self)
+    return;
+  const auto [entry, added] = leading.peers.try_emplace(peer);
+  auto& progress = entry->second;
+  progress.lastHeardAt = now;
+  if (!added)
+    return;
+  progress.nextIndex = log.lastLogIndex() + 1;
+  progress.lastProgressAt = now;
+  sendTo(now, peer, progress, true);
+}
+void RaftCore::onAppendEntriesResponse(TimePoint now, const MemberId& from, const AppendEntriesResponse& response) {
+  if (response.term > term.current)
+    return enterTerm(now, response.term);
+  if (role != Role::leader || response.term != term.current)
+    return;
+  const auto peer = leading.peers.find(from);
+  if (peer == leading.peers.end())
+    return trackPeer(now, from);
+  auto& progress = peer->second;
+  progress.lastHeardAt = now;
+  leading.recordLeasePromise(progress, response.heartbeatId);
+  if (response.mismatch)
+    return onMismatch(now, from, progress, response.matchIndex);
+  if (response.matchIndex <= progress.matchIndex || response.matchIndex > log.lastLogIndex())
+    return;
+  progress.matchIndex = response.matchIndex;
+  progress.lastProgressAt = now;
+  progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
+  progress.snapshotInFlight = false;
+  advanceCommit(now);
+  if (role == Role::leader && progress.nextIndex <= log.lastLogIndex())
+    sendTo(now, from, progress, false);
+}
+void RaftCore::onMismatch(TimePoint now, const MemberId& from, PeerProgress& progress, std::int64_t matchIndex) {
+  // A snapshot that was just sent will resolve it.
+  if (progress.snapshotInFlight && now - progress.lastSentAt < options.resendTimeout)
+    return;
+  progress.snapshotInFlight = false;
+  progress.nextIndex = std::clamp<std::int64_t>(matchIndex + 1, 0, log.lastLogIndex() + 1);
+  progress.sendBodiesUpTo = log.lastLogIndex();
+  sendTo(now, from, progress, false);
+}
+}  // namespace zinccleat::consensus
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -72,7 +72,7 @@
   std::vector<MemberId> learners;
   std::vector<MemberId> chosen;
 };
-constexpr auto kHealthy = VoterHealth::healthy, kSilent = VoterHealth::silent, kLeaving = VoterHealth::leaving,
+constexpr auto kHealthy = VoterHealth::healthy, kSilent = VoterHealth::unreachable, kLeaving = VoterHealth::leaving,
                kSuperseded = VoterHealth::superseded;
 }  // namespace
 
