--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -1,5 +1,5 @@
-// The operators' side is linearizable: the check by itself, and over histories recorded in seeded worlds in which
-// several operators change and read the configuration at any node, answers are lost and orders are sent again.
+/// Operator calls are linearizable: the checker by itself, and over histories recorded on seeded clusters, in which
+/// several operators change and read the configuration at any node, answers are lost and requests are retried.
 #include "simulation/linearizability.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
 OperatorCall retrieve(std::int64_t began, std::int64_t ended, std::int64_t version, const std::string& body) {
   return {Kind::retrieve, "operator", began, ended, 0, version, body, Answer::configuration};
 }
-constexpr auto kTaken = Answer::acknowledged, kOther = Answer::otherVersion, kInvalid = Answer::invalid;
+constexpr auto kAcknowledged = Answer::acknowledged, kOtherVersion = Answer::otherVersion, kInvalid = Answer::invalid;
 struct Example {
   const char* what;
   bool linearizable;
@@ -39,92 +39,102 @@
       {"nothing", true, {}},
       {"one after the other",
        true,
-       {replace(1, 2, 0, 1, "A", kTaken), retrieve(3, 4, 1, "A"), replace(5, 6, 1, 4, "B", kTaken),
+       {replace(1, 2, 0, 1, "A", kAcknowledged), retrieve(3, 4, 1, "A"), replace(5, 6, 1, 4, "B", kAcknowledged),
         retrieve(7, 8, 4, "B")}},
-      {"a read beside a change may see either", true, {replace(1, 9, 0, 1, "A", kTaken), retrieve(2, 3, 0, "")}},
-      {"or the new one", true, {replace(1, 9, 0, 1, "A", kTaken), retrieve(2, 3, 1, "A"), retrieve(4, 5, 1, "A")}},
-      {"but none goes back", false, {replace(1, 9, 0, 1, "A", kTaken), retrieve(2, 3, 1, "A"), retrieve(4, 5, 0, "")}},
+      {"a read beside a change may see either", true, {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 0, "")}},
+      {"or the new one",
+       true,
+       {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 1, "A"), retrieve(4, 5, 1, "A")}},
+      {"but none goes back",
+       false,
+       {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 1, "A"), retrieve(4, 5, 0, "")}},
       {"a stale read",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 4, 1, 2, "B", kTaken), retrieve(5, 6, 1, "A")}},
-      {"two taken on one version",
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kAcknowledged), retrieve(5, 6, 1, "A")}},
+      {"two accepted on one version",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 9, 1, 2, "B", kTaken), replace(4, 8, 1, 3, "C", kTaken)}},
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 9, 1, 2, "B", kAcknowledged),
+        replace(4, 8, 1, 3, "C", kAcknowledged)}},
       {"two under one number",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 9, 1, 2, "B", kTaken), replace(4, 8, 1, 2, "C", kTaken)}},
-      {"one of the two refused",
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 9, 1, 2, "B", kAcknowledged),
+        replace(4, 8, 1, 2, "C", kAcknowledged)}},
+      {"one of the two rejected",
        true,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 9, 1, 2, "B", kTaken), replace(4, 8, 1, 2, "C", kOther)}},
-      {"refused though nothing else was taken",
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 9, 1, 2, "B", kAcknowledged),
+        replace(4, 8, 1, 2, "C", kOtherVersion)}},
+      {"rejected though nothing else was accepted",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 4, 1, 2, "B", kOther)}},
-      {"acknowledged and lost", false, {replace(1, 2, 0, 1, "A", kTaken), retrieve(3, 4, 0, "")}},
-      {"a lost answer, taken", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 1, "A")}},
-      {"a lost answer, never taken", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 0, "")}},
-      {"a lost answer, taken late", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 0, ""), retrieve(5, 6, 1, "A")}},
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kOtherVersion)}},
+      {"acknowledged and lost", false, {replace(1, 2, 0, 1, "A", kAcknowledged), retrieve(3, 4, 0, "")}},
+      {"a lost answer, accepted", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 1, "A")}},
+      {"a lost answer, never accepted", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 0, "")}},
+      {"a lost answer, accepted late",
+       true,
+       {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 0, ""), retrieve(5, 6, 1, "A")}},
       {"but not before it was sent", false, {retrieve(1, 2, 1, "A"), lostReplace(3, 0, 1, "A")}},
-      {"sent again and acknowledged", true, {lostReplace(1, 0, 1, "A"), replace(3, 4, 0, 1, "A", kTaken)}},
-      {"sent again and refused though it was taken",
+      {"retried and acknowledged", true, {lostReplace(1, 0, 1, "A"), replace(3, 4, 0, 1, "A", kAcknowledged)}},
+      {"retried and rejected though it was accepted",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 4, 0, 1, "A", kOther)}},
-      {"sent again after others",
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 0, 1, "A", kOtherVersion)}},
+      {"retried after others",
        true,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 4, 1, 2, "B", kTaken), replace(5, 6, 0, 1, "A", kTaken),
-        retrieve(7, 8, 2, "B")}},
-      {"sent again and in force again",
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kAcknowledged),
+        replace(5, 6, 0, 1, "A", kAcknowledged), retrieve(7, 8, 2, "B")}},
+      {"retried and in force again",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), replace(3, 4, 1, 2, "B", kTaken), replace(5, 6, 0, 1, "A", kTaken),
-        retrieve(7, 8, 1, "A")}},
-      {"refused by a change whose answer was lost",
+       {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kAcknowledged),
+        replace(5, 6, 0, 1, "A", kAcknowledged), retrieve(7, 8, 1, "A")}},
+      {"rejected by a change whose answer was lost",
        true,
-       {replace(1, 2, 0, 1, "A", kTaken), lostReplace(3, 1, 2, "B"), replace(4, 5, 1, 3, "C", kOther),
+       {replace(1, 2, 0, 1, "A", kAcknowledged), lostReplace(3, 1, 2, "B"), replace(4, 5, 1, 3, "C", kOtherVersion),
         retrieve(6, 7, 2, "B")}},
-      {"refused by a change that then never was",
+      {"rejected by a change that then never was",
        false,
-       {replace(1, 2, 0, 1, "A", kTaken), lostReplace(3, 1, 2, "B"), replace(4, 5, 1, 3, "C", kOther),
+       {replace(1, 2, 0, 1, "A", kAcknowledged), lostReplace(3, 1, 2, "B"), replace(4, 5, 1, 3, "C", kOtherVersion),
         retrieve(6, 7, 1, "A")}},
-      {"invalid", true, {replace(1, 2, 0, 3, "A", kTaken), replace(3, 4, 3, 2, "B", kInvalid)}},
+      {"invalid", true, {replace(1, 2, 0, 3, "A", kAcknowledged), replace(3, 4, 3, 2, "B", kInvalid)}},
       {"called invalid though it is not",
        false,
-       {replace(1, 2, 0, 3, "A", kTaken), replace(3, 4, 3, 4, "B", kInvalid)}},
+       {replace(1, 2, 0, 3, "A", kAcknowledged), replace(3, 4, 3, 4, "B", kInvalid)}},
   };
-  for (auto& e : examples) {
-    const auto result = checkLinearizable(e.history);
-    EXPECT_EQ(result.linearizable, e.linearizable) << e.what << "\n" << result.explanation;
-    EXPECT_EQ(result.explanation.empty(), e.linearizable) << e.what;
+  for (const auto& example : examples) {
+    const auto result = checkLinearizable(example.history);
+    EXPECT_EQ(result.linearizable, example.linearizable) << example.what << "\n" << result.explanation;
+    EXPECT_EQ(result.explanation.empty(), example.linearizable) << example.what;
   }
 }
 
 namespace {
 // Histories of a register that is one: each call takes effect at a moment between its sending and its answer.
-struct TrueRegister {
+struct LinearizableRegister {
   std::mt19937_64 random;
-  ReplicatedState copy;
+  ReplicatedState replica;
   std::int64_t applied = 0;
   std::vector<OperatorCall> history;
-  explicit TrueRegister(std::uint64_t seed) : random(seed) {}
+  explicit LinearizableRegister(std::uint64_t seed) : random(seed) {}
 
   void replace(std::int64_t moment, std::int64_t base, std::int64_t version, const std::string& body) {
-    auto e = configurationEntry(base, version, body, std::to_string(moment));
-    e.index = ++applied;
-    copy.apply(e);
-    const auto verdict = *copy.outcomeOf(e.operationId);
+    auto entry = configurationEntry(base, version, body, std::to_string(moment));
+    entry.index = ++applied;
+    replica.apply(entry);
+    const auto outcome = *replica.outcomeOf(entry.operationId);
     if (random() % 4 == 0)
-      return history.push_back(lostReplace(moment - early(), base, version, body));
-    const auto answer = verdict == 200 ? kTaken : verdict == 400 ? kInvalid : kOther;
-    history.push_back(::replace(moment - early(), moment + early(), base, version, body, answer));
+      return history.push_back(lostReplace(moment - drawHalfDuration(), base, version, body));
+    const auto answer = outcome == 200 ? kAcknowledged : outcome == 400 ? kInvalid : kOtherVersion;
+    history.push_back(::replace(moment - drawHalfDuration(), moment + drawHalfDuration(), base, version, body, answer));
   }
   void retrieve(std::int64_t moment) {
-    history.push_back(::retrieve(moment - early(), moment + early(), copy.state().version, copy.state().configuration));
+    history.push_back(::retrieve(moment - drawHalfDuration(), moment + drawHalfDuration(), replica.state().version,
+                                 replica.state().configuration));
   }
   // So that some eight calls overlap.
-  std::int64_t early() { return 1 + static_cast<std::int64_t>(random() % 40); }
+  std::int64_t drawHalfDuration() { return 1 + static_cast<std::int64_t>(random() % 40); }
   void run(int calls) {
     std::vector<std::tuple<std::int64_t, std::int64_t, std::string>> sent;
     for (int i = 1; i <= calls; ++i) {
       const auto moment = i * 10;
-      const auto base = copy.state().version;
+      const auto base = replica.state().version;
       if (random() % 3 == 0) {
         retrieve(moment);
       } else if (!sent.empty() && random() % 3 == 0) {
@@ -143,41 +153,41 @@
 
 TEST(Linearizability, HistoriesOfALinearizableRegisterAreAccepted) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    TrueRegister r(seed);
-    r.run(150);
-    const auto result = checkLinearizable(r.history);
+    LinearizableRegister reference(seed);
+    reference.run(150);
+    const auto result = checkLinearizable(reference.history);
     EXPECT_TRUE(result.linearizable) << "seed " << seed << ": " << result.explanation;
   }
 }
 TEST(Linearizability, AnInjectedStaleReadOrLostUpdateIsFound) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    TrueRegister r(seed);
-    r.run(60);
-    const auto oldVersion = r.copy.state().version;
-    const auto oldBody = r.copy.state().configuration;
-    r.replace(10'000, oldVersion, oldVersion + 1, "acknowledged");
-    r.history.back().answer = kTaken;
-    r.history.back().ended = 10'100;
-    auto stale = r.history;
+    LinearizableRegister reference(seed);
+    reference.run(60);
+    const auto oldVersion = reference.replica.state().version;
+    const auto oldBody = reference.replica.state().configuration;
+    reference.replace(10'000, oldVersion, oldVersion + 1, "acknowledged");
+    reference.history.back().answer = kAcknowledged;
+    reference.history.back().ended = 10'100;
+    auto stale = reference.history;
     stale.push_back(retrieve(10'200, 10'210, oldVersion, oldBody));
     EXPECT_FALSE(checkLinearizable(stale).linearizable) << "seed " << seed;
-    auto lostUpdate = r.history;
-    lostUpdate.push_back(replace(10'200, 10'210, oldVersion, oldVersion + 2, "over it", kTaken));
+    auto lostUpdate = reference.history;
+    lostUpdate.push_back(replace(10'200, 10'210, oldVersion, oldVersion + 2, "over it", kAcknowledged));
     EXPECT_FALSE(checkLinearizable(lostUpdate).linearizable) << "seed " << seed;
-    r.history.push_back(retrieve(10'200, 10'210, oldVersion + 1, "acknowledged"));
-    EXPECT_TRUE(checkLinearizable(r.history).linearizable) << "seed " << seed;
+    reference.history.push_back(retrieve(10'200, 10'210, oldVersion + 1, "acknowledged"));
+    EXPECT_TRUE(checkLinearizable(reference.history).linearizable) << "seed " << seed;
   }
 }
 
 namespace {
 const std::vector<std::string> kFounders = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
-enum class Planted { nothing, staleRead, earlyAcknowledgement };
+enum class InjectedFault { nothing, staleRead, earlyAcknowledgement };
 
-// Operators beside a seeded cluster. Everything that they ask of its machines goes through the few functions below.
+// Operators of a seeded cluster. Every call to its machines goes through the few functions below.
 class Operators {
  public:
-  Operators(SimulatedCluster& cluster, Planted planted)
-      : cluster_(cluster), random_(cluster.seed * 77 + 1), planted_(planted) {}
+  Operators(SimulatedCluster& cluster, InjectedFault fault)
+      : cluster_(cluster), random_(cluster.seed * 77 + 1), fault_(fault) {}
   void start(int count, TimePoint until) {
     until_ = until;
     for (int i = 0; i < count; ++i)
@@ -186,120 +196,126 @@
   const std::vector<OperatorCall>& history() const { return recorder_.calls(); }
 
  private:
-  struct Order {
+  struct ReplaceRequest {
     std::int64_t base = 0, version = 0;
     std::string body;
   };
-  static constexpr Duration kPoll{20}, kWriteWait{2500}, kReadWait{900};
-  static constexpr int kTries = 6;
+  static constexpr Duration kPoll{20}, kWriteTimeout{2500}, kReadTimeout{900};
+  static constexpr int kAttempts = 6;
 
-  std::int64_t at() const { return std::chrono::duration_cast<Duration>(cluster_.now.time_since_epoch()).count(); }
-  std::string anyMachine() { return kFounders[random_() % kFounders.size()]; }
+  std::int64_t nowMs() const { return std::chrono::duration_cast<Duration>(cluster_.now.time_since_epoch()).count(); }
+  std::string drawMachine() { return kFounders[random_() % kFounders.size()]; }
   SimulatedCluster::Node& machine(const std::string& ip) { return cluster_.nodes[ip]; }
-  bool runs(const std::string& ip, int life) {
-    auto& m = machine(ip);
-    return m.up && m.incarnation == life;
+  bool isRunning(const std::string& ip, int incarnation) {
+    auto& node = machine(ip);
+    return node.up && node.incarnation == incarnation;
   }
-  bool lost() { return random_() % 4 == 0; }
-  void later(Duration wait, std::function<void()> next) { cluster_.schedule(wait, std::move(next)); }
+  bool drawLostAnswer() { return random_() % 4 == 0; }
+  void schedule(Duration wait, std::function<void()> next) { cluster_.schedule(wait, std::move(next)); }
 
   // An operator reads what is in force, builds on it, and sends that until it has a clear answer.
   void read(const std::string& who) {
     if (cluster_.now >= until_)
       return;
-    const auto ip = anyMachine();
-    const auto call = recorder_.retrieveSent(who, at());
-    askForRead(ip, machine(ip).incarnation, cluster_.now + kReadWait, [this, who, ip, call](bool fresh) {
-      if (!fresh || lost())
-        return later(Duration(200), [this, who] { read(who); });
-      const auto& state = machine(ip).state.state();
-      recorder_.retrieveAnswered(call, at(), state.version, state.configuration);
-      // Two operators may well pick one number.
-      const Order order{state.version, state.version + 1 + static_cast<std::int64_t>(random_() % 2),
-                        "by " + who + " at " + std::to_string(at())};
-      later(Duration(random_() % 400), [this, who, order] { send(who, order, kTries); });
+    const auto ip = drawMachine();
+    const auto call = recorder_.retrieveSent(who, nowMs());
+    awaitReadIndex(ip, machine(ip).incarnation, cluster_.now + kReadTimeout, [this, who, ip, call](bool fresh) {
+      if (!fresh || drawLostAnswer())
+        return schedule(Duration(200), [this, who] { read(who); });
+      const auto& state = machine(ip).replica.state();
+      recorder_.retrieveAnswered(call, nowMs(), state.version, state.configuration);
+      // Two operators may well pick one version number.
+      const ReplaceRequest request{state.version, state.version + 1 + static_cast<std::int64_t>(random_() % 2),
+                                   "by " + who + " at " + std::to_string(nowMs())};
+      schedule(Duration(random_() % 400), [this, who, request] { send(who, request, kAttempts); });
     });
   }
-  void send(const std::string& who, const Order& order, int triesLeft) {
-    if (triesLeft == 0 || cluster_.now >= until_)
+  void send(const std::string& who, const ReplaceRequest& request, int attemptsLeft) {
+    if (attemptsLeft == 0 || cluster_.now >= until_)
       return read(who);
-    const auto ip = anyMachine();
-    const auto call = recorder_.replaceSent(who, at(), order.base, order.version, order.body);
-    ask(ip, order, [this, who, order, triesLeft, call](int status) {
-      if (status != 0 && !lost()) {
-        recorder_.replaceAnswered(call, at(), status);
+    const auto ip = drawMachine();
+    const auto call = recorder_.replaceSent(who, nowMs(), request.base, request.version, request.body);
+    sendReplace(ip, request, [this, who, request, attemptsLeft, call](int status) {
+      if (status != 0 && !drawLostAnswer()) {
+        recorder_.replaceAnswered(call, nowMs(), status);
         if (random_() % 5 == 0)
-          repeatLate(who, order);
-        return later(Duration(100), [this, who] { read(who); });
+          retryLate(who, request);
+        return schedule(Duration(100), [this, who] { read(who); });
       }
-      later(Duration(150), [this, who, order, triesLeft] { send(who, order, triesLeft - 1); });
+      schedule(Duration(150), [this, who, request, attemptsLeft] { send(who, request, attemptsLeft - 1); });
     });
   }
-  // The same order once more, long after: a copy of it that lay somewhere.
-  void repeatLate(const std::string& who, const Order& order) {
-    later(Duration(2000 + random_() % 8000), [this, who, order] {
-      const auto call = recorder_.replaceSent(who + ", late", at(), order.base, order.version, order.body);
-      ask(anyMachine(), order, [this, call](int status) { recorder_.replaceAnswered(call, at(), status); });
+  // The same request once more, long after: a copy that was delayed in the network.
+  void retryLate(const std::string& who, const ReplaceRequest& request) {
+    schedule(Duration(2000 + random_() % 8000), [this, who, request] {
+      const auto call = recorder_.replaceSent(who + ", late", nowMs(), request.base, request.version, request.body);
+      sendReplace(drawMachine(), request,
+                  [this, call](int status) { recorder_.replaceAnswered(call, nowMs(), status); });
     });
   }
 
-  // What a machine does with a Replace: 0 without a clear answer.
-  void ask(const std::string& ip, const Order& order, const std::function<void(int)>& answer) {
-    auto& m = machine(ip);
-    if (!m.up || m.paused)
-      return later(Duration(1000), [answer] { answer(0); });
-    if (m.state.evaluateReplace(order.base, order.version, digestOf(order.body)) == ReplicatedState::kAcknowledged)
+  // What a machine does with a Replace; the status is 0 without a clear answer.
+  void sendReplace(const std::string& ip, const ReplaceRequest& request, const std::function<void(int)>& answer) {
+    auto& node = machine(ip);
+    if (!node.up || node.paused)
+      return schedule(Duration(1000), [answer] { answer(0); });
+    if (node.replica.evaluateReplace(request.base, request.version, digestOf(request.body)) ==
+        ReplicatedState::kAcknowledged)
       return answer(ReplicatedState::kAcknowledged);
-    const auto e = configurationEntry(order.base, order.version, order.body, "write/" + std::to_string(++writes_));
-    cluster_.attemptWrite(ip, m.incarnation, e, static_cast<int>(kWriteWait / Duration(120)));
-    if (planted_ == Planted::earlyAcknowledgement && m.state.state().version == order.base)
-      return later(Duration(5), [answer] { answer(ReplicatedState::kAcknowledged); });
-    awaitVerdict(ip, m.incarnation, e.operationId, cluster_.now + kWriteWait, answer);
+    const auto entry =
+        configurationEntry(request.base, request.version, request.body, "write/" + std::to_string(++writes_));
+    cluster_.attemptWrite(ip, node.incarnation, entry,
+                          static_cast<int>(kWriteTimeout / SimulatedCluster::kWriteRetryInterval));
+    if (fault_ == InjectedFault::earlyAcknowledgement && node.replica.state().version == request.base)
+      return schedule(Duration(5), [answer] { answer(ReplicatedState::kAcknowledged); });
+    awaitOutcome(ip, node.incarnation, entry.operationId, cluster_.now + kWriteTimeout, answer);
   }
-  void awaitVerdict(const std::string& ip, int life, const std::string& operation, TimePoint until,
+  void awaitOutcome(const std::string& ip, int incarnation, const std::string& operation, TimePoint until,
                     const std::function<void(int)>& answer) {
-    if (!runs(ip, life) || cluster_.now >= until)
+    if (!isRunning(ip, incarnation) || cluster_.now >= until)
       return answer(0);
-    if (const auto verdict = machine(ip).state.outcomeOf(operation); verdict && !machine(ip).paused)
-      return answer(*verdict);
-    later(kPoll, [=, this] { awaitVerdict(ip, life, operation, until, answer); });
+    if (const auto outcome = machine(ip).replica.outcomeOf(operation); outcome && !machine(ip).paused)
+      return answer(*outcome);
+    schedule(kPoll, [=, this] { awaitOutcome(ip, incarnation, operation, until, answer); });
   }
-  // What a machine does before it answers a Retrieve: it leads under a lease, or asks the leader how far it must be.
-  void askForRead(const std::string& ip, int life, TimePoint until, const std::function<void(bool)>& answer) {
-    if (!runs(ip, life) || machine(ip).paused || cluster_.now >= until)
+  // What a machine does before it answers a Retrieve: it leads under a lease, or asks the leader for its read index.
+  void awaitReadIndex(const std::string& ip, int incarnation, TimePoint until,
+                      const std::function<void(bool)>& answer) {
+    if (!isRunning(ip, incarnation) || machine(ip).paused || cluster_.now >= until)
       return answer(false);
-    if (planted_ == Planted::staleRead || machine(ip).raft->hasLease(cluster_.now))
+    if (fault_ == InjectedFault::staleRead || machine(ip).raft->hasLease(cluster_.now))
       return answer(true);
     const auto leader = addressOf(machine(ip).raft->leader());
-    const auto again = [=, this] { askForRead(ip, life, until, answer); };
+    const auto again = [=, this] { awaitReadIndex(ip, incarnation, until, answer); };
     if (leader.empty() || cluster_.cutLinks.contains({ip, leader}))
-      return later(Duration(50), again);
-    later(Duration(2), [=, this] {
-      auto& l = machine(leader);
-      if (!l.up || l.paused || !l.raft->hasLease(cluster_.now) || cluster_.cutLinks.contains({leader, ip}))
-        return later(Duration(50), again);
-      const auto number = l.raft->commitIndex();
-      later(Duration(2), [=, this] { awaitIndex(ip, life, number, until, answer); });
+      return schedule(Duration(50), again);
+    schedule(Duration(2), [=, this] {
+      auto& leading = machine(leader);
+      if (!leading.up || leading.paused || !leading.raft->hasLease(cluster_.now) ||
+          cluster_.cutLinks.contains({leader, ip}))
+        return schedule(Duration(50), again);
+      const auto readIndex = leading.raft->commitIndex();
+      schedule(Duration(2), [=, this] { awaitIndex(ip, incarnation, readIndex, until, answer); });
     });
   }
-  void awaitIndex(const std::string& ip, int life, std::int64_t number, TimePoint until,
+  void awaitIndex(const std::string& ip, int incarnation, std::int64_t readIndex, TimePoint until,
                   const std::function<void(bool)>& answer) {
-    if (!runs(ip, life) || cluster_.now >= until)
+    if (!isRunning(ip, incarnation) || cluster_.now >= until)
       return answer(false);
-    if (!machine(ip).paused && machine(ip).state.state().index >= number)
+    if (!machine(ip).paused && machine(ip).replica.state().index >= readIndex)
       return answer(true);
-    later(kPoll, [=, this] { awaitIndex(ip, life, number, until, answer); });
+    schedule(kPoll, [=, this] { awaitIndex(ip, incarnation, readIndex, until, answer); });
   }
 
   SimulatedCluster& cluster_;
   std::mt19937_64 random_;
-  Planted planted_;
+  InjectedFault fault_;
   TimePoint until_{};
   OperatorRecorder recorder_;
   int writes_ = 0;
 };
 // One machine in trouble at a time: killed and back, cut off, frozen, or with a slow disk.
-void makeTrouble(SimulatedCluster& cluster) {
+void causeTrouble(SimulatedCluster& cluster) {
   const auto& ip = kFounders[cluster.draw(kFounders.size())];
   const Duration lasting(500 + cluster.draw(4000));
   switch (cluster.draw(4)) {
@@ -322,29 +338,29 @@
   }
   cluster.runFor(lasting + Duration(cluster.draw(3000)));
 }
-std::vector<OperatorCall> recordedHistory(std::uint64_t seed, Planted planted) {
+std::vector<OperatorCall> recordedHistory(std::uint64_t seed, InjectedFault fault) {
   SimulatedCluster cluster(seed);
   cluster.lossRate = seed % 2 ? 0.03 : 0.0;
   for (auto& ip : kFounders)
     cluster.start(ip, kFounders, true);
   cluster.runFor(4000ms);
-  Operators operators(cluster, planted);
+  Operators operators(cluster, fault);
   operators.start(4, cluster.now + 40s);
   for (const auto end = cluster.now + 40s; cluster.now < end;)
-    makeTrouble(cluster);
+    causeTrouble(cluster);
   cluster.runFor(8000ms);
   EXPECT_TRUE(cluster.violations.empty()) << "seed " << seed << ": " << cluster.violations.front();
   return operators.history();
 }
 std::ptrdiff_t acknowledged(const std::vector<OperatorCall>& history) {
   return std::count_if(history.begin(), history.end(),
-                       [](auto& c) { return c.kind == Kind::replace && c.answer == kTaken; });
+                       [](auto& call) { return call.kind == Kind::replace && call.answer == kAcknowledged; });
 }
 constexpr std::uint64_t kWorlds = 30;
-int worldsExplained(Planted planted) {
+int worldsExplained(InjectedFault fault) {
   int explained = 0;
   for (std::uint64_t seed = 1; seed <= kWorlds; ++seed)
-    explained += checkLinearizable(recordedHistory(seed, planted)).linearizable;
+    explained += checkLinearizable(recordedHistory(seed, fault)).linearizable;
   return explained;
 }
 }  // namespace
@@ -353,7 +369,7 @@
   std::ptrdiff_t calls = 0;
   std::ptrdiff_t changes = 0;
   for (std::uint64_t seed = 1; seed <= kWorlds; ++seed) {
-    const auto history = recordedHistory(seed, Planted::nothing);
+    const auto history = recordedHistory(seed, InjectedFault::nothing);
     const auto result = checkLinearizable(history);
     EXPECT_TRUE(result.linearizable) << "seed " << seed << ": " << result.explanation;
     calls += static_cast<std::ptrdiff_t>(history.size());
@@ -364,8 +380,8 @@
   EXPECT_GT(changes, static_cast<std::ptrdiff_t>(kWorlds) * 20) << "of " << calls << " calls";
 }
 TEST(Linearizability, ReadsWithoutTheLeaderAreFound) {
-  EXPECT_LT(worldsExplained(Planted::staleRead), static_cast<int>(kWorlds) / 2);
+  EXPECT_LT(worldsExplained(InjectedFault::staleRead), static_cast<int>(kWorlds) / 2);
 }
 TEST(Linearizability, WritesAcknowledgedBeforeCommitAreFound) {
-  EXPECT_LT(worldsExplained(Planted::earlyAcknowledgement), static_cast<int>(kWorlds) / 2);
+  EXPECT_LT(worldsExplained(InjectedFault::earlyAcknowledgement), static_cast<int>(kWorlds) / 2);
 }
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -27,7 +27,7 @@
   struct Node {
     std::string ip, id;
     std::unique_ptr<RaftNode> raft;
-    ReplicatedState state;
+    ReplicatedState replica;
     std::vector<std::string> disk;  ///< encoded records that a sync has covered
     int incarnation = 0;            ///< rises with each start and end of the process
     bool up = false, paused = false, diskFull = false;
@@ -89,7 +89,7 @@
     node.up = true;
     node.paused = false;
     ++node.incarnation;
-    node.state = ReplicatedState{};
+    node.replica = ReplicatedState{};
     node.lastApplied = 0;
     node.pendingRecords.clear();
     const auto records = recordsOn(node.disk);
@@ -161,7 +161,7 @@
     if (!node.up || node.incarnation != incarnation || attemptsLeft == 0)
       return;
     if (!node.paused) {
-      if (node.state.outcomeOf(entry.operationId)) {
+      if (node.replica.outcomeOf(entry.operationId)) {
         acknowledged.emplace(entry.operationId, node.lastApplied);
         return;
       }
@@ -264,15 +264,15 @@
     const auto [known, added] = committed.emplace(entry.index, contentOf(entry));
     if (!added && known->second != contentOf(entry))
       reportViolation("two writes at index " + std::to_string(entry.index));
-    node.state.apply(entry);
+    node.replica.apply(entry);
     if (entry.index % kCompactEvery == 0)
-      node.raft->compact(entry.index, node.state.snapshot(), now);
+      node.raft->compact(entry.index, node.replica.snapshot(), now);
   }
   void carryOut(Node& node, const RestoreSnapshot& action) {
     if (action.index < node.lastApplied)
       reportViolation("the applied index went back at " + node.ip);
     node.lastApplied = action.index;
-    if (!node.state.restore(action.state))
+    if (!node.replica.restore(action.state))
       reportViolation("snapshot unreadable");
   }
   static std::string contentOf(const LogEntry& entry) {
