--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -472,31 +472,34 @@
   EXPECT_EQ(self.node.entryAt(5)->operationId, "5");
   EXPECT_EQ(self.node.commitIndex(), 3);
 }
+namespace {
+// Every second seed all others crash too.
+void playTwoDisksLost(int size, std::uint64_t seed) {
+  SimulatedCluster cluster(seed);
+  const auto machines = startMany(cluster, size);
+  writeAtAnyOf(cluster, machines, 10);
+  const auto firstWiped = cluster.draw(machines.size());
+  const auto secondWiped = (firstWiped + 1 + cluster.draw(machines.size() - 1)) % machines.size();
+  for (std::size_t i = 0; i < machines.size(); ++i) {
+    if (i == firstWiped || i == secondWiped)
+      crashAndWipe(cluster, machines[i]);
+    else if (seed % 2 == 0)
+      cluster.crash(machines[i]);
+  }
+  cluster.runFor(900ms);
+  restartAllThatAreDown(cluster, machines);
+  cluster.runFor(4000ms);
+  ASSERT_FALSE(cluster.leader().empty()) << size << " machines, seed " << seed;
+  expectSoundAfterTrouble(cluster);
+}
+}  // namespace
 // Found on six machines of which two may be lost: only the three founders were members.
 TEST(Consensus, TwoOfSixOrEightDisksLostWhileAllOthersCrash) {
   for (const int size : {6, 8})
-    for (std::uint64_t seed = 400; seed < 430; ++seed) {
-      SimulatedCluster cluster(seed);
-      const auto machines = startMany(cluster, size);
-      writeAtAnyOf(cluster, machines, 10);
-      const auto firstWiped = cluster.draw(machines.size());
-      const auto secondWiped = (firstWiped + 1 + cluster.draw(machines.size() - 1)) % machines.size();
-      for (std::size_t i = 0; i < machines.size(); ++i) {
-        if (i == firstWiped || i == secondWiped)
-          crashAndWipe(cluster, machines[i]);
-        else if (seed % 2 == 0)
-          cluster.crash(machines[i]);
-      }
-      cluster.runFor(900ms);
-      restartAllThatAreDown(cluster, machines);
-      cluster.runFor(4000ms);
-      ASSERT_FALSE(cluster.leader().empty()) << size << " machines, seed " << seed;
-      expectSoundAfterTrouble(cluster);
-      if (HasFailure())
-        return;
-    }
+    for (std::uint64_t seed = 400; seed < 430 && !HasFailure(); ++seed)
+      playTwoDisksLost(size, seed);
 }
-// The majority must be able to go on, whichever machines were there first.
+// The majority must be able to continue, whichever machines were there first.
 TEST(Consensus, APartitionLeavesALeaderInTheMajority) {
   for (std::uint64_t seed = 500; seed < 540; ++seed) {
     SimulatedCluster cluster(seed);
@@ -549,26 +552,30 @@
   EXPECT_EQ(cluster.leader(), leader);
   EXPECT_EQ(cluster.nodes[leader].raft->term(), term);
 }
+namespace {
+// Returns whether there is a leader 300 ms after all processes have started again.
+bool leadsSoonAfterRestartOfAll(std::uint64_t seed) {
+  SimulatedCluster cluster(seed);
+  const auto machines = seed % 2 ? startMany(cluster, 8) : kSeeds;
+  if (seed % 2 == 0)
+    startFounders(cluster);
+  writeAtAnyOf(cluster, machines, 5);
+  for (const auto& ip : machines)
+    cluster.crash(ip);
+  cluster.runFor(500ms);
+  for (const auto& ip : machines)
+    cluster.start(ip, kSeeds, false);
+  cluster.runFor(300ms);
+  const bool leads = !cluster.leader().empty();
+  expectSoundAfterTrouble(cluster);
+  return leads;
+}
+}  // namespace
 // The old leader's lease ended with its process, and it may say so: nobody waits the lease out for it.
 TEST(Consensus, ARestartOfAllTakesLessThanALease) {
   int inTime = 0;
-  for (std::uint64_t seed = 600; seed < 640; ++seed) {
-    SimulatedCluster cluster(seed);
-    const auto machines = seed % 2 ? startMany(cluster, 8) : kSeeds;
-    if (seed % 2 == 0)
-      startFounders(cluster);
-    writeAtAnyOf(cluster, machines, 5);
-    for (const auto& ip : machines)
-      cluster.crash(ip);
-    cluster.runFor(500ms);
-    for (const auto& ip : machines)
-      cluster.start(ip, kSeeds, false);
-    cluster.runFor(300ms);
-    inTime += !cluster.leader().empty();
-    expectSoundAfterTrouble(cluster);
-    if (HasFailure())
-      return;
-  }
+  for (std::uint64_t seed = 600; seed < 640 && !HasFailure(); ++seed)
+    inTime += leadsSoonAfterRestartOfAll(seed);
   EXPECT_GE(inTime, 36) << "of 40";
 }
 TEST(Consensus, LeadershipTransferTakesEffectAtOnce) {
@@ -590,29 +597,31 @@
   EXPECT_FALSE(cluster.leader().empty());
   EXPECT_NE(cluster.leader(), first);
 }
+namespace {
+void playFullDisk(std::uint64_t seed) {
+  SimulatedCluster cluster(seed);
+  startFounders(cluster);
+  const auto leader = cluster.leader();
+  const auto full = leader == kSeeds[0] ? kSeeds[1] : kSeeds[0];
+  cluster.nodes[full].diskFull = true;
+  for (int i = 0; i < 200; ++i) {
+    cluster.write(leader);
+    cluster.runFor(65ms);
+  }
+  cluster.nodes[full].diskFull = false;
+  cluster.runFor(500ms);
+  EXPECT_FALSE(cluster.nodes[full].raft->diskStalled()) << "seed " << seed;
+  cluster.crash(leader);
+  cluster.runFor(2500ms);
+  ASSERT_FALSE(cluster.leader().empty()) << "seed " << seed;
+  expectSoundAfterTrouble(cluster);
+}
+}  // namespace
 // Found under load: while a disk was full its records piled up; each was then retried by itself and out of order, and
 // for up to half a minute after it had room again the member could neither vote nor lead.
 TEST(Consensus, AMemberWhoseDiskWasFullServesAgainAtOnce) {
-  for (std::uint64_t seed = 700; seed < 720; ++seed) {
-    SimulatedCluster cluster(seed);
-    startFounders(cluster);
-    const auto leader = cluster.leader();
-    const auto full = leader == kSeeds[0] ? kSeeds[1] : kSeeds[0];
-    cluster.nodes[full].diskFull = true;
-    for (int i = 0; i < 200; ++i) {
-      cluster.write(leader);
-      cluster.runFor(65ms);
-    }
-    cluster.nodes[full].diskFull = false;
-    cluster.runFor(500ms);
-    EXPECT_FALSE(cluster.nodes[full].raft->diskStalled()) << "seed " << seed;
-    cluster.crash(leader);
-    cluster.runFor(2500ms);
-    ASSERT_FALSE(cluster.leader().empty()) << "seed " << seed;
-    expectSoundAfterTrouble(cluster);
-    if (HasFailure())
-      return;
-  }
+  for (std::uint64_t seed = 700; seed < 720 && !HasFailure(); ++seed)
+    playFullDisk(seed);
 }
 TEST(Consensus, ASnapshotThatCannotBeRestoredIsNotInstalled) {
   const TimePoint now{100s};
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -152,46 +152,61 @@
     EXPECT_TRUE(commitsAWrite(cluster));
   }
 }
+namespace {
+struct ToleranceRow {
+  std::size_t machines, tolerated;
+};
+// The machines lost together with `first` and `second`, as many as are tolerated.
+std::vector<std::size_t> lostTogether(const ToleranceRow& row, std::size_t first, std::size_t second) {
+  std::vector<std::size_t> lost{first};
+  if (row.tolerated > 1 && second < row.machines)
+    lost.push_back(second);
+  if (row.tolerated > 2) {
+    const auto third = (second + 1) % row.machines;
+    lost.push_back(third == first ? (second + 2) % row.machines : third);
+  }
+  return lost;
+}
+void playLossAtRest(const ToleranceRow& row, std::size_t first, std::size_t second) {
+  SimulatedCluster cluster(2000 + first * 16 + second);
+  const auto ips = startMachines(cluster, row.machines);
+  for (const auto lost : lostTogether(row, first, second))
+    loseMachine(cluster, ips[lost]);
+  cluster.runFor(3000ms);
+  ASSERT_TRUE(commitsAWrite(cluster)) << row.machines << " machines without " << first << " and " << second;
+}
+}  // namespace
 // At rest any machines, as many as are tolerated, may be lost at once: the rest continues.
 TEST(Membership, AnyToleratedLossAtRestIsSurvived) {
-  struct Row {
-    std::size_t machines, tolerated;
-  };
-  for (const auto& [machines, tolerated] : {Row{3, 1}, Row{5, 2}, Row{6, 2}, Row{8, 2}, Row{8, 3}})
-    for (std::size_t first = 0; first < machines; ++first)
-      for (std::size_t second = first + 1; second < std::max(machines, first + 2); ++second) {
-        if (tolerated == 1 && second > first + 1)
-          break;
-        SimulatedCluster cluster(2000 + first * 16 + second);
-        const auto ips = startMachines(cluster, machines);
-        loseMachine(cluster, ips[first]);
-        if (tolerated > 1 && second < machines)
-          loseMachine(cluster, ips[second]);
-        if (tolerated > 2)
-          loseMachine(cluster,
-                      ips[(second + 1) % machines == first ? (second + 2) % machines : (second + 1) % machines]);
-        cluster.runFor(3000ms);
-        ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines without " << first << " and " << second;
-      }
+  for (const auto& row : {ToleranceRow{3, 1}, {5, 2}, {6, 2}, {8, 2}, {8, 3}})
+    for (std::size_t first = 0; first < row.machines; ++first) {
+      const auto end = row.tolerated == 1 ? first + 2 : std::max(row.machines, first + 2);
+      for (auto second = first + 1; second < end; ++second)
+        ASSERT_NO_FATAL_FAILURE(playLossAtRest(row, first, second));
+    }
+}
+namespace {
+void playLossesInSequence(std::size_t machines, std::size_t losses, std::uint64_t seed) {
+  SimulatedCluster cluster(seed);
+  auto ips = startMachines(cluster, machines);
+  for (std::size_t lost = 0; lost < losses; ++lost) {
+    const auto victim = cluster.draw(ips.size());
+    loseMachine(cluster, ips[victim]);
+    ips.erase(ips.begin() + static_cast<std::ptrdiff_t>(victim));
+    cluster.runFor(kSettleTime);
+    ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, after " << lost + 1 << " losses";
+  }
 }
+}  // namespace
 // Once the rest has had time to change the voters, the next loss is tolerated again.
 TEST(Membership, LossesInSequenceAreSurvived) {
   struct Row {
     std::size_t machines, losses;
   };
-  // From three machines one may go; from more, all but two, as long as each gives the rest time.
+  // From three machines one may be lost; from more, all but two, as long as each loss gives the rest time.
   for (const auto& [machines, losses] : {Row{3, 1}, Row{5, 3}, Row{6, 4}, Row{8, 6}})
-    for (std::uint64_t seed = 0; seed < 6; ++seed) {
-      SimulatedCluster cluster(2500 + seed);
-      auto ips = startMachines(cluster, machines);
-      for (std::size_t lost = 0; lost < losses; ++lost) {
-        const auto victim = cluster.draw(ips.size());
-        loseMachine(cluster, ips[victim]);
-        ips.erase(ips.begin() + static_cast<std::ptrdiff_t>(victim));
-        cluster.runFor(kSettleTime);
-        ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, after " << lost + 1 << " losses";
-      }
-    }
+    for (std::uint64_t seed = 2500; seed < 2506; ++seed)
+      ASSERT_NO_FATAL_FAILURE(playLossesInSequence(machines, losses, seed));
 }
 // Found under load: the newcomer became a fourth voter, the one that had exited was never removed, and one more loss
 // left no majority, in 60 of 60 seeds.
@@ -212,30 +227,34 @@
     ASSERT_TRUE(commitsAWrite(cluster));
   }
 }
+namespace {
+void playReplacements(std::size_t machines, std::uint64_t seed) {
+  SimulatedCluster cluster(4000 + seed);
+  auto ips = startMachines(cluster, machines);
+  for (int round = 0; round < 3; ++round) {
+    const auto which = cluster.draw(ips.size());
+    const auto newcomer = "10.9.0." + std::to_string(10 + round);
+    replaceMachine(cluster, ips[which], newcomer);
+    ips[which] = newcomer;
+    ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, round " << round;
+  }
+  const auto victim = ips[cluster.draw(ips.size())];
+  if (seed % 2) {
+    cluster.isolate(victim);
+  } else {
+    cluster.crash(victim);
+    cluster.nodes[victim].disk.clear();
+    cluster.schedule(900ms, [&cluster, victim] { cluster.start(victim, kSeeds, false); });
+  }
+  cluster.runFor(4000ms);
+  ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, at the end";
+  EXPECT_EQ(votersAt(cluster) % 2, 1U);
+}
+}  // namespace
 TEST(Membership, ReplacementsInSequenceThenAWipeOrAPartition) {
   for (const std::size_t machines : {3U, 5U, 6U, 8U})
-    for (std::uint64_t seed = 0; seed < 12; ++seed) {
-      SimulatedCluster cluster(4000 + seed);
-      auto ips = startMachines(cluster, machines);
-      for (int round = 0; round < 3; ++round) {
-        const auto which = cluster.draw(ips.size());
-        const auto newcomer = "10.9.0." + std::to_string(10 + round);
-        replaceMachine(cluster, ips[which], newcomer);
-        ips[which] = newcomer;
-        ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, round " << round;
-      }
-      const auto victim = ips[cluster.draw(ips.size())];
-      if (seed % 2) {
-        cluster.isolate(victim);
-      } else {
-        cluster.crash(victim);
-        cluster.nodes[victim].disk.clear();
-        cluster.schedule(900ms, [&cluster, victim] { cluster.start(victim, kSeeds, false); });
-      }
-      cluster.runFor(4000ms);
-      ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, at the end";
-      EXPECT_EQ(votersAt(cluster) % 2, 1U);
-    }
+    for (std::uint64_t seed = 0; seed < 12; ++seed)
+      ASSERT_NO_FATAL_FAILURE(playReplacements(machines, seed));
 }
 // A crash at any moment of leaving is as safe as the leave.
 TEST(Membership, ACrashWhileLeaving) {
@@ -260,20 +279,34 @@
     ASSERT_TRUE(commitsAWrite(cluster));
   }
 }
+namespace {
+void restartGracefully(SimulatedCluster& cluster, const std::string& ip) {
+  const auto begun = cluster.now;
+  cluster.leave(ip);
+  while (cluster.nodes[ip].up && cluster.now - begun < 7s)
+    cluster.runFor(50ms);
+  EXPECT_LT(cluster.now - begun, 2s) << "a member that restarts may exit soon";
+  cluster.runFor(300ms);
+  cluster.start(ip, kSeeds, false);
+  cluster.runFor(3000ms);
+}
+bool diskHolds(const SimulatedCluster::Node& node, const std::string& operationId) {
+  for (const auto& bytes : node.disk) {
+    const auto record = decodeRecord(bytes);
+    EXPECT_TRUE(record);
+    for (const auto& entry : record.value_or(DiskRecord{}).entries)
+      if (entry.operationId == operationId)
+        return true;
+  }
+  return false;
+}
+}  // namespace
 // Each member in turn shuts down gracefully and restarts on its disk, as a voter or a learner again.
 TEST(Membership, ARollingRestartLosesNothing) {
   for (const std::size_t machines : {3U, 4U, 6U}) {
     SimulatedCluster cluster(6000 + machines);
-    const auto ips = startMachines(cluster, machines);
-    for (const auto& ip : ips) {
-      const auto begun = cluster.now;
-      cluster.leave(ip);
-      while (cluster.nodes[ip].up && cluster.now - begun < 7s)
-        cluster.runFor(50ms);
-      EXPECT_LT(cluster.now - begun, 2s) << "a member that restarts may exit soon";
-      cluster.runFor(300ms);
-      cluster.start(ip, kSeeds, false);
-      cluster.runFor(3000ms);
+    for (const auto& ip : startMachines(cluster, machines)) {
+      restartGracefully(cluster, ip);
       ASSERT_TRUE(commitsAWrite(cluster));
     }
     EXPECT_EQ(votersAt(cluster), machines % 2 ? machines : machines - 1);
@@ -286,7 +319,7 @@
     startMachines(cluster, 3);
     const auto leader = cluster.leader();
     const auto others = seedsWithout(leader);
-    cluster.nodes[others[0]].syncTime = Duration(1500);  // the slow disk lags
+    cluster.nodes[others[0]].syncTime = 1500ms;
     cluster.write(leader);
     cluster.runFor(100ms);
     cluster.leave(others[1]);
@@ -297,14 +330,7 @@
     cluster.nodes.erase(others[1]);
     cluster.crash(leader);
     const auto& survivor = cluster.nodes[others[0]];
-    bool found = false;
-    for (const auto& bytes : survivor.disk) {
-      const auto record = decodeRecord(bytes);
-      ASSERT_TRUE(record);
-      for (const auto& entry : record->entries)
-        found = found || entry.operationId == cluster.acknowledged.begin()->first;
-    }
-    EXPECT_TRUE(found) << "seed " << seed;
+    EXPECT_TRUE(diskHolds(survivor, cluster.acknowledged.begin()->first)) << "seed " << seed;
   }
 }
 // Of three members two shut down at the same moment: one exits at once, the other one stays as long as it can.
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -128,72 +128,97 @@
 std::string playTrace(const World& start, const std::vector<std::string>& trace) {
   return replay(start, trace);
 }
-SearchResult search(const World& start, const SearchLimits& limits) {
-  SearchResult result;
-  std::vector<Visited> visited(1);
-  std::unordered_set<std::uint64_t> seen{start.hash()};
-  std::deque<FrontierState> frontier;
-  frontier.push_back({0, start});
-  rememberLeaders(frontier.front().world);
-  bool cutShort = false;
-  while (!frontier.empty()) {
-    const auto current = std::move(frontier.front());
-    frontier.pop_front();
+namespace {
+/// One breadth-first search.
+class Search {
+ public:
+  Search(const World& start, const SearchLimits& limits) : start_(start), limits_(limits), seen_{start.hash()} {
+    frontier_.push_back({0, start});
+    rememberLeaders(frontier_.front().world);
+  }
+  SearchResult run() {
+    while (!frontier_.empty() && !finished_) {
+      const auto current = std::move(frontier_.front());
+      frontier_.pop_front();
+      expand(current);
+    }
+    result_.distinct = visited_.size();
+    result_.exhausted = !finished_;
+    return std::move(result_);
+  }
+
+ private:
+  void expand(const FrontierState& current) {
     for (const auto& action : current.world.possibleActions()) {
-      if (visited.size() >= limits.states) {
-        cutShort = true;
-        break;
-      }
+      finished_ = finished_ || visited_.size() >= limits_.states;
+      if (finished_)
+        return;
       auto next = current.world;
       next.apply(action);
-      ++result.transitions;
-      const auto violated = brokenInvariant(next);
-      rememberLeaders(next);
-      if (violated.empty() && !seen.insert(next.hash()).second)
-        continue;
-      visited.push_back({current.index, action, visited[current.index].depth + 1});
-      result.depth = visited.back().depth;
-      result.violation = violated;
-      const bool look = limits.recoveryCheckEvery > 0 && visited.size() % limits.recoveryCheckEvery == 0;
-      if (violated.empty() && look)
-        result.violation = brokenAfterRecovery(next);
-      if (!result.violation.empty()) {
-        result.distinct = visited.size();
-        result.trace = describeActions(start, pathTo(visited, visited.size() - 1));
-        return result;
-      }
-      if (!beyondTerms(next))
-        frontier.push_back({visited.size() - 1, std::move(next)});
+      ++result_.transitions;
+      visit(current.index, action, std::move(next));
+    }
+  }
+  void visit(std::size_t parent, const Action& action, World next) {
+    const auto violated = brokenInvariant(next);
+    rememberLeaders(next);
+    if (violated.empty() && !seen_.insert(next.hash()).second)
+      return;
+    visited_.push_back({parent, action, visited_[parent].depth + 1});
+    result_.depth = visited_.back().depth;
+    result_.violation = violated;
+    const bool checkRecovery = limits_.recoveryCheckEvery > 0 && visited_.size() % limits_.recoveryCheckEvery == 0;
+    if (violated.empty() && checkRecovery)
+      result_.violation = brokenAfterRecovery(next);
+    if (!result_.violation.empty()) {
+      result_.trace = describeActions(start_, pathTo(visited_, visited_.size() - 1));
+      finished_ = true;
+    } else if (!beyondTerms(next)) {
+      frontier_.push_back({visited_.size() - 1, std::move(next)});
     }
-    if (cutShort)
+  }
+
+  const World& start_;
+  const SearchLimits& limits_;
+  SearchResult result_;
+  std::vector<Visited> visited_{1};
+  std::unordered_set<std::uint64_t> seen_;
+  std::deque<FrontierState> frontier_;
+  bool finished_ = false;  // by a violation or by the limit
+};
+// One walk; adds to the result.
+std::vector<Action> takeWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
+                             std::unordered_set<std::uint64_t>& seen) {
+  std::mt19937_64 random(seed);
+  std::vector<Action> path;
+  while (path.size() < limits.steps && result.violation.empty() && !beyondTerms(world)) {
+    const auto actions = world.possibleActions();
+    if (actions.empty())
       break;
+    path.push_back(drawAction(actions, random));
+    world.apply(path.back());
+    ++result.transitions;
+    result.violation = brokenInvariant(world);
+    rememberLeaders(world);
+    seen.insert(world.hash());
   }
-  result.distinct = visited.size();
-  result.exhausted = !cutShort;
-  return result;
+  result.depth = std::max(result.depth, path.size());
+  if (result.violation.empty())
+    result.violation = brokenAfterRecovery(world);
+  return path;
+}
+}  // namespace
+
+SearchResult search(const World& start, const SearchLimits& limits) {
+  return Search(start, limits).run();
 }
 SearchResult walk(const World& start, const WalkLimits& limits) {
   SearchResult result;
   std::unordered_set<std::uint64_t> seen;
   for (std::size_t walkIndex = 0; walkIndex < limits.walks; ++walkIndex) {
-    std::mt19937_64 random(limits.seed + walkIndex);
     auto world = start;
     rememberLeaders(world);
-    std::vector<Action> path;
-    while (path.size() < limits.steps && result.violation.empty() && !beyondTerms(world)) {
-      const auto actions = world.possibleActions();
-      if (actions.empty())
-        break;
-      path.push_back(drawAction(actions, random));
-      world.apply(path.back());
-      ++result.transitions;
-      result.violation = brokenInvariant(world);
-      rememberLeaders(world);
-      seen.insert(world.hash());
-    }
-    result.depth = std::max(result.depth, path.size());
-    if (result.violation.empty())
-      result.violation = brokenAfterRecovery(world);
+    const auto path = takeWalk(world, limits, limits.seed + walkIndex, result, seen);
     if (!result.violation.empty()) {
       result.trace = shortened(start, describeActions(start, path), result.violation);
       break;
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -32,10 +32,10 @@
   return node;
 }
 std::string nameOf(const ConsensusMessage& message) {
-  constexpr std::array<const char*, std::variant_size_v<ConsensusMessage>> names = {
+  constexpr std::array<const char*, std::variant_size_v<ConsensusMessage>> kNames = {
       "VoteRequest",        "VoteResponse", "AppendEntries", "AppendEntriesResponse", "InstallSnapshot",
       "TransferLeadership", "JoinRequest",  "LeaveRequest",  "LeaveResponse",         "EntryBody"};
-  return names[message.index()];
+  return kNames[message.index()];
 }
 std::string detailOf(const ConsensusMessage& message) {
   if (const auto* request = std::get_if<VoteRequest>(&message))
@@ -376,13 +376,6 @@
   switch (action.kind) {
     case ActionKind::deliver:
       return deliver(index, false);
-    case ActionKind::lose:
-      --budgets.losses;
-      inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(index));
-      return;
-    case ActionKind::duplicate:
-      --budgets.duplicates;
-      return deliver(index, true);
     case ActionKind::sync:
       return sync(index);
     case ActionKind::tick:
@@ -395,72 +388,96 @@
       write();
       --budgets.writes;
       return;
+    case ActionKind::compact:
+      --budgets.compactions;
+      return feed(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
+    case ActionKind::lose:
+    case ActionKind::duplicate:
+    case ActionKind::cutIncoming:
+    case ActionKind::cutOutgoing:
+    case ActionKind::cutBoth:
+    case ActionKind::heal:
+      return applyToNetwork(action);
+    default:
+      return applyToProcess(action);
+  }
+}
+void World::applyToNetwork(const Action& action) {
+  switch (action.kind) {
+    case ActionKind::lose:
+      --budgets.losses;
+      inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(action.index));
+      return;
+    case ActionKind::duplicate:
+      --budgets.duplicates;
+      return deliver(action.index, true);
+    case ActionKind::heal:
+      cut.clear();
+      cutMachine = kMachines;
+      return;
+    default:
+      --budgets.cuts;
+      const bool incoming = action.kind != ActionKind::cutOutgoing;
+      const bool outgoing = action.kind != ActionKind::cutIncoming;
+      return cutOff(action.index, incoming, outgoing);
+  }
+}
+void World::applyToProcess(const Action& action) {
+  const auto machine = action.index;
+  switch (action.kind) {
     case ActionKind::crash:
       --budgets.crashes;
-      return stop(index);
+      return stop(machine);
     case ActionKind::wipe:
       --budgets.wipes;
-      stop(index);
-      return loseDisk(index);
+      stop(machine);
+      return loseDisk(machine);
     case ActionKind::startSpare:
       --budgets.spares;
-      return start(index);
+      return start(machine);
     case ActionKind::restart:
-      return start(index);
+      return start(machine);
     case ActionKind::leave:
       --budgets.leaves;
-      change(index).leaving = true;
-      return feed(index, [&](RaftNode& node) { node.leave(now); });
-    case ActionKind::exitAllowed:
-    case ActionKind::killLeaving:
-      stop(index);
-      loseDisk(index);
-      change(index).exited = true;
-      return;
-    case ActionKind::cutIncoming:
-    case ActionKind::cutOutgoing:
-    case ActionKind::cutBoth:
-      --budgets.cuts;
-      return cutOff(index, action.kind != ActionKind::cutOutgoing, action.kind != ActionKind::cutIncoming);
-    case ActionKind::heal:
-      cut.clear();
-      cutMachine = kMachines;
-      return;
+      change(machine).leaving = true;
+      return feed(machine, [&](RaftNode& node) { node.leave(now); });
     case ActionKind::freeze:
       --budgets.freezes;
-      change(index).frozen = true;
+      change(machine).frozen = true;
       return;
     case ActionKind::thaw:
-      change(index).frozen = false;
+      change(machine).frozen = false;
+      return;
+    default:  // exitAllowed and killLeaving
+      stop(machine);
+      loseDisk(machine);
+      change(machine).exited = true;
       return;
-    case ActionKind::compact:
-      --budgets.compactions;
-      return feed(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
   }
 }
 std::string World::describe(const Action& action) const {
-  constexpr std::array<const char*, 21> names = {"deliver",
-                                                 "lose",
-                                                 "deliver and keep",
-                                                 "sync",
-                                                 "tick",
-                                                 "advance the time",
-                                                 "write",
-                                                 "crash",
-                                                 "restart",
-                                                 "lose the disk of",
-                                                 "start the spare",
-                                                 "leave",
-                                                 "leaves for good",
-                                                 "killed while leaving",
-                                                 "cut off what comes to",
-                                                 "cut off what goes from",
-                                                 "cut off",
-                                                 "heal",
-                                                 "freeze",
-                                                 "thaw",
-                                                 "compact the log of"};
-  std::string text = names[static_cast<std::size_t>(action.kind)];
+  constexpr std::array<const char*, 21> kNames = {"deliver",
+                                                  "lose",
+                                                  "deliver and keep",
+                                                  "sync",
+                                                  "tick",
+                                                  "advance the time",
+                                                  "write",
+                                                  "crash",
+                                                  "restart",
+                                                  "lose the disk of",
+                                                  "start the spare",
+                                                  "leave",
+                                                  "leaves for good",
+                                                  "killed while leaving",
+                                                  "cut off what comes to",
+                                                  "cut off what goes from",
+                                                  "cut off",
+                                                  "heal",
+                                                  "freeze",
+                                                  "thaw",
+                                                  "compact the log of"};
+  std::string text = kNames[static_cast<std::size_t>(action.kind)];
   const bool ofMessage = action.kind <= ActionKind::duplicate;
   if (ofMessage) {
     const auto& message = *inFlight[action.index];
--- a/tests/model_world.hpp
+++ b/tests/model_world.hpp
@@ -134,6 +134,8 @@
   void recordVote(std::size_t machine, const SendMessage& action);
   void recordCommitted(std::size_t machine, const LogEntry& entry);
   void recordExit(std::size_t machine);
+  void applyToNetwork(const Action& action);
+  void applyToProcess(const Action& action);
   void deliver(std::size_t index, bool keep);
   void sync(std::size_t machine);
   void start(std::size_t machine);
