--- a/libs/agent/src/agent.cpp
+++ b/libs/agent/src/agent.cpp
@@ -126,7 +126,7 @@
   void follow(const transport::PeerLinkPtr& link, bool refetch) {
     transport::FollowLog message;
     // A copy that a difference did not fit asks for all of it.
-    message.lastApplied = copy_.damaged() ? 0 : queue_.applied();
+    message.lastApplied = copy_.corrupted() ? 0 : queue_.applied();
     message.cachedDigest = copy_.state().digest;
     message.refetch = refetch;
     link->send(transport::pack(message, self_));
@@ -135,7 +135,7 @@
   }
   void refetch(bool now) {
     // A gap is mended before anything later is applied; the leader keeps what was missed.
-    const bool behind = queue_.gap() || queue_.applied() < newest_ || copy_.damaged();
+    const bool behind = queue_.gap() || queue_.applied() < newest_ || copy_.corrupted();
     if (!now && !behind)
       return;
     if (Clock::now() - lastFollow_ < kRefetch)
@@ -198,11 +198,11 @@
   }
   void onSnapshot(const transport::PeerLinkPtr& link, const transport::FeedSnapshot& feed) {
     // Never back in number.
-    if (feed.number < queue_.applied() || (feed.number == queue_.applied() && !copy_.damaged()))
+    if (feed.number < queue_.applied() || (feed.number == queue_.applied() && !copy_.corrupted()))
       return;
     if (auto restored = copy_.restore(feed.state); !restored) {
       log::error("snapshot declined: " + restored.error().message);
-      copy_.damage();
+      copy_.markCorrupted();
       return refetch(true);
     }
     queue_.restart(feed.number);
@@ -230,7 +230,7 @@
   void drain() {
     std::vector<transport::LogEntry> fresh;
     while (auto e = queue_.next()) {
-      if (copy_.apply(*e).damaged)
+      if (copy_.apply(*e).corrupted)
         log::error("a difference did not fit: the whole is asked for"), refetch(true);
       tail_.push_back(*e);
       if (tail_.size() > kTail)
@@ -273,7 +273,7 @@
     proxy_ = link;
     proxyHolds_ = message.cachedDigest;
     if (message.refetch)  // it asks for all of it
-      return copy_.damaged() ? void() : sendSnapshot();
+      return copy_.corrupted() ? void() : sendSnapshot();
     transport::FeedEntries feed;
     for (auto& entry : tail_)
       if (entry.index > message.lastApplied)
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -34,7 +34,7 @@
     d.address = r.address;
     d.zone = r.zone;
     d.capacity = static_cast<int>(r.capacity);
-    d.draining = r.at() == state_machine::RunnerState::draining;
+    d.draining = r.runnerState() == state_machine::RunnerState::draining;
     d.present = true;
   }
   setZoneDrains(std::move(zoneDrains_));
--- a/libs/controller/src/calls.cpp
+++ b/libs/controller/src/calls.cpp
@@ -75,7 +75,7 @@
   if (heard.sequence < known->sequence)
     return false;
   return !sameRunner(heard, *known) ||
-         (heard.state != known->state && known->at() != state_machine::RunnerState::draining);
+         (heard.state != known->state && known->runnerState() != state_machine::RunnerState::draining);
 }
 // A join is acknowledged only once it is committed, like a draining beat. Why, though the next beat would find the
 // runner unknown and write it again: the acknowledgement names a `heartbeatUri`, so a runner whose joins get no further
@@ -111,7 +111,7 @@
   if (const auto* known = core.copy().runner(id))
     runner = *known;
   runner.id = id;
-  runner.state = static_cast<std::int32_t>(state_machine::RunnerState::gone);
+  runner.state = static_cast<std::int32_t>(state_machine::RunnerState::detached);
   runner.sequence = std::max<std::int64_t>(1, runner.sequence);
   if (auto verdict = core.write(state_machine::runnerEntry(runner, "runner/" + id + "/gone"), time.left()); !verdict)
     return errorResponse(503, verdict.error().message);
@@ -147,9 +147,9 @@
   const auto verdict = core.write(std::move(change), time.left());
   if (!verdict)
     return errorResponse(503, verdict.error().message);
-  if (*verdict == state_machine::ReplicatedState::kAcknowledged)
+  if (*verdict == state_machine::ReplicatedState::acknowledged)
     return taken;
-  if (*verdict == state_machine::ReplicatedState::kNoClearAnswer)
+  if (*verdict == state_machine::ReplicatedState::outcomeUnknown)
     return errorResponse(503, "too old to tell whether it was taken");
   return errorResponse(
       *verdict, *verdict == 412 ? "another configuration is in place" : "configVersion is not above the current one");
@@ -166,10 +166,10 @@
 }
 /// Whether a call goes further in closing a place than what stands.
 bool goesFurther(const config::ZoneDrainCall& call, const std::vector<state_machine::ZoneDrain>& standing) {
-  const auto was = std::find_if(standing.begin(), standing.end(), [&](auto& x) { return x.place == call.place; });
+  const auto was = std::find_if(standing.begin(), standing.end(), [&](auto& x) { return x.zone == call.place; });
   if (was == standing.end())
     return call.share > 0 || call.notAccepting;
-  return call.share > was->share || (call.notAccepting && !was->notAccepting);
+  return call.share > was->drainPercent || (call.notAccepting && !was->notAccepting);
 }
 bool isPlace(const config::Settings& settings, const std::string& place) {
   return std::any_of(settings.zones.begin(), settings.zones.end(),
--- a/libs/controller/src/core.cpp
+++ b/libs/controller/src/core.cpp
@@ -120,7 +120,7 @@
   const auto& settings = shared_.settings;
   const auto seeds = hostsOf(settings.seeds);
   const bool isSeed = std::find(seeds.begin(), seeds.end(), settings.ip) != seeds.end();
-  // Why not after a damaged disk: it may have voted as a founder and forgotten it.
+  // Why not after a corrupted disk: it may have voted as a founder and forgotten it.
   const bool founder = records.empty() && settings.initialAttach && isSeed && !disk.recovery.identityLost;
   consensus::MemberId self = settings.ip + (founder ? "#0" : "#" + std::to_string(boot_ | 1));
   if (!records.empty())
@@ -261,7 +261,7 @@
 void Core::carryOut(consensus::ApplyEntry& action) {
   const auto change = shared_.copy.apply(action.entry);
   // Why stop: what every member applied alike came out otherwise here. The disk's pages, replayed, set it right.
-  checkInvariant(!change.damaged, "a core copy that differs from the others");
+  checkInvariant(!change.corrupted, "a core copy that differs from the others");
   if (change.configuration)
     adoptConfiguration();
   writes_.applied(action.entry.operationId);
@@ -414,7 +414,7 @@
   const auto missed = runnerMonitor_.missed(now, shared_.raft->hasLease(now), shared_.copy.state().runners);
   for (auto& runner : missed) {
     auto gone = runner;
-    gone.state = static_cast<std::int32_t>(state_machine::RunnerState::gone);
+    gone.state = static_cast<std::int32_t>(state_machine::RunnerState::detached);
     gone.sequence = 0;  // missed, not left: it may beat again
     log::debug("runner " + runner.id + " missed");
     shared_.raft->submit(
--- a/libs/controller/src/core_report.cpp
+++ b/libs/controller/src/core_report.cpp
@@ -1,4 +1,5 @@
 // What a core machine tells operators, as JSON.
+#include "config/calls.hpp"
 #include "core.hpp"
 
 namespace zinccleat::controller {
@@ -37,11 +38,11 @@
   const auto now = Clock::now();
   std::vector<std::string> zoneDrains;
   for (auto& zoneDrain : shared_.copy.state().zoneDrains) {
-    const auto progress = desk_.progressOf(zoneDrain.place, now);
+    const auto progress = desk_.progressOf(zoneDrain.zone, now);
     zoneDrains.push_back(JsonFields()
-                             .text("place", zoneDrain.place)
+                             .text("place", zoneDrain.zone)
                              .text("note", zoneDrain.note)
-                             .number("share", zoneDrain.share)
+                             .number("share", zoneDrain.drainPercent)
                              .flag("doorsShut", zoneDrain.notAccepting)
                              .number("atItsRunners", static_cast<int>(progress.atItsRunners))
                              .number("atItsProxies", static_cast<int>(progress.atItsProxies))
@@ -65,7 +66,7 @@
             .text("id", runner.id)
             .text("service", runner.service)
             .text("address", runner.address)
-            .text("state", runner.at() == state_machine::RunnerState::inService ? "in_service" : "draining")
+            .text("state", runner.runnerState() == state_machine::RunnerState::inService ? "in_service" : "draining")
             .object());
   JsonFields fields;
   fields.text("node", shared_.settings.node).text("member", raft.self()).text("role", nameOf(raft.role()));
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -67,7 +67,7 @@
           transport::FollowLog message;
           message.lastApplied = updates_.applied();
           message.cachedDigest = state_.state().digest;
-          message.refetch = state_.damaged();
+          message.refetch = state_.corrupted();
           link->send(transport::pack(message));
           renewLease();
         });
@@ -179,7 +179,7 @@
   }
   void onSnapshot(const transport::FeedSnapshot& feed) {
     // Never back in number.
-    if (feed.number < updates_.applied() || (feed.number == updates_.applied() && !state_.damaged()))
+    if (feed.number < updates_.applied() || (feed.number == updates_.applied() && !state_.corrupted()))
       return;
     if (auto restored = state_.restore(feed.state); !restored)
       return requestSnapshot("snapshot declined: " + restored.error().message);
@@ -201,7 +201,7 @@
       all.runners |= change.runners;
       all.zoneDrains |= change.zoneDrains;
     }
-    if (state_.damaged())
+    if (state_.corrupted())
       return requestSnapshot("a difference did not fit");
     adopt(all);
     settleLease(Clock::now());
@@ -246,7 +246,7 @@
   // A copy that differs from what was numbered must not answer for it: nothing is served until all of it has come anew.
   void requestSnapshot(const std::string& why) {
     log::error(why + ": the whole is asked for");
-    state_.damage();
+    state_.markCorrupted();
     context_.leaseEnds = {};
     transport::FollowLog message;
     message.refetch = true;
@@ -254,7 +254,7 @@
   }
   void settleLease(TimePoint) {
     // Only once applied as far as the leader was when it answered.
-    if (pendingEnd_ == TimePoint{} || state_.damaged() || updates_.applied() < pendingIndex_)
+    if (pendingEnd_ == TimePoint{} || state_.corrupted() || updates_.applied() < pendingIndex_)
       return;
     if (context_.leaseEnds == TimePoint{})
       log::debug("first lease, at number " + std::to_string(updates_.applied()));
@@ -284,9 +284,9 @@
   void adoptZoneDrains() {
     std::map<std::string, balancing::RunnerPool::ZoneDrainLevel> zones;
     for (auto& c : state_.state().zoneDrains)
-      for (auto& z : zonesOf(c.place)) {
+      for (auto& z : zonesOf(c.zone)) {
         auto& x = zones[z];
-        x.share = std::max(x.share, static_cast<int>(c.share));
+        x.share = std::max(x.share, static_cast<int>(c.drainPercent));
         x.migrateStreams = x.migrateStreams || c.notAccepting;
       }
     const auto mine = zones.find(settings_.zone);
@@ -305,8 +305,8 @@
     }
     out.push_back({"", perS_, 0});
     for (auto& c : state_.state().zoneDrains) {
-      const auto zones = zonesOf(c.place);
-      out.push_back({c.place, static_cast<double>(context_.runners.inFlightIn(zones)),
+      const auto zones = zonesOf(c.zone);
+      out.push_back({c.zone, static_cast<double>(context_.runners.inFlightIn(zones)),
                      zones.contains(settings_.zone) ? context_.inFlight * 1.0 : 0.0});
     }
     return out;
--- a/libs/state_machine/include/state_machine/delta.hpp
+++ b/libs/state_machine/include/state_machine/delta.hpp
@@ -1,32 +1,56 @@
-// A configuration as its difference from another: runs of bytes that the base has, and the text between them. Cut where
-// the operator's text has its parts (members of the outer object, elements of its lists), so that a change to one route
-// or tenant travels as that one. The result is the taken text byte for byte. Pure. Offsets and lengths are bytes.
+/// @file
+/// A configuration text encoded as its difference from another one, the base: copied ranges of the base and literals
+/// between them (as in VCDIFF, RFC 3284, but cut at the parts of a JSON text instead of at any byte).
+///
+/// Cut points are the members of the outer object and the elements of its lists, so a change of one route or tenant
+/// travels as that one element. Applying a delta gives back the encoded text byte for byte; its digest is checked.
+///
+/// Pure functions without state. All offsets and lengths are bytes.
 #pragma once
 #include "runtime/common.hpp"
+
 namespace zinccleat::state_machine {
-struct DeltaRun {
-  std::int64_t from = 0, length = 0;  // of the base
-  std::string text;                   // after it
+/// A range copied from the base, followed by a literal. Either may be empty.
+struct DeltaSegment {
+  std::int64_t copyOffset = 0;
+  std::int64_t copyLength = 0;
+  std::string literal;
+  /// Lists the fields in wire order; the names are those of the Avro schema.
   template <class V>
   void fields(V& v) {
-    v("from", from), v("length", length), v("text", text);
+    v("from", copyOffset), v("length", copyLength), v("text", literal);
   }
 };
+
+/// The decoded form of a delta.
 struct Delta {
-  std::string base;    // digest of the text that it builds on
-  std::string result;  // digest of what comes of it
-  std::vector<DeltaRun> runs;
+  std::string baseDigest;    ///< digest of the text that the delta applies to
+  std::string resultDigest;  ///< digest of the text that applying it gives
+  std::vector<DeltaSegment> segments;
+  /// Lists the fields in wire order; the names are those of the Avro schema.
   template <class V>
   void fields(V& v) {
-    v("base", base), v("result", result), v("runs", runs);
+    v("base", baseDigest), v("result", resultDigest), v("runs", segments);
   }
 };
-// Where a text may be cut: the ends of its parts, rising, the last one its length.
-std::vector<std::size_t> partsOf(std::string_view s);
-std::string deltaOf(std::string_view base, std::string_view baseDigest, std::string_view text, std::string_view digest);
-// Declined: no delta, another base, runs outside of it, or another result than its digest says.
+
+/// Splits a JSON text into the parts that a delta copies or replaces. Any other text is split somehow, never wrongly:
+/// the parts always join to the text.
+/// @return the end offset of each part, strictly rising except for an empty text; the last one is the text's length.
+std::vector<std::size_t> partEnds(std::string_view text);
+
+/// Encodes `text` as a delta on `base`.
+/// @param baseDigest `digestOf(base)`, which the caller has at hand.
+/// @param textDigest `digestOf(text)`, likewise.
+/// @return the encoded delta, which may be longer than the text itself.
+std::string computeDelta(std::string_view base, std::string_view baseDigest, std::string_view text,
+                         std::string_view textDigest);
+
+/// Rebuilds the text of an encoded delta.
+/// @return ErrorCode::corruption for bytes that are no delta, a delta on another base, a range outside the base, a
+///         result larger than 64 MiB, or a result that does not match the delta's own digest.
 Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta);
-// Declined as well: a result other than the one with the digest `expected`.
+/// The same; also ErrorCode::corruption if the delta announces another result than the text with `expectedDigest`.
 Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta,
-                               std::string_view expected);
+                               std::string_view expectedDigest);
 }  // namespace zinccleat::state_machine
--- /dev/null
+++ b/libs/state_machine/include/state_machine/log_entries.hpp
@@ -0,0 +1,28 @@
+/// @file
+/// Builds the log entries that `ReplicatedState::apply` understands. Pure functions; index and term are left for the
+/// leader to assign.
+///
+/// Every entry carries an operation id: an entry that is submitted again under the same id is applied once. The id of
+/// a configuration entry ends in `@VERSION`, so that the acknowledgement of a large entry stays small.
+#pragma once
+#include "state_machine/fleet_state.hpp"
+#include "transport/messages.hpp"
+
+namespace zinccleat::state_machine {
+/// A Replace of the configuration with its full text.
+/// @param base the version that must be current for the Replace to be accepted.
+transport::LogEntry configurationEntry(std::int64_t base, std::int64_t version, std::string body,
+                                       std::string operationId);
+/// The same as a delta on the configuration of `current`, where that is at most half as long as the full text; else
+/// with the full text.
+transport::LogEntry configurationChangeEntry(std::int64_t base, std::int64_t version, std::string body,
+                                             std::string operationId, const StateContents& current);
+/// Starts, changes or ends the drain of a zone.
+/// @param open true: the zone is back in use, its drain is removed.
+transport::LogEntry zoneDrainEntry(const ZoneDrain& zoneDrain, bool open, std::string operationId);
+/// A runner joins, drains or detaches. Detached with sequence 0: its heartbeats were missed, so it may join again.
+transport::LogEntry runnerEntry(const Runner& runner, std::string operationId);
+
+/// The version that a configuration entry sets; 0 if its operation id bears none.
+std::int64_t configurationVersion(const transport::LogEntry& entry);
+}  // namespace zinccleat::state_machine
--- a/libs/state_machine/include/state_machine/replicated_state.hpp
+++ b/libs/state_machine/include/state_machine/replicated_state.hpp
@@ -1,99 +1,91 @@
-// The fleet's state: what every numbered write changes, in order, and nothing else does. Every node holds a copy of it,
-// applies the same writes in the same order and so decides alike, without a word to the others.
+/// @file
+/// The replicated state machine of the fleet: the state that every committed log entry changes, in log order, and that
+/// nothing else changes. Each node has a replica; `apply` is deterministic, so replicas that applied the same entries
+/// are equal (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 3).
+///
+/// The parts: `fleet_state.hpp` (the data), `log_entries.hpp` (building entries), `snapshot_codec.hpp` (the stored
+/// form), `delta.hpp` (configurations as differences), `deduplication.hpp` (repeated and late requests).
+///
+/// Not thread-safe.
 #pragma once
-#include "config/calls.hpp"
-#include "state_machine/history.hpp"
-#include "transport/messages.hpp"
+#include "state_machine/fleet_state.hpp"
+#include "state_machine/log_entries.hpp"
+#include "state_machine/snapshot_codec.hpp"
+
 namespace zinccleat::state_machine {
-enum class RunnerState : std::int32_t { inService = 0, draining = 1, gone = 2 };
-struct Runner {
-  std::string id, service, address, zone;
-  std::int64_t capacity = 0, sequence = 0;
-  std::int32_t state = 0;
-  template <class V>
-  void fields(V& v) {
-    v("id", id), v("service", service), v("address", address), v("zone", zone), v("capacity", capacity);
-    v("sequence", sequence), v("state", state);
-  }
-  RunnerState at() const { return static_cast<RunnerState>(state); }
-};
-// A zone or region that is being closed for maintenance.
-struct ZoneDrain {
-  std::string place, note;
-  std::int32_t share = 0;     // percent of new work that keeps away from its runners
-  bool notAccepting = false;  // its proxies take no new clients; live sessions that may be resumed are carried over
-  template <class V>
-  void fields(V& v) {
-    v("place", place), v("note", note), v("share", share), v("notAccepting", notAccepting);
-  }
-};
-// What a copy holds.
-struct StateContents {
-  std::int64_t index = 0, term = 0;  // of the newest write applied
-  std::int64_t version = 0;          // of the configuration in place; 0: none yet
-  std::string configuration, digest;
-  std::vector<Runner> runners;
-  std::vector<ZoneDrain> zoneDrains;
-  AcceptedConfigurations taken;
-  OperationDeduplication operations;
-  DetachedRunners detachedRunners;
-};
 class ReplicatedState {
  public:
-  // What one write changed.
+  /// The outcome of a log entry. The values are those of the API's HTTP status codes; they are stored and sent as
+  /// integers, and compare with them.
+  enum Verdict : std::int32_t {
+    acceptable = 0,         ///< only of `evaluateReplace`: it would be accepted
+    acknowledged = 200,     ///< accepted, now or earlier
+    invalidVersion = 400,   ///< a version that is not above the current one
+    versionMismatch = 412,  ///< the base is not the current version
+    outcomeUnknown = 503,   ///< too old to tell whether it was accepted
+  };
+  /// What an entry changed.
   struct Change {
-    bool configuration = false, runners = false, zoneDrains = false;
-    // The copy is not what all others are: a difference did not fit it. It must be had anew, whole.
-    bool damaged = false;
+    bool configuration = false;
+    bool runners = false;
+    bool zoneDrains = false;
+    /// The entry's delta did not fit this replica's configuration: the replica is corrupted, see `corrupted`.
+    bool corrupted = false;
   };
-  // Applies the next write. Every copy decides alike: what it changes hangs on the contents, the operations and the
-  // ended runners alone. Only the verdict on a configuration may differ where a copy lacks the table of those taken.
-  Change apply(const transport::LogEntry& e);
+
+  /// Applies the next committed entry. An entry whose operation was applied before changes nothing but the index.
+  ///
+  /// What it changes depends only on the state's contents, the applied operations and the detached runners, which are
+  /// the same everywhere. Only the verdict on a configuration may differ, on a replica of the data plane, which lacks
+  /// the table of accepted ones.
+  Change apply(const transport::LogEntry& entry);
+
   const StateContents& state() const { return contents_; }
-  bool damaged() const { return contents_.version > 0 && contents_.digest.empty(); }
-  // What it holds is not to be trusted: it must be had anew, whole.
-  void damage() { contents_.digest.clear(); }
+  /// Whether the configuration's text is unknown here, so that the replica needs a full snapshot.
+  bool corrupted() const { return contents_.version > 0 && contents_.digest.empty(); }
+  /// Marks the replica as corrupted: it must get a full snapshot. Without effect before the first configuration.
+  void markCorrupted() { contents_.digest.clear(); }
 
-  // Everything, for a member of the core and for its disk.
+  /// A full snapshot, for a controller and for its disk.
   std::string snapshot() const;
-  // For an access node that says which configuration it holds: that one, or one taken not long ago, is not sent again.
-  // The table of taken configurations and the verdicts are left out: access nodes answer no operator.
+  /// A snapshot for a node of the data plane, without verdicts and older accepted versions.
+  /// @param cachedDigest of the configuration that the node has; empty: none. If it is the current one or one of the
+  ///        last few, the snapshot is partial.
   std::string snapshotFor(const std::string& cachedDigest) const;
-  // From either, and from the older format of `snapshot`; what a snapshot leaves out is taken from this copy. An empty
-  // one is the state before the first write. Declined: nothing has changed.
+  /// Replaces the state by a snapshot of either kind and format; empty bytes are the state before the first entry.
+  /// @return the error of `decodeSnapshot` or `resolveConfiguration`; nothing has changed then.
   Result<void> restore(std::string_view snapshot);
 
+  /// The verdict on an operation that was applied; none if it was not, or is forgotten.
   std::optional<std::int32_t> outcomeOf(const std::string& operationId) const;
-  // What a Replace with these would be told now: kAcknowledged for that very configuration if it was taken, now or
-  // earlier; kInvalid or kOtherVersion; kNoClearAnswer if it is too old to tell; kAcceptable: it would be taken.
-  std::int32_t evaluateReplace(std::int64_t base, std::int64_t version, const std::string& digest) const;
-  static constexpr std::int32_t kAcceptable = 0, kAcknowledged = 200, kInvalid = 400, kOtherVersion = 412,
-                                kNoClearAnswer = 503;
+  /// The verdict that a Replace of the configuration would get now; changes nothing.
+  Verdict evaluateReplace(std::int64_t base, std::int64_t version, const std::string& digest) const;
+  /// A runner in service or draining; null if there is none with this id.
   const Runner* runner(const std::string& id) const;
-  // Whether a runner has ended for good: its id does not come back.
+  /// Whether a runner is detached for good: its id is never reused.
   bool isDetached(const std::string& id) const;
 
  private:
-  std::int32_t applyConfiguration(const transport::LogEntry& e, Change& change);
-  void applyZoneDrain(const transport::LogEntry& e, Change& change);
-  void applyRunner(const transport::LogEntry& e, Change& change);
-  void removeRunner(const Runner& ended);
-  void joinRunner(Runner joining, Change& change);
-  void updateRunner(Runner& known, Runner update, Change& change);
-  void take(std::int64_t version, std::string digest, std::string body);
-  void rememberConfiguration();
+  /// A configuration that was current before.
+  struct EarlierConfiguration {
+    std::string digest;
+    std::string text;
+  };
+
+  Verdict applyOperation(const transport::LogEntry& entry, Change& change);
+  Verdict applyConfiguration(const transport::LogEntry& entry, Change& change);
+  void applyZoneDrain(const transport::LogEntry& entry, Change& change);
+  void applyRunner(const transport::LogEntry& entry, Change& change);
+  void detachRunner(const Runner& update);
+  void removeRunner(const Runner& removed);
+  void joinRunner(Runner joining);
+  bool updateRunner(Runner& known, Runner update);
+  std::vector<Runner>::iterator findRunner(const std::string& id);
+  void acceptConfiguration(std::int64_t version, std::string digest, std::string text);
+  void keepEarlierConfiguration();
+  const EarlierConfiguration* findEarlierConfiguration(const std::string& digest) const;
 
   StateContents contents_;
-  std::deque<std::pair<std::string, std::string>> earlier_;  // digest, text: in place before the current one
+  std::deque<EarlierConfiguration> earlierConfigurations_;  // oldest first
 };
-// A change of the configuration, as its difference from `on` where that is much shorter than the whole.
-transport::LogEntry configurationChangeEntry(std::int64_t base, std::int64_t version, std::string body,
-                                             std::string operationId, const StateContents& on);
-// A change of the configuration, whole.
-transport::LogEntry configurationEntry(std::int64_t base, std::int64_t version, std::string body,
-                                       std::string operationId);
-// open: the place is in use again, nothing is left of the closure.
-transport::LogEntry zoneDrainEntry(const ZoneDrain& c, bool open, std::string operationId);
-// A runner's news: it joins, drains, or is gone (sequence 0: only missed, it may beat again).
-transport::LogEntry runnerEntry(const Runner& r, std::string operationId);
 }  // namespace zinccleat::state_machine
--- a/libs/state_machine/src/delta.cpp
+++ b/libs/state_machine/src/delta.cpp
@@ -4,118 +4,182 @@
 
 namespace zinccleat::state_machine {
 namespace {
-constexpr std::size_t kMostText = 64U << 20;  // a result beyond this is no configuration
-}
-std::vector<std::size_t> partsOf(std::string_view s) {
-  std::vector<std::size_t> ends;
-  int depth = 0;
-  bool quoted = false;
-  for (std::size_t i = 0; i < s.size(); ++i) {
-    const char c = s[i];
-    if (quoted) {
-      if (c == '\\')
-        ++i;
-      else if (c == '"')
-        quoted = false;
-      continue;
-    }
-    if (c == '"')
-      quoted = true;
-    else if (c == '{' || c == '[') {
-      // An opened list ends a part, so that its first element is one of its own.
-      if (++depth <= 2)
-        ends.push_back(i + 1);
-    } else if (c == '}' || c == ']') {
-      if (depth-- <= 2 && i > 0)
-        ends.push_back(i);
-    } else if (c == ',' && depth <= 2) {
-      ends.push_back(i + 1);
-    }
+constexpr std::size_t kMaxResultBytes = 64U << 20;  // a larger result is no configuration
+constexpr int kMaxSplitDepth = 2;                   // the outer object and its lists
+
+/// A text cut into its parts, which can be looked up by content.
+class PartIndex {
+ public:
+  explicit PartIndex(std::string_view text) : text_(text), ends_(partEnds(text)) {
+    firstByHash_.reserve(ends_.size());
+    for (std::size_t i = 0; i < ends_.size(); ++i)
+      firstByHash_.try_emplace(hash64(part(i)), i);
   }
-  ends.push_back(s.size());
-  ends.erase(std::unique(ends.begin(), ends.end()), ends.end());
-  return ends;
-}
-std::string deltaOf(std::string_view base, std::string_view baseDigest, std::string_view text,
-                    std::string_view digest) {
-  std::unordered_map<std::uint64_t, std::size_t> at;  // a part's hash -> its index in the base
-  const auto ends = partsOf(base);
-  auto part = [&](std::size_t i) {
-    const auto from = i ? ends[i - 1] : 0;
-    return base.substr(from, ends[i] - from);
-  };
-  at.reserve(ends.size());
-  for (std::size_t i = 0; i < ends.size(); ++i)
-    at.try_emplace(hash64(part(i)), i);
-  Delta d;
-  d.base = baseDigest;
-  d.result = digest;
-  d.runs.emplace_back();
-  std::size_t from = 0;
-  std::size_t next = ends.size();  // next: the part after the run under way
-  for (const auto end : partsOf(text)) {
-    const auto p = text.substr(from, end - from);
-    from = end;
-    if (p.empty())
-      continue;
-    auto& run = d.runs.back();
-    // Why the neighbour first: equal parts (commas, brackets) stand in many places, a run goes on in one.
-    if (next < ends.size() && run.text.empty() && part(next) == p) {
-      run.length += static_cast<std::int64_t>(p.size());
-      ++next;
-      continue;
-    }
-    std::size_t i = next < ends.size() && part(next) == p ? next : ends.size();
-    if (i == ends.size())
-      if (const auto it = at.find(hash64(p)); it != at.end() && part(it->second) == p)
-        i = it->second;
-    if (i == ends.size()) {
-      run.text += p;
-      // What replaced a part stands in its place: the run may go on behind it.
-      if (next < ends.size())
-        ++next;
-      continue;
+  std::size_t size() const { return ends_.size(); }
+  std::size_t offset(std::size_t index) const { return index ? ends_[index - 1] : 0; }
+  std::string_view part(std::size_t index) const { return text_.substr(offset(index), ends_[index] - offset(index)); }
+  bool matches(std::size_t index, std::string_view content) const { return index < size() && part(index) == content; }
+  /// The first part with this content; `size()` if there is none.
+  std::size_t find(std::string_view content) const {
+    const auto found = firstByHash_.find(hash64(content));
+    return found != firstByHash_.end() && part(found->second) == content ? found->second : size();
+  }
+
+ private:
+  std::string_view text_;
+  std::vector<std::size_t> ends_;
+  std::unordered_map<std::uint64_t, std::size_t> firstByHash_;
+};
+
+/// Builds a delta's segments part by part.
+class SegmentBuilder {
+ public:
+  explicit SegmentBuilder(const PartIndex& base) : base_(base), expected_(base.size()) { segments_.emplace_back(); }
+
+  void append(std::string_view part) {
+    auto& last = segments_.back();
+    // The part after the last copied one comes first: equal parts (commas, brackets) occur in many positions, and only
+    // that one continues the range.
+    const bool continues = base_.matches(expected_, part);
+    if (continues && last.literal.empty()) {
+      last.copyLength += static_cast<std::int64_t>(part.size());
+      ++expected_;
+      return;
     }
-    if (run.length > 0 || !run.text.empty())
-      d.runs.emplace_back();
-    d.runs.back().from = static_cast<std::int64_t>(i ? ends[i - 1] : 0);
-    d.runs.back().length = static_cast<std::int64_t>(p.size());
-    next = i + 1;
+    const auto source = continues ? expected_ : base_.find(part);
+    if (source == base_.size())
+      appendLiteral(part);
+    else
+      startSegment(source, part);
+  }
+  std::vector<DeltaSegment> take() { return std::move(segments_); }
+
+ private:
+  void appendLiteral(std::string_view part) {
+    segments_.back().literal += part;
+    // A literal usually replaces the part at this position: copying may resume behind it.
+    if (expected_ < base_.size())
+      ++expected_;
   }
-  return avro::encode(std::move(d));
+  void startSegment(std::size_t source, std::string_view part) {
+    if (segments_.back().copyLength > 0 || !segments_.back().literal.empty())
+      segments_.emplace_back();
+    segments_.back().copyOffset = static_cast<std::int64_t>(base_.offset(source));
+    segments_.back().copyLength = static_cast<std::int64_t>(part.size());
+    expected_ = source + 1;
+  }
+
+  const PartIndex& base_;
+  std::vector<DeltaSegment> segments_;
+  std::size_t expected_;  // the base's part behind the last copied one; `base_.size()`: none
+};
+
+/// Whether the range lies inside a base of this size; safe against overflow.
+bool inBounds(const DeltaSegment& segment, std::int64_t baseSize) {
+  return segment.copyOffset >= 0 && segment.copyLength >= 0 && segment.copyOffset <= baseSize &&
+         segment.copyLength <= baseSize - segment.copyOffset;
 }
-namespace {
-Result<std::string> resultOf(const Delta& delta, std::string_view base, std::string_view baseDigest) {
-  if (delta.base != baseDigest)
-    return makeError(ErrorCode::corruption, "a difference from another text");
-  const auto size = static_cast<std::int64_t>(base.size());
+
+Result<std::string> rebuild(const Delta& delta, std::string_view base, std::string_view baseDigest) {
+  if (delta.baseDigest != baseDigest)
+    return makeError(ErrorCode::corruption, "a delta on another base");
   std::string result;
-  for (auto& run : delta.runs) {
-    if (run.from < 0 || run.length < 0 || run.from > size || run.length > size - run.from)
-      return makeError(ErrorCode::corruption, "a difference reaches outside its base");
-    if (result.size() + static_cast<std::size_t>(run.length) + run.text.size() > kMostText)
-      return makeError(ErrorCode::corruption, "a difference grows beyond bounds");
-    result.append(base.substr(static_cast<std::size_t>(run.from), static_cast<std::size_t>(run.length)));
-    result += run.text;
+  for (const auto& segment : delta.segments) {
+    if (!inBounds(segment, static_cast<std::int64_t>(base.size())))
+      return makeError(ErrorCode::corruption, "a delta that copies from outside its base");
+    const auto length = static_cast<std::size_t>(segment.copyLength);
+    if (result.size() + length + segment.literal.size() > kMaxResultBytes)
+      return makeError(ErrorCode::corruption, "a delta whose result is too large");
+    result.append(base.substr(static_cast<std::size_t>(segment.copyOffset), length));
+    result += segment.literal;
   }
-  if (digestOf(result) != delta.result)
-    return makeError(ErrorCode::corruption, "a difference whose result is another text");
+  if (digestOf(result) != delta.resultDigest)
+    return makeError(ErrorCode::corruption, "a delta whose result does not match its digest");
   return result;
 }
+
+/// Scans a JSON text for the ends of its parts. It checks no syntax: brackets need not match.
+class PartScanner {
+ public:
+  explicit PartScanner(std::string_view text) : text_(text) {}
+
+  std::vector<std::size_t> scan() {
+    for (std::size_t i = 0; i < text_.size(); ++i) {
+      if (!quoted_)
+        visit(i);
+      else if (text_[i] == '\\')
+        ++i;  // the escaped character
+      else if (text_[i] == '"')
+        quoted_ = false;
+    }
+    ends_.push_back(text_.size());
+    ends_.erase(std::unique(ends_.begin(), ends_.end()), ends_.end());
+    return std::move(ends_);
+  }
+
+ private:
+  void visit(std::size_t position) {
+    switch (text_[position]) {
+      case '"':
+        quoted_ = true;
+        break;
+      case '{':
+      case '[':
+        // Ends a part, so that the first element is a part of its own.
+        if (++depth_ <= kMaxSplitDepth)
+          ends_.push_back(position + 1);
+        break;
+      case '}':
+      case ']':
+        if (depth_-- <= kMaxSplitDepth && position > 0)
+          ends_.push_back(position);
+        break;
+      case ',':
+        if (depth_ <= kMaxSplitDepth)
+          ends_.push_back(position + 1);
+        break;
+      default:
+        break;
+    }
+  }
+
+  std::string_view text_;
+  std::vector<std::size_t> ends_;
+  int depth_ = 0;
+  bool quoted_ = false;
+};
 }  // namespace
+
+std::vector<std::size_t> partEnds(std::string_view text) {
+  return PartScanner(text).scan();
+}
+
+std::string computeDelta(std::string_view base, std::string_view baseDigest, std::string_view text,
+                         std::string_view textDigest) {
+  const PartIndex index(base);
+  SegmentBuilder builder(index);
+  std::size_t start = 0;
+  for (const auto end : partEnds(text)) {
+    if (end > start)
+      builder.append(text.substr(start, end - start));
+    start = end;
+  }
+  return avro::encode(Delta{std::string(baseDigest), std::string(textDigest), builder.take()});
+}
+
 Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta) {
   const auto decoded = avro::decode<Delta>(delta);
   if (!decoded)
     return tl::unexpected(decoded.error());
-  return resultOf(*decoded, base, baseDigest);
+  return rebuild(*decoded, base, baseDigest);
 }
 Result<std::string> applyDelta(std::string_view base, std::string_view baseDigest, std::string_view delta,
-                               std::string_view expected) {
+                               std::string_view expectedDigest) {
   const auto decoded = avro::decode<Delta>(delta);
   if (!decoded)
     return tl::unexpected(decoded.error());
-  if (decoded->result != expected)
-    return makeError(ErrorCode::corruption, "a difference to another text than the one announced");
-  return resultOf(*decoded, base, baseDigest);
+  if (decoded->resultDigest != expectedDigest)
+    return makeError(ErrorCode::corruption, "a delta to another text than the one announced");
+  return rebuild(*decoded, base, baseDigest);
 }
 }  // namespace zinccleat::state_machine
--- /dev/null
+++ b/libs/state_machine/src/log_entries.cpp
@@ -0,0 +1,61 @@
+#include "state_machine/log_entries.hpp"
+
+#include <charconv>
+
+#include "state_machine/delta.hpp"
+#include "transport/avro.hpp"
+
+namespace zinccleat::state_machine {
+namespace {
+constexpr char kVersionSeparator = '@';
+
+transport::LogEntry entryOf(transport::OperationKind kind, std::string operationId, std::string body) {
+  transport::LogEntry entry;
+  entry.kind = static_cast<std::int32_t>(kind);
+  entry.operationId = std::move(operationId);
+  entry.body = std::move(body);
+  return entry;
+}
+}  // namespace
+
+transport::LogEntry configurationEntry(std::int64_t base, std::int64_t version, std::string body,
+                                       std::string operationId) {
+  auto entry = entryOf(transport::OperationKind::configuration,
+                       std::move(operationId) + kVersionSeparator + std::to_string(version), std::move(body));
+  entry.base = base;
+  entry.digest = digestOf(entry.body);
+  return entry;
+}
+transport::LogEntry configurationChangeEntry(std::int64_t base, std::int64_t version, std::string body,
+                                             std::string operationId, const StateContents& current) {
+  auto entry = configurationEntry(base, version, std::move(body), std::move(operationId));
+  // On another version the Replace is rejected anyway; an unknown text is no base for a delta.
+  if (current.version != base || current.digest.empty())
+    return entry;
+  auto delta = computeDelta(current.configuration, current.digest, entry.body, entry.digest);
+  if (delta.size() > entry.body.size() / 2)
+    return entry;
+  entry.kind = static_cast<std::int32_t>(transport::OperationKind::difference);
+  entry.body = std::move(delta);
+  return entry;
+}
+transport::LogEntry zoneDrainEntry(const ZoneDrain& zoneDrain, bool open, std::string operationId) {
+  auto entry = entryOf(transport::OperationKind::zoneDrain, std::move(operationId), avro::encode(zoneDrain));
+  entry.base = open ? 1 : 0;
+  return entry;
+}
+transport::LogEntry runnerEntry(const Runner& runner, std::string operationId) {
+  return entryOf(transport::OperationKind::runner, std::move(operationId), avro::encode(runner));
+}
+
+std::int64_t configurationVersion(const transport::LogEntry& entry) {
+  const std::string_view operationId = entry.operationId;
+  const auto separator = operationId.rfind(kVersionSeparator);
+  if (separator == std::string_view::npos)
+    return 0;
+  const auto digits = operationId.substr(separator + 1);
+  std::int64_t version = 0;
+  std::from_chars(digits.data(), digits.data() + digits.size(), version);
+  return version;
+}
+}  // namespace zinccleat::state_machine
--- a/tests/delta_test.cpp
+++ b/tests/delta_test.cpp
@@ -1,5 +1,4 @@
-// Changes, not wholes: a configuration as its difference, snapshots that leave out what is held, large frames in
-// pieces.
+// Deltas of configurations: computing and applying them, log entries and partial snapshots that carry them.
 #include "state_machine/delta.hpp"
 
 #include <gtest/gtest.h>
@@ -7,249 +6,235 @@
 #include <random>
 
 #include "state_machine/replicated_state.hpp"
-#include "transport/access_messages.hpp"
-#include "transport/peer_link.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::state_machine;
 using namespace zinccleat::transport;
 namespace {
-struct Text {
-  std::vector<std::string> routes, tenants;
-  int version = 1, serial = 0;
+/// A configuration text whose routes and tenants change one by one.
+struct ConfigurationText {
+  std::vector<std::string> routes;
+  std::vector<std::string> tenants;
+  int version = 1;
+  int serial = 0;
+
+  ConfigurationText(int routeCount, int tenantCount) {
+    for (int i = 0; i < routeCount; ++i)
+      routes.push_back(newRoute());
+    for (int i = 0; i < tenantCount; ++i)
+      tenants.push_back(newTenant());
+  }
   std::string body() const {
-    auto join = [](const std::vector<std::string>& v) {
-      std::string s;
-      for (auto& x : v)
-        s += (s.empty() ? "" : ",") + x;
-      return s;
-    };
-    return "{\"configVersion\":" + std::to_string(version) + ",\"routeTable\":[" + join(routes) +
+    return "{\"configVersion\":" + std::to_string(version) + ",\"routeTable\":[" + joined(routes) +
            "],\"serviceTable\":[{\"label\":\"a\"}],\"limits\":{\"maxBodyBytes\":4194304},\"subscribers\":[" +
-           join(tenants) + "]}";
+           joined(tenants) + "]}";
   }
-  std::string route() {
-    const auto n = std::to_string(++serial);
-    return "{\"label\":\"r-" + n + "\",\"authority\":\"h" + n +
+  std::string newRoute() {
+    const auto number = std::to_string(++serial);
+    return "{\"label\":\"r-" + number + "\",\"authority\":\"h" + number +
            ".example\",\"note\":\"a \\\" quote, [and] {more}\",\"targets\":[{\"s\":1},{\"s\":2}]}";
   }
-  std::string tenant() {
-    const auto n = std::to_string(++serial);
-    return "{\"label\":\"t" + n + "\",\"accessKeys\":[\"key-" + n + "-a\",\"key-" + n +
-           "-b\"],\"precedence\":1,\"ratePerS\":3" + n + ",\"burstSize\":5}";
+  std::string newTenant() {
+    const auto number = std::to_string(++serial);
+    return "{\"label\":\"t" + number + "\",\"accessKeys\":[\"key-" + number + "-a\",\"key-" + number +
+           "-b\"],\"precedence\":1,\"ratePerS\":3" + number + ",\"burstSize\":5}";
   }
-  Text(int r, int t) {
-    for (int i = 0; i < r; ++i)
-      routes.push_back(route());
-    for (int i = 0; i < t; ++i)
-      tenants.push_back(tenant());
+  /// Inserts, removes, replaces or swaps one to three elements under a new version.
+  void changeAtRandom(std::mt19937_64& random) {
+    version += 1 + static_cast<int>(random() % 3);
+    for (int changes = 1 + static_cast<int>(random() % 3); changes > 0; --changes)
+      changeOneAtRandom(random);
   }
-  void change(std::mt19937_64& rng) {
-    version += 1 + static_cast<int>(rng() % 3);
-    for (int k = 1 + static_cast<int>(rng() % 3); k > 0; --k) {
-      auto& v = rng() % 2 ? routes : tenants;
-      const bool isRoute = &v == &routes;
-      const auto i = v.empty() ? 0 : rng() % v.size();
-      switch (rng() % 4) {
-        case 0:
-          v.insert(v.begin() + static_cast<std::ptrdiff_t>(i), isRoute ? route() : tenant());
-          break;
-        case 1:
-          if (!v.empty())
-            v.erase(v.begin() + static_cast<std::ptrdiff_t>(i));
-          break;
-        case 2:
-          if (!v.empty())
-            v[i] = isRoute ? route() : tenant();
-          break;
-        default:
-          if (!v.empty())
-            std::swap(v[i], v.back());
-          break;
-      }
-    }
+
+ private:
+  static std::string joined(const std::vector<std::string>& elements) {
+    std::string text;
+    for (const auto& element : elements)
+      text += (text.empty() ? "" : ",") + element;
+    return text;
+  }
+  void changeOneAtRandom(std::mt19937_64& random) {
+    const bool isRoute = random() % 2;
+    auto& elements = isRoute ? routes : tenants;
+    const auto newElement = [&] { return isRoute ? newRoute() : newTenant(); };
+    const auto position = elements.empty() ? 0 : random() % elements.size();
+    const auto action = random() % 4;
+    if (action == 0)
+      elements.insert(elements.begin() + static_cast<std::ptrdiff_t>(position), newElement());
+    else if (elements.empty())
+      return;
+    else if (action == 1)
+      elements.erase(elements.begin() + static_cast<std::ptrdiff_t>(position));
+    else if (action == 2)
+      elements[position] = newElement();
+    else
+      std::swap(elements[position], elements.back());
   }
 };
-struct Chain {
-  ReplicatedState copy;
-  std::int64_t n = 0;
-  ReplicatedState::Change put(LogEntry e) {
-    e.index = ++n;
-    return copy.apply(e);
+
+/// A replica that applies entries in order, as the log would.
+struct Replica {
+  ReplicatedState state;
+  std::int64_t lastIndex = 0;
+  ReplicatedState::Change apply(LogEntry entry) {
+    entry.index = ++lastIndex;
+    return state.apply(entry);
+  }
+  /// The entry that changes the configuration from `base`, as this replica would build it.
+  LogEntry changeEntry(std::int64_t base, const ConfigurationText& text, const std::string& operation) const {
+    return configurationChangeEntry(base, text.version, text.body(), operation, state.state());
   }
 };
+/// Replaces one tenant under each of the versions `first` to `last`.
+void changeTenants(Replica& replica, ConfigurationText& text, int first, int last) {
+  for (int version = first; version <= last; ++version) {
+    text.version = version;
+    text.tenants[static_cast<std::size_t>(version)] = text.newTenant();
+    replica.apply(replica.changeEntry(version - 1, text, "w" + std::to_string(version)));
+  }
+}
+std::string randomText(std::mt19937_64& random, const std::string& alphabet, std::size_t length) {
+  std::string text;
+  for (; length > 0; --length)
+    text += alphabet[random() % alphabet.size()];
+  return text;
+}
 }  // namespace
 
-TEST(Delta, RandomChainsOfChangesEqualTheWhole) {
+TEST(Delta, ChainsOfRandomChangesGiveTheFullText) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    std::mt19937_64 rng(seed);
-    Text t(static_cast<int>(rng() % 30), static_cast<int>(rng() % 60));
-    Chain a;
+    std::mt19937_64 random(seed);
+    ConfigurationText text(static_cast<int>(random() % 30), static_cast<int>(random() % 60));
+    Replica replica;
     std::int64_t base = 0;
-    std::size_t differences = 0;
+    std::size_t deltas = 0;
     for (int i = 0; i < 40; ++i) {
-      const auto body = t.body();
-      auto e = configurationChangeEntry(base, t.version, body, "w" + std::to_string(i), a.copy.state());
-      differences += e.op() == OperationKind::difference;
-      EXPECT_FALSE(a.put(e).damaged);
-      ASSERT_EQ(a.copy.state().configuration, body) << "seed " << seed;
-      ASSERT_EQ(a.copy.state().version, t.version);
-      base = t.version;
-      t.change(rng);
+      const auto entry = replica.changeEntry(base, text, "w" + std::to_string(i));
+      deltas += entry.op() == OperationKind::difference;
+      EXPECT_FALSE(replica.apply(entry).corrupted);
+      ASSERT_EQ(replica.state.state().configuration, text.body()) << "seed " << seed;
+      ASSERT_EQ(replica.state.state().version, text.version);
+      base = text.version;
+      text.changeAtRandom(random);
     }
-    EXPECT_GT(differences, 10U) << "seed " << seed;
+    EXPECT_GT(deltas, 10U) << "seed " << seed;
   }
 }
-TEST(Delta, OneKeyOfThousandsTravelsAsOneTenant) {
-  Text t(40, 6100);
-  const auto before = t.body();
-  ++t.version;
-  t.tenants[3000] = t.tenant();
-  const auto after = t.body();
-  const auto d = deltaOf(before, digestOf(before), after, digestOf(after));
-  EXPECT_LT(d.size(), 500U) << "of " << after.size();
-  EXPECT_EQ(applyDelta(before, digestOf(before), d).value(), after);
+TEST(Delta, ChangeOfOneTenantOfThousandsIsSmall) {
+  ConfigurationText text(40, 6100);
+  const auto before = text.body();
+  ++text.version;
+  text.tenants[3000] = text.newTenant();
+  const auto after = text.body();
+
+  const auto delta = computeDelta(before, digestOf(before), after, digestOf(after));
+
+  EXPECT_LT(delta.size(), 500U) << "of " << after.size();
+  EXPECT_EQ(applyDelta(before, digestOf(before), delta).value(), after);
 }
-TEST(Delta, AnyTextIsMadeWholeAgain) {
-  std::mt19937_64 rng(6);
+TEST(Delta, AnyTextIsRebuilt) {
+  std::mt19937_64 random(6);
   const std::string alphabet = "{}[],\"\\:ab ";
   for (int i = 0; i < 3000; ++i) {
-    std::string a;
-    std::string b;
-    for (auto n = rng() % 60; n > 0; --n)
-      a += alphabet[rng() % alphabet.size()];
-    b = a;
-    for (auto n = rng() % 6; n > 0 && !b.empty(); --n)
-      b[rng() % b.size()] = alphabet[rng() % alphabet.size()];
-    const auto d = deltaOf(a, "x", b, digestOf(b));
-    ASSERT_EQ(applyDelta(a, "x", d).value(), b) << a << " -> " << b;
+    const auto base = randomText(random, alphabet, random() % 60);
+    auto text = base;
+    for (auto changes = random() % 6; changes > 0 && !text.empty(); --changes)
+      text[random() % text.size()] = alphabet[random() % alphabet.size()];
+
+    const auto delta = computeDelta(base, "x", text, digestOf(text));
+
+    ASSERT_EQ(applyDelta(base, "x", delta).value(), text) << base << " -> " << text;
   }
 }
-TEST(Delta, WhatDoesNotFitIsDeclined) {
-  Text t(5, 5);
-  const auto a = t.body();
-  t.tenants.pop_back();
-  const auto b = t.body();
-  auto d = deltaOf(a, digestOf(a), b, digestOf(b));
-  EXPECT_FALSE(applyDelta(b, digestOf(b), d)) << "another base";
-  EXPECT_FALSE(applyDelta(b, digestOf(a), d)) << "a base that is not what its digest says";
-  EXPECT_FALSE(applyDelta(a, digestOf(a), "no difference at all"));
-  EXPECT_FALSE(applyDelta(a.substr(0, 20), digestOf(a), d)) << "runs outside of the base";
-  std::mt19937_64 rng(7);
+TEST(Delta, MismatchIsRejected) {
+  ConfigurationText text(5, 5);
+  const auto base = text.body();
+  text.tenants.pop_back();
+  const auto result = text.body();
+  const auto delta = computeDelta(base, digestOf(base), result, digestOf(result));
+
+  EXPECT_FALSE(applyDelta(result, digestOf(result), delta)) << "another base";
+  EXPECT_FALSE(applyDelta(result, digestOf(base), delta)) << "a base that does not match its digest";
+  EXPECT_FALSE(applyDelta(base, digestOf(base), "no delta at all"));
+  EXPECT_FALSE(applyDelta(base.substr(0, 20), digestOf(base), delta)) << "ranges outside of the base";
+
+  std::mt19937_64 random(7);
   for (int i = 0; i < 2000; ++i) {
-    auto x = d;
-    auto& byte = x[rng() % x.size()];
-    byte = static_cast<char>(byte ^ (1 << rng() % 8));
-    EXPECT_EQ(applyDelta(a, digestOf(a), x).value_or(b), b) << "only the taken text ever comes of it";
+    auto corrupted = delta;
+    auto& byte = corrupted[random() % corrupted.size()];
+    byte = static_cast<char>(byte ^ (1 << random() % 8));
+    EXPECT_EQ(applyDelta(base, digestOf(base), corrupted).value_or(result), result) << "never another text";
   }
 }
-// Lost, doubled and reordered differences are the queue's matter; one on a version that is not in place loses its race.
-TEST(Delta, ADifferenceOnAnotherVersionLosesItsRace) {
-  Text t(5, 5);
-  Chain a;
-  a.put(configurationChangeEntry(0, 1, t.body(), "w1", a.copy.state()));
-  const auto on1 = a.copy.state();
-  t.version = 2, t.tenants.pop_back();
-  const auto second = t.body();
-  t.version = 3, t.routes.pop_back();
-  auto x = configurationChangeEntry(1, 2, second, "w2", on1);
-  auto y = configurationChangeEntry(1, 3, t.body(), "w3", on1);
-  ASSERT_EQ(x.op(), OperationKind::difference);
-  a.put(x);
-  a.put(y);
-  a.put(x);
-  EXPECT_EQ(a.copy.outcomeOf(x.operationId), 200);
-  EXPECT_EQ(a.copy.outcomeOf(y.operationId), 412);
-  EXPECT_EQ(a.copy.state().configuration, second);
+// Lost, duplicated and reordered entries are the queue's task; one on a version that is not current is rejected here.
+TEST(Delta, DeltaOnAnotherVersionIsRejected) {
+  ConfigurationText text(5, 5);
+  Replica replica;
+  replica.apply(replica.changeEntry(0, text, "w1"));
+  const auto atVersion1 = replica.state.state();
+  text.version = 2, text.tenants.pop_back();
+  const auto second = text.body();
+  text.version = 3, text.routes.pop_back();
+  const auto winner = configurationChangeEntry(1, 2, second, "w2", atVersion1);
+  const auto loser = configurationChangeEntry(1, 3, text.body(), "w3", atVersion1);
+  ASSERT_EQ(winner.op(), OperationKind::difference);
+
+  replica.apply(winner);
+  replica.apply(loser);
+  replica.apply(winner);
+
+  EXPECT_EQ(replica.state.outcomeOf(winner.operationId), 200);
+  EXPECT_EQ(replica.state.outcomeOf(loser.operationId), 412);
+  EXPECT_EQ(replica.state.state().configuration, second);
 }
-TEST(Delta, ACopyThatDiffersKnowsItAndHealsByTheWhole) {
-  Text t(5, 5);
-  Chain good;
-  Chain ill;
-  const auto first = configurationChangeEntry(0, 1, t.body(), "w1", good.copy.state());
-  good.put(first);
-  auto other = first;
-  other.body.replace(other.body.find("t6"), 2, "t9");  // as if memory had failed it
-  ill.put(other);
-  t.version = 2, t.tenants.pop_back();
-  const auto second = configurationChangeEntry(1, 2, t.body(), "w2", good.copy.state());
-  EXPECT_FALSE(good.put(second).damaged);
-  EXPECT_TRUE(ill.put(second).damaged);
-  EXPECT_TRUE(ill.copy.damaged());
-  t.version = 3, t.routes.pop_back();
-  const auto third = configurationChangeEntry(2, 3, t.body(), "w3", good.copy.state());
-  good.put(third);
-  EXPECT_TRUE(ill.put(third).damaged) << "and stays so";
-  EXPECT_FALSE(ill.copy.restore(good.copy.snapshotFor(good.copy.state().digest)))
-      << "what it does not hold can't be left out";
-  ASSERT_TRUE(ill.copy.restore(good.copy.snapshotFor(ill.copy.state().digest)));
-  EXPECT_FALSE(ill.copy.damaged());
-  EXPECT_EQ(ill.copy.snapshotFor({}), good.copy.snapshotFor({}));
+TEST(Delta, CorruptedReplicaDetectsItAndIsRepairedByAFullSnapshot) {
+  ConfigurationText text(5, 5);
+  Replica intact;
+  Replica corrupted;
+  const auto first = intact.changeEntry(0, text, "w1");
+  intact.apply(first);
+  auto differing = first;
+  differing.body.replace(differing.body.find("t6"), 2, "t9");  // as a memory error would
+  corrupted.apply(differing);
+
+  text.version = 2, text.tenants.pop_back();
+  const auto second = intact.changeEntry(1, text, "w2");
+  EXPECT_FALSE(intact.apply(second).corrupted);
+  EXPECT_TRUE(corrupted.apply(second).corrupted);
+  EXPECT_TRUE(corrupted.state.corrupted());
+  text.version = 3, text.routes.pop_back();
+  const auto third = intact.changeEntry(2, text, "w3");
+  intact.apply(third);
+  EXPECT_TRUE(corrupted.apply(third).corrupted) << "and stays so";
+
+  EXPECT_FALSE(corrupted.state.restore(intact.state.snapshotFor(intact.state.state().digest)))
+      << "a partial snapshot for a configuration that it does not have";
+  ASSERT_TRUE(corrupted.state.restore(intact.state.snapshotFor(corrupted.state.state().digest)));
+  EXPECT_FALSE(corrupted.state.corrupted());
+  EXPECT_EQ(corrupted.state.snapshotFor({}), intact.state.snapshotFor({}));
 }
-TEST(Delta, ASnapshotLeavesOutWhatIsHeld) {
-  Text t(40, 500);
-  Chain a;
-  Chain away;
-  auto e = configurationChangeEntry(0, 1, t.body(), "w1", a.copy.state());
-  a.put(e), away.put(e);
-  const auto held = away.copy.state().digest;
-  EXPECT_LT(a.copy.snapshotFor(held).size(), 1000U) << "the very same";
-  for (int i = 2; i < 4; ++i) {
-    t.version = i, t.tenants[static_cast<std::size_t>(i)] = t.tenant();
-    a.put(configurationChangeEntry(i - 1, i, t.body(), "w" + std::to_string(i), a.copy.state()));
-  }
-  const auto s = a.copy.snapshotFor(held);
-  EXPECT_LT(s.size(), 2000U) << "of " << a.copy.snapshot().size();
-  ASSERT_TRUE(away.copy.restore(s));
-  EXPECT_EQ(away.copy.snapshotFor({}), a.copy.snapshotFor({}));
-  for (int i = 4; i < 12; ++i) {
-    t.version = i, t.tenants[static_cast<std::size_t>(i)] = t.tenant();
-    a.put(configurationChangeEntry(i - 1, i, t.body(), "w" + std::to_string(i), a.copy.state()));
-  }
-  const auto far = a.copy.snapshotFor(held);
-  EXPECT_GT(far.size(), t.body().size()) << "long away: the whole";
-  ASSERT_TRUE(away.copy.restore(far));
-  EXPECT_EQ(away.copy.snapshotFor({}), a.copy.snapshotFor({}));
+TEST(Delta, PartialSnapshotOmitsWhatTheReceiverHas) {
+  ConfigurationText text(40, 500);
+  Replica sender;
+  Replica receiver;
+  const auto entry = sender.changeEntry(0, text, "w1");
+  sender.apply(entry);
+  receiver.apply(entry);
+  const auto cachedDigest = receiver.state.state().digest;
+  EXPECT_LT(sender.state.snapshotFor(cachedDigest).size(), 1000U) << "the same configuration";
+
+  changeTenants(sender, text, 2, 3);
+  const auto partial = sender.state.snapshotFor(cachedDigest);
+  EXPECT_LT(partial.size(), 2000U) << "of " << sender.state.snapshot().size();
+  ASSERT_TRUE(receiver.state.restore(partial));
+  EXPECT_EQ(receiver.state.snapshotFor({}), sender.state.snapshotFor({}));
+
+  changeTenants(sender, text, 4, 11);
+  const auto full = sender.state.snapshotFor(cachedDigest);
+  EXPECT_GT(full.size(), text.body().size()) << "too many changes behind: a full one";
+  ASSERT_TRUE(receiver.state.restore(full));
+  EXPECT_EQ(receiver.state.snapshotFor({}), sender.state.snapshotFor({}));
   ReplicatedState empty;
-  ASSERT_TRUE(empty.restore(a.copy.snapshotFor({})));
-  EXPECT_EQ(empty.snapshotFor({}), a.copy.snapshotFor({}));
-}
-namespace {
-std::string piece(const std::string& bytes, bool last) {
-  std::string out;
-  const auto n = static_cast<std::uint32_t>(bytes.size() + 2);
-  for (int i = 0; i < 4; ++i)
-    out += static_cast<char>(n >> (24 - 8 * i));
-  return out + '\3' + (last ? '\1' : '\0') + bytes;
-}
-}  // namespace
-TEST(Frames, PiecesMakeAFrameAndOthersOvertakeThem) {
-  FeedSnapshot big;
-  big.number = 9;
-  big.state = std::string(40000, 'q');
-  const auto frame = frameOf(pack(big));
-  std::string partial;
-  std::string buf =
-      piece(frame.substr(0, 20000), false) + frameOf(pack(LeaseResponse{})) + piece(frame.substr(20000), true);
-  std::vector<Envelope> got;
-  // Byte by byte, as the network may bring it.
-  std::string sofar;
-  for (char c : buf) {
-    sofar += c;
-    auto out = unframe(sofar, &partial);
-    ASSERT_TRUE(out);
-    for (auto& m : *out)
-      got.push_back(m);
-  }
-  ASSERT_EQ(got.size(), 2U);
-  EXPECT_EQ(got[0].type, MessageType::leaseResponse);
-  const auto back = unpack<FeedSnapshot>(got[1]);
-  ASSERT_TRUE(back);
-  EXPECT_EQ(back->number, 9);
-  EXPECT_EQ(back->state.size(), 40000U);
-  EXPECT_TRUE(partial.empty());
-  auto alone = piece("x", true);
-  EXPECT_FALSE(unframe(alone)) << "where no pieces are expected";
-  auto nonsense = piece("no frame", true);
-  EXPECT_FALSE(unframe(nonsense, &partial));
+  ASSERT_TRUE(empty.restore(sender.state.snapshotFor({})));
+  EXPECT_EQ(empty.snapshotFor({}), sender.state.snapshotFor({}));
 }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -272,7 +272,7 @@
 }
 ZoneDrain zoneDrain(int serial, bool notAccepting) {
   const auto text = std::to_string(serial);
-  return {.place = "place-" + text, .note = "note-" + text, .share = 10 * serial, .notAccepting = notAccepting};
+  return {.zone = "place-" + text, .note = "note-" + text, .drainPercent = 10 * serial, .notAccepting = notAccepting};
 }
 ReplicatedState stateAfter(std::vector<LogEntry> writes) {
   ReplicatedState copy;
@@ -296,7 +296,7 @@
                      runnerEntry(runner(1, RunnerState::inService), "runner/i-1"),
                      runnerEntry(runner(2, RunnerState::draining), "runner/i-2"),
                      runnerEntry(runner(3, RunnerState::inService), "runner/i-3"),
-                     runnerEntry(runner(3, RunnerState::gone), "runner/i-3/gone"),
+                     runnerEntry(runner(3, RunnerState::detached), "runner/i-3/gone"),
                      zoneDrainEntry(zoneDrain(4, true), false, "closure/4"),
                      zoneDrainEntry(zoneDrain(5, false), false, "closure/5")});
 }
@@ -375,7 +375,7 @@
   auto snapshot = snapshotFormat1();
   snapshot.partial = true;
   snapshot.configuration.clear();
-  snapshot.difference = deltaOf(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText));
+  snapshot.difference = computeDelta(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText));
   return snapshot;
 }
 /// What a copy that holds the first configuration holds after a snapshot, in today's format.
@@ -407,17 +407,17 @@
 std::vector<Case> writeCases() {
   const auto on = firstState();
   return {
-      recordCase("delta_fields.hex",
-                 Delta{.base = "digest of the base",
-                       .result = "digest of the result",
-                       .runs = {{.from = 11, .length = 12, .text = "one"}, {.from = 13, .length = 14, .text = "two"}}}),
+      recordCase("delta_fields.hex", Delta{.baseDigest = "digest of the base",
+                                           .resultDigest = "digest of the result",
+                                           .segments = {{.copyOffset = 11, .copyLength = 12, .literal = "one"},
+                                                        {.copyOffset = 13, .copyLength = 14, .literal = "two"}}}),
       {"delta_of_configurations.hex",
-       [] { return deltaOf(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText)); },
+       [] { return computeDelta(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText)); },
        [](const std::string& delta) -> Result<std::string> {
          const auto text = applyDelta(kFirstText, digestOf(kFirstText), delta, digestOf(kSecondText));
          if (!text)
            return tl::unexpected(text.error());
-         return deltaOf(kFirstText, digestOf(kFirstText), *text, digestOf(*text));
+         return computeDelta(kFirstText, digestOf(kFirstText), *text, digestOf(*text));
        },
        ""},
       recordCase("entry.hex", entryNumbered(1)),
@@ -430,7 +430,7 @@
        {},
        ""},
       {"write_runner_gone.hex",
-       [] { return avro::encode(runnerEntry(runner(3, RunnerState::gone), "runner/i-3/gone")); },
+       [] { return avro::encode(runnerEntry(runner(3, RunnerState::detached), "runner/i-3/gone")); },
        {},
        ""},
       {"write_closure.hex",
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -247,12 +247,12 @@
     auto& m = machine(ip);
     if (!m.up || m.frozen)
       return later(Duration(1000), [answer] { answer(0); });
-    if (m.copy.evaluateReplace(order.base, order.version, digestOf(order.body)) == ReplicatedState::kAcknowledged)
-      return answer(ReplicatedState::kAcknowledged);
+    if (m.copy.evaluateReplace(order.base, order.version, digestOf(order.body)) == ReplicatedState::acknowledged)
+      return answer(ReplicatedState::acknowledged);
     const auto e = configurationEntry(order.base, order.version, order.body, "write/" + std::to_string(++writes_));
     world_.tryWrite(ip, m.life, e, static_cast<int>(kWriteWait / Duration(120)));
     if (planted_ == Planted::earlyAcknowledgement && m.copy.state().version == order.base)
-      return later(Duration(5), [answer] { answer(ReplicatedState::kAcknowledged); });
+      return later(Duration(5), [answer] { answer(ReplicatedState::acknowledged); });
     awaitVerdict(ip, m.life, e.operationId, world_.now + kWriteWait, answer);
   }
   void awaitVerdict(const std::string& ip, int life, const std::string& operation, TimePoint until,
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,6 +1,7 @@
 // Runbooks: read whole, run step by step, stopped by what is not seen.
 #include <gtest/gtest.h>
 
+#include "config/calls.hpp"
 #include "config/settings.hpp"
 #include "operations/runbook.hpp"
 #include "state_machine/replicated_state.hpp"
@@ -104,7 +105,7 @@
   EXPECT_TRUE(put(zoneDrainEntry({"za", "sunday", 25, false}, false, "1")).zoneDrains);
   put(zoneDrainEntry({"za", "sunday", 100, true}, false, "2"));
   ASSERT_EQ(c.state().zoneDrains.size(), 1U);
-  EXPECT_EQ(c.state().zoneDrains[0].share, 100);
+  EXPECT_EQ(c.state().zoneDrains[0].drainPercent, 100);
   ReplicatedState d;
   ASSERT_TRUE(d.restore(c.snapshot()));
   EXPECT_TRUE(d.state().zoneDrains[0].notAccepting);
