--- a/libs/storage/include/storage/record_format.hpp
+++ b/libs/storage/include/storage/record_format.hpp
@@ -1,24 +1,28 @@
 /// @file
-/// How a record looks as a file: a fixed envelope (magic, checksum, format version) around the Avro-encoded fields.
-/// The envelope is the same in every version, so that any version can tell a record of another version, whose
-/// checksum holds, from a damaged one, whose checksum does not.
+/// The file format of a disk record: a fixed envelope (magic, checksum, format version) around the Avro-encoded fields
+/// of `consensus::DiskRecord`. Pure functions.
+///
+/// The envelope is the same in every format version. So any version of this program can tell a record of another
+/// version, whose checksum is right, from a corrupted one, whose checksum is wrong.
 #pragma once
 #include "consensus/disk_record.hpp"
 
 namespace zinccleat::storage {
-/// Version of the encoded fields. Raise it whenever the fields of DiskRecord change.
-/// Versions 1 to 3 stood in files named `page-N` with another envelope; they are refused by that name.
+/// The format version that is written and read; to be raised whenever the fields of DiskRecord change. Versions 1 to 3
+/// were in files named `page-N` with another envelope; `Storage::load` refuses a folder with such files.
 constexpr int kRecordFormat = 4;
 
-/// The content of the file that holds `record`.
+/// Encodes a record as the content of its file.
 std::string encodeRecord(const consensus::DiskRecord& record);
-/// The same for a given format version; for tests of refusal.
+/// Encodes a record with another format version in its envelope, for tests of `decodeRecord`.
 std::string encodeRecordAs(int format, const consensus::DiskRecord& record);
-/// Reads a file's content back. Fault codes: kOtherFormat, kDamaged.
+/// Decodes the content of a record's file.
+/// @return ErrorCode::corruption for a wrong magic, checksum or encoding; ErrorCode::incompatibleFormat for a valid
+///         record of another version of this program. The messages continue a sentence that begins with the file name.
 Result<consensus::DiskRecord> decodeRecord(std::string_view content);
 
 /// The file name of the record with this sequence number.
 std::string recordName(std::int64_t sequence);
-/// The sequence number in a record's file name; none for any other name.
+/// The sequence number of a record's file name; none for any other name.
 std::optional<std::int64_t> recordSequence(const std::string& name);
 }  // namespace zinccleat::storage
--- a/libs/storage/src/posix_file_system.cpp
+++ b/libs/storage/src/posix_file_system.cpp
@@ -12,9 +12,12 @@
 
 namespace zinccleat::storage {
 namespace {
-constexpr std::size_t kReadBlock = std::size_t{64} * 1024;
+constexpr std::size_t kReadBlockBytes = std::size_t{64} * 1024;
+constexpr mode_t kFileMode = 0644;
+constexpr mode_t kFolderMode = 0755;
 
-tl::unexpected<Error> systemFault(const std::string& operation) {
+/// The error of the system call that has just failed.
+tl::unexpected<Error> systemError(const std::string& operation) {
   const int code = errno;
   return makeError(ErrorCode::ioError, operation + ": " + std::strerror(code), code);
 }
@@ -36,21 +39,28 @@
   int number_;
 };
 
+struct CloseDirectory {
+  void operator()(DIR* directory) const { ::closedir(directory); }
+};
+/// Owns an open directory.
+using Directory = std::unique_ptr<DIR, CloseDirectory>;
+
+/// A file of the operating system.
 class PosixFile : public WritableFile {
  public:
   explicit PosixFile(int descriptor) : descriptor_(descriptor) {}
   Result<std::size_t> write(std::string_view bytes) override {
-    ssize_t taken = 0;
+    ssize_t written = 0;
     do
-      taken = ::write(descriptor_.number(), bytes.data(), bytes.size());
-    while (taken < 0 && errno == EINTR);
-    if (taken < 0)
-      return systemFault("write");
-    return static_cast<std::size_t>(taken);
+      written = ::write(descriptor_.number(), bytes.data(), bytes.size());
+    while (written < 0 && errno == EINTR);
+    if (written < 0)
+      return systemError("write");
+    return static_cast<std::size_t>(written);
   }
   Result<void> sync() override {
     if (::fsync(descriptor_.number()) != 0)
-      return systemFault("fsync");
+      return systemError("fsync");
     return {};
   }
 
@@ -58,19 +68,20 @@
   Descriptor descriptor_;
 };
 
+/// A folder of the operating system; its lock is an flock(2) on the lock file.
 class PosixFolder : public FileSystem {
  public:
   explicit PosixFolder(std::string path) : path_(std::move(path)) {}
 
   Result<bool> lock(const std::string& name) override {
     makeFolder();
-    auto file = std::make_unique<Descriptor>(::open(at(name).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644));
+    auto file = std::make_unique<Descriptor>(::open(pathOf(name).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode));
     if (!file->valid())
-      return systemFault("open " + name);
+      return systemError("open " + name);
     if (::flock(file->number(), LOCK_EX | LOCK_NB) != 0) {
       if (errno == EWOULDBLOCK)
         return false;
-      return systemFault("lock " + name);
+      return systemError("lock " + name);
     }
     lock_ = std::move(file);
     return true;
@@ -78,74 +89,72 @@
 
   Result<std::vector<std::string>> list() override {
     makeFolder();
-    DIR* folder = ::opendir(path_.c_str());
+    const Directory folder(::opendir(path_.c_str()));
     if (!folder)
-      return systemFault("open the folder");
+      return systemError("open the folder");
     std::vector<std::string> names;
     errno = 0;  // the only way to tell the end of the list from an error
-    while (const auto* entry = ::readdir(folder)) {
+    while (const auto* entry = ::readdir(folder.get())) {
       const std::string name = entry->d_name;
       if (name != "." && name != "..")
         names.push_back(name);
       errno = 0;
     }
-    const int code = errno;
-    ::closedir(folder);
-    if (code != 0)
-      return makeError(ErrorCode::ioError, std::string("list the folder: ") + std::strerror(code), code);
+    if (errno != 0)
+      return systemError("list the folder");
     return names;
   }
 
   Result<std::string> read(const std::string& name) override {
-    const Descriptor file(::open(at(name).c_str(), O_RDONLY | O_CLOEXEC));
+    const Descriptor file(::open(pathOf(name).c_str(), O_RDONLY | O_CLOEXEC));
     if (!file.valid())
-      return systemFault("open");
+      return systemError("open");
     std::string content;
-    std::vector<char> block(kReadBlock);
+    std::vector<char> block(kReadBlockBytes);
     for (;;) {
-      const auto taken = ::read(file.number(), block.data(), block.size());
-      if (taken < 0 && errno == EINTR)
+      const auto count = ::read(file.number(), block.data(), block.size());
+      if (count < 0 && errno == EINTR)
         continue;
-      if (taken < 0)
-        return systemFault("read");
-      if (taken == 0)
+      if (count < 0)
+        return systemError("read");
+      if (count == 0)
         return content;
-      content.append(block.data(), static_cast<std::size_t>(taken));
+      content.append(block.data(), static_cast<std::size_t>(count));
     }
   }
 
   Result<std::unique_ptr<WritableFile>> create(const std::string& name) override {
-    const int descriptor = ::open(at(name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
+    const int descriptor = ::open(pathOf(name).c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kFileMode);
     if (descriptor < 0)
-      return systemFault("create " + name);
+      return systemError("create " + name);
     return std::make_unique<PosixFile>(descriptor);
   }
 
   Result<void> rename(const std::string& from, const std::string& to) override {
-    if (::rename(at(from).c_str(), at(to).c_str()) != 0)
-      return systemFault("rename " + from);
+    if (::rename(pathOf(from).c_str(), pathOf(to).c_str()) != 0)
+      return systemError("rename " + from);
     return {};
   }
 
   Result<void> remove(const std::string& name) override {
-    if (::unlink(at(name).c_str()) != 0 && errno != ENOENT)
-      return systemFault("remove " + name);
+    if (::unlink(pathOf(name).c_str()) != 0 && errno != ENOENT)
+      return systemError("remove " + name);
     return {};
   }
 
   Result<void> syncFolder() override {
     const Descriptor folder(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (!folder.valid())
-      return systemFault("open the folder");
+      return systemError("open the folder");
     if (::fsync(folder.number()) != 0)
-      return systemFault("sync the folder");
+      return systemError("sync the folder");
     return {};
   }
 
  private:
-  std::string at(const std::string& name) const { return path_ + "/" + name; }
-  // An error shows by itself when the folder is used.
-  void makeFolder() { ::mkdir(path_.c_str(), 0755); }
+  std::string pathOf(const std::string& name) const { return path_ + "/" + name; }
+  // An error is reported by the use of the folder that follows.
+  void makeFolder() { ::mkdir(path_.c_str(), kFolderMode); }
 
   std::string path_;
   std::unique_ptr<Descriptor> lock_;
--- a/libs/storage/src/record_format.cpp
+++ b/libs/storage/src/record_format.cpp
@@ -1,61 +1,58 @@
 #include "storage/record_format.hpp"
 
-#include <cstdio>
-#include <cstdlib>
+#include <charconv>
 
 #include "transport/avro.hpp"
+#include "zero_padded.hpp"
 
 namespace zinccleat::storage {
 namespace {
-// Layout: magic, checksum of all that follows, format version as text, Avro body.
+// Layout: magic, checksum of all that follows, format version as text, Avro record.
 constexpr std::string_view kMagic = "zcrecord";
-constexpr std::size_t kChecksumSize = 32;  // 128 bits in hexadecimal
-constexpr std::size_t kVersionSize = 4;
-constexpr std::size_t kEnvelopeSize = kMagic.size() + kChecksumSize + kVersionSize;
-constexpr std::string_view kNamePrefix = "record-";
+constexpr std::size_t kChecksumDigits = 32;  // 128 bits in hexadecimal
+constexpr std::size_t kVersionDigits = 4;
+constexpr std::size_t kEnvelopeBytes = kMagic.size() + kChecksumDigits + kVersionDigits;
 
-std::string versionText(int format) {
-  char text[16];
-  std::snprintf(text, sizeof text, "%04d", format);
-  return text;
-}
+constexpr std::string_view kNamePrefix = "record-";
+constexpr std::size_t kSequenceDigits = 12;
 }  // namespace
 
 std::string encodeRecordAs(int format, const consensus::DiskRecord& record) {
-  const auto covered = versionText(format) + avro::encode(record);
-  return std::string(kMagic) + digestOf(covered) + covered;
+  const auto checked = zeroPadded(format, kVersionDigits) + avro::encode(record);
+  return std::string(kMagic) + digestOf(checked) + checked;
 }
 std::string encodeRecord(const consensus::DiskRecord& record) {
   return encodeRecordAs(kRecordFormat, record);
 }
 
 Result<consensus::DiskRecord> decodeRecord(std::string_view content) {
-  if (content.size() < kEnvelopeSize || content.substr(0, kMagic.size()) != kMagic)
+  if (content.size() < kEnvelopeBytes || !content.starts_with(kMagic))
     return makeError(ErrorCode::corruption, "is no record");
-  const auto checksum = content.substr(kMagic.size(), kChecksumSize);
-  const auto covered = content.substr(kMagic.size() + kChecksumSize);
-  if (digestOf(covered) != checksum)
+  const auto checksum = content.substr(kMagic.size(), kChecksumDigits);
+  const auto checked = content.substr(kMagic.size() + kChecksumDigits);
+  if (digestOf(checked) != checksum)
     return makeError(ErrorCode::corruption, "fails its checksum");
-  const auto version = covered.substr(0, kVersionSize);
-  if (version != versionText(kRecordFormat))
+  const auto version = checked.substr(0, kVersionDigits);
+  if (version != zeroPadded(kRecordFormat, kVersionDigits))
     return makeError(ErrorCode::incompatibleFormat,
                      "is in format " + std::string(version) + " of another version of this program");
-  auto record = avro::decode<consensus::DiskRecord>(covered.substr(kVersionSize));
+  auto record = avro::decode<consensus::DiskRecord>(checked.substr(kVersionDigits));
   if (!record)
     return makeError(ErrorCode::corruption, "does not parse");
   return record;
 }
 
 std::string recordName(std::int64_t sequence) {
-  char name[40];
-  std::snprintf(name, sizeof name, "%s%012lld", kNamePrefix.data(), static_cast<long long>(sequence));
-  return name;
+  return std::string(kNamePrefix) + zeroPadded(sequence, kSequenceDigits);
 }
 std::optional<std::int64_t> recordSequence(const std::string& name) {
-  if (name.rfind(kNamePrefix, 0) != 0)
+  const std::string_view text = name;
+  if (!text.starts_with(kNamePrefix))
     return std::nullopt;
-  const auto sequence = std::strtoll(name.c_str() + kNamePrefix.size(), nullptr, 10);
-  // Only the very name that we would give: neither a sign nor other digits nor a tail.
+  const auto digits = text.substr(kNamePrefix.size());
+  std::int64_t sequence = 0;
+  std::from_chars(digits.data(), digits.data() + digits.size(), sequence);
+  // Only the exact name that `recordName` gives: no sign, no other number of digits, nothing behind them.
   if (sequence < 1 || recordName(sequence) != name)
     return std::nullopt;
   return sequence;
--- a/tests/fuzz/records_fuzzer.cpp
+++ b/tests/fuzz/records_fuzzer.cpp
@@ -1,4 +1,4 @@
-// Disk records: what a file of the data folder may hold after anything.
+// Fuzzes the decoder of disk records with any content of a record's file.
 #include "fuzz_target.hpp"
 #include "storage/storage.hpp"
 
@@ -8,23 +8,23 @@
 using namespace zinccleat::storage;
 using namespace zinccleat::transport;
 constexpr std::size_t kDigestLength = 32;
-// How long the mark before a record's checksum is: an encoded empty record holds mark, checksum, body.
-std::size_t markLength() {
+/// The length of the magic before a record's checksum, found in an encoded record: magic, checksum, checked bytes.
+std::size_t magicLength() {
   const auto record = encodeRecord(DiskRecord{});
-  for (std::size_t at = 1; at + kDigestLength < record.size(); ++at)
-    if (digestOf(std::string_view(record).substr(at + kDigestLength)) == record.substr(at, kDigestLength))
-      return at;
+  for (std::size_t length = 1; length + kDigestLength < record.size(); ++length)
+    if (digestOf(std::string_view(record).substr(length + kDigestLength)) == record.substr(length, kDigestLength))
+      return length;
   std::abort();
 }
-// The first byte says whether the checksum is made to fit, so that what lies behind it is tried as well.
+/// The first byte of the input selects whether the checksum is corrected, so that the code behind it is reached too.
 void decodeAnyRecord(std::string_view input) {
   if (input.empty())
     return;
-  const bool mend = input.front() & 1;
+  const bool fixChecksum = input.front() & 1;
   std::string bytes(input.substr(1));
-  static const auto kMark = markLength();
-  if (mend && bytes.size() > kMark + kDigestLength)
-    bytes.replace(kMark, kDigestLength, digestOf(std::string_view(bytes).substr(kMark + kDigestLength)));
+  static const auto kMagicLength = magicLength();
+  if (fixChecksum && bytes.size() > kMagicLength + kDigestLength)
+    bytes.replace(kMagicLength, kDigestLength, digestOf(std::string_view(bytes).substr(kMagicLength + kDigestLength)));
   const auto record = decodeRecord(bytes);
   if (!record)
     return;
@@ -33,18 +33,18 @@
   fuzz::require(encodeRecord(*again) == encodeRecord(*record));
 }
 std::vector<std::string> recordExamples() {
-  DiskRecord whole;
-  whole.seq = 1, whole.term = 3, whole.self = "10.0.0.1#0", whole.votedFor = "10.0.0.2#0", whole.full = true;
-  whole.snapshotConfig = "config", whole.state = "state";
-  DiskRecord part;
-  part.seq = 2, part.term = 3, part.self = whole.self, part.fromIndex = 5;
+  DiskRecord full;
+  full.seq = 1, full.term = 3, full.self = "10.0.0.1#0", full.votedFor = "10.0.0.2#0", full.full = true;
+  full.snapshotConfig = "config", full.state = "state";
+  DiskRecord increment;
+  increment.seq = 2, increment.term = 3, increment.self = full.self, increment.fromIndex = 5;
   LogEntry entry;
   entry.index = 5, entry.operationId = "operation", entry.body = "blob";
-  part.entries = {entry};
+  increment.entries = {entry};
   std::vector<std::string> examples;
-  for (auto& record : {whole, part})
-    for (const char mend : {'\0', '\1'})
-      examples.push_back(mend + encodeRecord(record));
+  for (auto& record : {full, increment})
+    for (const char fixChecksum : {'\0', '\1'})
+      examples.push_back(fixChecksum + encodeRecord(record));
   return examples;
 }
 }  // namespace
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -1,6 +1,8 @@
-// A disk in memory that fails and loses power where a test wants it to, after the rules that the real ones follow:
-// a file's content is durable after its own sync, each later write is there, torn or missing; each creation, renaming
-// and removal since the folder's last sync is kept or lost by itself, the two halves of a renaming as well.
+/// @file
+/// A disk in memory that fails and loses power where a test wants it to. It keeps the durability model of
+/// `storage::FileSystem`: a file's content is durable after its own sync, each later write is there, torn or missing;
+/// each creation, rename and removal since the folder's last sync is kept or lost by itself, also the two halves of a
+/// rename.
 #pragma once
 #include <cerrno>
 #include <cstring>
@@ -11,13 +13,14 @@
 #include "storage/file_system.hpp"
 
 namespace zinccleat {
-using namespace zinccleat::runtime;
 using namespace zinccleat::storage;
-// Thrown in place of an operation: the process dies there.
+/// Thrown instead of an operation: the process ends there.
 struct PowerLoss {};
 
+/// The disk: files, names, and what of them is durable.
 struct SimulatedDisk {
   enum class Operation { lock, list, read, create, write, syncFile, rename, remove, syncFolder };
+  /// What happens to an operation.
   enum class Fate {
     succeeds,
     powerLoss,      // the process ends before the operation has any effect
@@ -37,7 +40,7 @@
   };
   struct Change {
     std::string name;
-    int file;  // -1: the name is gone
+    int file;  // -1: the name is removed
     bool dropped = false;
   };
   using Content = std::map<std::string, std::string>;
@@ -48,7 +51,7 @@
   std::vector<Change> changes;
   bool locked = false;
 
-  // How the disk behaves.
+  // How the disk behaves, to be set by the test.
   std::function<Fate(Operation, int number)> fate;  // number: operations so far
   int operations = 0;
   int errorCode = EIO;
@@ -56,7 +59,7 @@
   std::size_t capacity = std::string::npos;  // bytes in all named files
 
   SimulatedDisk() = default;
-  // As found after a loss of power: all that is there is durable.
+  /// As found after a power loss: everything is durable.
   explicit SimulatedDisk(const Content& found) {
     for (auto& [name, content] : found) {
       names[name] = static_cast<int>(files.size());
@@ -79,10 +82,10 @@
   }
   Fate begin(Operation operation) {
     const auto number = operations++;
-    const auto then = fate ? fate(operation, number) : Fate::succeeds;
-    if (then == Fate::powerLoss)
+    const auto outcome = fate ? fate(operation, number) : Fate::succeeds;
+    if (outcome == Fate::powerLoss)
       throw PowerLoss{};
-    return then;
+    return outcome;
   }
   void change(const std::string& name, int file) {
     if (file < 0)
@@ -93,24 +96,24 @@
   }
   void makeNamesDurable() {
     std::vector<Change> left;
-    for (auto& c : changes)
-      if (!c.dropped) {
-        std::erase_if(left, [&](auto& older) { return older.name == c.name; });
-        applyTo(durableNames, c);
+    for (auto& each : changes)
+      if (!each.dropped) {
+        std::erase_if(left, [&](auto& older) { return older.name == each.name; });
+        applyTo(durableNames, each);
       } else {
-        left.push_back(c);
+        left.push_back(each);
       }
     changes = left;
   }
-  static void applyTo(std::map<std::string, int>& to, const Change& c) {
-    if (c.file < 0)
-      to.erase(c.name);
+  static void applyTo(std::map<std::string, int>& to, const Change& change) {
+    if (change.file < 0)
+      to.erase(change.name);
     else
-      to[c.name] = c.file;
+      to[change.name] = change.file;
   }
 
-  // Every content that the folder may have after a loss of power now. Throws where so much is unsynced that they
-  // can't all be looked at: the code under test does not sync.
+  /// Every content that the folder may have after a power loss at this moment. Throws std::length_error if too much is
+  /// unsynced to enumerate it: the code under test does not sync.
   std::set<Content> afterPowerLoss() const {
     if (changes.size() > kMostUnsynced)
       throw std::length_error(std::to_string(changes.size()) + " changes of names are not synced");
@@ -130,18 +133,18 @@
 
  private:
   void addContents(const std::map<std::string, int>& folder, std::map<std::string, int>::const_iterator next,
-                   Content soFar, std::set<Content>& all) const {
+                   Content content, std::set<Content>& all) const {
     if (next == folder.end()) {
-      all.insert(std::move(soFar));
+      all.insert(std::move(content));
       return;
     }
     const auto& [name, number] = *next++;
     for (auto& variant : variantsOf(files[static_cast<std::size_t>(number)])) {
-      soFar[name] = variant;
-      addContents(folder, next, soFar, all);
+      content[name] = variant;
+      addContents(folder, next, content, all);
     }
   }
-  // Each unsynced write whole, torn or missing by itself.
+  // Each unsynced write complete, torn or missing by itself.
   static std::set<std::string> variantsOf(const File& file) {
     if (file.unsynced.size() > kMostUnsynced)
       throw std::length_error(std::to_string(file.unsynced.size()) + " writes of a file are not synced");
@@ -163,6 +166,7 @@
   }
 };
 
+/// A `storage::FileSystem` on a simulated disk.
 class SimulatedFolder : public FileSystem {
  public:
   using Operation = SimulatedDisk::Operation;
@@ -251,16 +255,16 @@
       if (fate == Fate::failsBefore)
         return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       const auto used = disk_.used();
-      const auto room = disk_.capacity > used ? disk_.capacity - used : 0;
-      if (room == 0)
+      const auto space = disk_.capacity > used ? disk_.capacity - used : 0;
+      if (space == 0)
         return makeError(ErrorCode::ioError, "write: no space", ENOSPC);
       auto& file = disk_.files[number_];
-      const std::string taken(bytes.substr(0, std::min(room, disk_.longestWrite)));
-      file.unsynced.push_back({file.content.size(), taken});
-      file.content += taken;
+      const std::string written(bytes.substr(0, std::min(space, disk_.longestWrite)));
+      file.unsynced.push_back({file.content.size(), written});
+      file.content += written;
       if (failed(fate))
         return makeError(ErrorCode::ioError, "write", disk_.errorCode);
-      return taken.size();
+      return written.size();
     }
     Result<void> sync() override {
       const auto fate = disk_.begin(Operation::syncFile);
--- /dev/null
+++ b/tests/storage_faults_test.cpp
@@ -0,0 +1,288 @@
+// Storage on a disk that loses power or fails at every operation, exhaustively, on a simulated disk; none sleeps.
+#include <gtest/gtest.h>
+
+#include "storage_fixtures.hpp"
+
+using namespace zinccleat;
+using namespace zinccleat::storage_testing;
+
+namespace {
+const char* const kShapes[] = {"fiiifififi", "iifiif", "ffif"};
+}  // namespace
+
+// --- Power loss ---
+
+TEST(StorageFaults, PowerLossAtEachOperationKeepsAcknowledgedRecords) {
+  Checker checker;
+  int runs = 0;
+  for (const std::string shape : kShapes)
+    for (int operation = 0, lost = 1; lost; ++operation, ++runs) {
+      Disk disk;
+      History history;
+      losePowerAt(disk, operation);
+      lost = runIncarnation(disk, shape, history);
+      ASSERT_EQ(checker.check(disk, history), "") << shape << " power lost before operation " << operation;
+    }
+  RecordProperty("runs", runs);
+  RecordProperty("outcomes", static_cast<int>(checker.outcomes()));
+  RecordProperty("distinct", static_cast<int>(checker.distinct()));
+  EXPECT_GT(checker.distinct(), 100U);
+}
+TEST(StorageFaults, SecondPowerLossAtEachOperationAfterRestart) {
+  Checker checker;
+  for (const std::string shape : {"fiifi", "iif"})
+    for (int first = 0, lost = 1; lost; ++first) {
+      Disk before;
+      History known;
+      losePowerAt(before, first);
+      lost = runIncarnation(before, shape, known);
+      for (auto& folder : checker.newOutcomes(before, known))
+        for (const std::string next : {"ii", "f"})
+          for (int second = 0, again = 1; again; ++second) {
+            Disk disk(folder);
+            auto history = known;
+            losePowerAt(disk, second);
+            again = runIncarnation(disk, next, history);
+            ASSERT_EQ(checker.check(disk, history), "")
+                << shape << " power lost before " << first << ", then before " << second;
+          }
+    }
+  RecordProperty("outcomes", static_cast<int>(checker.outcomes()));
+  RecordProperty("distinct", static_cast<int>(checker.distinct()));
+}
+TEST(StorageFaults, KillAtEachOperationThenPowerLossAfterRestart) {
+  // A kill leaves the files as they were, synced or not: what the next incarnation loads must be durable from then on.
+  Checker checker;
+  for (const std::string shape : {"fiifi", "iif"})
+    for (int first = 0, killed = 1; killed; ++first) {
+      Disk before;
+      History known;
+      losePowerAt(before, first);
+      killed = runIncarnation(before, shape, known);
+      for (const std::string next : {"ii", "f"})
+        for (int second = 0, lost = 1; lost; ++second) {
+          auto disk = before;
+          auto history = known;
+          disk.operations = 0;
+          losePowerAt(disk, second);
+          lost = runIncarnation(disk, next, history);
+          ASSERT_EQ(checker.check(disk, history), "")
+              << shape << " killed before " << first << ", lost before " << second;
+        }
+    }
+  RecordProperty("outcomes", static_cast<int>(checker.outcomes()));
+  RecordProperty("distinct", static_cast<int>(checker.distinct()));
+}
+
+// --- Failing operations ---
+
+TEST(StorageFaults, ErrorAtEachOperationIsRetriedThenPowerLoss) {
+  Checker checker;
+  int runs = 0;
+  for (const auto how : {Fate::failsBefore, Fate::failsAfter, Fate::failsAndDrops})
+    for (const int code : {EIO, ENOSPC})
+      for (const std::string shape : {"fiifi", "iif"})
+        for (int failing = 2, done = 0; !done; ++failing)  // 0 and 1: the load of an empty folder
+          for (int lostAfter = 1; lostAfter <= 12; ++lostAfter, ++runs) {
+            Disk disk;
+            History history;
+            disk.errorCode = code;
+            bool failed = false;
+            disk.fate = [&](Operation operation, int number) {
+              if (number == failing) {
+                const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
+                failed = true;
+                return how == Fate::failsAndDrops && !sync ? Fate::failsBefore : how;
+              }
+              return number == failing + lostAfter ? Fate::powerLoss : Fate::succeeds;
+            };
+            auto storage = storageOn(disk);
+            ASSERT_TRUE(storage.load());
+            try {
+              ASSERT_TRUE(appendAll(storage, shape, history, 2,
+                                    [&] {
+                                      if (failed) {
+                                        ASSERT_EQ(checker.check(disk, history), "")
+                                            << shape << " operation " << failing << " failed";
+                                      }
+                                    }))
+                  << shape << " operation " << failing << ": the retry failed";
+            } catch (const PowerLoss&) {
+            }
+            ASSERT_EQ(checker.check(disk, history), "")
+                << shape << " operation " << failing << " failed, lost " << lostAfter << " later";
+            done = !failed;
+          }
+  RecordProperty("runs", runs);
+  RecordProperty("distinct", static_cast<int>(checker.distinct()));
+}
+TEST(StorageFaults, TwoErrorsAtEachPairOfOperations) {
+  Checker checker;
+  for (const auto how : {Fate::failsBefore, Fate::failsAfter, Fate::failsAndDrops})
+    for (int first = 2; first < 40; ++first)
+      for (int second = first + 1; second < first + 14; ++second) {
+        Disk disk;
+        History history;
+        disk.fate = [&](Operation operation, int number) {
+          if (number != first && number != second)
+            return Fate::succeeds;
+          const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
+          return how == Fate::failsAndDrops && !sync ? Fate::failsBefore : how;
+        };
+        auto storage = storageOn(disk);
+        ASSERT_TRUE(storage.load());
+        ASSERT_TRUE(appendAll(storage, "fiifi", history, 3,
+                              [&] { ASSERT_EQ(checker.check(disk, history), "") << first << " and " << second; }));
+      }
+}
+TEST(StorageFaults, ShortWritesAreContinued) {
+  const auto size = encodeRecord(recordOf(1, true)).size();
+  for (const std::size_t longest : {std::size_t{1}, std::size_t{7}, size / 2, size - 1}) {
+    Disk disk;
+    History history;
+    disk.longestWrite = longest;
+    auto storage = storageOn(disk);
+    ASSERT_TRUE(storage.load());
+    ASSERT_TRUE(appendAll(storage, "fiif", history, 1));
+    EXPECT_EQ(Checker().check(disk, history), "");
+  }
+}
+TEST(StorageFaults, PowerLossAmidShortWrites) {
+  Checker checker;
+  bool lost = true;
+  for (int operation = 0; lost; ++operation) {
+    Disk disk;
+    History history;
+    disk.longestWrite = 60;
+    losePowerAt(disk, operation);
+    lost = runIncarnation(disk, "fif", history);
+    ASSERT_EQ(checker.check(disk, history), "") << operation;
+  }
+}
+TEST(StorageFaults, FullDiskFailsAppendsUntilThereIsSpace) {
+  const auto size = encodeRecord(recordOf(1, true)).size();
+  Disk disk;
+  History history;
+  auto storage = storageOn(disk);
+  ASSERT_TRUE(storage.load());
+  ASSERT_TRUE(appendAll(storage, "fi", history, 1));
+  for (std::size_t space = 0; space < size; ++space) {
+    disk.capacity = disk.used() + space;
+    const auto before = disk.content();
+    const auto appended = storage.append(recordOf(3, false));
+    ASSERT_FALSE(appended);
+    ASSERT_EQ(appended.error().subcode, ENOSPC);
+    ASSERT_EQ(disk.content(), before) << "the failed attempt releases its space";
+    ASSERT_EQ(Checker().check(disk, history), "");
+    disk.makeNamesDurable();  // otherwise the unsynced names of all attempts add up
+  }
+  disk.capacity = std::string::npos;
+  ASSERT_TRUE(appendAll(storage, "ifi", history, 1));
+  EXPECT_EQ(Checker().check(disk, history), "");
+}
+TEST(StorageFaults, FullDiskFreesObsoleteFiles) {
+  const auto size = encodeRecord(recordOf(1, true)).size();
+  Disk disk;
+  auto storage = storageOn(disk);
+  ASSERT_TRUE(storage.load());
+  for (int sequence = 1; sequence <= 4; ++sequence)
+    ASSERT_TRUE(storage.append(recordOf(sequence, sequence == 1 || sequence == 4)));
+  disk.capacity = disk.used() + size / 2;
+  EXPECT_FALSE(storage.append(recordOf(5, false)));
+  EXPECT_TRUE(storage.append(recordOf(5, false)));
+  const auto records = loadFrom(disk);
+  ASSERT_TRUE(records);
+  EXPECT_EQ(sequencesOf(*records), (Sequences{4, 5}));
+}
+TEST(StorageFaults, RecoverySucceedsOnAFullDisk) {
+  Disk disk(folderOf("f-i-fi"));
+  disk.errorCode = ENOSPC;
+  disk.fate = [](Operation operation, int) {
+    const bool looks = operation == Operation::list || operation == Operation::read;
+    return looks || operation == Operation::syncFolder ? Fate::succeeds : Fate::failsBefore;
+  };
+  auto storage = storageOn(disk);
+  const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
+  ASSERT_TRUE(recovery) << recovery.error().message;
+  EXPECT_EQ(sequencesOf(recovery->records), (Sequences{5, 6}));
+  EXPECT_EQ(recovery->warnings.size(), 1U) << "the folder could not be locked";
+  EXPECT_FALSE(storage.append(recordOf(7, false)));
+  disk.fate = {};
+  EXPECT_TRUE(storage.append(recordOf(7, false)));
+}
+TEST(StorageFaults, FailedRemovalsAreRetriedLater) {
+  Disk disk;
+  History history;
+  disk.fate = [](Operation operation, int) {
+    return operation == Operation::remove ? Fate::failsBefore : Fate::succeeds;
+  };
+  auto storage = storageOn(disk);
+  ASSERT_TRUE(storage.load());
+  // The removal of a left-over temporary file before a write is the only one whose failure must fail the write.
+  EXPECT_FALSE(storage.append(recordOf(1, true)));
+  disk.fate = {};
+  ASSERT_TRUE(appendAll(storage, "fii", history, 1));
+  begin(history, recordOf(4, true));
+  ASSERT_TRUE(storage.append(recordOf(4, true)));
+  history.acknowledged = 4;
+  disk.fate = [](Operation, int) { return Fate::failsBefore; };
+  while (storage.removeObsolete(1)) {
+  }
+  EXPECT_EQ(disk.names.size(), 4U);
+  disk.fate = {};
+  ASSERT_TRUE(appendAll(storage, "if", history, 1));
+  EXPECT_EQ(disk.names.size(), 1U) << "removed after the next full record";
+}
+
+// --- Failing reads ---
+
+TEST(StorageFaults, ReadErrorIsNoCorruption) {
+  const auto folder = folderOf("f-i-fii");
+  for (int failing = 0; failing < 5; ++failing) {  // the list, three reads, the sync of the folder
+    Disk disk(folder);
+    disk.fate = [failing](Operation, int number) { return number == failing ? Fate::failsBefore : Fate::succeeds; };
+    auto storage = storageOn(disk);
+    const auto records = storage.load();
+    ASSERT_FALSE(records) << failing;
+    EXPECT_EQ(records.error().subcode, EIO);
+    EXPECT_EQ(disk.content(), folder) << failing << ": nothing is changed";
+    const auto again = storage.load();
+    ASSERT_TRUE(again);
+    EXPECT_EQ(sequencesOf(*again), (Sequences{5, 6, 7}));
+  }
+}
+TEST(StorageFaults, RecoveryRetriesTransientErrors) {
+  Disk disk(folderOf("fii"));
+  disk.fate = [](Operation operation, int) {
+    return operation == Operation::read ? Fate::failsBefore : Fate::succeeds;
+  };
+  auto storage = storageOn(disk);
+  int waits = 0;
+  const auto recovery = recoverStorage(storage, [&](const Error& error) {
+    EXPECT_EQ(error.subcode, EIO);
+    EXPECT_EQ(error.message, "record-000000000003 can't be read: read");
+    if (++waits == 100)
+      disk.fate = {};
+    return true;
+  });
+  ASSERT_TRUE(recovery);
+  EXPECT_EQ(waits, 100);
+  EXPECT_EQ(sequencesOf(recovery->records), (Sequences{1, 2, 3}));
+  EXPECT_FALSE(recovery->identityLost);
+}
+TEST(StorageFaults, RecoveryFailsAtOnceOnPermanentErrors) {
+  for (const int code : {EIO, EACCES}) {
+    Disk disk(folderOf("fii"));
+    disk.errorCode = code;
+    disk.fate = [](Operation operation, int) {
+      return operation == Operation::read ? Fate::failsBefore : Fate::succeeds;
+    };
+    auto storage = storageOn(disk);
+    int asked = 0;
+    const auto recovery = recoverStorage(storage, [&](const Error&) { return ++asked < 3; });
+    ASSERT_FALSE(recovery);
+    EXPECT_EQ(recovery.error().subcode, code);
+    EXPECT_EQ(asked, code == EIO ? 3 : 0) << "missing rights are permanent";
+    EXPECT_EQ(disk.content(), folderOf("fii"));
+  }
+}
