--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -303,14 +303,14 @@
     if (!node.up || node.paused)
       return schedule(Duration(1000), [answer] { answer(0); });
     if (node.replica.evaluateReplace(request.base, request.version, digestOf(request.body)) ==
-        ReplicatedState::kAcknowledged)
-      return answer(ReplicatedState::kAcknowledged);
+        ReplicatedState::acknowledged)
+      return answer(ReplicatedState::acknowledged);
     const auto entry =
         configurationEntry(request.base, request.version, request.body, "write/" + std::to_string(++writes_));
     cluster_.attemptWrite(ip, node.incarnation, entry,
                           static_cast<int>(kWriteTimeout / SimulatedCluster::kWriteRetryInterval));
     if (fault_ == InjectedFault::earlyAcknowledgement && node.replica.state().version == request.base)
-      return schedule(Duration(5), [answer] { answer(ReplicatedState::kAcknowledged); });
+      return schedule(Duration(5), [answer] { answer(ReplicatedState::acknowledged); });
     awaitOutcome(ip, node.incarnation, entry.operationId, cluster_.now + kWriteTimeout, answer);
   }
   void awaitOutcome(const std::string& ip, int incarnation, const std::string& operation, TimePoint until,
