--- a/libs/agent/src/agent.cpp
+++ b/libs/agent/src/agent.cpp
@@ -9,6 +9,8 @@
 #include "runtime/log_ring.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
+#include "transport/dialer.hpp"
+#include "transport/listener.hpp"
 #include "transport/partial_view.hpp"
 #include "transport/peer_link.hpp"
 
@@ -198,16 +200,16 @@
   }
   void onSnapshot(const transport::PeerLinkPtr& link, const transport::FeedSnapshot& feed) {
     // Never back in number.
-    if (feed.number < queue_.applied() || (feed.number == queue_.applied() && !copy_.damaged()))
+    if (feed.lastIncludedIndex < queue_.applied() || (feed.lastIncludedIndex == queue_.applied() && !copy_.damaged()))
       return;
     if (auto restored = copy_.restore(feed.state); !restored) {
       log::error("snapshot declined: " + restored.error().message);
       copy_.damage();
       return refetch(true);
     }
-    queue_.restart(feed.number);
+    queue_.restart(feed.lastIncludedIndex);
     tail_.clear();
-    newest_ = std::max(newest_, feed.number);
+    newest_ = std::max(newest_, feed.lastIncludedIndex);
     if (feedsProxy())
       sendSnapshot();
     drain();
@@ -247,7 +249,7 @@
   }
   void sendSnapshot() {
     transport::FeedSnapshot feed;
-    feed.number = copy_.state().index;
+    feed.lastIncludedIndex = copy_.state().index;
     feed.state = copy_.snapshotFor(proxyHolds_);
     proxy_->send(transport::pack(feed));
     proxyHolds_ = copy_.state().digest;
@@ -269,7 +271,7 @@
   }
   void onFollow(const transport::PeerLinkPtr& link, const transport::FollowLog& message) {
     if (proxy_ && proxy_ != link)
-      proxy_->end();
+      proxy_->close();
     proxy_ = link;
     proxyHolds_ = message.cachedDigest;
     if (message.refetch)  // it asks for all of it
--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -37,7 +37,7 @@
   auto& session = sessions_[agent];
   if (session.link != link) {
     if (session.link)
-      session.link->end();
+      session.link->close();
     session = Session{};
     session.link = link;
   }
@@ -84,7 +84,7 @@
 transport::FeedSnapshot AgentSessions::snapshotFor(std::int64_t number, const std::string& held) const {
   transport::FeedSnapshot feed;
   feed.term = core_.raft->term();
-  feed.number = core_.copy.state().index;
+  feed.lastIncludedIndex = core_.copy.state().index;
   // What the receiver holds already is not sent again: only the difference from it.
   feed.state = core_.copy.snapshotFor(number == 0 ? std::string{} : held);
   return feed;
@@ -93,7 +93,7 @@
 void AgentSessions::feedEntriesInFull(Session& session) {
   const auto feed = entriesAfter(session.fed);
   session.fed = feed.newestIndex;
-  session.link->sendBulk(transport::frameOf(fromUs(feed)));
+  session.link->sendBulk(transport::encodeFrame(fromUs(feed)));
 }
 transport::FeedEntries AgentSessions::withoutBodiesAhead(transport::FeedEntries feed) const {
   const auto& raft = *core_.raft;
@@ -117,7 +117,7 @@
   if (frame)
     return frame;
   const auto envelope = whole ? fromUs(snapshotFor(number, held)) : fromUs(withoutBodiesAhead(entriesAfter(number)));
-  return frame = std::make_shared<const std::string>(transport::frameOf(envelope));
+  return frame = std::make_shared<const std::string>(transport::encodeFrame(envelope));
 }
 void AgentSessions::feed(Session& session) {
   const auto newest = core_.raft->commitIndex();
@@ -146,15 +146,15 @@
 void AgentSessions::dropSilent(TimePoint now) {
   std::erase_if(sessions_, [now](auto& session) {
     auto& link = session.second.link;
-    if (link->open() && now - link->heard() < kSilentAfter)
+    if (link->open() && now - link->lastReceivedAt() < kSilentAfter)
       return false;
-    link->end();
+    link->close();
     return true;
   });
 }
 void AgentSessions::sendBody(const transport::LogEntry& entry) {
-  const auto frame =
-      std::make_shared<const std::string>(transport::frameOf(fromUs(transport::BodyAhead{entry.digest, entry.body})));
+  const auto frame = std::make_shared<const std::string>(
+      transport::encodeFrame(fromUs(transport::BodyAhead{entry.digest, entry.body})));
   for (auto& [agent, session] : sessions_)
     if (session.link->open())
       session.link->sendBulk(frame);
--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -5,6 +5,7 @@
 #include "proxy/http.hpp"
 #include "runtime/lifecycle.hpp"
 #include "runtime/log_ring.hpp"
+#include "transport/listener.hpp"
 
 namespace zinccleat::controller {
 namespace {
--- a/libs/controller/src/core.cpp
+++ b/libs/controller/src/core.cpp
@@ -3,6 +3,7 @@
 #include <thread>
 
 #include "runtime/log_ring.hpp"
+#include "transport/listener.hpp"
 
 namespace zinccleat::controller {
 namespace {
--- a/libs/controller/src/core_report.cpp
+++ b/libs/controller/src/core_report.cpp
@@ -75,10 +75,11 @@
   fields.number("agents", agents_.count()).number("waitingBytes", agents_.waitingBytes());
   fields.number("snapshotsDeclined", raft.snapshotsRefused());
   fields.number("seedsDeclined", shared_.seedsDeclined);
-  fields.number("framesDeclined", transport::trafficSoFar().framesDeclined);
-  fields.number("framesOfOtherFormats", transport::trafficSoFar().framesOfOtherFormats);
-  fields.number("hintsTold", hints ? hints->told() : 0).number("hintsKnown", hints ? hints->known() : 0);
-  fields.number("hintsDeclined", hints ? hints->errorResponse() : 0);
+  fields.number("framesDeclined", transport::trafficCounters().framesDeclined);
+  fields.number("framesOfOtherFormats", transport::trafficCounters().framesOfOtherFormats);
+  fields.number("hintsTold", hints ? hints->announcedCount() : 0)
+      .number("hintsKnown", hints ? hints->partnerCount() : 0);
+  fields.number("hintsDeclined", hints ? hints->rejectedCount() : 0);
   fields.number("runnersAside", desk_.outliers().list().size());
   fields.number("wordsDeclined", desk_.outliers().errorResponse());
   return fields.raw("members", arrayOf(members)).raw("runners", arrayOf(runners)).object();
--- a/libs/controller/src/partner_hints.cpp
+++ b/libs/controller/src/partner_hints.cpp
@@ -12,14 +12,14 @@
 constexpr auto kAnswerWithin = 1000ms;
 // By the time of day: both sites change the key together, and a list one key old still counts.
 std::int64_t epochNow() {
-  return std::chrono::system_clock::now().time_since_epoch() / kBounds.epoch;
+  return std::chrono::system_clock::now().time_since_epoch() / kBounds.keyPeriod;
 }
 }  // namespace
 
 Result<void> PartnerHints::start() {
   if (!core_.settings.partner)
     return {};
-  auto key = hints::HintKey::from(core_.settings.partner->secret);
+  auto key = hints::HintKey::parse(core_.settings.partner->secret);
   if (!key)
     return tl::unexpected(key.error());
   key_ = *key;
@@ -37,8 +37,8 @@
 }
 // To the first of the partner's machines that answers.
 void PartnerHints::tellOne() {
-  const auto news = avro::encode(table_->news(Clock::now(), epochNow()));
-  const operations::Call call{"POST", "/v1/Hints.Exchange", news, {{"X-Hint-Seal", key_->seal(news)}}};
+  const auto news = avro::encode(table_->nextUpdate(Clock::now(), epochNow()));
+  const operations::Call call{"POST", "/v1/Hints.Exchange", news, {{"X-Hint-Seal", key_->sign(news)}}};
   for (auto& address : core_.settings.partner->control) {
     const auto answer = operations::callOne(address, call, kAnswerWithin);
     if (answer && answer->status == 200)
@@ -49,11 +49,11 @@
   const auto cut = answer.find('\n');
   const auto body = cut == std::string::npos ? std::string{} : answer.substr(cut + 1);
   const auto news = avro::decode<hints::HintUpdate>(body);
-  if (cut == std::string::npos || !key_->fits(body, answer.substr(0, cut)) || !news) {
-    table_->decline();
+  if (cut == std::string::npos || !key_->verify(body, answer.substr(0, cut)) || !news) {
+    table_->countRejected();
     return log::debug("hints from " + from + " declined");
   }
-  if (auto taken = table_->heard(Clock::now(), epochNow(), *news); !taken)
+  if (auto taken = table_->applyUpdate(Clock::now(), epochNow(), *news); !taken)
     log::debug("hints from " + from + " declined: " + taken.error().message);
 }
 Result<std::string> PartnerHints::take(std::string_view body, std::string_view seal) {
@@ -62,15 +62,15 @@
   if (!core_.raft->hasLease(Clock::now()))
     return makeError(ErrorCode::unavailable, "no lease");
   const auto news = avro::decode<hints::HintUpdate>(body);
-  if (!key_->fits(body, seal) || !news) {
-    table_->decline();
+  if (!key_->verify(body, seal) || !news) {
+    table_->countRejected();
     log::debug("hints from a stranger declined");
     return makeError(ErrorCode::permissionDenied, "hints of a stranger");
   }
-  if (auto taken = table_->heard(Clock::now(), epochNow(), *news); !taken)
+  if (auto taken = table_->applyUpdate(Clock::now(), epochNow(), *news); !taken)
     return tl::unexpected(taken.error());
-  const auto ours = avro::encode(table_->news(Clock::now(), epochNow()));
-  return key_->seal(ours) + "\n" + ours;
+  const auto ours = avro::encode(table_->nextUpdate(Clock::now(), epochNow()));
+  return key_->sign(ours) + "\n" + ours;
 }
 transport::PrefixLookupResponse PartnerHints::onPrefixLookupRequest(TimePoint now,
                                                                     const transport::PrefixLookupRequest& requestId) {
@@ -78,10 +78,10 @@
   answer.requestId = requestId.requestId;
   if (!table_ || !core_.raft->hasLease(now))
     return answer;
-  const auto opening = static_cast<std::uint64_t>(requestId.opening);
+  const auto opening = static_cast<std::uint64_t>(requestId.promptPrefix);
   const auto tenantDigest = static_cast<std::uint64_t>(requestId.tenantDigest);
   // Alike whether the partner does not hold it, or has not told: only whether to go there.
-  if (table_->elsewhere(now, epochNow(), opening, tenantDigest))
+  if (table_->cachedOnlyAtPartner(now, epochNow(), opening, tenantDigest))
     answer.access = core_.settings.partner->access;
   return answer;
 }
--- a/libs/controller/src/peer_links.cpp
+++ b/libs/controller/src/peer_links.cpp
@@ -38,7 +38,7 @@
   // An answer goes back on the connection the other spoke on; only what has none goes on a dialled one.
   if (const auto it = spokeOn_.find(to); it != spokeOn_.end()) {
     const auto link = it->second.lock();
-    if (link && link->open() && Clock::now() - link->heard() < kSpokeLately)
+    if (link && link->open() && Clock::now() - link->lastReceivedAt() < kSpokeLately)
       return write(*link);
   }
   if (auto* dialer = dialerTo(consensus::addressOf(to)); dialer && dialer->up())
--- a/libs/controller/src/peer_links.hpp
+++ b/libs/controller/src/peer_links.hpp
@@ -1,6 +1,7 @@
 /// Links to the other core machines. A message is sent once or lost: the replicated log sends again what matters.
 #pragma once
 #include "core_context.hpp"
+#include "transport/dialer.hpp"
 #include "transport/peer_link.hpp"
 namespace zinccleat::controller {
 class PeerLinks {
--- a/libs/hints/src/hints.cpp
+++ b/libs/hints/src/hints.cpp
@@ -2,139 +2,171 @@
 
 #include <sodium.h>
 
+#include <array>
 #include <cstring>
 
 namespace zinccleat::hints {
 namespace {
-constexpr char kContext[crypto_kdf_CONTEXTBYTES + 1] = "zchints1";
+constexpr char kKeyContext[crypto_kdf_CONTEXTBYTES + 1] = "zchints1";  // part of the wire format
+constexpr auto kExpiryInterval = 1s;
+
+const unsigned char* bytesOf(std::string_view text) {
+  return reinterpret_cast<const unsigned char*>(text.data());
 }
-Result<HintKey> HintKey::from(std::string_view hex) {
-  checkInvariant(sodium_init() >= 0, "libsodium");
-  unsigned char raw[crypto_kdf_KEYBYTES];
-  std::size_t n = 0;
-  if (sodium_hex2bin(raw, sizeof raw, hex.data(), hex.size(), nullptr, &n, nullptr) != 0 || n != sizeof raw ||
-      hex.size() != 2 * sizeof raw)
+}  // namespace
+
+Result<HintKey> HintKey::parse(std::string_view hex) {
+  checkInvariant(sodium_init() >= 0, "libsodium can be initialised");
+  std::array<unsigned char, crypto_kdf_KEYBYTES> secret{};
+  std::size_t length = 0;
+  const bool isHex =
+      sodium_hex2bin(secret.data(), secret.size(), hex.data(), hex.size(), nullptr, &length, nullptr) == 0;
+  if (!isHex || length != secret.size() || hex.size() != 2 * secret.size())
     return makeError(ErrorCode::invalidArgument, "a partner's secret is not 32 bytes in hex");
-  HintKey k;
-  k.secret_.assign(reinterpret_cast<char*>(raw), sizeof raw);
-  return k;
+  HintKey key;
+  key.secret_.assign(secret.begin(), secret.end());
+  return key;
 }
-std::int64_t HintKey::digest(std::uint64_t opening, std::int64_t epoch) const {
-  const auto* secret = reinterpret_cast<const unsigned char*>(secret_.data());
-  unsigned char key[crypto_shorthash_KEYBYTES];
-  unsigned char in[sizeof opening];
-  unsigned char out[crypto_shorthash_BYTES];
-  crypto_kdf_derive_from_key(key, sizeof key, static_cast<std::uint64_t>(epoch), kContext, secret);
-  std::memcpy(in, &opening, sizeof in);
-  crypto_shorthash(out, in, sizeof in, key);
-  std::int64_t d = 0;
-  std::memcpy(&d, out, sizeof d);
-  return d;
+std::int64_t HintKey::digest(std::uint64_t promptPrefix, std::int64_t epoch) const {
+  std::array<unsigned char, crypto_shorthash_KEYBYTES> key{};
+  std::array<unsigned char, sizeof promptPrefix> input{};
+  std::array<unsigned char, crypto_shorthash_BYTES> output{};
+  crypto_kdf_derive_from_key(key.data(), key.size(), static_cast<std::uint64_t>(epoch), kKeyContext, bytesOf(secret_));
+  std::memcpy(input.data(), &promptPrefix, input.size());
+  crypto_shorthash(output.data(), input.data(), input.size(), key.data());
+  std::int64_t digest = 0;
+  std::memcpy(&digest, output.data(), sizeof digest);
+  return digest;
 }
-std::string HintKey::seal(std::string_view text) const {
-  unsigned char mac[crypto_auth_BYTES];
-  crypto_auth(mac, reinterpret_cast<const unsigned char*>(text.data()), text.size(),
-              reinterpret_cast<const unsigned char*>(secret_.data()));
-  std::string hex(2 * sizeof mac + 1, '\0');
-  sodium_bin2hex(hex.data(), hex.size(), mac, sizeof mac);
-  hex.pop_back();
+std::string HintKey::sign(std::string_view text) const {
+  std::array<unsigned char, crypto_auth_BYTES> code{};
+  crypto_auth(code.data(), bytesOf(text), text.size(), bytesOf(secret_));
+  std::string hex(2 * code.size() + 1, '\0');
+  sodium_bin2hex(hex.data(), hex.size(), code.data(), code.size());
+  hex.pop_back();  // the terminating zero
   return hex;
 }
-bool HintKey::fits(std::string_view text, std::string_view s) const {
-  const auto own = seal(text);
-  return own.size() == s.size() && sodium_memcmp(own.data(), s.data(), own.size()) == 0;
+bool HintKey::verify(std::string_view text, std::string_view code) const {
+  const auto expected = sign(text);
+  return expected.size() == code.size() && sodium_memcmp(expected.data(), code.data(), expected.size()) == 0;
 }
 
-void HintTable::forget(TimePoint now) {
-  if (now - forgotAt_ < 1s && mine_.size() < b_.kept)
+void HintTable::expire(TimePoint now) {
+  if (now - lastExpiry_ < kExpiryInterval && cached_.size() < bounds_.capacity)
     return;
-  forgotAt_ = now;
-  std::erase_if(mine_, [&](auto& o) { return now - o.second.at > b_.lives; });
-  // Why all of it: what is lost is a hint, and an order by age would cost more than it is worth.
-  if (mine_.size() >= b_.kept)
-    mine_.clear();
+  lastExpiry_ = now;
+  std::erase_if(cached_, [&](const auto& entry) { return now - entry.second.lastUsed > bounds_.lifetime; });
+  // Full in spite of that: everything goes. Only hints are lost, and an order by age would cost more than it saves.
+  if (cached_.size() >= bounds_.capacity)
+    cached_.clear();
+}
+bool HintTable::partnerAnnounced(TimePoint now, std::int64_t epoch, std::uint64_t promptPrefix) const {
+  const bool recent = now - partnerUpdatedAt_ <= bounds_.partnerTimeout;
+  const bool keyValid = partnerEpoch_ == epoch || partnerEpoch_ + 1 == epoch;
+  return recent && keyValid && partnerDigests_.contains(key_.digest(promptPrefix, partnerEpoch_));
 }
-bool HintTable::elsewhere(TimePoint now, std::int64_t epoch, std::uint64_t opening, std::uint64_t tenantDigest) {
-  forget(now);
-  auto it = mine_.find(opening);
-  const bool held = it != mine_.end() && now - it->second.at <= b_.lives;
-  const bool fresh = now - theirsAt_ <= b_.stale && (theirEpoch_ == epoch || theirEpoch_ + 1 == epoch);
-  if (!held && fresh && theirs_.contains(key_.digest(opening, theirEpoch_)))
-    return true;
-  if (!held)
-    it = mine_.insert_or_assign(opening, Opening{}).first;
-  it->second.at = now;
-  if (it->second.tenants.size() < b_.tenants)
-    it->second.tenants.insert(tenantDigest);
+bool HintTable::cachedOnlyAtPartner(TimePoint now, std::int64_t epoch, std::uint64_t promptPrefix,
+                                    std::uint64_t tenantDigest) {
+  expire(now);
+  auto found = cached_.find(promptPrefix);
+  const bool cachedHere = found != cached_.end() && now - found->second.lastUsed <= bounds_.lifetime;
+  if (!cachedHere) {
+    if (partnerAnnounced(now, epoch, promptPrefix))
+      return true;
+    found = cached_.insert_or_assign(promptPrefix, CachedPrefix{}).first;
+  }
+  found->second.lastUsed = now;
+  if (found->second.tenants.size() < bounds_.minTenants)
+    found->second.tenants.insert(tenantDigest);
   return false;
 }
-HintUpdate HintTable::news(TimePoint now, std::int64_t epoch) {
-  forget(now);
-  std::vector<std::pair<TimePoint, std::uint64_t>> newest;
-  for (auto& [o, x] : mine_)
-    if (x.tenants.size() >= b_.tenants)
-      newest.emplace_back(x.at, o);
-  if (newest.size() > b_.most) {
-    std::nth_element(newest.begin(), newest.begin() + static_cast<std::ptrdiff_t>(b_.most), newest.end(),
-                     std::greater<>());
-    newest.resize(b_.most);
+
+// Of the prefixes that enough tenants have sent, the most recently used ones.
+std::set<std::int64_t> HintTable::digestsToAnnounce(std::int64_t epoch) const {
+  struct Candidate {
+    TimePoint lastUsed;
+    std::uint64_t promptPrefix;
+    auto operator<=>(const Candidate&) const = default;
+  };
+  std::vector<Candidate> candidates;
+  for (const auto& [promptPrefix, prefix] : cached_)
+    if (prefix.tenants.size() >= bounds_.minTenants)
+      candidates.push_back({prefix.lastUsed, promptPrefix});
+  if (candidates.size() > bounds_.maxAnnounced) {
+    const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(bounds_.maxAnnounced);
+    std::nth_element(candidates.begin(), end, candidates.end(), std::greater<>());
+    candidates.resize(bounds_.maxAnnounced);
   }
-  std::set<std::int64_t> current;
-  for (auto& [at, o] : newest)
-    current.insert(key_.digest(o, epoch));
-  // Filled up with what nobody holds, the same from one time to the next: how few there are is not told either.
-  if (toldEpoch_ != epoch)
-    fill_.clear();
-  const auto want = (current.size() + b_.fill - 1) / b_.fill * b_.fill;
-  while (current.size() + fill_.size() < std::max(want, b_.fill)) {
+  std::set<std::int64_t> digests;
+  for (const auto& candidate : candidates)
+    digests.insert(key_.digest(candidate.promptPrefix, epoch));
+  return digests;
+}
+// The same padding stays while a key lasts: new random digests in each update would show which ones are padding.
+void HintTable::pad(std::set<std::int64_t>& digests) {
+  const auto rounded = (digests.size() + bounds_.padding - 1) / bounds_.padding * bounds_.padding;
+  const auto wanted = std::max(rounded, bounds_.padding);
+  while (digests.size() + padding_.size() < wanted) {
     rng_ = hash64("fill", rng_);
-    fill_.insert(static_cast<std::int64_t>(rng_));
+    padding_.insert(static_cast<std::int64_t>(rng_));
   }
-  while (!fill_.empty() && current.size() + fill_.size() > std::max(want, b_.fill))
-    fill_.erase(fill_.begin());
-  current.insert(fill_.begin(), fill_.end());
-  HintUpdate n;
-  n.epoch = epoch;
-  n.known = theirVersion_;
-  const bool whole = acked_ == 0 || acked_ != version_ || toldEpoch_ != epoch;
-  const std::set<std::int64_t> before = whole ? std::set<std::int64_t>{} : told_;
-  std::set_difference(current.begin(), current.end(), before.begin(), before.end(), std::back_inserter(n.added));
-  std::set_difference(before.begin(), before.end(), current.begin(), current.end(), std::back_inserter(n.gone));
-  n.base = whole ? 0 : version_;
-  if (whole || !n.added.empty() || !n.gone.empty())
+  while (!padding_.empty() && digests.size() + padding_.size() > wanted)
+    padding_.erase(padding_.begin());
+  digests.insert(padding_.begin(), padding_.end());
+}
+HintUpdate HintTable::nextUpdate(TimePoint now, std::int64_t epoch) {
+  expire(now);
+  const bool newKey = announcedEpoch_ != epoch;
+  if (newKey)
+    padding_.clear();
+  auto digests = digestsToAnnounce(epoch);
+  pad(digests);
+  const bool full = acknowledgedVersion_ == 0 || acknowledgedVersion_ != version_ || newKey;
+  const auto base = full ? std::set<std::int64_t>{} : std::exchange(announced_, {});
+  HintUpdate update;
+  update.epoch = epoch;
+  update.acknowledged = partnerVersion_;
+  std::set_difference(digests.begin(), digests.end(), base.begin(), base.end(), std::back_inserter(update.added));
+  std::set_difference(base.begin(), base.end(), digests.begin(), digests.end(), std::back_inserter(update.removed));
+  update.baseVersion = full ? 0 : version_;
+  if (full || !update.added.empty() || !update.removed.empty())
     ++version_;
-  n.version = version_;
-  told_ = std::move(current);
-  toldEpoch_ = epoch;
-  return n;
+  update.version = version_;
+  announced_ = std::move(digests);
+  announcedEpoch_ = epoch;
+  return update;
+}
+
+void HintTable::discardPartnerList() {
+  partnerVersion_ = 0;
+  partnerDigests_.clear();
 }
-Result<void> HintTable::heard(TimePoint now, std::int64_t epoch, const HintUpdate& n) {
-  acked_ = n.known;
-  const auto size = n.added.size() + n.gone.size();
-  if (std::abs(n.epoch - epoch) > 1 || size > 2 * (b_.most + b_.fill)) {
-    ++declined_;
-    return makeError(ErrorCode::invalidArgument, "hints of another time, or too many");
+Result<void> HintTable::applyUpdate(TimePoint now, std::int64_t epoch, const HintUpdate& update) {
+  acknowledgedVersion_ = update.acknowledged;
+  const auto maxDigests = bounds_.maxAnnounced + bounds_.padding;
+  if (std::abs(update.epoch - epoch) > 1 || update.added.size() + update.removed.size() > 2 * maxDigests) {
+    ++rejected_;
+    return makeError(ErrorCode::invalidArgument, "hints of another key period, or too many");
   }
-  if (n.base != 0 && (n.base != theirVersion_ || n.epoch != theirEpoch_)) {
-    // Why no fault: something was lost on the way, and the next ones come whole.
-    theirVersion_ = 0;
-    theirs_.clear();
+  const bool full = update.baseVersion == 0;
+  if (!full && (update.baseVersion != partnerVersion_ || update.epoch != partnerEpoch_)) {
+    // No error: an earlier update was lost on its way.
+    discardPartnerList();
     return {};
   }
-  if (n.base == 0)
-    theirs_.clear();
-  for (auto g : n.gone)
-    theirs_.erase(g);
-  theirs_.insert(n.added.begin(), n.added.end());
-  if (theirs_.size() > b_.most + b_.fill) {
-    theirs_.clear();
-    theirVersion_ = 0;
-    ++declined_;
+  if (full)
+    partnerDigests_.clear();
+  for (const auto digest : update.removed)
+    partnerDigests_.erase(digest);
+  partnerDigests_.insert(update.added.begin(), update.added.end());
+  if (partnerDigests_.size() > maxDigests) {
+    discardPartnerList();
+    ++rejected_;
     return makeError(ErrorCode::invalidArgument, "more hints than were agreed on");
   }
-  theirVersion_ = n.version;
-  theirEpoch_ = n.epoch;
-  theirsAt_ = now;
+  partnerVersion_ = update.version;
+  partnerEpoch_ = update.epoch;
+  partnerUpdatedAt_ = now;
   return {};
 }
 }  // namespace zinccleat::hints
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -9,7 +9,8 @@
 #include "runtime/log_ring.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/dialer.hpp"
+#include "transport/listener.hpp"
 
 namespace zinccleat::proxy_daemon {
 namespace {
@@ -151,7 +152,7 @@
       return {};
     transport::PrefixLookupRequest requestId;
     requestId.requestId = ++prefixLookupRequest_;
-    requestId.opening = static_cast<std::int64_t>(opening);
+    requestId.promptPrefix = static_cast<std::int64_t>(opening);
     // Alike at all nodes of the site, so that one tenant is counted once.
     requestId.tenantDigest = static_cast<std::int64_t>(hash64(tenant, hash64(settings_.partner->secret)));
     PartnerQuery query;
@@ -179,11 +180,12 @@
   }
   void onSnapshot(const transport::FeedSnapshot& feed) {
     // Never back in number.
-    if (feed.number < updates_.applied() || (feed.number == updates_.applied() && !state_.damaged()))
+    if (feed.lastIncludedIndex < updates_.applied() ||
+        (feed.lastIncludedIndex == updates_.applied() && !state_.damaged()))
       return;
     if (auto restored = state_.restore(feed.state); !restored)
       return requestSnapshot("snapshot declined: " + restored.error().message);
-    updates_.restart(feed.number);
+    updates_.restart(feed.lastIncludedIndex);
     adopt({true, true, true});
     applyQueued();
   }
--- a/libs/simulation/src/hollow_node.cpp
+++ b/libs/simulation/src/hollow_node.cpp
@@ -127,10 +127,10 @@
     drain();
   });
   transport::receive<transport::FeedSnapshot>(link, envelope, [this](const transport::FeedSnapshot& feed) {
-    newest_ = std::max(newest_, feed.number);
-    if (feed.number <= queue_.applied() || !copy_.restore(feed.state))
+    newest_ = std::max(newest_, feed.lastIncludedIndex);
+    if (feed.lastIncludedIndex <= queue_.applied() || !copy_.restore(feed.state))
       return;
-    queue_.restart(feed.number);
+    queue_.restart(feed.lastIncludedIndex);
     onVersion(*this);
     drain();
   });
--- a/libs/simulation/src/hollow_node.hpp
+++ b/libs/simulation/src/hollow_node.hpp
@@ -6,7 +6,7 @@
 #include "consensus/queue.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/dialer.hpp"
 namespace zinccleat::simulation {
 class HollowNode {
  public:
--- a/libs/simulation/src/scale_run.cpp
+++ b/libs/simulation/src/scale_run.cpp
@@ -186,7 +186,7 @@
   loop.sleepFor(2000ms);  // runners have joined, views are shuffled
   for (auto& x : fleet_.processes())
     cpuS_[x.pid] = cpuOf(x.pid);
-  const auto traffic = transport::trafficSoFar();
+  const auto traffic = transport::trafficCounters();
   for (auto& n : nodes_) {
     n->granted = 0;
     n->refused = 0;
@@ -269,7 +269,7 @@
         r.role = st->body.find("\"role\":\"leader\"") != std::string::npos ? "leads" : "follows";
     rows.push_back(r);
   }
-  const auto now = transport::trafficSoFar();
+  const auto now = transport::trafficCounters();
   over_ = true;
   const bool same = until(5s, all) && std::all_of(nodes_.begin(), nodes_.end(),
                                                   [&](auto& n) { return n->digest() == nodes_[0]->digest(); });
--- a/libs/transport/include/transport/access_messages.hpp
+++ b/libs/transport/include/transport/access_messages.hpp
@@ -1,12 +1,30 @@
-/// The messages between core machines and access machines, and those between core machines that the consensus does not
-/// know of. Each question has a number that its answer brings back; the numbers of one asker never return in its life.
+/// The messages between core machines and access machines, and those between core machines that are not part of the
+/// consensus protocol.
+///
+/// Requests and responses. A request that awaits an answer carries a `requestId`, and its response brings the same one
+/// back. Its sender draws the numbers from a counter of its own for each type of request and never uses one twice in
+/// its incarnation, so that a late response is recognised and dropped. `RequestResponse` checks each pair. The field is
+/// declared in each message rather than inherited: messages are aggregates, built with designated initializers.
+///
+/// Units: fields whose names end in `Ms` are milliseconds. An index is that of a log entry; 0 stands before the first.
 #pragma once
+#include <concepts>
+
 #include "transport/envelope.hpp"
 #include "transport/messages.hpp"
 namespace zinccleat::transport {
+/// A message with a `requestId`.
+template <class T>
+concept CarriesRequestId = requires(T message) {
+  { message.requestId } -> std::same_as<std::int64_t&>;
+};
+/// A request and the response to it.
+template <class Request, class Response>
+concept RequestResponse = CarriesRequestId<Request> && CarriesRequestId<Response> && Request::kType != Response::kType;
+
 // --- between core machines ---
 
-/// A write on its way to the leader. Sent again it is the same write, by its operation id.
+/// A write forwarded to the leader. Forwarding it again is harmless: its operation id makes it the same write.
 struct SubmitEntry {
   static constexpr auto kType = MessageType::submitEntry;
   LogEntry entry;
@@ -15,7 +33,8 @@
     v("entry", entry);
   }
 };
-/// The leader has it, or not (it does not lead, or lacks the body). The sender learns the verdict from its own copy.
+/// Whether the leader has appended the write. It has not if it does not lead, or lacks the entry's body. The sender
+/// learns whether the write was committed from its own replica.
 struct SubmitEntryResponse {
   static constexpr auto kType = MessageType::submitEntryResponse;
   bool accepted = false;
@@ -24,7 +43,8 @@
     v("accepted", accepted);
   }
 };
-/// How far is it committed? (Read index: who has applied that may answer a linearizable read.)
+/// Asks the leader for its commit index. A replica that has applied the log up to it may answer a linearizable read
+/// (ReadIndex, Ongaro's dissertation, section 6.4).
 struct ReadIndexRequest {
   static constexpr auto kType = MessageType::readIndexRequest;
   std::int64_t requestId = 0;
@@ -33,111 +53,134 @@
     v("requestId", requestId);
   }
 };
+/// The leader's commit index.
 struct ReadIndexResponse {
   static constexpr auto kType = MessageType::readIndexResponse;
   std::int64_t requestId = 0;
-  bool underLease = false;  // else the number says nothing
-  std::int64_t commitIndex = 0;
+  bool underLease = false;       ///< the sender leads and its lease is valid; else the index means nothing
+  std::int64_t commitIndex = 0;  ///< at the time of the request or later
   template <class V>
   void fields(V& v) {
-    v("requestId", requestId), v("underLease", underLease), v("commitIndex", commitIndex);
+    v("requestId", requestId);
+    v("underLease", underLease);
+    v("commitIndex", commitIndex);
   }
 };
+static_assert(RequestResponse<ReadIndexRequest, ReadIndexResponse>);
+
+/// When a runner was last heard from.
 struct RunnerAge {
   std::string id;
-  std::int64_t ageMs = 0;  // since its newest beat
+  std::int64_t ageMs = 0;  ///< since its newest heartbeat
   template <class V>
   void fields(V& v) {
-    v("id", id), v("ageMs", ageMs);
+    v("id", id);
+    v("ageMs", ageMs);
   }
 };
-/// Runners heard by a core machine that does not lead. Sent again until acknowledged.
+/// Heartbeats of runners that a core machine which does not lead has received. Sent again until acknowledged.
 struct HeartbeatBatch {
   static constexpr auto kType = MessageType::heartbeatBatch;
-  std::int64_t number = 0;
+  std::int64_t number = 0;  ///< of the sender's batch
   std::vector<RunnerAge> runners;
   template <class V>
   void fields(V& v) {
-    v("number", number), v("runners", runners);
+    v("number", number);
+    v("runners", runners);
   }
 };
-/// From a leader with a valid lease only.
+/// Acknowledges a batch. Only a leader with a valid lease sends it.
 struct HeartbeatBatchResponse {
   static constexpr auto kType = MessageType::heartbeatBatchResponse;
-  std::int64_t number = 0;
+  std::int64_t number = 0;  ///< of the batch acknowledged
   template <class V>
   void fields(V& v) {
     v("number", number);
   }
 };
 
-// --- who leads, and the log ---
+// --- cluster status and the replicated log ---
 
-/// An agent says each second, and after so many receipts, how far it is.
+/// An agent's progress: sent every second, and after a number of entries received.
 struct AgentState {
   static constexpr auto kType = MessageType::agentState;
   std::int64_t lastApplied = 0;
-  std::vector<std::string> view;  // a shuffled part of the sender's partial view; now and then
+  std::vector<std::string> view;  ///< a sample of the sender's `PartialView`; empty in most messages
   template <class V>
   void fields(V& v) {
-    v("lastApplied", lastApplied), v("view", view);
+    v("lastApplied", lastApplied);
+    v("view", view);
   }
 };
-/// Who leads, as far as the sender knows. The answer to an agent's state, and told to all when it changes.
+/// Who leads, as far as the sender knows: answers an `AgentState`, and goes to all agents when it changes.
 struct ClusterStatus {
   static constexpr auto kType = MessageType::clusterStatus;
   std::int64_t term = 0;
-  std::string leader;               // empty: unknown
-  std::vector<std::string> voters;  // empty: as told before on this link
+  std::string leader;               ///< empty: unknown
+  std::vector<std::string> voters;  ///< empty: as sent before on this link
   std::int64_t commitIndex = 0;
-  std::vector<std::string> view;
+  std::vector<std::string> view;  ///< a sample of the sender's `PartialView`
   template <class V>
   void fields(V& v) {
-    v("term", term), v("leader", leader), v("voters", voters), v("commitIndex", commitIndex), v("view", view);
+    v("term", term);
+    v("leader", leader);
+    v("voters", voters);
+    v("commitIndex", commitIndex);
+    v("view", view);
   }
 };
-/// From now on, send what comes after a number.
+/// Subscribes to the committed log entries behind an index.
 struct FollowLog {
   static constexpr auto kType = MessageType::followLog;
-  std::int64_t lastApplied = 0;  // 0: all of it is wanted
-  std::string cachedDigest;      // of the configuration held, which need not be sent again
-  bool refetch = false;          // something is missing: nothing may be left out
+  std::int64_t lastApplied = 0;  ///< 0: the sender has no state and needs all of it
+  std::string cachedDigest;      ///< of the configuration that the sender has, which need not be sent again
+  bool refetch = false;          ///< the sender lacks something it should have: nothing may be left out
   template <class V>
   void fields(V& v) {
-    v("lastApplied", lastApplied), v("cachedDigest", cachedDigest), v("refetch", refetch);
+    v("lastApplied", lastApplied);
+    v("cachedDigest", cachedDigest);
+    v("refetch", refetch);
   }
 };
+/// Committed log entries for a subscriber, in order of their index.
 struct FeedEntries {
   static constexpr auto kType = MessageType::feedEntries;
   std::int64_t term = 0;
-  std::int64_t newestIndex = 0;
-  std::vector<LogEntry> entries;  // committed
+  std::int64_t newestIndex = 0;  ///< the newest index that the sender knows to be committed
+  std::vector<LogEntry> entries;
   template <class V>
   void fields(V& v) {
-    v("term", term), v("newestIndex", newestIndex), v("entries", entries);
+    v("term", term);
+    v("newestIndex", newestIndex);
+    v("entries", entries);
   }
 };
+/// The state for a subscriber that is too far behind for log entries.
 struct FeedSnapshot {
   static constexpr auto kType = MessageType::feedSnapshot;
   std::int64_t term = 0;
-  std::int64_t number = 0;  // what it brings a copy to
-  std::string state;        // see `ReplicatedState::snapshotFor`
+  std::int64_t lastIncludedIndex = 0;  ///< index of the last log entry that the state contains
+  std::string state;                   ///< see `ReplicatedState::snapshotFor`
   template <class V>
   void fields(V& v) {
-    v("term", term), v("number", number), v("state", state);
+    v("term", term);
+    v("lastIncludedIndex", lastIncludedIndex);
+    v("state", state);
   }
 };
-/// The body of a large write, ahead of its entry, which then names the digest only.
+/// The body of a large write, sent before its log entry is committed; the entry then holds the digest only.
 struct BodyAhead {
   static constexpr auto kType = MessageType::bodyAhead;
-  std::string digest, body;
+  std::string digest;
+  std::string body;
   template <class V>
   void fields(V& v) {
-    v("digest", digest), v("body", body);
+    v("digest", digest);
+    v("body", body);
   }
 };
 
-// --- leases, quotas, hints ---
+// --- leases, quotas and prefix hints ---
 
 /// A proxy asks for its lease, and tells what the leader is to know of its machine.
 struct LeaseRequest {
@@ -190,24 +233,31 @@
     v("requestId", requestId), v("granted", granted), v("grants", grants);
   }
 };
-/// Does the partner site hold a prompt's opening that is not held here?
+/// Asks whether a prompt prefix is cached at the partner site and not at this one.
 struct PrefixLookupRequest {
   static constexpr auto kType = MessageType::prefixLookupRequest;
   std::int64_t requestId = 0;
-  std::int64_t opening = 0;       // its digest
-  std::int64_t tenantDigest = 0;  // the same at all machines of the site; it stays inside the site
+  std::int64_t promptPrefix = 0;  ///< the prefix's hash
+  std::int64_t tenantDigest = 0;  ///< the same on all machines of the site; never leaves the site
   template <class V>
   void fields(V& v) {
-    v("requestId", requestId), v("opening", opening), v("tenantDigest", tenantDigest);
+    v("requestId", requestId);
+    v("promptPrefix", promptPrefix);
+    v("tenantDigest", tenantDigest);
   }
 };
+/// Where the partner site takes requests.
 struct PrefixLookupResponse {
   static constexpr auto kType = MessageType::prefixLookupResponse;
   std::int64_t requestId = 0;
-  std::vector<std::string> access;  // the partner's addresses; empty: it does not, or has not told
+  std::vector<std::string> access;  ///< addresses of the partner's access nodes; empty: send the prompt here
   template <class V>
   void fields(V& v) {
-    v("requestId", requestId), v("access", access);
+    v("requestId", requestId);
+    v("access", access);
   }
 };
+static_assert(RequestResponse<PrefixLookupRequest, PrefixLookupResponse>);
+static_assert(RequestResponse<LeaseRequest, LeaseResponse>);
+static_assert(RequestResponse<QuotaTokenRequest, QuotaTokenResponse>);
 }  // namespace zinccleat::transport
--- a/libs/transport/include/transport/avro.hpp
+++ b/libs/transport/include/transport/avro.hpp
@@ -1,4 +1,18 @@
-// Avro for any struct that lists its fields: the schema, the writing and the reading follow the one list.
+/// Avro's binary encoding (https://avro.apache.org/docs/1.12.0/specification/) for any struct that lists its fields:
+///
+///     template <class V> void fields(V& v) { v("term", term), v("leader", leader); }
+///
+/// The schema, the encoder and the decoder follow this one list. Supported are `bool`, `std::int32_t`, `std::int64_t`,
+/// `double`, `std::string` (as Avro `bytes`), `std::vector` of these, and structs that list fields themselves.
+///
+/// Names are not encoded, only values in the order of the list: renaming a field changes no byte, reordering fields or
+/// changing a type does.
+///
+/// Limits. Schema, encoder and decoder recurse along the types, never along the data: a message nests as deeply as its
+/// struct does, whatever bytes arrive, and a type cannot contain itself. The length of a string or vector is limited by
+/// the input alone: the caller bounds it (see `decodeFrames`). Bytes after the last field are ignored.
+///
+/// Each thread may encode and decode, but one type only on one thread at a time: the values are cached per type.
 #pragma once
 #include <avro.h>
 
@@ -7,36 +21,40 @@
 #include "runtime/common.hpp"
 
 namespace zinccleat::avro {
-struct SchemaOf {
+/// Visits a struct's fields and builds the `fields` array of its schema.
+struct SchemaBuilder {
   std::string json;
   template <class T>
-  std::string type();
+  std::string typeOf();
   template <class T>
-  void operator()(const char* n, T&) {
-    json += (json.back() == '[' ? "" : ",") + std::string("{\"name\":\"") + n + "\",\"type\":" + type<T>() + "}";
+  void operator()(const char* name, T&) {
+    const std::string separator = json.back() == '[' ? "" : ",";
+    json += separator + "{\"name\":\"" + name + "\",\"type\":" + typeOf<T>() + "}";
   }
 };
 template <class T>
-struct IsVec : std::false_type {};
+struct IsVector : std::false_type {};
 template <class T>
-struct IsVec<std::vector<T>> : std::true_type {
-  using Of = T;
+struct IsVector<std::vector<T>> : std::true_type {
+  using Element = T;
 };
-// Why a number a use: a schema may not spell the same record out twice under one name.
-inline std::string recordName() {
-  static std::atomic<int> uses{0};  // the disk's thread and the loop's may use a type for the first time at once
-  return "R" + std::to_string(++uses);
+/// A record name that was not used before: a schema may not define one name twice, and a type may occur in it several
+/// times. Threads may reach this together.
+inline std::string uniqueRecordName() {
+  static std::atomic<int> names{0};
+  return "R" + std::to_string(++names);
 }
+/// The schema of a struct, as JSON.
 template <class T>
-std::string schemaText() {
-  SchemaOf s;
-  s.json = "{\"type\":\"record\",\"name\":\"" + recordName() + "\",\"fields\":[";
-  T t{};
-  t.fields(s);
-  return s.json + "]}";
+std::string schemaOf() {
+  SchemaBuilder schema;
+  schema.json = "{\"type\":\"record\",\"name\":\"" + uniqueRecordName() + "\",\"fields\":[";
+  T sample{};
+  sample.fields(schema);
+  return schema.json + "]}";
 }
 template <class T>
-std::string SchemaOf::type() {
+std::string SchemaBuilder::typeOf() {
   if constexpr (std::is_same_v<T, bool>)
     return "\"boolean\"";
   else if constexpr (std::is_same_v<T, std::int32_t>)
@@ -47,128 +65,144 @@
     return "\"double\"";
   else if constexpr (std::is_same_v<T, std::string>)
     return "\"bytes\"";
-  else if constexpr (IsVec<T>::value)
-    return "{\"type\":\"array\",\"items\":" + type<typename IsVec<T>::Of>() + "}";
+  else if constexpr (IsVector<T>::value)
+    return "{\"type\":\"array\",\"items\":" + typeOf<typename IsVector<T>::Element>() + "}";
   else
-    return schemaText<T>();
+    return schemaOf<T>();
 }
-struct Writer {
-  avro_value_t* rec{};
-  int i = 0;
-  static void put(avro_value_t* f, bool x) { avro_value_set_boolean(f, x); }
-  static void put(avro_value_t* f, std::int32_t x) { avro_value_set_int(f, x); }
-  static void put(avro_value_t* f, std::int64_t x) { avro_value_set_long(f, x); }
-  static void put(avro_value_t* f, double x) { avro_value_set_double(f, x); }
-  static void put(avro_value_t* f, const std::string& x) {
-    avro_value_set_bytes(f, const_cast<char*>(x.data()), x.size());
+
+/// Visits a struct's fields and stores each in the Avro record's field of the same position.
+struct FieldWriter {
+  avro_value_t* record{};
+  int position = 0;
+  static void put(avro_value_t* field, bool value) { avro_value_set_boolean(field, value); }
+  static void put(avro_value_t* field, std::int32_t value) { avro_value_set_int(field, value); }
+  static void put(avro_value_t* field, std::int64_t value) { avro_value_set_long(field, value); }
+  static void put(avro_value_t* field, double value) { avro_value_set_double(field, value); }
+  static void put(avro_value_t* field, const std::string& value) {
+    // The library copies the bytes; its parameter only lacks the const.
+    avro_value_set_bytes(field, const_cast<char*>(value.data()), value.size());
   }
   template <class T>
-  static void put(avro_value_t* f, std::vector<T>& x) {
-    for (auto& e : x) {
-      avro_value_t el;
-      avro_value_append(f, &el, nullptr);
-      put(&el, e);
+  static void put(avro_value_t* field, std::vector<T>& values) {
+    for (auto& value : values) {
+      avro_value_t element;
+      avro_value_append(field, &element, nullptr);
+      put(&element, value);
     }
   }
   template <class T>
-  static auto put(avro_value_t* f, T& x) -> decltype(x.fields(std::declval<Writer&>())) {
-    Writer w{f};
-    x.fields(w);
+  static auto put(avro_value_t* field, T& value) -> decltype(value.fields(std::declval<FieldWriter&>())) {
+    FieldWriter nested{field};
+    value.fields(nested);
   }
   template <class T>
-  void operator()(const char*, T& x) {
-    avro_value_t f;
-    avro_value_get_by_index(rec, i++, &f, nullptr);
-    put(&f, x);
+  void operator()(const char*, T& value) {
+    avro_value_t field;
+    avro_value_get_by_index(record, position++, &field, nullptr);
+    put(&field, value);
   }
 };
+/// Visits a struct's fields and loads each from the Avro record's field of the same position.
 struct FieldReader {
-  avro_value_t* rec{};
-  int i = 0;
-  static void get(avro_value_t* f, bool& x) {
-    int b = 0;
-    avro_value_get_boolean(f, &b);
-    x = b != 0;
+  avro_value_t* record{};
+  int position = 0;
+  static void get(avro_value_t* field, bool& value) {
+    int number = 0;
+    avro_value_get_boolean(field, &number);
+    value = number != 0;
   }
-  static void get(avro_value_t* f, std::int32_t& x) { avro_value_get_int(f, &x); }
-  static void get(avro_value_t* f, std::int64_t& x) { avro_value_get_long(f, &x); }
-  static void get(avro_value_t* f, double& x) { avro_value_get_double(f, &x); }
-  static void get(avro_value_t* f, std::string& x) {
-    const void* p = nullptr;
-    std::size_t n = 0;
-    avro_value_get_bytes(f, &p, &n);
-    x.assign(static_cast<const char*>(p), n);
+  static void get(avro_value_t* field, std::int32_t& value) { avro_value_get_int(field, &value); }
+  static void get(avro_value_t* field, std::int64_t& value) { avro_value_get_long(field, &value); }
+  static void get(avro_value_t* field, double& value) { avro_value_get_double(field, &value); }
+  static void get(avro_value_t* field, std::string& value) {
+    const void* bytes = nullptr;
+    std::size_t size = 0;
+    avro_value_get_bytes(field, &bytes, &size);
+    value.assign(static_cast<const char*>(bytes), size);
   }
   template <class T>
-  static void get(avro_value_t* f, std::vector<T>& x) {
-    std::size_t n = 0;
-    avro_value_get_size(f, &n);
-    x.resize(n);
-    for (std::size_t k = 0; k < n; ++k) {
-      avro_value_t el;
-      avro_value_get_by_index(f, k, &el, nullptr);
-      get(&el, x[k]);
+  static void get(avro_value_t* field, std::vector<T>& values) {
+    std::size_t size = 0;
+    avro_value_get_size(field, &size);
+    values.resize(size);
+    for (std::size_t i = 0; i < size; ++i) {
+      avro_value_t element;
+      avro_value_get_by_index(field, i, &element, nullptr);
+      get(&element, values[i]);
     }
   }
   template <class T>
-  static auto get(avro_value_t* f, T& x) -> decltype(x.fields(std::declval<FieldReader&>())) {
-    FieldReader p{f};
-    x.fields(p);
+  static auto get(avro_value_t* field, T& value) -> decltype(value.fields(std::declval<FieldReader&>())) {
+    FieldReader nested{field};
+    value.fields(nested);
   }
   template <class T>
-  void operator()(const char*, T& x) {
-    avro_value_t f;
-    avro_value_get_by_index(rec, i++, &f, nullptr);
-    get(&f, x);
+  void operator()(const char*, T& value) {
+    avro_value_t field;
+    avro_value_get_by_index(record, position++, &field, nullptr);
+    get(&field, value);
   }
 };
-// One value a type, kept: making one anew costs far more than clearing it.
+
+/// The one Avro value of a type, used for every message of it: making a value costs far more than resetting it.
 template <class T>
-struct CachedValue {
-  avro_value_t value{};
-  CachedValue() {
-    const auto text = schemaText<T>();
-    avro_schema_t s = nullptr;
-    checkInvariant(avro_schema_from_json_length(text.data(), text.size(), &s) == 0, "own Avro schema");
-    avro_value_iface_t* iface = avro_generic_class_from_schema(s);
-    checkInvariant(iface != nullptr, "own Avro class");
-    avro_generic_value_new(iface, &value);
+class CachedValue {
+ public:
+  static CachedValue& instance() {
+    static CachedValue cached;
+    return cached;
   }
-  static CachedValue& get() {
-    static CachedValue m;
-    return m;
+  /// The value for the caller's use, empty.
+  avro_value_t* reset() {
+    avro_value_reset(&value_);
+    return &value_;
   }
+
+ private:
+  CachedValue() {
+    const auto text = schemaOf<T>();
+    avro_schema_t schema = nullptr;
+    checkInvariant(avro_schema_from_json_length(text.data(), text.size(), &schema) == 0, "own Avro schema");
+    avro_value_iface_t* valueClass = avro_generic_class_from_schema(schema);
+    checkInvariant(valueClass != nullptr, "own Avro class");
+    avro_generic_value_new(valueClass, &value_);
+  }
+  avro_value_t value_{};
 };
+
+/// Encodes a struct.
 template <class T>
-std::string encode(T t) {
-  auto& v = CachedValue<T>::get().value;
-  avro_value_reset(&v);
-  Writer w{&v};
-  t.fields(w);
-  std::size_t n = 0;
-  avro_value_sizeof(&v, &n);
-  std::string out(n, '\0');
-  auto* wr = avro_writer_memory(out.data(), static_cast<std::int64_t>(n));
-  checkInvariant(avro_value_write(wr, &v) == 0, "Avro writing");
-  avro_writer_free(wr);
-  avro_value_reset(&v);
-  return out;
+std::string encode(T message) {
+  auto& cached = CachedValue<T>::instance();
+  auto* value = cached.reset();
+  FieldWriter fields{value};
+  message.fields(fields);
+  std::size_t size = 0;
+  avro_value_sizeof(value, &size);
+  std::string bytes(size, '\0');
+  auto* writer = avro_writer_memory(bytes.data(), static_cast<std::int64_t>(size));
+  checkInvariant(avro_value_write(writer, value) == 0, "Avro writing");
+  avro_writer_free(writer);
+  cached.reset();
+  return bytes;
 }
+/// Decodes a struct; `ErrorCode::corruption` if the bytes are not one.
 template <class T>
-Result<T> decode(std::string_view s) {
-  auto& v = CachedValue<T>::get().value;
-  avro_value_reset(&v);
-  auto* rd = avro_reader_memory(s.data(), static_cast<std::int64_t>(s.size()));
-  const int bad = avro_value_read(rd, &v);
-  avro_reader_free(rd);
-  if (bad) {
-    avro_value_reset(&v);
+Result<T> decode(std::string_view bytes) {
+  auto& cached = CachedValue<T>::instance();
+  auto* value = cached.reset();
+  auto* reader = avro_reader_memory(bytes.data(), static_cast<std::int64_t>(bytes.size()));
+  const bool valid = avro_value_read(reader, value) == 0;
+  avro_reader_free(reader);
+  if (!valid) {
+    cached.reset();
     return makeError(ErrorCode::corruption, "no valid Avro record");
   }
-  T t{};
-  FieldReader p{&v};
-  t.fields(p);
-  avro_value_reset(&v);
-  return t;
+  T message{};
+  FieldReader fields{value};
+  message.fields(fields);
+  cached.reset();
+  return message;
 }
 }  // namespace zinccleat::avro
--- a/libs/transport/include/transport/envelope.hpp
+++ b/libs/transport/include/transport/envelope.hpp
@@ -1,10 +1,11 @@
-/// What one frame carries: a message's type, its sender and its encoded fields. Each message is a struct of its own
-/// with a `kType`; `pack` and `unpack` go between the two.
+/// What one frame carries: a message's type, its sender and its encoded fields. Each message is a struct with a `kType`
+/// and a list of fields (see avro.hpp); `pack` and `unpack` convert between struct and envelope.
 #pragma once
 #include "transport/avro.hpp"
 namespace zinccleat::transport {
+/// The types of message. The numbers are part of the wire format: new ones are appended.
 enum class MessageType : std::uint8_t {
-  consensus = 1,  // the payload is `encodeMessage`'s, see consensus/messages.hpp
+  consensus = 1,  ///< the payload is that of `consensus::encodeMessage`
   // Between core machines.
   submitEntry,
   submitEntryResponse,
@@ -26,18 +27,22 @@
   prefixLookupRequest,
   prefixLookupResponse,
 };
+/// The type with the highest number.
 constexpr MessageType kLastMessageType = MessageType::prefixLookupResponse;
 
+/// A message as it travels.
 struct Envelope {
   MessageType type{};
-  std::string sender;  // a member's or an agent's identity; empty where nobody needs it
-  std::string payload;
+  std::string sender;   ///< identity of a member or an agent; empty where the receiver does not need it
+  std::string payload;  ///< the message's fields, encoded
 };
+/// Encodes a message.
 template <class T>
 Envelope pack(const T& message, std::string sender = {}) {
   return {T::kType, std::move(sender), avro::encode(message)};
 }
-/// Fails if the envelope holds another type of message, or fields that do not parse.
+/// Decodes a message.
+/// @return `ErrorCode::corruption` if the envelope holds another type of message, or fields that do not parse.
 template <class T>
 Result<T> unpack(const Envelope& envelope) {
   if (envelope.type != T::kType)
--- a/libs/transport/include/transport/messages.hpp
+++ b/libs/transport/include/transport/messages.hpp
@@ -1,31 +1,39 @@
-/// What several messages of the system's own processes are made of.
+/// Types that several messages are made of.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::transport {
+/// What a log entry does to the replicated state. The numbers are part of the wire and disk formats.
 enum class OperationKind : std::int32_t {
-  noOp = 0,
-  configuration = 1,
-  runner = 2,
-  members = 3,
-  zoneDrain = 4,
-  difference = 5
+  noOp = 0,           ///< commits the entries before it at the beginning of a term
+  configuration = 1,  ///< replaces the configuration
+  runner = 2,         ///< what a runner reported
+  members = 3,        ///< the consensus group's membership
+  zoneDrain = 4,      ///< begins, changes or ends the drain of a zone
+  difference = 5,     ///< replaces the configuration by a difference to an earlier version
 };
 
-// One numbered write: the operation and its parameters.
+/// One entry of the replicated log.
 struct LogEntry {
-  std::int64_t index = 0, term = 0;
-  std::int32_t kind = 0;
-  std::int64_t base = 0;    // configuration: the version it builds on
-  std::string operationId;  // a write sent again is one write
-  std::string digest;       // of the body, for large writes
-  std::string body;
-  bool omitted = false;  // the body went ahead from its sender
+  std::int64_t index = 0;
+  std::int64_t term = 0;
+  std::int32_t kind = 0;    ///< an `OperationKind`
+  std::int64_t base = 0;    ///< of a configuration: the version that it builds on
+  std::string operationId;  ///< the same in each repetition of a write, which is applied once
+  std::string digest;       ///< of the body; empty for small writes
+  std::string body;         ///< the operation's parameters
+  bool omitted = false;     ///< the body is not in this message: its sender sent it before (`BodyAhead`)
   template <class V>
   void fields(V& v) {
-    v("index", index), v("term", term), v("kind", kind), v("base", base), v("operationId", operationId),
-        v("digest", digest);
-    v("body", body), v("omitted", omitted);
+    v("index", index);
+    v("term", term);
+    v("kind", kind);
+    v("base", base);
+    v("operationId", operationId);
+    v("digest", digest);
+    v("body", body);
+    v("omitted", omitted);
   }
+  /// The kind, as its type.
   OperationKind op() const { return static_cast<OperationKind>(kind); }
 };
 struct Grant {  // a share of a subscriber's quota, or the demand for one
--- a/libs/transport/include/transport/peer_link.hpp
+++ b/libs/transport/include/transport/peer_link.hpp
@@ -1,60 +1,59 @@
-// A link carries frames both ways over one connection. A dialer keeps a dialled link up.
+/// One connection to another process of the fleet, carrying messages both ways. Used on the event loop's thread only.
 #pragma once
 #include "runtime/event_loop.hpp"
-#include "transport/envelope.hpp"
+#include "transport/frame_codec.hpp"
 namespace zinccleat::transport {
-// A frame: its length (4 bytes), the format's version, the message's type, the sender's length, the sender, the
-// payload.
-std::string frameOf(const Envelope& envelope);
-// Takes whole frames off the front of buf. A fault means the connection can't be trusted further.
-// partial: where the pieces of a large frame are gathered; without it pieces are errorResponse.
-Result<std::vector<Envelope>> unframe(std::string& buf, std::string* partial = nullptr);
-
-// What this process has framed and taken apart so far, by type of message; bytes with their frames.
-struct Traffic {
-  struct Count {
-    std::uint64_t messages = 0, bytes = 0;
-  };
-  Count sent[64], received[64];
-  // Each ended its connection.
-  std::uint64_t framesDeclined = 0, framesOfOtherFormats = 0;
-};
-const Traffic& trafficSoFar();
-
+/// A connection in use. Messages leave in the order of `send`; those of `sendBulk` are overtaken by all others. A
+/// message is delivered at most once, and is lost if the connection closes before it has left.
+///
+/// The link keeps itself alive from `start` until the connection is closed.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
  public:
+  /// Called for each message received, on the link's own fiber.
   using OnMessage = std::function<void(const std::shared_ptr<PeerLink>&, const Envelope&)>;
-  using OnEnd = std::function<void(const std::shared_ptr<PeerLink>&)>;
-  PeerLink(tcp::socket s, OnMessage m, OnEnd e);
+  /// Called once, after the connection was closed by either end.
+  using OnClosed = std::function<void(const std::shared_ptr<PeerLink>&)>;
+  /// @param socket a connected socket.
+  PeerLink(tcp::socket socket, OnMessage onMessage, OnClosed onClosed);
   ~PeerLink();
+  /// Starts receiving. Call once, after the link is owned by a shared pointer.
   void start();
+  /// Encodes a message and queues it. Nothing happens on a closed link.
   void send(const Envelope& envelope);
-  void sendFrame(std::string_view frame);  // of `frameOf`: for one message to many
-  // In pieces that let everything sent meanwhile overtake: for what is large and not urgent.
-  // Shared: one that goes to hundreds is kept once.
+  /// Queues a frame that `encodeFrame` made: for one message to many links.
+  void sendFrame(std::string_view frame);
+  /// Queues a large frame that is not urgent; it leaves in fragments while nothing else is queued. Shared, so that a
+  /// frame for hundreds of links is in memory once.
   void sendBulk(std::shared_ptr<const std::string> frame);
+  /// The same for a frame for one link.
   void sendBulk(std::string frame) { sendBulk(std::make_shared<const std::string>(std::move(frame))); }
-  // Bytes that the far end has not taken yet. Who sends much looks at it first, so that one that does not read costs
-  // no more than its share.
+  /// Bytes queued that the operating system has not accepted yet. A sender of much data looks at it first, so that a
+  /// peer that does not read costs a bounded amount of memory. A link whose backlog exceeds 48 MiB is closed.
   std::size_t backlog() const;
-  void end();
-  // Ends the link over a message that can't be read; says why and counts it.
-  void decline(const std::string& why);
+  /// Closes the connection; what is queued is dropped.
+  void close();
+  /// Closes the connection over a message that cannot be accepted; logs the reason and counts it.
+  void decline(const std::string& reason);
+  /// Whether the connection is open.
   bool open() const;
-  TimePoint heard() const;
-  // When the oldest message without any sign of life since was sent; max() if none waits.
+  /// When bytes last arrived; the link's construction before that.
+  TimePoint lastReceivedAt() const;
+  /// When the oldest message was queued since which nothing has been received; `TimePoint::max()` if there is none.
   TimePoint unansweredSince() const;
-  std::string farIp() const;
+  /// The IP address of the other end; empty if the socket was not connected.
+  std::string remoteIp() const;
 
  private:
-  void kick();
-  void load();
+  void receiveMessages();
+  void scheduleWrite();
+  void fillWriteBuffer();
+  void writeNext();
   struct Impl;
   std::unique_ptr<Impl> impl_;
 };
 using PeerLinkPtr = std::shared_ptr<PeerLink>;
 
-// Hands the message on if the envelope holds one of that type. One whose fields do not parse ends its link.
+/// Calls the handler with the message if the envelope holds one of type T. Fields that do not parse close the link.
 template <class T, class Handler>
 void receive(const PeerLinkPtr& link, const Envelope& envelope, Handler&& handler) {
   if (envelope.type != T::kType)
@@ -64,20 +63,4 @@
     return link->decline(message.error().message);
   handler(std::move(*message));
 }
-
-class Dialer {
- public:
-  Dialer(tcp::endpoint ep, PeerLink::OnMessage onMessage, std::function<void(const PeerLinkPtr&)> onUp);
-  ~Dialer();
-  bool send(const Envelope& envelope);  // false: no link now
-  bool up() const;
-  PeerLinkPtr link() const;
-  void release();  // stop redialling
-
- private:
-  struct Impl;
-  std::shared_ptr<Impl> impl_;
-};
-// Accepts on an address for as long as the loop runs.
-Result<void> listen(const tcp::endpoint& ep, std::function<void(tcp::socket)> take);
 }  // namespace zinccleat::transport
--- /dev/null
+++ b/libs/transport/src/frame_codec.cpp
@@ -0,0 +1,130 @@
+#include "transport/frame_codec.hpp"
+
+namespace zinccleat::transport {
+namespace {
+constexpr char kFrameFormat = 4;
+constexpr char kFragmentFormat = 3;
+constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kHeadBytes = kLengthBytes + 1;  // with the format
+constexpr std::size_t kMaxSenderBytes = 255;          // its length is one byte
+constexpr std::size_t kMaxFrameBytes = std::size_t{32} << 20;
+
+Traffic g_traffic;
+
+void count(Traffic::Count (&counts)[Traffic::kTypes], MessageType type, std::size_t bytes) {
+  const auto index = static_cast<std::size_t>(type);
+  auto& counted = counts[index < Traffic::kTypes ? index : 0];
+  ++counted.messages;
+  counted.bytes += bytes;
+}
+void appendHead(std::string& out, std::size_t bodyBytes, char format) {
+  const auto length = static_cast<std::uint32_t>(bodyBytes + 1);
+  for (int shift = 24; shift >= 0; shift -= 8)
+    out += static_cast<char>(length >> shift);
+  out += format;
+}
+std::uint32_t readLength(std::string_view head) {
+  std::uint32_t length = 0;
+  for (std::size_t i = 0; i < kLengthBytes; ++i)
+    length = length << 8 | static_cast<unsigned char>(head[i]);
+  return length;
+}
+Result<Envelope> decodeEnvelope(std::string_view body) {
+  if (body.size() < 2)
+    return makeError(ErrorCode::corruption, "a frame without its head");
+  const std::size_t senderBytes = static_cast<unsigned char>(body[1]);
+  if (body.size() < 2 + senderBytes)
+    return makeError(ErrorCode::corruption, "a frame shorter than its sender");
+  Envelope envelope;
+  envelope.type = static_cast<MessageType>(body[0]);
+  if (envelope.type < MessageType::consensus || envelope.type > kLastMessageType)
+    return makeError(ErrorCode::corruption,
+                     "a message of the unknown type " + std::to_string(static_cast<int>(envelope.type)));
+  envelope.sender = body.substr(2, senderBytes);
+  envelope.payload = body.substr(2 + senderBytes);
+  return envelope;
+}
+Result<void> decodeFrame(std::string_view body, std::vector<Envelope>& envelopes) {
+  auto envelope = decodeEnvelope(body);
+  if (!envelope)
+    return tl::unexpected(std::move(envelope.error()));
+  count(g_traffic.received, envelope->type, kHeadBytes + body.size());
+  envelopes.push_back(std::move(*envelope));
+  return {};
+}
+/// Gathers one fragment, and decodes the frame if this was its last.
+Result<void> decodeFragment(std::string_view body, std::string& fragments, std::vector<Envelope>& envelopes) {
+  fragments += body.substr(1);
+  if (fragments.size() > kMaxFrameBytes)
+    return makeError(ErrorCode::corruption, "fragments of an impossible length");
+  const bool last = body.front() != 0;
+  if (!last)
+    return {};
+  auto frame = std::exchange(fragments, {});
+  auto completed = decodeFrames(frame);
+  if (!completed)
+    return tl::unexpected(std::move(completed.error()));
+  if (!frame.empty())
+    return makeError(ErrorCode::corruption, "fragments that do not make a complete frame");
+  for (auto& envelope : *completed)
+    envelopes.push_back(std::move(envelope));
+  return {};
+}
+}  // namespace
+
+std::string encodeFrame(const Envelope& envelope) {
+  checkInvariant(envelope.sender.size() <= kMaxSenderBytes, "a sender's identity fits its length byte");
+  const auto bodyBytes = 2 + envelope.sender.size() + envelope.payload.size();
+  std::string frame;
+  frame.reserve(kHeadBytes + bodyBytes);
+  appendHead(frame, bodyBytes, kFrameFormat);
+  frame += static_cast<char>(envelope.type);
+  frame += static_cast<char>(envelope.sender.size());
+  frame += envelope.sender;
+  frame += envelope.payload;
+  count(g_traffic.sent, envelope.type, frame.size());
+  return frame;
+}
+std::size_t appendFragment(std::string& out, std::string_view frame, std::size_t offset) {
+  const auto part = frame.substr(offset, kFragmentBytes);
+  const bool last = offset + part.size() == frame.size();
+  appendHead(out, 1 + part.size(), kFragmentFormat);
+  out += last ? '\1' : '\0';
+  out += part;
+  return offset + part.size();
+}
+Result<std::vector<Envelope>> decodeFrames(std::string& received, std::string* fragments) {
+  std::vector<Envelope> envelopes;
+  std::size_t consumed = 0;
+  while (received.size() - consumed >= kHeadBytes) {
+    const auto rest = std::string_view(received).substr(consumed);
+    const auto length = readLength(rest);
+    if (length < 1 || length > kMaxFrameBytes)
+      return makeError(ErrorCode::corruption, "frame of an impossible length");
+    const char format = rest[kLengthBytes];
+    const bool isFragment = format == kFragmentFormat && fragments;
+    if (isFragment && length < 2)
+      return makeError(ErrorCode::corruption, "an empty fragment");
+    if (!isFragment && format != kFrameFormat) {
+      ++g_traffic.framesOfOtherFormats;
+      return makeError(ErrorCode::incompatibleFormat, "frame of another format version: " + std::to_string(format));
+    }
+    if (rest.size() < kLengthBytes + length)
+      break;
+    const auto body = rest.substr(kHeadBytes, length - 1);
+    const auto decoded = isFragment ? decodeFragment(body, *fragments, envelopes) : decodeFrame(body, envelopes);
+    if (!decoded)
+      return tl::unexpected(decoded.error());
+    consumed += kLengthBytes + length;
+  }
+  received.erase(0, consumed);
+  return envelopes;
+}
+
+const Traffic& trafficCounters() {
+  return g_traffic;
+}
+void countDeclinedFrame() {
+  ++g_traffic.framesDeclined;
+}
+}  // namespace zinccleat::transport
--- /dev/null
+++ b/libs/transport/src/listener.cpp
@@ -0,0 +1,61 @@
+#include "transport/listener.hpp"
+
+namespace zinccleat::transport {
+namespace {
+constexpr int kAcceptBacklog = 512;  // connections that the operating system keeps until they are accepted
+// Out of descriptors, accepting would fail again at once and take the whole processor.
+constexpr auto kPauseAfterError = 20ms;
+
+/// Owned by its pending operation.
+class Listener : public std::enable_shared_from_this<Listener> {
+ public:
+  explicit Listener(std::function<void(tcp::socket)> onAccept)
+      : acceptor_(runtime::EventLoop::get().io()),
+        pause_(runtime::EventLoop::get().io()),
+        onAccept_(std::move(onAccept)) {}
+  Result<void> open(const tcp::endpoint& endpoint) {
+    runtime::SocketError ec;
+    acceptor_.open(endpoint.protocol(), ec);
+    acceptor_.set_option(tcp::acceptor::reuse_address(true), ec);
+    acceptor_.bind(endpoint, ec);
+    if (ec)
+      return makeError(
+          ErrorCode::ioError,
+          "cannot bind " + endpoint.address().to_string() + ":" + std::to_string(endpoint.port()) + ": " + ec.message(),
+          ec.value());
+    acceptor_.listen(kAcceptBacklog, ec);
+    if (ec)
+      return makeError(ErrorCode::ioError, "cannot listen: " + ec.message(), ec.value());
+    return {};
+  }
+  void acceptNext() {
+    acceptor_.async_accept([self = shared_from_this()](runtime::SocketError ec, tcp::socket socket) {
+      if (ec == asio::error::operation_aborted)
+        return;
+      if (ec)
+        return self->acceptAfterPause();
+      self->onAccept_(std::move(socket));
+      self->acceptNext();
+    });
+  }
+
+ private:
+  void acceptAfterPause() {
+    pause_.expires_after(kPauseAfterError);
+    pause_.async_wait([self = shared_from_this()](runtime::SocketError) { self->acceptNext(); });
+  }
+
+  tcp::acceptor acceptor_;
+  asio::steady_timer pause_;
+  std::function<void(tcp::socket)> onAccept_;
+};
+}  // namespace
+
+Result<void> listen(const tcp::endpoint& endpoint, std::function<void(tcp::socket)> onAccept) {
+  const auto listener = std::make_shared<Listener>(std::move(onAccept));
+  if (auto opened = listener->open(endpoint); !opened)
+    return opened;
+  listener->acceptNext();
+  return {};
+}
+}  // namespace zinccleat::transport
--- a/libs/transport/src/partial_view.cpp
+++ b/libs/transport/src/partial_view.cpp
@@ -2,39 +2,43 @@
 
 namespace zinccleat::transport {
 namespace {
-constexpr std::size_t kSample = 4;
-}
-void PartialView::add(const std::string& n) {
-  if (n.empty() || n == self_)
+constexpr std::size_t kSampleNodes = 4;
+constexpr int kAgeWhenHeardDirectly = 0;
+constexpr int kAgeWhenHeardOf = 1;
+}  // namespace
+
+void PartialView::add(const std::string& node) {
+  if (node.empty() || node == self_)
     return;
-  age_[n] = 0;
-  trim();
+  ages_[node] = kAgeWhenHeardDirectly;
+  evictOldest();
 }
 std::vector<std::string> PartialView::sample() {
-  std::vector<std::string> v = all();
-  for (auto& [n, a] : age_)
-    ++a;
-  std::shuffle(v.begin(), v.end(), rng_);
-  if (v.size() > kSample)
-    v.resize(kSample);
-  v.push_back(self_);
-  return v;
+  auto nodes = all();
+  for (auto& [node, age] : ages_)
+    ++age;
+  std::shuffle(nodes.begin(), nodes.end(), rng_);
+  if (nodes.size() > kSampleNodes)
+    nodes.resize(kSampleNodes);
+  nodes.push_back(self_);
+  return nodes;
 }
-void PartialView::merge(const std::vector<std::string>& theirs) {
-  for (auto& n : theirs)
-    if (!n.empty() && n != self_)
-      age_.try_emplace(n, 1);
-  trim();
+void PartialView::merge(const std::vector<std::string>& nodes) {
+  for (const auto& node : nodes)
+    if (!node.empty() && node != self_)
+      ages_.try_emplace(node, kAgeWhenHeardOf);
+  evictOldest();
 }
 std::vector<std::string> PartialView::all() const {
-  std::vector<std::string> v;
-  for (auto& [n, a] : age_)
-    v.push_back(n);
-  return v;
+  std::vector<std::string> nodes;
+  nodes.reserve(ages_.size());
+  for (const auto& [node, age] : ages_)
+    nodes.push_back(node);
+  return nodes;
 }
-void PartialView::trim() {
-  // The oldest go first: nobody has spoken for them for longest.
-  while (age_.size() > most_)
-    age_.erase(std::max_element(age_.begin(), age_.end(), [](auto& a, auto& b) { return a.second < b.second; }));
+void PartialView::evictOldest() {
+  while (ages_.size() > capacity_)
+    ages_.erase(
+        std::max_element(ages_.begin(), ages_.end(), [](const auto& a, const auto& b) { return a.second < b.second; }));
 }
 }  // namespace zinccleat::transport
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -87,7 +87,7 @@
     deaf.socket().connect(*parseEndpoint("127.0.5.1:7960"), ec);
     ASSERT_FALSE(ec);
     auto say = [&](const auto& message) {
-      const auto frame = frameOf(pack(message, "127.0.5.9#agent"));
+      const auto frame = encodeFrame(pack(message, "127.0.5.9#agent"));
       deaf.write(asio::buffer(frame), ec);
     };
     say(AgentState{});
@@ -144,7 +144,7 @@
     snapshot.config = "127.0.5.5#0 127.0.5.6#0 127.0.5.7#0";
     snapshot.state = "no state at all \xff\xff\xff\xff\xff\xff\xff\xff\xff\xff";
     auto say = [&] {
-      const auto frame = frameOf({MessageType::consensus, "127.0.5.6#0", encodeMessage(snapshot)});
+      const auto frame = encodeFrame({MessageType::consensus, "127.0.5.6#0", encodeMessage(snapshot)});
       leader.write(asio::buffer(frame), ec);
     };
     say();
@@ -168,15 +168,15 @@
     ASSERT_TRUE(a.core->start());
     const auto before = a.status("framesDeclined");
     const auto others = a.status("framesOfOtherFormats");
-    const auto whole = frameOf(pack(AgentState{7, {"x"}}, "127.0.5.9#agent"));
+    const auto whole = encodeFrame(pack(AgentState{7, {"x"}}, "127.0.5.9#agent"));
     auto otherFormat = whole;
     otherFormat[4] = 9;
     auto otherFields = whole;
     for (std::size_t i = whole.size() - 4; i < whole.size(); ++i)
       otherFields[i] = '\xff';
-    auto noSender = frameOf(pack(AgentState{}));
-    const auto noConsensus = frameOf({MessageType::consensus, "127.0.5.9#0", "\xff"});
-    const auto otherType = frameOf({MessageType{99}, "127.0.5.9#0", ""});
+    auto noSender = encodeFrame(pack(AgentState{}));
+    const auto noConsensus = encodeFrame({MessageType::consensus, "127.0.5.9#0", "\xff"});
+    const auto otherType = encodeFrame({MessageType{99}, "127.0.5.9#0", ""});
     for (const auto& frame : {otherFormat, otherFields, noSender, noConsensus, otherType}) {
       Connection stranger;
       SocketError ec;
--- a/tests/delta_test.cpp
+++ b/tests/delta_test.cpp
@@ -225,18 +225,18 @@
 }  // namespace
 TEST(Frames, PiecesMakeAFrameAndOthersOvertakeThem) {
   FeedSnapshot big;
-  big.number = 9;
+  big.lastIncludedIndex = 9;
   big.state = std::string(40000, 'q');
-  const auto frame = frameOf(pack(big));
+  const auto frame = encodeFrame(pack(big));
   std::string partial;
   std::string buf =
-      piece(frame.substr(0, 20000), false) + frameOf(pack(LeaseResponse{})) + piece(frame.substr(20000), true);
+      piece(frame.substr(0, 20000), false) + encodeFrame(pack(LeaseResponse{})) + piece(frame.substr(20000), true);
   std::vector<Envelope> got;
   // Byte by byte, as the network may bring it.
   std::string sofar;
   for (char c : buf) {
     sofar += c;
-    auto out = unframe(sofar, &partial);
+    auto out = decodeFrames(sofar, &partial);
     ASSERT_TRUE(out);
     for (auto& m : *out)
       got.push_back(m);
@@ -245,11 +245,11 @@
   EXPECT_EQ(got[0].type, MessageType::leaseResponse);
   const auto back = unpack<FeedSnapshot>(got[1]);
   ASSERT_TRUE(back);
-  EXPECT_EQ(back->number, 9);
+  EXPECT_EQ(back->lastIncludedIndex, 9);
   EXPECT_EQ(back->state.size(), 40000U);
   EXPECT_TRUE(partial.empty());
   auto alone = piece("x", true);
-  EXPECT_FALSE(unframe(alone)) << "where no pieces are expected";
+  EXPECT_FALSE(decodeFrames(alone)) << "where no pieces are expected";
   auto nonsense = piece("no frame", true);
-  EXPECT_FALSE(unframe(nonsense, &partial));
+  EXPECT_FALSE(decodeFrames(nonsense, &partial));
 }
--- a/tests/fuzz/frames_fuzzer.cpp
+++ b/tests/fuzz/frames_fuzzer.cpp
@@ -1,60 +1,76 @@
-// Frames of the fleet's own connections, as the network may bring them: whole, in parts, in pieces, or none of ours.
+/// Fuzz target: the frames of the fleet's own connections as the network may bring them: complete, split between reads,
+/// in fragments, or bytes that are no frames.
 #include "fuzz_target.hpp"
 #include "transport/access_messages.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/frame_codec.hpp"
 
 namespace {
 using namespace zinccleat;
 using namespace zinccleat::transport;
-// The stream comes in reads; the input's first byte says how long each is.
-void unframeInReads(std::string_view input) {
+/// What was decoded must come back from its own encoding.
+void requireSameWhenEncodedAgain(const Envelope& envelope) {
+  const auto frame = encodeFrame(envelope);
+  auto received = frame;
+  const auto decoded = decodeFrames(received);
+  fuzz::require(decoded && decoded->size() == 1 && received.empty());
+  fuzz::require(encodeFrame(decoded->front()) == frame);
+}
+/// Decodes the input as a stream that arrives in reads; its first byte gives their size.
+void decodeInReads(std::string_view input) {
   if (input.empty())
     return;
   const auto readLength = 1 + static_cast<std::size_t>(static_cast<unsigned char>(input.front())) * 16;
   input.remove_prefix(1);
   std::string buffer;
-  std::string partial;
+  std::string fragments;
   while (!input.empty()) {
     const auto read = input.substr(0, readLength);
     input.remove_prefix(read.size());
     buffer += read;
-    const auto messages = unframe(buffer, &partial);
-    if (!messages)
+    const auto envelopes = decodeFrames(buffer, &fragments);
+    if (!envelopes)
       return;
-    // What was understood can be said again.
-    for (auto& m : *messages) {
-      auto again = frameOf(m);
-      const auto same = unframe(again);
-      fuzz::require(same && same->size() == 1 && again.empty());
-      fuzz::require(frameOf(same->front()) == frameOf(m));
-    }
+    for (const auto& envelope : *envelopes)
+      requireSameWhenEncodedAgain(envelope);
   }
 }
-std::vector<std::string> frameExamples() {
+/// The frame in fragments of a few bytes, far smaller than those that are sent.
+std::string smallFragmentsOf(const std::string& frame) {
+  constexpr std::size_t kPartBytes = 40;
+  std::string fragments;
+  for (std::size_t offset = 0; offset < frame.size(); offset += kPartBytes) {
+    const auto part = frame.substr(offset, kPartBytes);
+    const bool last = offset + kPartBytes >= frame.size();
+    const auto length = static_cast<char>(part.size() + 2);
+    fragments += std::string("\0\0\0", 3) + length + '\3' + (last ? '\1' : '\0') + part;
+  }
+  return fragments;
+}
+std::string feedFrame() {
   LogEntry entry;
   entry.index = 7;
   entry.term = 3;
   entry.kind = 2;
   entry.operationId = "runner/i1/in/4";
   entry.body = "blob";
-  FeedEntries entries;
-  entries.entries = {entry, entry};
-  const auto feed = pack(entries, "10.0.0.1#0");
-  LeaseResponse answer;
-  answer.granted = true;
-  answer.requestId = 9;
-  answer.grants = {{"tenant", 1.5, 2}};
-  const auto lease = pack(answer);
-  const auto whole = frameOf(feed);
-  const std::string readAll(1, '\xff');
-  const std::string readByByte(1, '\0');
-  std::string pieces;
-  for (std::size_t at = 0; at < whole.size(); at += 40) {
-    const auto part = whole.substr(at, 40);
-    const auto length = static_cast<char>(part.size() + 2);
-    pieces += std::string("\0\0\0", 3) + length + '\3' + (at + 40 >= whole.size() ? '\1' : '\0') + part;
-  }
-  return {readAll + whole, readAll + whole + frameOf(lease), readByByte + frameOf(lease) + whole, readAll + pieces};
+  FeedEntries feed;
+  feed.entries = {entry, entry};
+  return encodeFrame(pack(feed, "10.0.0.1#0"));
+}
+std::string leaseFrame() {
+  LeaseResponse response;
+  response.granted = true;
+  response.requestId = 9;
+  response.grants = {{"tenant", 1.5, 2}};
+  return encodeFrame(pack(response));
+}
+std::vector<std::string> frameExamples() {
+  const std::string inLongReads(1, '\xff');
+  const std::string byteByByte(1, '\0');
+  const auto feed = feedFrame();
+  const auto lease = leaseFrame();
+  return {inLongReads + feed, inLongReads + feed + lease, byteByByte + lease + feed,
+          inLongReads + smallFragmentsOf(feed)};
 }
 }  // namespace
-ZINCCLEAT_FUZZ_TARGET(frames, unframeInReads, frameExamples)
+ZINCCLEAT_FUZZ_TARGET(frames, decodeInReads, frameExamples)
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -49,7 +49,7 @@
 }
 Result<Envelope> onlyEnvelopeIn(std::string frames) {
   std::string pieces;
-  auto envelopes = unframe(frames, &pieces);
+  auto envelopes = decodeFrames(frames, &pieces);
   if (!envelopes)
     return tl::unexpected(envelopes.error());
   if (envelopes->size() != 1 || !frames.empty() || !pieces.empty())
@@ -66,9 +66,9 @@
     const auto decoded = unpack<T>(*envelope);
     if (!decoded)
       return tl::unexpected(decoded.error());
-    return frameOf(pack(*decoded, envelope->sender));
+    return encodeFrame(pack(*decoded, envelope->sender));
   };
-  return {file, [message] { return frameOf(pack(message, kSender)); }, again, golden::weaknessOf(message)};
+  return {file, [message] { return encodeFrame(pack(message, kSender)); }, again, golden::weaknessOf(message)};
 }
 Case diskCase(const std::string& file, const DiskRecord& record, std::string weakValue) {
   const auto again = [](const std::string& bytes) -> Result<std::string> {
@@ -152,13 +152,13 @@
 /// The frame around a consensus message.
 Case consensusFrameCase() {
   const auto frame = [] {
-    return frameOf({MessageType::consensus, kSender, encodeMessage(VoteResponse{.term = 301, .preVote = true})});
+    return encodeFrame({MessageType::consensus, kSender, encodeMessage(VoteResponse{.term = 301, .preVote = true})});
   };
   const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto envelope = onlyEnvelopeIn(bytes);
     if (!envelope)
       return tl::unexpected(envelope.error());
-    return frameOf(*envelope);
+    return encodeFrame(*envelope);
   };
   return {"frame_consensus.hex", frame, again, ""};
 }
@@ -184,7 +184,8 @@
                 FollowLog{.lastApplied = 5000000007, .cachedDigest = "digest-held", .refetch = true}),
       frameCase("frame_feed_entries.hex",
                 FeedEntries{.term = 301, .newestIndex = 5000000008, .entries = {entryNumbered(4), entryNumbered(5)}}),
-      frameCase("frame_feed_snapshot.hex", FeedSnapshot{.term = 301, .number = 5000000009, .state = "partial state"}),
+      frameCase("frame_feed_snapshot.hex",
+                FeedSnapshot{.term = 301, .lastIncludedIndex = 5000000009, .state = "partial state"}),
       frameCase("frame_body_ahead.hex", BodyAhead{.digest = "digest-4", .body = "another large body"}),
       frameCase("frame_lease_question.hex", LeaseRequest{.requestId = 4003,
                                                          .demand = grants("demand", 10),
@@ -202,9 +203,9 @@
       frameCase("frame_quota_draw.hex", QuotaTokenRequest{.requestId = 4005, .waiting = grants("waiting", 70)}),
       frameCase("frame_quota_drawn.hex",
                 QuotaTokenResponse{.requestId = 4006, .granted = true, .grants = grants("grants", 80)}),
-      frameCase(
-          "frame_opening_question.hex",
-          PrefixLookupRequest{.requestId = 4007, .opening = -6148914691236517206, .tenantDigest = 1311768467463790320}),
+      frameCase("frame_opening_question.hex",
+                PrefixLookupRequest{
+                    .requestId = 4007, .promptPrefix = -6148914691236517206, .tenantDigest = 1311768467463790320}),
       frameCase("frame_opening_answer.hex",
                 PrefixLookupResponse{.requestId = 4008, .access = {"10.1.0.4:8405", "10.1.0.5:8405"}}),
   };
@@ -447,22 +448,22 @@
 // --- hints between partner sites ---
 
 HintKey hintKey() {
-  return *HintKey::from("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f");
+  return *HintKey::parse("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f");
 }
 /// What a site tells first (everything) and then (what has changed).
 std::vector<std::string> toldInTurn() {
   constexpr TimePoint now{1000s};
   constexpr std::int64_t epoch = 2937;
-  HintTable table(hintKey(), {.most = 8, .fill = 4}, 7);
+  HintTable table(hintKey(), {.maxAnnounced = 8, .padding = 4}, 7);
   const auto sendFromTwoTenants = [&](std::uint64_t opening) {
     for (const std::uint64_t tenant : {1, 2})
-      (void)table.elsewhere(now, epoch, opening, tenant);
+      (void)table.cachedOnlyAtPartner(now, epoch, opening, tenant);
   };
   sendFromTwoTenants(42);
-  std::vector<std::string> told{avro::encode(table.news(now, epoch))};
-  (void)table.heard(now, epoch, {.epoch = epoch, .known = 1, .version = 9, .added = {5}});
+  std::vector<std::string> told{avro::encode(table.nextUpdate(now, epoch))};
+  (void)table.applyUpdate(now, epoch, {.epoch = epoch, .acknowledged = 1, .version = 9, .added = {5}});
   sendFromTwoTenants(43);
-  told.push_back(avro::encode(table.news(now, epoch)));
+  told.push_back(avro::encode(table.nextUpdate(now, epoch)));
   return told;
 }
 Result<std::string> againAsHints(const std::string& bytes) {
@@ -474,17 +475,17 @@
 std::vector<Case> hintCases() {
   return {
       recordCase("hint_news.hex", HintUpdate{.epoch = 2937,
-                                             .known = 71,
-                                             .base = 72,
+                                             .acknowledged = 71,
+                                             .baseVersion = 72,
                                              .version = 73,
                                              .added = {-6148914691236517206, 1311768467463790320},
-                                             .gone = {-5, 6}}),
+                                             .removed = {-5, 6}}),
       {"hint_news_whole.hex", [] { return toldInTurn().at(0); }, againAsHints, ""},
       {"hint_news_changes.hex", [] { return toldInTurn().at(1); }, againAsHints, ""},
       {"hint_digest.txt", [] { return std::to_string(hintKey().digest(42, 2937)); }, {}, ""},
-      {"hint_seal.txt", [] { return hintKey().seal("sealed text"); },
+      {"hint_seal.txt", [] { return hintKey().sign("sealed text"); },
        [](const std::string& seal) -> Result<std::string> {
-         return hintKey().fits("sealed text", seal) ? seal : "does not fit";
+         return hintKey().verify("sealed text", seal) ? seal : "does not fit";
        },
        ""},
   };
@@ -505,13 +506,13 @@
 }
 std::vector<Case> pieceCases() {
   const auto pieces = [] {
-    return inPieces(frameOf(pack(BodyAhead{.digest = "digest-4", .body = "in several pieces"}, kSender)), 20);
+    return inPieces(encodeFrame(pack(BodyAhead{.digest = "digest-4", .body = "in several pieces"}, kSender)), 20);
   };
   const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto envelope = onlyEnvelopeIn(bytes);
     if (!envelope)
       return tl::unexpected(envelope.error());
-    return inPieces(frameOf(*envelope), 20);
+    return inPieces(encodeFrame(*envelope), 20);
   };
   return {{"pieces_body_ahead.hex", pieces, again, ""}};
 }
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -1,4 +1,5 @@
-// Hints between partner sites: what they tell, what they hide, and that a wrong one costs a moment and never an answer.
+/// Prefix hints between partner sites: what they announce, what they hide, and that a wrong hint delays a request but
+/// never costs its response.
 #include "hints/hints.hpp"
 
 #include "standins.hpp"
@@ -11,312 +12,393 @@
 using namespace zinccleat::runtime;
 using namespace zinccleat::standin;
 namespace {
-const std::string kSecret(64, 'a');
-HintKey key(char c = 'a') {
-  return *HintKey::from(std::string(64, c));
+constexpr TimePoint kStart{1000s};
+constexpr std::int64_t kEpoch = 7;
+constexpr std::uint64_t kPrefix = 42;
+constexpr std::uint64_t kOtherPrefix = 43;
+constexpr std::uint64_t kTenantHere = 9;
+
+/// A key whose secret repeats one hex digit.
+HintKey keyOf(char digit = 'a') {
+  return *HintKey::parse(std::string(64, digit));
 }
-HintTable desk(std::uint64_t seed = 1, char c = 'a') {
-  return HintTable(key(c), HintBounds{}, seed);
+HintTable makeTable(std::uint64_t seed) {
+  return HintTable(keyOf(), HintBounds{}, seed);
 }
-constexpr TimePoint kStart{1000s};
-// Both sites tell each other, as often as asked.
-void exchange(HintTable& a, HintTable& b, TimePoint now, std::int64_t epoch, int times = 2) {
+/// Lets tenants 1 to `tenants` send a prefix through a site.
+void sendPrefix(HintTable& site, std::uint64_t prefix, std::uint64_t tenants = HintBounds{}.minTenants) {
+  for (std::uint64_t tenant = 1; tenant <= tenants; ++tenant)
+    EXPECT_FALSE(site.cachedOnlyAtPartner(kStart, kEpoch, prefix, tenant));
+}
+/// Both sites send each other updates.
+void exchange(HintTable& one, HintTable& other, TimePoint now, std::int64_t epoch, int times = 2) {
   for (int i = 0; i < times; ++i) {
-    (void)b.heard(now, epoch, a.news(now, epoch));
-    (void)a.heard(now, epoch, b.news(now, epoch));
+    (void)other.applyUpdate(now, epoch, one.nextUpdate(now, epoch));
+    (void)one.applyUpdate(now, epoch, other.nextUpdate(now, epoch));
   }
 }
+bool announces(const HintUpdate& update, std::int64_t digest) {
+  return std::find(update.added.begin(), update.added.end(), digest) != update.added.end();
+}
 }  // namespace
 
-TEST(Hints, AnOpeningThatSeveralTenantsSentIsFoundAtThePartner) {
-  auto a = desk(1);
-  auto b = desk(2);
-  EXPECT_FALSE(b.elsewhere(kStart, 7, 42, 1));
-  EXPECT_FALSE(b.elsewhere(kStart, 7, 42, 2));
-  exchange(a, b, kStart, 7);
-  EXPECT_TRUE(a.elsewhere(kStart, 7, 42, 9));
-  EXPECT_FALSE(a.elsewhere(kStart, 7, 43, 9)) << "another opening";
-  EXPECT_FALSE(b.elsewhere(kStart, 7, 42, 9)) << "held there itself";
+TEST(HintTable, FindsAPrefixThatSeveralTenantsSentAtThePartner) {
+  auto here = makeTable(1);
+  auto partner = makeTable(2);
+  sendPrefix(partner, kPrefix);
+
+  exchange(here, partner, kStart, kEpoch);
+
+  EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere));
+  EXPECT_FALSE(here.cachedOnlyAtPartner(kStart, kEpoch, kOtherPrefix, kTenantHere)) << "another prefix";
+  EXPECT_FALSE(partner.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere)) << "cached at the partner itself";
 }
-TEST(Hints, WhatOneTenantSentIsNeverToldHoweverOften) {
-  auto a = desk(1);
-  auto b = desk(2);
+TEST(HintTable, NeverAnnouncesThePrefixOfASingleTenant) {
+  auto here = makeTable(1);
+  auto partner = makeTable(2);
   for (int i = 0; i < 100; ++i)
-    (void)b.elsewhere(kStart, 7, 42, 1);
-  const auto n = b.news(kStart, 7);
-  EXPECT_EQ(std::count(n.added.begin(), n.added.end(), key().digest(42, 7)), 0);
-  exchange(a, b, kStart, 7);
-  EXPECT_FALSE(a.elsewhere(kStart, 7, 42, 9));
+    sendPrefix(partner, kPrefix, 1);
+
+  EXPECT_FALSE(announces(partner.nextUpdate(kStart, kEpoch), keyOf().digest(kPrefix, kEpoch)));
+  exchange(here, partner, kStart, kEpoch);
+  EXPECT_FALSE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere));
 }
-// An observer of the lists: as long for nothing, one tenant's or forty openings; nothing alike from key to key.
-TEST(Hints, ListsShowNeitherHowManyNorTheSameTwice) {
-  auto none = desk(1);
-  auto one = desk(2);
-  auto many = desk(3);
-  for (int i = 0; i < 50; ++i)
-    (void)one.elsewhere(kStart, 7, static_cast<std::uint64_t>(i), 1);
-  for (int i = 0; i < 40; ++i)
-    for (std::uint64_t t = 1; t < 4; ++t)
-      (void)many.elsewhere(kStart, 7, static_cast<std::uint64_t>(i), t);
-  EXPECT_EQ(none.news(kStart, 7).added.size(), 64U);
-  EXPECT_EQ(one.news(kStart, 7).added.size(), 64U);
-  const auto first = many.news(kStart, 7);
-  const auto second = many.news(kStart + 1s, 8);
+// Towards an observer: lists are as long for no prefix as for one tenant's or for forty, and nothing recurs under the
+// next key.
+TEST(HintTable, ListsRevealNeitherHowManyPrefixesNorTheSameOnesUnderTheNextKey) {
+  auto empty = makeTable(1);
+  auto ofOneTenant = makeTable(2);
+  auto ofForty = makeTable(3);
+  for (std::uint64_t prefix = 0; prefix < 50; ++prefix)
+    sendPrefix(ofOneTenant, prefix, 1);
+  for (std::uint64_t prefix = 0; prefix < 40; ++prefix)
+    sendPrefix(ofForty, prefix, 3);
+
+  EXPECT_EQ(empty.nextUpdate(kStart, kEpoch).added.size(), 64U);
+  EXPECT_EQ(ofOneTenant.nextUpdate(kStart, kEpoch).added.size(), 64U);
+  const auto first = ofForty.nextUpdate(kStart, kEpoch);
+  const auto second = ofForty.nextUpdate(kStart + 1s, kEpoch + 1);
   EXPECT_EQ(first.added.size(), 64U);
-  ASSERT_EQ(second.added.size(), 64U) << "whole under the new key";
-  std::vector<std::int64_t> both;
+  ASSERT_EQ(second.added.size(), 64U) << "a full list under the new key";
+
+  std::vector<std::int64_t> inBoth;
   std::set_intersection(first.added.begin(), first.added.end(), second.added.begin(), second.added.end(),
-                        std::back_inserter(both));
-  EXPECT_TRUE(both.empty());
-  // Without the secret nobody can test a guess.
-  for (int i = 0; i < 40; ++i)
-    EXPECT_EQ(std::count(first.added.begin(), first.added.end(), key('b').digest(static_cast<std::uint64_t>(i), 7)), 0);
+                        std::back_inserter(inBoth));
+  EXPECT_TRUE(inBoth.empty());
+  for (std::uint64_t prefix = 0; prefix < 40; ++prefix)
+    EXPECT_FALSE(announces(first, keyOf('b').digest(prefix, kEpoch))) << "a guess without the secret";
 }
-TEST(Hints, OnlyChangesAreToldAndALossHealsByTheWhole) {
-  auto a = desk(1);
-  auto b = desk(2);
-  for (std::uint64_t o = 0; o < 60; ++o)
-    (void)b.elsewhere(kStart, 7, o, 1), (void)b.elsewhere(kStart, 7, o, 2);
-  exchange(a, b, kStart, 7, 3);
-  (void)b.elsewhere(kStart, 7, 100, 1), (void)b.elsewhere(kStart, 7, 100, 2);
-  const auto change = b.news(kStart, 7);
-  EXPECT_NE(change.base, 0);
-  EXPECT_LE(change.added.size() + change.gone.size(), 4U);
-  // Lost on its way; the next one does not fit, and what follows is whole again.
-  (void)b.elsewhere(kStart, 7, 101, 1), (void)b.elsewhere(kStart, 7, 101, 2);
-  exchange(a, b, kStart, 7, 3);
-  EXPECT_TRUE(a.elsewhere(kStart, 7, 100, 9));
-  EXPECT_TRUE(a.elsewhere(kStart, 7, 101, 9));
+TEST(HintTable, SendsChangesAndRecoversFromALostUpdateByAFullList) {
+  auto here = makeTable(1);
+  auto partner = makeTable(2);
+  for (std::uint64_t prefix = 0; prefix < 60; ++prefix)
+    sendPrefix(partner, prefix);
+  exchange(here, partner, kStart, kEpoch, 3);
+
+  sendPrefix(partner, 100);
+  const auto lost = partner.nextUpdate(kStart, kEpoch);
+  EXPECT_NE(lost.baseVersion, 0);
+  EXPECT_LE(lost.added.size() + lost.removed.size(), 4U);
+
+  sendPrefix(partner, 101);
+  exchange(here, partner, kStart, kEpoch, 3);
+  EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, 100, kTenantHere));
+  EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, 101, kTenantHere));
 }
-TEST(Hints, TheyAgeOut) {
-  auto a = desk(1);
-  auto b = desk(2);
-  (void)b.elsewhere(kStart, 7, 42, 1), (void)b.elsewhere(kStart, 7, 42, 2);
-  exchange(a, b, kStart, 7);
-  EXPECT_FALSE(a.elsewhere(kStart + 11s, 7, 42, 9)) << "a partner that is silent";
-  auto c = desk(3);
-  const auto later = kStart + HintBounds{}.lives + 2s;
-  exchange(c, b, later, 7);
-  EXPECT_FALSE(c.elsewhere(later, 7, 42, 9)) << "an opening nobody sends any more";
-  auto d = desk(4);
-  exchange(d, b, later, 7);
-  EXPECT_FALSE(d.elsewhere(later, 9, 42, 9)) << "a key two times old";
+TEST(HintTable, HintsExpire) {
+  auto partner = makeTable(2);
+  sendPrefix(partner, kPrefix);
+
+  auto silenced = makeTable(1);
+  exchange(silenced, partner, kStart, kEpoch);
+  EXPECT_FALSE(silenced.cachedOnlyAtPartner(kStart + 11s, kEpoch, kPrefix, kTenantHere)) << "the partner is silent";
+
+  const auto later = kStart + HintBounds{}.lifetime + 2s;
+  auto afterLifetime = makeTable(3);
+  exchange(afterLifetime, partner, later, kEpoch);
+  EXPECT_FALSE(afterLifetime.cachedOnlyAtPartner(later, kEpoch, kPrefix, kTenantHere)) << "nobody sends it any more";
+
+  auto afterTwoKeys = makeTable(4);
+  exchange(afterTwoKeys, partner, later, kEpoch);
+  EXPECT_FALSE(afterTwoKeys.cachedOnlyAtPartner(later, kEpoch + 2, kPrefix, kTenantHere)) << "two key periods later";
 }
-TEST(Hints, TooMuchIsDeclinedAndNothingChanges) {
-  auto a = desk(1);
-  auto b = desk(2);
-  (void)b.elsewhere(kStart, 7, 42, 1), (void)b.elsewhere(kStart, 7, 42, 2);
-  exchange(a, b, kStart, 7);
-  HintUpdate flood;
-  flood.epoch = 7;
+TEST(HintTable, RejectsOversizedAndOutdatedUpdatesWithoutEffect) {
+  auto here = makeTable(1);
+  auto partner = makeTable(2);
+  sendPrefix(partner, kPrefix);
+  exchange(here, partner, kStart, kEpoch);
+  HintUpdate oversized;
+  oversized.epoch = kEpoch;
   for (int i = 0; i < 10000; ++i)
-    flood.added.push_back(i);
-  EXPECT_FALSE(a.heard(kStart, 7, flood));
-  HintUpdate old;
-  old.epoch = 3;
-  EXPECT_FALSE(a.heard(kStart, 7, old));
-  EXPECT_EQ(a.errorResponse(), 2U);
-  EXPECT_TRUE(a.elsewhere(kStart, 7, 42, 9)) << "what was known stands";
-  for (std::uint64_t o = 0; o < 70000; ++o)
-    (void)a.elsewhere(kStart, 7, o << 8, 1);
-  EXPECT_LE(a.news(kStart, 7).added.size(), 2048U + 64U);
+    oversized.added.push_back(i);
+  HintUpdate outdated;
+  outdated.epoch = kEpoch - 4;
+
+  EXPECT_FALSE(here.applyUpdate(kStart, kEpoch, oversized));
+  EXPECT_FALSE(here.applyUpdate(kStart, kEpoch, outdated));
+
+  EXPECT_EQ(here.rejectedCount(), 2U);
+  EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere)) << "what was known remains";
+}
+TEST(HintTable, AnnouncesABoundedNumberOfPrefixes) {
+  auto table = makeTable(1);
+  for (std::uint64_t prefix = 0; prefix < 70000; ++prefix)
+    sendPrefix(table, prefix << 8);
+
+  const auto announced = table.nextUpdate(kStart, kEpoch).added.size();
+  EXPECT_LE(announced, 2048U + 64U);
+  EXPECT_GE(announced, 2048U) << "the bound is reached";
+}
+TEST(HintKey, VerifiesOnlyCodesOfTheSameSecretAndText) {
+  EXPECT_TRUE(keyOf().verify("text", keyOf().sign("text")));
+  EXPECT_FALSE(keyOf().verify("text2", keyOf().sign("text")));
+  EXPECT_FALSE(keyOf().verify("text", keyOf('b').sign("text")));
+  EXPECT_FALSE(keyOf().verify("text", ""));
 }
-TEST(Hints, TheSealIsTheSecretsOwn) {
-  EXPECT_TRUE(key().fits("text", key().seal("text")));
-  EXPECT_FALSE(key().fits("text2", key().seal("text")));
-  EXPECT_FALSE(key().fits("text", key('b').seal("text")));
-  EXPECT_FALSE(key().fits("text", ""));
-  EXPECT_FALSE(HintKey::from("short"));
-  EXPECT_FALSE(HintKey::from(std::string(64, 'z')));
+TEST(HintKey, RejectsWhatIsNot32BytesInHex) {
+  EXPECT_FALSE(HintKey::parse("short"));
+  EXPECT_FALSE(HintKey::parse(std::string(64, 'z')));
 }
-TEST(Hints, ThePartnerGetsFewAndFewerWhileItDisappoints) {
-  PartnerTrust t;
-  int went = 0;
+TEST(PartnerTrust, AllowsAQuarterAndFewAfterFailures) {
+  PartnerTrust trust;
   TimePoint now = kStart;
+  int allowed = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    went += t.allows(now);
-  EXPECT_LE(went, 255);
-  EXPECT_GT(went, 200);
-  went = 0;
+    allowed += trust.allows(now);
+  EXPECT_LE(allowed, 255);
+  EXPECT_GT(allowed, 200);
+
+  int allowedWhileFailing = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    if (t.allows(now))
-      ++went, t.recordFailure(now);
-  EXPECT_LE(went, 5);
+    if (trust.allows(now)) {
+      ++allowedWhileFailing;
+      trust.recordFailure(now);
+    }
+  EXPECT_LE(allowedWhileFailing, 5);
 }
 
 namespace {
-// A runner as both sites have them: a shared opening that it has not read takes time before the first event.
+constexpr int kStreamEvents = 5;
+std::string allEvents() {
+  std::string events;
+  for (int i = 0; i < kStreamEvents; ++i)
+    events += event(i);
+  return events;
+}
+std::string streamRequest(const std::string& attempt, const std::string& prefixHeader, const std::string& more = {}) {
+  return ask("/recap/x", attempt, more + "X-Prompt-Prefix: " + prefixHeader + "\r\n");
+}
+
+/// A site with one runner, which takes time to read a prompt prefix that it has not cached before it streams.
 struct Site {
-  std::shared_ptr<TestProxy> h;
+  std::shared_ptr<TestProxy> proxy;
   HintTable hints;
-  std::set<std::string> held;
-  int streams = 0, pushes = 0, fromPartner = 0;
-  Duration reading{25};
-  explicit Site(std::shared_ptr<TestProxy> x, std::uint64_t seed) : h(std::move(x)), hints(desk(seed)) {
-    h->context.configuration = *parseConfiguration(R"({"configVersion":7,"routeTable":[
+  std::set<std::string> cached;  // prefixes, as their header field
+  int streams = 0;
+  int pushes = 0;
+  int markedRequests = 0;  // whose mark of a partner site reached the runner, which it must not
+  Duration prefillTime{25};
+
+  Site(std::shared_ptr<TestProxy> ownProxy, std::uint64_t seed) : proxy(std::move(ownProxy)), hints(makeTable(seed)) {
+    proxy->context.configuration = *parseConfiguration(R"({"configVersion":7,"routeTable":[
       {"label":"recap","authority":"h.example","pathPrefix":"/recap/","routeType":"stream","streamResume":true,"sessionAffinity":true,"expiryMs":20000,"targetLatencyMs":500,"targetService":"s","maxAttempts":2},
       {"label":"push","authority":"h.example","pathPrefix":"/push/","routeType":"unsafe","expiryMs":20000,"targetLatencyMs":150,"targetService":"s"}],
       "serviceTable":[{"label":"s","engine":{"capacity":8,"kvCapacity":100000,"stride":1}}],"subscribers":[{"label":"tina","accessKeys":["key1"]}]})");
-    h->saveUp(10, 40);
-    h->runner("i-0", [this](StandIn&, Connection& w, const std::string& id, const std::string& text) {
-      if (text.find("/push/") != std::string::npos) {
-        ++pushes;
-        return say(w, whole(id, "pushed " + id));
-      }
-      ++streams;
-      fromPartner += text.find("X-Partner-Site") != std::string::npos;  // it must not reach a runner
-      const auto at = text.find("X-Prompt-Prefix: ");
-      const auto opening = text.substr(at, text.find(',', at) - at);
-      if (held.insert(opening).second)
-        EventLoop::get().sleepFor(reading);
-      say(w, streamHead(id));
-      std::string all;
-      for (int e = 0; e < 5; ++e)
-        all += event(e);
-      say(w, chunk(all) + "0\r\n\r\n");
-    });
+    proxy->saveUp(10, 40);
+    proxy->runner("i-0", [this](StandIn&, Connection& connection, const std::string& attempt,
+                                const std::string& request) { respond(connection, attempt, request); });
+  }
+  std::string address() const { return "127.0.0.1:" + std::to_string(proxy->door->local_endpoint().port()); }
+
+ private:
+  void respond(Connection& connection, const std::string& attempt, const std::string& request) {
+    if (request.find("/push/") != std::string::npos) {
+      ++pushes;
+      return say(connection, whole(attempt, "pushed " + attempt));
+    }
+    ++streams;
+    markedRequests += request.find("X-Partner-Site") != std::string::npos;
+    const auto start = request.find("X-Prompt-Prefix: ");
+    const auto prefix = request.substr(start, request.find(',', start) - start);
+    if (cached.insert(prefix).second)
+      EventLoop::get().sleepFor(prefillTime);
+    say(connection, streamHead(attempt));
+    say(connection, chunk(allEvents()) + "0\r\n\r\n");
   }
-  std::string door() const { return "127.0.0.1:" + std::to_string(h->door->local_endpoint().port()); }
 };
-struct Two {
-  std::shared_ptr<Site> here, there;
-  std::string partnerDoor;
-  explicit Two(TestProxy&) {
-    here = std::make_shared<Site>(std::make_shared<TestProxy>(), 1);
-    there = std::make_shared<Site>(std::make_shared<TestProxy>(), 2);
-    partnerDoor = there->door();
-    static std::vector<std::shared_ptr<Site>> kept;  // their fibers may still refer to them
-    kept.push_back(here), kept.push_back(there);
+
+/// Two partner sites; requests enter at `here`.
+struct TwoSites {
+  std::shared_ptr<Site> here = std::make_shared<Site>(std::make_shared<TestProxy>(), 1);
+  std::shared_ptr<Site> partner = std::make_shared<Site>(std::make_shared<TestProxy>(), 2);
+  std::string partnerAddress = partner->address();
+
+  TwoSites() {
+    static std::vector<std::shared_ptr<Site>> sites;  // fibers may refer to them after the test
+    sites.push_back(here);
+    sites.push_back(partner);
+  }
+  void forwardEverythingToPartner() {
+    here->proxy->context.lookupPartner = [this](std::uint64_t, const std::string&) { return partnerAddress; };
+  }
+  void forwardByHints() {
+    here->proxy->context.lookupPartner = [this](std::uint64_t prefix, const std::string&) {
+      const bool forward = here->hints.cachedOnlyAtPartner(kStart, kEpoch, prefix, 99);
+      return forward ? partnerAddress : std::string{};
+    };
   }
-  // A busy hour in small: openings that the partner's tenants have sent already, one request each.
-  struct Played {
-    double meanMs = 0, worstMs = 0;
-    int whole = 0, pushes = 0;
+  void forwardNothing() { here->proxy->context.lookupPartner = nullptr; }
+  std::string pushResponse(const std::string& attempt) { return once(*here->proxy, ask("/push/x", attempt)).body; }
+
+  struct Outcome {
+    double meanMs = 0;
+    int completeStreams = 0;
+    int completePushes = 0;
   };
-  Played play(bool hints, int count, const std::string& mark) {
-    auto name = [&](int i) { return mark + std::to_string(i) + ":5000"; };
+  /// Sends one stream and one push for each of `count` prefixes that the partner has cached and announced.
+  /// @param name begins the names of the prefixes and attempts.
+  Outcome run(int count, const std::string& name) {
+    const auto prefixOf = [&](int i) { return name + std::to_string(i) + ":5000"; };
     for (int i = 0; i < count; ++i) {
-      there->held.insert("X-Prompt-Prefix: " + name(i));
-      const auto opening = promptOf(name(i) + ",x:100").affinity;
-      for (std::uint64_t t = 1; t < 3; ++t)
-        (void)there->hints.elsewhere(kStart, 7, opening, t);
+      partner->cached.insert("X-Prompt-Prefix: " + prefixOf(i));
+      sendPrefix(partner->hints, promptOf(prefixOf(i) + ",x:100").affinity);
     }
-    exchange(here->hints, there->hints, kStart, 7, 3);
-    if (hints)
-      here->h->context.lookupPartner = [this](std::uint64_t opening, const std::string&) {
-        return here->hints.elsewhere(kStart, 7, opening, 99) ? partnerDoor : std::string{};
-      };
-    else
-      here->h->context.lookupPartner = nullptr;
-    Played p;
+    exchange(here->hints, partner->hints, kStart, kEpoch, 3);
+    Outcome outcome;
     for (int i = 0; i < count; ++i) {
-      const auto began = Clock::now();
-      const auto a = once(*here->h, ask("/recap/x", mark + "a" + std::to_string(i),
-                                        "X-Prompt-Prefix: " + name(i) + ",own" + std::to_string(i) +
-                                            ":100\r\nX-Token-Count: 5100,50\r\n"));
-      const double ms = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
-      std::string all;
-      for (int e = 0; e < 5; ++e)
-        all += event(e);
-      p.whole += a.status == 200 && a.wholeBody && a.body == all;
-      p.meanMs += ms / count;
-      p.worstMs = std::max(p.worstMs, ms);
-      p.pushes += once(*here->h, ask("/push/x", mark + "p" + std::to_string(i))).body ==
-                  "pushed " + mark + "p" + std::to_string(i);
+      const auto number = std::to_string(i);
+      const auto started = Clock::now();
+      const auto stream = once(*here->proxy, streamRequest(name + "a" + number, prefixOf(i) + ",own" + number +
+                                                                                    ":100\r\nX-Token-Count: 5100,50"));
+      outcome.meanMs += std::chrono::duration<double, std::milli>(Clock::now() - started).count() / count;
+      outcome.completeStreams += stream.status == 200 && stream.wholeBody && stream.body == allEvents();
+      const auto push = name + "p" + number;
+      outcome.completePushes += pushResponse(push) == "pushed " + push;
     }
-    return p;
+    return outcome;
   }
 };
 }  // namespace
 
-TEST(PartnerSites, LongOpeningsBeginSoonerWhereTheyAreHeld) {
-  withProxy([](TestProxy& h) {
-    Two two(h);
-    // Long beside what a busy machine adds to a request.
-    two.here->reading = two.there->reading = 60ms;
-    const auto without = two.play(false, 24, "a");
-    EXPECT_EQ(two.there->streams, 0);
-    const auto with = two.play(true, 24, "b");
-    EXPECT_EQ(without.whole, 24);
-    EXPECT_EQ(with.whole, 24);
-    EXPECT_EQ(with.pushes, 24);
-    EXPECT_GE(two.there->streams, 6);
-    EXPECT_LE(two.there->streams, 9) << "one in four, and two to begin with";
-    EXPECT_EQ(two.there->pushes, 0) << "pushes never go";
-    EXPECT_EQ(two.there->fromPartner + two.here->fromPartner, 0);
-    EXPECT_EQ(two.here->streams + two.there->streams, 48) << "each once";
+TEST(PartnerSites, LongPromptsStartSoonerWhereTheirPrefixIsCached) {
+  withProxy([](TestProxy&) {
+    TwoSites sites;
+    sites.here->prefillTime = sites.partner->prefillTime = 60ms;  // long beside what a busy machine adds to a request
+
+    sites.forwardNothing();
+    const auto without = sites.run(24, "a");
+    EXPECT_EQ(sites.partner->streams, 0);
+    sites.forwardByHints();
+    const auto with = sites.run(24, "b");
+
+    EXPECT_EQ(without.completeStreams, 24);
+    EXPECT_EQ(with.completeStreams, 24);
+    EXPECT_EQ(with.completePushes, 24);
+    EXPECT_GE(sites.partner->streams, 6);
+    EXPECT_LE(sites.partner->streams, 9) << "one in four, and two at the beginning";
+    EXPECT_EQ(sites.partner->pushes, 0) << "pushes are never forwarded";
+    EXPECT_EQ(sites.partner->markedRequests + sites.here->markedRequests, 0);
+    EXPECT_EQ(sites.here->streams + sites.partner->streams, 48) << "each request runs once";
     EXPECT_LT(with.meanMs, without.meanMs * 0.9) << with.meanMs << " and " << without.meanMs;
     std::printf("first events, mean: %.1f ms without hints, %.1f ms with (stand-ins)\n", without.meanMs, with.meanMs);
   });
 }
-TEST(PartnerSites, OneThatLiesCostsOneOrdinaryReading) {
-  withProxy([](TestProxy& h) {
-    Two two(h);
-    two.here->h->context.partner = {};
-    const auto p = two.play(true, 16, "l");
-    two.there->held.clear();  // all that it told of is gone
-    const auto q = two.play(false, 4, "m");
-    EXPECT_EQ(p.whole, 16);
-    EXPECT_EQ(p.pushes + q.pushes, 20);
-    two.here->h->context.lookupPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
-    int whole = 0;
-    for (int i = 0; i < 8; ++i)
-      whole +=
-          once(*two.here->h, ask("/recap/x", "n" + std::to_string(i),
-                                 "X-Prompt-Prefix: n" + std::to_string(i) + ":5000,o:1\r\nX-Token-Count: 5001,5\r\n"))
-              .wholeBody;
-    EXPECT_EQ(whole, 8);
+TEST(PartnerSites, WrongHintsCostOneOrdinaryPrefillEach) {
+  withProxy([](TestProxy&) {
+    TwoSites sites;
+    sites.forwardByHints();
+    const auto withHints = sites.run(16, "l");
+    sites.partner->cached.clear();  // evicted; the hints are wrong from here on
+    sites.forwardNothing();
+    const auto withoutHints = sites.run(4, "m");
+    EXPECT_EQ(withHints.completeStreams, 16);
+    EXPECT_EQ(withHints.completePushes + withoutHints.completePushes, 20);
+
+    sites.forwardEverythingToPartner();
+    int complete = 0;
+    for (int i = 0; i < 8; ++i) {
+      const auto attempt = "n" + std::to_string(i);
+      complete +=
+          once(*sites.here->proxy, streamRequest(attempt, attempt + ":5000,o:1\r\nX-Token-Count: 5001,5")).wholeBody;
+    }
+    EXPECT_EQ(complete, 8);
+  });
+}
+TEST(PartnerSites, RequestsOfAPartnerAreNotForwarded) {
+  withProxy([](TestProxy&) {
+    TwoSites sites;
+    sites.forwardEverythingToPartner();
+
+    const auto response =
+        once(*sites.here->proxy, streamRequest("z1", "z:5000,o:1\r\nX-Token-Count: 5001,5", "X-Partner-Site: 1\r\n"));
+
+    EXPECT_EQ(response.status, 200);
+    EXPECT_EQ(sites.partner->streams, 0);
+    EXPECT_EQ(sites.here->streams, 1);
   });
 }
-TEST(PartnerSites, OneThatIsCutOffSlowOrRefusesCostsAMomentAndNoAnswer) {
-  for (const int how : {0, 1, 2, 3})
-    withProxy([how](TestProxy& h) {
-      Two two(h);
-      if (how == 0)
-        two.partnerDoor = "127.0.0.1:1";  // nobody there
-      if (how == 1)
-        two.there->reading = 3000ms;  // holds nothing, and reads slowly
-      if (how == 2)
-        two.there->h->context.leaseEnds = Clock::now() - 1s;  // refuses
-      if (how == 3)
-        two.there->h->runners[0]->act = [](StandIn&, Connection& w, const std::string& id, const std::string&) {
-          say(w, streamHead(id) + chunk(event(0) + event(1)));  // begins, and is cut
-          w.close();
-        };
-      const auto p = [&] {
-        auto r = two.play(true, 0, "s");
-        two.here->h->context.lookupPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
-        return r;
-      }();
-      (void)p;
-      for (int i = 0; i < 10; ++i) {
-        const auto began = Clock::now();
-        const auto a = once(*two.here->h,
-                            ask("/recap/x", "k" + std::to_string(i),
-                                "X-Prompt-Prefix: k" + std::to_string(i) + ":5000,o:1\r\nX-Token-Count: 5001,5\r\n"));
-        EXPECT_EQ(a.status, 200) << how;
-        EXPECT_TRUE(a.wholeBody) << how;
-        int events = 0;
-        for (std::size_t at = 0; (at = a.body.find("id: ", at)) != std::string::npos; ++at)
-          ++events;
-        // A cut one goes on behind what had come; this stand-in says all of it again.
-        EXPECT_EQ(events, how == 3 && i < 4 && events != 5 ? 7 : 5) << how;
-        EXPECT_LT(Clock::now() - began, 500ms + 400ms) << how;
-        EXPECT_EQ(once(*two.here->h, ask("/push/x", "q" + std::to_string(i))).body, "pushed q" + std::to_string(i));
-      }
-      EXPECT_EQ(two.there->pushes, 0);
-      EXPECT_LE(two.here->h->context.toPartner, 4U) << "it is left alone after that";
-    });
+
+namespace {
+enum class PartnerFault { unreachable, slow, withoutLease, cutsItsStreams };
+struct PartnerFaultCase {
+  const char* name;
+  PartnerFault fault;
+};
+void injectFault(TwoSites& sites, PartnerFault fault) {
+  switch (fault) {
+    case PartnerFault::unreachable:
+      sites.partnerAddress = "127.0.0.1:1";
+      return;
+    case PartnerFault::slow:
+      sites.partner->prefillTime = 3000ms;
+      return;
+    case PartnerFault::withoutLease:
+      sites.partner->proxy->context.leaseEnds = Clock::now() - 1s;
+      return;
+    case PartnerFault::cutsItsStreams:
+      sites.partner->proxy->runners[0]->act = [](StandIn&, Connection& connection, const std::string& attempt,
+                                                 const std::string&) {
+        say(connection, streamHead(attempt) + chunk(event(0) + event(1)));
+        connection.close();
+      };
+  }
+}
+int eventsIn(const std::string& body) {
+  int events = 0;
+  for (std::size_t at = 0; (at = body.find("id: ", at)) != std::string::npos; ++at)
+    ++events;
+  return events;
 }
-TEST(PartnerSites, WhatCameFromAPartnerGoesNoFurther) {
-  withProxy([](TestProxy& h) {
-    Two two(h);
-    two.here->h->context.lookupPartner = [&](std::uint64_t, const std::string&) { return two.partnerDoor; };
-    const auto a =
-        once(*two.here->h,
-             ask("/recap/x", "z1", "X-Partner-Site: 1\r\nX-Prompt-Prefix: z:5000,o:1\r\nX-Token-Count: 5001,5\r\n"));
-    EXPECT_EQ(a.status, 200);
-    EXPECT_EQ(two.there->streams, 0);
-    EXPECT_EQ(two.here->streams, 1);
+}  // namespace
+
+class FaultyPartner : public testing::TestWithParam<PartnerFaultCase> {};
+TEST_P(FaultyPartner, CostsADelayAndNoResponse) {
+  withProxy([](TestProxy&) {
+    const auto fault = GetParam().fault;
+    TwoSites sites;
+    injectFault(sites, fault);
+    sites.forwardEverythingToPartner();
+    for (int i = 0; i < 10; ++i) {
+      const auto number = std::to_string(i);
+      const auto started = Clock::now();
+      const auto response =
+          once(*sites.here->proxy, streamRequest("k" + number, "k" + number + ":5000,o:1\r\nX-Token-Count: 5001,5"));
+      EXPECT_EQ(response.status, 200);
+      EXPECT_TRUE(response.wholeBody);
+      // A cut stream is resumed behind what had arrived; this stand-in sends all its events again.
+      const auto events = eventsIn(response.body);
+      const bool resumed = fault == PartnerFault::cutsItsStreams && i < 4 && events != kStreamEvents;
+      EXPECT_EQ(events, resumed ? 2 + kStreamEvents : kStreamEvents);
+      EXPECT_LT(Clock::now() - started, 500ms + 400ms);
+      EXPECT_EQ(sites.pushResponse("q" + number), "pushed q" + number);
+    }
+    EXPECT_EQ(sites.partner->pushes, 0);
+    EXPECT_LE(sites.here->proxy->context.toPartner, 4U) << "few requests are forwarded to a partner that fails";
   });
 }
+INSTANTIATE_TEST_SUITE_P(PartnerSites, FaultyPartner,
+                         testing::Values(PartnerFaultCase{"Unreachable", PartnerFault::unreachable},
+                                         PartnerFaultCase{"Slow", PartnerFault::slow},
+                                         PartnerFaultCase{"WithoutLease", PartnerFault::withoutLease},
+                                         PartnerFaultCase{"CutsItsStreams", PartnerFault::cutsItsStreams}),
+                         [](const auto& test) { return std::string(test.param.name); });
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -151,8 +151,8 @@
   feed.entries = {numbered(1, std::string(100000, 'z')), numbered(2)};
   LeaseResponse lease;
   lease.grants = {{"t", 1.5, 2.5}};
-  auto buf = frameOf(pack(feed, "x")) + frameOf(pack(lease)) + std::string(2, char(0));
-  auto out = unframe(buf);
+  auto buf = encodeFrame(pack(feed, "x")) + encodeFrame(pack(lease)) + std::string(2, char(0));
+  auto out = decodeFrames(buf);
   ASSERT_TRUE(out);
   ASSERT_EQ(out->size(), 2U);
   EXPECT_EQ((*out)[0].sender, "x");
@@ -168,24 +168,24 @@
   EXPECT_EQ(buf.size(), 2U) << "a frame not whole yet stays";
 }
 TEST(Frames, WhatIsNotOursIsDeclined) {
-  auto other = frameOf(pack(AgentState{}, "x"));
+  auto other = encodeFrame(pack(AgentState{}, "x"));
   other[4] = 9;
-  EXPECT_FALSE(unframe(other)) << "another format version";
+  EXPECT_FALSE(decodeFrames(other)) << "another format version";
   std::string huge = "\xff\xff\xff\xff\x01";
-  EXPECT_FALSE(unframe(huge));
-  auto broken = frameOf(pack(AgentState{}, "x"));
+  EXPECT_FALSE(decodeFrames(huge));
+  auto broken = encodeFrame(pack(AgentState{}, "x"));
   for (std::size_t i = 5; i < broken.size(); ++i)
     broken[i] = static_cast<char>(0xff);
-  EXPECT_FALSE(unframe(broken));
-  auto unknownType = frameOf(pack(AgentState{}, "x"));
+  EXPECT_FALSE(decodeFrames(broken));
+  auto unknownType = encodeFrame(pack(AgentState{}, "x"));
   unknownType[5] = static_cast<char>(99);
-  EXPECT_FALSE(unframe(unknownType));
+  EXPECT_FALSE(decodeFrames(unknownType));
   EXPECT_FALSE(unpack<AgentState>(Envelope{MessageType::agentState, "x", "\xff"}));
-  auto noHead = frameOf(pack(AgentState{}, "x"));
+  auto noHead = encodeFrame(pack(AgentState{}, "x"));
   noHead[6] = static_cast<char>(200);
-  EXPECT_FALSE(unframe(noHead)) << "a sender longer than the frame";
+  EXPECT_FALSE(decodeFrames(noHead)) << "a sender longer than the frame";
   std::string http = "GET / HTTP/1.1\r\n\r\n";
-  EXPECT_FALSE(unframe(http));
+  EXPECT_FALSE(decodeFrames(http));
 }
 TEST(PartialView, StaysSmallAndSpreads) {
   std::vector<PartialView> v;
