--- a/tests/fuzz/fuzz_target.hpp
+++ b/tests/fuzz/fuzz_target.hpp
@@ -1,6 +1,7 @@
-// One fuzz target a file: a function that takes any bytes, and must neither crash, hang, grow without bound nor break
-// what it checks itself. Built with ZINCCLEAT_LIBFUZZER it is a program of clang's libFuzzer; otherwise it enters a
-// table that tests/fuzz_test.cpp goes through with a seeded mutation of the corpus.
+/// The frame of the fuzz targets. Each file tests/fuzz/NAME_fuzzer.cpp defines one: a function that takes any bytes,
+/// and must neither crash, hang, allocate without bound nor violate what it checks itself. Built with
+/// ZINCCLEAT_LIBFUZZER the file is a program of clang's libFuzzer; otherwise it registers itself in a table, which
+/// tests/fuzz_test.cpp runs with seeded mutations of the corpus.
 #pragma once
 #include <cstdint>
 #include <cstdlib>
@@ -9,19 +10,22 @@
 #include <vector>
 
 namespace zinccleat::fuzz {
+/// A fuzz target.
 struct Target {
-  const char* name;                        // its folder under tests/fuzz/corpus
-  void (*run)(std::string_view input);     // aborts on what must not be
-  std::vector<std::string> (*examples)();  // valid inputs, to begin from
+  const char* name;                        ///< of its folder under tests/fuzz/corpus
+  void (*run)(std::string_view input);     ///< aborts if a check fails
+  std::vector<std::string> (*examples)();  ///< valid inputs that the mutations start from
 };
+/// All targets linked into this program.
 inline std::vector<Target>& targets() {
   static std::vector<Target> all;
   return all;
 }
+/// Adds a target to the table.
 struct Registration {
   explicit Registration(Target target) { targets().push_back(target); }
 };
-// What must hold for any input.
+/// Aborts unless a property that must hold for any input does.
 inline void require(bool holds) {
   if (!holds)
     std::abort();
@@ -30,7 +34,7 @@
 
 #ifdef ZINCCLEAT_LIBFUZZER
 #include <cstdio>
-// Before the corpus is read: the valid examples are laid beside it, in the folder that the environment names.
+// Before libFuzzer reads the corpus, the examples are written to the folder that ZINCCLEAT_FUZZ_EXAMPLES names.
 #define ZINCCLEAT_FUZZ_TARGET(NAME, RUN, EXAMPLES)                                                                 \
   extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {                              \
     RUN(std::string_view(reinterpret_cast<const char*>(data), size));                                              \
