--- a/libs/hints/src/hints.cpp
+++ b/libs/hints/src/hints.cpp
@@ -4,6 +4,7 @@
 
 #include <array>
 #include <cstring>
+#include <tuple>
 
 namespace zinccleat::hints {
 namespace {
@@ -85,8 +86,7 @@
 std::set<std::int64_t> HintTable::digestsToAnnounce(std::int64_t epoch) const {
   struct Candidate {
     TimePoint lastUsed;
-    std::uint64_t promptPrefix;
-    auto operator<=>(const Candidate&) const = default;
+    std::uint64_t promptPrefix = 0;
   };
   std::vector<Candidate> candidates;
   for (const auto& [promptPrefix, prefix] : cached_)
@@ -94,7 +94,9 @@
       candidates.push_back({prefix.lastUsed, promptPrefix});
   if (candidates.size() > bounds_.maxAnnounced) {
     const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(bounds_.maxAnnounced);
-    std::nth_element(candidates.begin(), end, candidates.end(), std::greater<>());
+    std::nth_element(candidates.begin(), end, candidates.end(), [](const Candidate& a, const Candidate& b) {
+      return std::tie(a.lastUsed, a.promptPrefix) > std::tie(b.lastUsed, b.promptPrefix);
+    });
     candidates.resize(bounds_.maxAnnounced);
   }
   std::set<std::int64_t> digests;
--- a/libs/transport/src/frame_codec.cpp
+++ b/libs/transport/src/frame_codec.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kMaxSenderBytes = 255;          // its length is one byte
 constexpr std::size_t kMaxFrameBytes = std::size_t{32} << 20;
 
-Traffic g_traffic;
+Traffic processTraffic;
 
 void count(Traffic::Count (&counts)[Traffic::kTypes], MessageType type, std::size_t bytes) {
   const auto index = static_cast<std::size_t>(type);
@@ -48,7 +48,7 @@
   auto envelope = decodeEnvelope(body);
   if (!envelope)
     return tl::unexpected(std::move(envelope.error()));
-  count(g_traffic.received, envelope->type, kHeadBytes + body.size());
+  count(processTraffic.received, envelope->type, kHeadBytes + body.size());
   envelopes.push_back(std::move(*envelope));
   return {};
 }
@@ -82,7 +82,7 @@
   frame += static_cast<char>(envelope.sender.size());
   frame += envelope.sender;
   frame += envelope.payload;
-  count(g_traffic.sent, envelope.type, frame.size());
+  count(processTraffic.sent, envelope.type, frame.size());
   return frame;
 }
 std::size_t appendFragment(std::string& out, std::string_view frame, std::size_t offset) {
@@ -106,7 +106,7 @@
     if (isFragment && length < 2)
       return makeError(ErrorCode::corruption, "an empty fragment");
     if (!isFragment && format != kFrameFormat) {
-      ++g_traffic.framesOfOtherFormats;
+      ++processTraffic.framesOfOtherFormats;
       return makeError(ErrorCode::incompatibleFormat, "frame of another format version: " + std::to_string(format));
     }
     if (rest.size() < kLengthBytes + length)
@@ -122,9 +122,9 @@
 }
 
 const Traffic& trafficCounters() {
-  return g_traffic;
+  return processTraffic;
 }
 void countDeclinedFrame() {
-  ++g_traffic.framesDeclined;
+  ++processTraffic.framesDeclined;
 }
 }  // namespace zinccleat::transport
