--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -4,6 +4,7 @@
 #include "core.hpp"
 #include "runtime/lifecycle.hpp"
 #include "runtime/log_ring.hpp"
+#include "transport/listener.hpp"
 
 namespace zinccleat::controller {
 int runController(const config::Settings& s) {
--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -17,7 +17,7 @@
   return entry;
 }
 std::string validFrame() {
-  return frameOf(pack(AgentState{}, "x"));
+  return encodeFrame(pack(AgentState{}, "x"));
 }
 /// A valid frame with one byte replaced.
 std::string frameWith(std::size_t offset, int byte) {
@@ -41,9 +41,9 @@
   feed.entries = {entryAt(1, std::string(kLargeBody, 'z')), entryAt(2)};
   LeaseResponse lease;
   lease.grants = {{"t", 1.5, 2.5}};
-  auto buffer = frameOf(pack(feed, "x")) + frameOf(pack(lease)) + std::string(2, char(0));
+  auto buffer = encodeFrame(pack(feed, "x")) + encodeFrame(pack(lease)) + std::string(2, char(0));
 
-  const auto messages = unframe(buffer);
+  const auto messages = decodeFrames(buffer);
 
   ASSERT_TRUE(messages);
   ASSERT_EQ(messages->size(), 2U);
@@ -61,28 +61,28 @@
 }
 TEST(Frames, InvalidBytesAreRejected) {
   auto otherVersion = frameWith(4, 9);
-  EXPECT_FALSE(unframe(otherVersion)) << "another format version";
+  EXPECT_FALSE(decodeFrames(otherVersion)) << "another format version";
   std::string huge = "\xff\xff\xff\xff\x01";
-  EXPECT_FALSE(unframe(huge));
+  EXPECT_FALSE(decodeFrames(huge));
   auto broken = validFrame();
   for (std::size_t i = 5; i < broken.size(); ++i)
     broken[i] = static_cast<char>(0xff);
-  EXPECT_FALSE(unframe(broken));
+  EXPECT_FALSE(decodeFrames(broken));
   auto unknownType = frameWith(5, 99);
-  EXPECT_FALSE(unframe(unknownType));
+  EXPECT_FALSE(decodeFrames(unknownType));
   EXPECT_FALSE(unpack<AgentState>(Envelope{MessageType::agentState, "x", "\xff"}));
   auto longSender = frameWith(6, 200);
-  EXPECT_FALSE(unframe(longSender)) << "a sender longer than the frame";
+  EXPECT_FALSE(decodeFrames(longSender)) << "a sender longer than the frame";
   std::string http = "GET / HTTP/1.1\r\n\r\n";
-  EXPECT_FALSE(unframe(http));
+  EXPECT_FALSE(decodeFrames(http));
 }
 TEST(Frames, ChunksAreJoinedAndOtherFramesOvertakeThem) {
   FeedSnapshot large;
   large.number = 9;
   large.state = std::string(40000, 'q');
-  const auto frame = frameOf(pack(large));
+  const auto frame = encodeFrame(pack(large));
   const auto bytes =
-      chunk(frame.substr(0, 20000), false) + frameOf(pack(LeaseResponse{})) + chunk(frame.substr(20000), true);
+      chunk(frame.substr(0, 20000), false) + encodeFrame(pack(LeaseResponse{})) + chunk(frame.substr(20000), true);
 
   // Byte by byte, as the network may deliver it.
   std::string partial;
@@ -90,7 +90,7 @@
   std::vector<Envelope> messages;
   for (const char byte : bytes) {
     received += byte;
-    auto out = unframe(received, &partial);
+    auto out = decodeFrames(received, &partial);
     ASSERT_TRUE(out);
     for (auto& message : *out)
       messages.push_back(message);
@@ -107,7 +107,7 @@
 TEST(Frames, InvalidChunksAreRejected) {
   std::string partial;
   auto alone = chunk("x", true);
-  EXPECT_FALSE(unframe(alone)) << "where no chunks are expected";
+  EXPECT_FALSE(decodeFrames(alone)) << "where no chunks are expected";
   auto nonsense = chunk("no frame", true);
-  EXPECT_FALSE(unframe(nonsense, &partial));
+  EXPECT_FALSE(decodeFrames(nonsense, &partial));
 }
