--- a/libs/agent/src/agent.cpp
+++ b/libs/agent/src/agent.cpp
@@ -34,7 +34,7 @@
   Result<void> start() {
     for (auto& x : s_.seeds)
       view_.add(hostOf(x) + "/core");
-    auto ep = runtime::parseEndpoint("127.0.0.1:" + std::to_string(s_.portFirst + kAgentPortOffset));
+    auto ep = runtime::parseEndpoint("127.0.0.1:" + std::to_string(s_.firstPort + kAgentPortOffset));
     if (!ep)
       return tl::unexpected(ep.error());
     auto ok = transport::listen(*ep, [this](tcp::socket sock) {
@@ -99,7 +99,7 @@
     for (auto& ip : want) {
       if (dialers_.contains(ip))
         continue;
-      auto ep = runtime::parseEndpoint(ip + ":" + std::to_string(s_.portFirst));
+      auto ep = runtime::parseEndpoint(ip + ":" + std::to_string(s_.firstPort));
       if (!ep)
         continue;
       dialers_[ip] = std::make_unique<transport::Dialer>(
--- a/libs/balancing/include/balancing/runner_pool.hpp
+++ b/libs/balancing/include/balancing/runner_pool.hpp
@@ -33,7 +33,7 @@
   std::string_view zone;       // this node's own
   std::uint64_t affinity = 0;  // of the prompt's shared parts; 0: none
   bool engine = false;         // the service's runners keep parts of prompts
-  bool repeatable = false;     // only such requests try a runner that was ejected
+  bool idempotent = false;     // only such requests try a runner that was ejected
   std::int64_t promptTokens = 0, sharedTokens = 0;
   std::vector<int> excluded;  // runners that have had the request
 };
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -130,7 +130,7 @@
     if (d.backoffUntil > now || (d.failures > 0 && d.inFlight > 0))
       shunned.push_back(i);
     // Why so few, and only what may be repeated: whoever returns from an illness is not proven well yet.
-    else if (d.ejected >= 1 || (d.ejected > 0 && (!query.repeatable || d.inFlight > 0 || rng_() % kTryOneIn)))
+    else if (d.ejected >= 1 || (d.ejected > 0 && (!query.idempotent || d.inFlight > 0 || rng_() % kTryOneIn)))
       shunned.push_back(i);
     else if (turn < d.drainPercent)
       closing.push_back(i);
--- a/libs/config/include/config/configuration.hpp
+++ b/libs/config/include/config/configuration.hpp
@@ -5,17 +5,17 @@
 enum class RouteType { safe, unsafe, stream };
 struct Target {
   int service = 0;  // index into Configuration::services
-  std::uint32_t share = 1;
+  std::uint32_t weight = 1;
 };
 struct Route {
   std::string label, authority, pathPrefix;
   RouteType type = RouteType::unsafe;
   Duration expiry{0}, latencyTarget{0}, gapTarget{0};
   int precedence = 5, maxAttempts = 1;
-  bool keyless = false, affinity = false, resume = false;
+  bool keyless = false, sessionAffinity = false, streamResume = false;
   std::vector<Target> targets;
-  std::uint64_t shareSum = 0;
-  bool repeatable() const { return type == RouteType::safe || (type == RouteType::stream && resume); }
+  std::uint64_t totalWeight = 0;
+  bool idempotent() const { return type == RouteType::safe || (type == RouteType::stream && streamResume); }
 };
 struct Service {
   std::string label, healthPath;
@@ -32,7 +32,7 @@
 };
 struct Limits {
   std::size_t maxHeaderBytes = 16384, maxBodyBytes = 4194304;
-  Duration headerTimer{3000}, idleTimer{15000};
+  Duration headerTimeout{3000}, idleTimeout{15000};
 };
 struct Configuration {
   std::int64_t version = 0;
@@ -43,7 +43,7 @@
   std::unordered_map<std::string, std::vector<int>> byHost;  // longest prefix first
   Limits limits;
   int find(std::string_view host, std::string_view path) const;  // -1: none fits
-  int subscriberOf(std::string_view key) const;                  // -1: unknown
+  int findSubscriber(std::string_view key) const;                // -1: unknown
 };
 Result<std::shared_ptr<const Configuration>> parseConfiguration(std::string_view text);
 }  // namespace zinccleat::config
--- a/libs/config/include/config/calls.hpp
+++ b/libs/config/include/config/control_requests.hpp
@@ -8,12 +8,12 @@
   bool draining = false;
 };
 Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view text);
-struct ZoneDrainCall {
-  std::string place, note;
-  std::int32_t share = 0;
+struct ZoneDrainRequest {
+  std::string zone, note;
+  std::int32_t drainPercent = 0;
   bool notAccepting = false, open = false, force = false;
   double calmBelowPerS = 0;  // 0: no bound
 };
-Result<ZoneDrainCall> parseZoneDrainCall(std::string_view text);
+Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view text);
 std::string quoteJson(std::string_view s);
 }  // namespace zinccleat::config
--- a/libs/config/include/config/settings.hpp
+++ b/libs/config/include/config/settings.hpp
@@ -16,13 +16,13 @@
 struct Settings {
   std::string node, role, machineClass, ip, zone, region, dataDir;
   std::map<std::string, std::string> zones;
-  std::string accessAddr, readinessAddr, controlAddr;
-  unsigned short portFirst = 0, portLast = 0;
+  std::string accessAddress, readinessAddress, controlAddress;
+  unsigned short firstPort = 0, lastPort = 0;
   std::vector<std::string> seeds;
   bool initialAttach = false, quorumMember = false;
   Duration heartbeat{1200};
   int memoryMb = 0, fdLimit = 0;
-  int tolerateMachines = 1;            // `faultTolerance.machines`: members of the core that may be lost at once
+  int toleratedMachineFailures = 1;    // `faultTolerance.machines`: members of the core that may be lost at once
   std::optional<PartnerSite> partner;  // none: no hints, in or out
   Timers timers;
 };
--- a/libs/config/src/calls.cpp
+++ b/libs/config/src/control_requests.cpp
@@ -1,4 +1,4 @@
-#include "config/calls.hpp"
+#include "config/control_requests.hpp"
 
 #include <cstdio>
 
@@ -6,11 +6,11 @@
 
 namespace zinccleat::config {
 Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view text) {
-  json::Text doc(text);
-  json::Obj o;
+  JsonDocument doc(text);
+  JsonObject o;
   if (!doc.object(o))
     return makeError(ErrorCode::invalidArgument, "heartbeat is no JSON object");
-  json::Reader r;
+  JsonReader r;
   RunnerHeartbeat b;
   b.id = std::string(id);
   std::string state;
@@ -18,34 +18,34 @@
   r.text(o, "address", b.address, true);
   r.text(o, "zone", b.zone);
   r.text(o, "state", state);
-  r.whole(o, "capacity", b.capacity);
-  r.whole(o, "sequence", b.sequence);
-  r.whole(o, "warmupLeftMs", b.warmupLeftMs);
+  r.integer(o, "capacity", b.capacity);
+  r.integer(o, "sequence", b.sequence);
+  r.integer(o, "warmupLeftMs", b.warmupLeftMs);
   b.draining = state == "draining";
-  if (!r.wrong.empty())
-    return makeError(ErrorCode::invalidArgument, "heartbeat: " + r.wrong);
+  if (!r.error.empty())
+    return makeError(ErrorCode::invalidArgument, "heartbeat: " + r.error);
   if (b.id.empty())
     return makeError(ErrorCode::invalidArgument, "heartbeat without an id");
   return b;
 }
-Result<ZoneDrainCall> parseZoneDrainCall(std::string_view text) {
-  json::Text doc(text);
-  json::Obj o;
+Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view text) {
+  JsonDocument doc(text);
+  JsonObject o;
   if (!doc.object(o))
     return makeError(ErrorCode::invalidArgument, "closure is no JSON object");
-  json::Reader r;
-  ZoneDrainCall c;
-  r.text(o, "place", c.place, true);
+  JsonReader r;
+  ZoneDrainRequest c;
+  r.text(o, "place", c.zone, true);
   r.text(o, "note", c.note);
-  r.whole(o, "share", c.share);
-  r.flag(o, "doorsShut", c.notAccepting);
-  r.flag(o, "open", c.open);
-  r.flag(o, "force", c.force);
-  r.num(o, "calmBelowPerS", c.calmBelowPerS);
-  if (c.share < 0 || c.share > 100)
-    r.blame("no percentage in", "share");
-  if (!r.wrong.empty())
-    return makeError(ErrorCode::invalidArgument, "closure: " + r.wrong);
+  r.integer(o, "share", c.drainPercent);
+  r.boolean(o, "doorsShut", c.notAccepting);
+  r.boolean(o, "open", c.open);
+  r.boolean(o, "force", c.force);
+  r.number(o, "calmBelowPerS", c.calmBelowPerS);
+  if (c.drainPercent < 0 || c.drainPercent > 100)
+    r.fail("no percentage in", "share");
+  if (!r.error.empty())
+    return makeError(ErrorCode::invalidArgument, "closure: " + r.error);
   return c;
 }
 std::string quoteJson(std::string_view s) {
--- a/libs/controller/src/calls.cpp
+++ b/libs/controller/src/calls.cpp
@@ -1,7 +1,7 @@
 #include "calls.hpp"
 
-#include "config/calls.hpp"
 #include "config/configuration.hpp"
+#include "config/control_requests.hpp"
 #include "proxy/http.hpp"
 
 namespace zinccleat::controller {
@@ -165,30 +165,30 @@
   return {200, core.copy().state().configuration, ""};
 }
 /// Whether a call goes further in closing a place than what stands.
-bool goesFurther(const config::ZoneDrainCall& call, const std::vector<state_machine::ZoneDrain>& standing) {
-  const auto was = std::find_if(standing.begin(), standing.end(), [&](auto& x) { return x.place == call.place; });
+bool goesFurther(const config::ZoneDrainRequest& call, const std::vector<state_machine::ZoneDrain>& standing) {
+  const auto was = std::find_if(standing.begin(), standing.end(), [&](auto& x) { return x.place == call.zone; });
   if (was == standing.end())
-    return call.share > 0 || call.notAccepting;
-  return call.share > was->share || (call.notAccepting && !was->notAccepting);
+    return call.drainPercent > 0 || call.notAccepting;
+  return call.drainPercent > was->share || (call.notAccepting && !was->notAccepting);
 }
 bool isPlace(const config::Settings& settings, const std::string& place) {
   return std::any_of(settings.zones.begin(), settings.zones.end(),
                      [&](auto& zone) { return zone.first == place || zone.second == place; });
 }
 ApiResponse setZoneDrain(CoreServices& core, const std::string& body, const AnswerTime& time) {
-  auto call = config::parseZoneDrainCall(body);
+  auto call = config::parseZoneDrainRequest(body);
   if (!call)
     return errorResponse(call.error());
-  if (!isPlace(core.settings(), call->place))
-    return errorResponse(400, "no zone or region '" + call->place + "'");
+  if (!isPlace(core.settings(), call->zone))
+    return errorResponse(400, "no zone or region '" + call->zone + "'");
   // A move is kept clear of live play: while the fleet is busier than the operator allows, it goes no further.
   const bool busy = call->calmBelowPerS > 0 && core.requestsPerS() > call->calmBelowPerS;
   if (busy && !call->force && goesFurther(*call, core.copy().state().zoneDrains))
     return errorResponse(409,
                          "live play: " + std::to_string(static_cast<int>(core.requestsPerS())) + " requests a second");
-  if (call->notAccepting && call->share < 100)
+  if (call->notAccepting && call->drainPercent < 100)
     return errorResponse(400, "doors are shut only once all new work keeps away (share 100)");
-  const state_machine::ZoneDrain zoneDrain{call->place, call->note, call->share, call->notAccepting};
+  const state_machine::ZoneDrain zoneDrain{call->zone, call->note, call->drainPercent, call->notAccepting};
   if (auto verdict = core.write(state_machine::zoneDrainEntry(zoneDrain, call->open, core.operationId()), time.left());
       !verdict)
     return errorResponse(503, verdict.error().message);
--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -54,12 +54,12 @@
     log::info("controller: " + r.error().message);
     return 1;
   }
-  auto ep = runtime::parseEndpoint(s.controlAddr);
+  auto ep = runtime::parseEndpoint(s.controlAddress);
   if (!ep) {
     log::info("controller: controlPort: " + ep.error().message);
     return 1;
   }
-  const auto uri = "http://" + s.controlAddr;
+  const auto uri = "http://" + s.controlAddress;
   auto ok = transport::listen(*ep, [&core, uri](tcp::socket sock) {
     auto held = std::make_shared<tcp::socket>(std::move(sock));
     runtime::EventLoop::get().spawn([&core, held, uri] { serve(core, std::move(*held), uri); });
--- a/libs/controller/src/core.cpp
+++ b/libs/controller/src/core.cpp
@@ -51,9 +51,9 @@
 std::optional<std::string> unusableSettings(const config::Settings& settings) {
   if (settings.dataDir.empty())
     return "settings name no dataDir for a core machine";
-  if (settings.initialAttach && seedsHoldNobodyElse(settings) && settings.tolerateMachines > 0)
+  if (settings.initialAttach && seedsHoldNobodyElse(settings) && settings.toleratedMachineFailures > 0)
     return "seedNodes hold this machine alone, and faultTolerance.machines is " +
-           std::to_string(settings.tolerateMachines) + ": a core of one bears no loss";
+           std::to_string(settings.toleratedMachineFailures) + ": a core of one bears no loss";
   return std::nullopt;
 }
 
@@ -154,7 +154,7 @@
 }
 Result<void> Core::startLinks() {
   const auto& settings = shared_.settings;
-  const auto endpoint = runtime::parseEndpoint(settings.ip + ":" + std::to_string(settings.portFirst));
+  const auto endpoint = runtime::parseEndpoint(settings.ip + ":" + std::to_string(settings.firstPort));
   if (!endpoint)
     return tl::unexpected(endpoint.error());
   auto listening = transport::listen(*endpoint, [this](tcp::socket socket) {
@@ -426,7 +426,7 @@
 std::string Core::leaderControl() const {
   if (!shared_.knowsOtherLeader())
     return {};
-  const auto& own = shared_.settings.controlAddr;
+  const auto& own = shared_.settings.controlAddress;
   return consensus::addressOf(shared_.raft->leader()) + own.substr(own.rfind(':'));
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/peer_links.cpp
+++ b/libs/controller/src/peer_links.cpp
@@ -15,7 +15,7 @@
   auto& dialer = dialers_[address];
   if (dialer)
     return dialer.get();
-  const auto endpoint = runtime::parseEndpoint(address + ":" + std::to_string(core_.settings.portFirst));
+  const auto endpoint = runtime::parseEndpoint(address + ":" + std::to_string(core_.settings.firstPort));
   if (!endpoint) {
     dialers_.erase(address);
     return nullptr;
--- a/libs/proxy/include/proxy/connection_pool.hpp
+++ b/libs/proxy/include/proxy/connection_pool.hpp
@@ -5,9 +5,9 @@
 class ConnectionPool {
  public:
   // An idle connection to this runner (its instance id) that is open and quiet; nullptr: there is none.
-  // repeatable: what goes out on it may be sent again. What may not goes only on one used a moment ago: a runner may
+  // idempotent: what goes out on it may be sent again. What may not goes only on one used a moment ago: a runner may
   // forget a connection that sits idle, sooner than it says and without a word, and resets what comes next.
-  std::unique_ptr<runtime::Connection> take(const std::string& id, TimePoint now, bool repeatable);
+  std::unique_ptr<runtime::Connection> take(const std::string& id, TimePoint now, bool idempotent);
   // Keeps a connection whose last answer was read whole, with nothing after it, until then.
   void give(const std::string& id, std::unique_ptr<runtime::Connection> connection, TimePoint until, TimePoint now);
   // A connection taken from here turned out to be forgotten: what can't be repeated trusts idle ones less from now on.
--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -58,10 +58,10 @@
 // One of the route's services, drawn by their shares.
 const config::Service& drawService(Exchange& x) {
   const auto& route = *x.route;
-  std::uint64_t draw = route.shareSum > 1 ? x.context.rng() % route.shareSum : 0;
+  std::uint64_t draw = route.totalWeight > 1 ? x.context.rng() % route.totalWeight : 0;
   std::size_t i = 0;
-  while (i + 1 < route.targets.size() && draw >= route.targets[i].share)
-    draw -= route.targets[i++].share;
+  while (i + 1 < route.targets.size() && draw >= route.targets[i].weight)
+    draw -= route.targets[i++].weight;
   return x.configuration->services[static_cast<std::size_t>(route.targets[i].service)];
 }
 void describe(Exchange& x, const config::Service& service) {
@@ -69,11 +69,11 @@
   query.service = service.label;
   query.zone = x.context.zone;
   query.engine = service.engine;
-  query.repeatable = x.route->repeatable();
+  query.idempotent = x.route->idempotent();
   if (!service.engine)
     return;
   const auto parts = balancing::promptOf(field(x.request, "X-Prompt-Prefix"));
-  if (x.route->affinity) {
+  if (x.route->sessionAffinity) {
     query.affinity = parts.affinity;
     query.sharedTokens = parts.shared;
   }
@@ -99,7 +99,7 @@
 
   const config::Subscriber* subscriber = nullptr;
   if (!x.configuration->subscribers.empty() && !x.route->keyless) {
-    const int index = x.configuration->subscriberOf(bearerKey(x.request));
+    const int index = x.configuration->findSubscriber(bearerKey(x.request));
     if (index < 0)
       return Refusal{401, Duration(0), "key not known"};
     subscriber = &x.configuration->subscribers[static_cast<std::size_t>(index)];
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -16,9 +16,9 @@
     const auto& limits = context.configuration->limits;
     l.header = limits.maxHeaderBytes;
     l.body = limits.maxBodyBytes;
-    l.idle = limits.idleTimer;
-    l.headerTime = limits.headerTimer;
-    l.bodyTime = std::max(limits.idleTimer, kLeastBodyTime);
+    l.idle = limits.idleTimeout;
+    l.headerTime = limits.headerTimeout;
+    l.bodyTime = std::max(limits.idleTimeout, kLeastBodyTime);
   }
   if (context.draining)
     l.idle = std::min(l.idle, kIdleWhileLeaving);
--- a/libs/proxy/src/connection_pool.cpp
+++ b/libs/proxy/src/connection_pool.cpp
@@ -12,13 +12,13 @@
 }
 }  // namespace
 
-std::unique_ptr<runtime::Connection> ConnectionPool::take(const std::string& id, TimePoint now, bool repeatable) {
+std::unique_ptr<runtime::Connection> ConnectionPool::take(const std::string& id, TimePoint now, bool idempotent) {
   const auto it = idle_.find(id);
   if (it == idle_.end())
     return nullptr;
   auto& idle = it->second;
   while (!idle.empty()) {
-    if (!repeatable && now - idle.back().since > safeIdle_)
+    if (!idempotent && now - idle.back().since > safeIdle_)
       return nullptr;                      // all others sat longer
     auto newest = std::move(idle.back());  // the one used last: the others may age and go
     idle.pop_back();
--- a/libs/proxy/src/http.cpp
+++ b/libs/proxy/src/http.cpp
@@ -2,7 +2,7 @@
 
 #include <cstddef>
 
-#include "config/calls.hpp"
+#include "config/control_requests.hpp"
 
 namespace zinccleat::proxy {
 namespace {
--- a/libs/proxy/src/retry.cpp
+++ b/libs/proxy/src/retry.cpp
@@ -3,7 +3,7 @@
 namespace zinccleat::proxy {
 RequestKind kindOf(const config::Route& route) {
   if (route.type == config::RouteType::stream)
-    return route.resume ? RequestKind::resumableStream : RequestKind::stream;
+    return route.streamResume ? RequestKind::resumableStream : RequestKind::stream;
   return route.type == config::RouteType::safe ? RequestKind::safe : RequestKind::unsafe;
 }
 RetryDecision decide(const RetryInput& in) {
@@ -23,7 +23,7 @@
   }
   if (in.runnersUsed >= in.runnersAllowed)
     return conclude(in);
-  if (in.mayHaveRun && !repeatable(in.kind))
+  if (in.mayHaveRun && !idempotent(in.kind))
     return conclude(in);
   // Whoever went on would begin anew, or bring again what the client has.
   if (in.answerStarted && (in.kind != RequestKind::resumableStream || !in.resumePointKnown))
--- a/libs/proxy/src/retry.hpp
+++ b/libs/proxy/src/retry.hpp
@@ -9,7 +9,7 @@
 // What a request's route says about running it more than once.
 enum class RequestKind : std::uint8_t { safe, unsafe, stream, resumableStream };
 RequestKind kindOf(const config::Route& route);
-constexpr bool repeatable(RequestKind k) {
+constexpr bool idempotent(RequestKind k) {
   return k == RequestKind::safe || k == RequestKind::resumableStream;
 }
 
--- a/libs/proxy/src/runner_attempt.cpp
+++ b/libs/proxy/src/runner_attempt.cpp
@@ -65,7 +65,7 @@
 }
 // A pooled connection, or a new one. False: the runner can't be reached, and has been sent nothing.
 bool RunnerAttempt::connect() {
-  connection_ = x_.context.connections.take(id_, Exchange::now(), x_.query.repeatable);
+  connection_ = x_.context.connections.take(id_, Exchange::now(), x_.query.idempotent);
   reused_ = connection_ != nullptr;
   if (reused_)
     return true;
--- a/libs/proxy/src/stream_relay.cpp
+++ b/libs/proxy/src/stream_relay.cpp
@@ -33,7 +33,7 @@
     if (!x.writeToClient(head))
       return AttemptOutcome::clientGone;
   }
-  const bool wholeEvents = x.route->resume;  // only whole ones go on where another runner may take the stream up
+  const bool wholeEvents = x.route->streamResume;  // only whole ones go on where another runner may take the stream up
   for (;;) {
     auto& body = answer.get().body();
     if (!body.empty()) {
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -49,9 +49,9 @@
     slackShare_ = static_cast<double>(randomSeed() % 10007) / 10007;
   }
   Result<void> start() {
-    auto access = runtime::parseEndpoint(settings_.accessAddr);
-    auto ready = runtime::parseEndpoint(settings_.readinessAddr);
-    auto agent = runtime::parseEndpoint("127.0.0.1:" + std::to_string(settings_.portFirst + agent::kAgentPortOffset));
+    auto access = runtime::parseEndpoint(settings_.accessAddress);
+    auto ready = runtime::parseEndpoint(settings_.readinessAddress);
+    auto agent = runtime::parseEndpoint("127.0.0.1:" + std::to_string(settings_.firstPort + agent::kAgentPortOffset));
     if (!access)
       return tl::unexpected(access.error());
     if (!ready)
--- a/libs/simulation/src/plan.cpp
+++ b/libs/simulation/src/plan.cpp
@@ -18,35 +18,35 @@
   ScaleRunPlan p;
   std::string wrong;
   auto read = [&](std::string_view json) {
-    json::Text doc(json);
-    json::Obj o;
+    config::JsonDocument doc(json);
+    config::JsonObject o;
     if (!doc.object(o)) {
       wrong = "a scale run's plan is no JSON object";
       return;
     }
-    json::Reader r;
+    config::JsonReader r;
     for (auto f : o) {
       static const std::vector<std::string_view> known = {
           "core",     "nodes",      "pair",      "runners", "tenants", "routes", "requestsPerS", "changesPerMinute",
           "restarts", "runnerEnds", "coreKills", "seconds", "seed"};
       if (std::find(known.begin(), known.end(), f.key) == known.end())
-        r.blame("unknown field", f.key);
+        r.fail("unknown field", f.key);
     }
-    r.whole(o, "core", p.core);
-    r.whole(o, "nodes", p.nodes);
-    r.whole(o, "pair", p.pair);
-    r.whole(o, "runners", p.runners);
-    r.whole(o, "tenants", p.tenants);
-    r.whole(o, "routes", p.routes);
-    r.num(o, "requestsPerS", p.requestsPerS);
-    r.num(o, "changesPerMinute", p.changesPerMinute);
-    r.whole(o, "restarts", p.restarts);
-    r.whole(o, "runnerEnds", p.runnerEnds);
-    r.whole(o, "coreKills", p.coreKills);
-    r.whole(o, "seconds", p.seconds);
-    r.whole(o, "seed", p.seed);
+    r.integer(o, "core", p.core);
+    r.integer(o, "nodes", p.nodes);
+    r.integer(o, "pair", p.pair);
+    r.integer(o, "runners", p.runners);
+    r.integer(o, "tenants", p.tenants);
+    r.integer(o, "routes", p.routes);
+    r.number(o, "requestsPerS", p.requestsPerS);
+    r.number(o, "changesPerMinute", p.changesPerMinute);
+    r.integer(o, "restarts", p.restarts);
+    r.integer(o, "runnerEnds", p.runnerEnds);
+    r.integer(o, "coreKills", p.coreKills);
+    r.integer(o, "seconds", p.seconds);
+    r.integer(o, "seed", p.seed);
     if (wrong.empty())
-      wrong = r.wrong;
+      wrong = r.error;
   };
   read(text);
   if (wrong.empty() && !more.empty())
--- a/libs/simulation/src/scale_run.cpp
+++ b/libs/simulation/src/scale_run.cpp
@@ -4,8 +4,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "config/calls.hpp"
 #include "config/configuration.hpp"
+#include "config/control_requests.hpp"
 #include "fleet.hpp"
 #include "hollow_node.hpp"
 #include "operations/call.hpp"
--- a/libs/state_machine/include/state_machine/replicated_state.hpp
+++ b/libs/state_machine/include/state_machine/replicated_state.hpp
@@ -1,7 +1,7 @@
 // The fleet's state: what every numbered write changes, in order, and nothing else does. Every node holds a copy of it,
 // applies the same writes in the same order and so decides alike, without a word to the others.
 #pragma once
-#include "config/calls.hpp"
+#include "config/control_requests.hpp"
 #include "state_machine/history.hpp"
 #include "transport/messages.hpp"
 namespace zinccleat::state_machine {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,8 +1,8 @@
 // What is valid and what is not, after the protocol's list.
 #include <gtest/gtest.h>
 
-#include "config/calls.hpp"
 #include "config/configuration.hpp"
+#include "config/control_requests.hpp"
 #include "config/settings.hpp"
 
 using namespace zinccleat;
@@ -28,12 +28,12 @@
   ASSERT_TRUE(c) << c.error().message;
   EXPECT_EQ((*c)->version, 7);
   EXPECT_EQ((*c)->routes.size(), 3U);
-  EXPECT_EQ((*c)->routes[1].shareSum, 100U);
-  EXPECT_TRUE((*c)->routes[0].repeatable());
-  EXPECT_FALSE((*c)->routes[2].repeatable());
-  EXPECT_EQ((*c)->subscriberOf("k2"), 0);
-  EXPECT_EQ((*c)->subscriberOf("k3"), 1);
-  EXPECT_EQ((*c)->subscriberOf("no"), -1);
+  EXPECT_EQ((*c)->routes[1].totalWeight, 100U);
+  EXPECT_TRUE((*c)->routes[0].idempotent());
+  EXPECT_FALSE((*c)->routes[2].idempotent());
+  EXPECT_EQ((*c)->findSubscriber("k2"), 0);
+  EXPECT_EQ((*c)->findSubscriber("k3"), 1);
+  EXPECT_EQ((*c)->findSubscriber("no"), -1);
   EXPECT_DOUBLE_EQ((*c)->subscribers[0].ratePerS, 38);
 }
 TEST(Configuration, TheLongestPrefixOfTheHostFits) {
@@ -92,7 +92,7 @@
   auto s = parseSettings(good);
   ASSERT_TRUE(s) << s.error().message;
   EXPECT_EQ(s->timers.grace, Duration(8000));
-  EXPECT_EQ(s->portLast, 7675);
+  EXPECT_EQ(s->lastPort, 7675);
   EXPECT_TRUE(s->dataDir.empty());
   for (const std::string& broken :
        {std::string("{"), std::string("[]"), std::string("{}"),
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -26,13 +26,13 @@
   explicit Alone(const std::string& ip, const std::vector<std::string>& others = {}) {
     std::string t = std::filesystem::temp_directory_path() / "zinccleat-core-XXXXXX";
     s.node = "core", s.ip = ip, s.zone = "z", s.dataDir = ::mkdtemp(t.data());
-    s.portFirst = 7960, s.portLast = 7975;
-    s.controlAddr = ip + ":8477";
-    s.seeds = {s.controlAddr};
+    s.firstPort = 7960, s.lastPort = 7975;
+    s.controlAddress = ip + ":8477";
+    s.seeds = {s.controlAddress};
     for (auto& other : others)
       s.seeds.push_back(other + ":8477");
     s.initialAttach = true;
-    s.tolerateMachines = static_cast<int>(others.size() / 2);
+    s.toleratedMachineFailures = static_cast<int>(others.size() / 2);
     core = std::make_unique<Core>(s);
   }
   bool until(Duration within, const std::function<bool()>& f) {
@@ -196,9 +196,9 @@
   Settings s;
   s.ip = "10.0.0.4", s.dataDir = "/tmp/x", s.seeds = {"10.0.0.4:8080"};
   s.initialAttach = true;
-  s.tolerateMachines = 0;
+  s.toleratedMachineFailures = 0;
   EXPECT_FALSE(unusableSettings(s)) << "a core of one";
-  s.tolerateMachines = 1;
+  s.toleratedMachineFailures = 1;
   EXPECT_TRUE(unusableSettings(s)) << "a core of one bears no loss";
   s.seeds.emplace_back("10.0.0.5:8080");
   EXPECT_FALSE(unusableSettings(s));
--- a/tests/fuzz/configurations_fuzzer.cpp
+++ b/tests/fuzz/configurations_fuzzer.cpp
@@ -1,6 +1,6 @@
 // What operators and runners send as JSON: configurations, heartbeats, closures.
-#include "config/calls.hpp"
 #include "config/configuration.hpp"
+#include "config/control_requests.hpp"
 #include "fuzz_target.hpp"
 
 namespace {
@@ -9,19 +9,19 @@
 void checkConfiguration(const Configuration& c) {
   const auto services = static_cast<int>(c.services.size());
   for (auto& route : c.routes) {
-    fuzz::require(!route.targets.empty() && route.shareSum > 0);
+    fuzz::require(!route.targets.empty() && route.totalWeight > 0);
     for (auto& target : route.targets)
       fuzz::require(target.service >= 0 && target.service < services);
     fuzz::require(c.find(route.authority, route.pathPrefix) >= 0);
   }
   for (auto& [key, subscriber] : c.keys)
-    fuzz::require(c.subscriberOf(key) == subscriber && subscriber < static_cast<int>(c.subscribers.size()));
+    fuzz::require(c.findSubscriber(key) == subscriber && subscriber < static_cast<int>(c.subscribers.size()));
 }
 void parseAnything(std::string_view input) {
   if (const auto configuration = parseConfiguration(input))
     checkConfiguration(**configuration);
   (void)parseRunnerHeartbeat("i-1", input);
-  (void)parseZoneDrainCall(input);
+  (void)parseZoneDrainRequest(input);
   const auto quoted = quoteJson(input);
   fuzz::require(quoted.size() >= 2 && quoted.front() == '"' && quoted.back() == '"');
 }
--- a/tests/golden_calls_test.cpp
+++ b/tests/golden_calls_test.cpp
@@ -238,9 +238,9 @@
   settings.node = "core-a";
   settings.ip = ip;
   settings.dataDir = ::mkdtemp(folder.data());
-  settings.portFirst = 7960;
+  settings.firstPort = 7960;
   settings.seeds = {std::string(ip) + ":8477"};
-  settings.tolerateMachines = 0;
+  settings.toleratedMachineFailures = 0;
 
   FixedCore before;
   holdsVersion3(before);
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -112,8 +112,8 @@
   EXPECT_TRUE(c.state().zoneDrains.empty());
 }
 TEST(ZoneDrain, CallsAreChecked) {
-  EXPECT_TRUE(parseZoneDrainCall(R"({"place":"za","share":50,"calmBelowPerS":20})"));
+  EXPECT_TRUE(parseZoneDrainRequest(R"({"place":"za","share":50,"calmBelowPerS":20})"));
   for (auto bad : {"{", "[]", "{}", R"({"place":"za","share":101})", R"({"place":"za","share":-1})", R"({"place":7})",
                    R"({"place":"z","doorsShut":"yes"})"})
-    EXPECT_FALSE(parseZoneDrainCall(bad)) << bad;
+    EXPECT_FALSE(parseZoneDrainRequest(bad)) << bad;
 }
--- a/tests/outlier_test.cpp
+++ b/tests/outlier_test.cpp
@@ -188,7 +188,7 @@
     RunnerQuery w;
     w.service = "s", w.zone = "z";
     ++once[d.at(d.choose(w, TimePoint{100s})).id];
-    w.repeatable = true;
+    w.idempotent = true;
     ++safe[d.at(d.choose(w, TimePoint{100s})).id];
   }
   EXPECT_EQ(once["r1"], 0);
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -60,7 +60,7 @@
 bool streams(CallKind k) {
   return k == CallKind::stream || k == CallKind::resumable;
 }
-bool repeatable(CallKind k) {
+bool idempotent(CallKind k) {
   return k == CallKind::safe || k == CallKind::resumable;
 }
 
@@ -346,7 +346,7 @@
   }
   if (begun)
     return cut;
-  if (repeatable(r.kind))
+  if (idempotent(r.kind))
     return again;
   return {1, 1, 502, true, {}};
 }
@@ -463,7 +463,7 @@
     if (want.status == 200) {
       EXPECT_EQ(got.body, want.body) << text(rows[i]);
     }
-    if (!repeatable(rows[i].kind)) {
+    if (!idempotent(rows[i].kind)) {
       EXPECT_LE(got.ran, 1) << text(rows[i]);
     }
   }
@@ -746,7 +746,7 @@
 void takeLargeBodies(TestProxy& h) {
   auto cfg = std::make_shared<Configuration>(*h.context.configuration);
   cfg->limits.maxBodyBytes = 64U << 20;
-  cfg->limits.idleTimer = 5s;
+  cfg->limits.idleTimeout = 5s;
   h.context.configuration = cfg;
 }
 // A runner that reads the beginning of each request and then does what the test says.
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -37,7 +37,7 @@
 bool mayTryAnother(const RetryInput& in) {
   const bool over = in.outcome == AttemptOutcome::completed || in.outcome == AttemptOutcome::clientGone ||
                     in.outcome == AttemptOutcome::deadlineExceeded;
-  const bool atMostOnce = !repeatable(in.kind) && in.mayHaveRun;
+  const bool atMostOnce = !idempotent(in.kind) && in.mayHaveRun;
   const bool runnersLeft = in.runnersUsed < in.runnersAllowed;
   const bool canGoOn = !in.answerStarted || (in.kind == RequestKind::resumableStream && in.resumePointKnown);
   return !over && !atMostOnce && runnersLeft && canGoOn;
@@ -103,11 +103,11 @@
   EXPECT_EQ(kindOf(r), RequestKind::unsafe);
   r.type = RouteType::stream;
   EXPECT_EQ(kindOf(r), RequestKind::stream);
-  r.resume = true;
+  r.streamResume = true;
   EXPECT_EQ(kindOf(r), RequestKind::resumableStream);
   for (auto type : {RouteType::safe, RouteType::unsafe, RouteType::stream})
     for (bool resume : {false, true}) {
-      r.type = type, r.resume = resume;
-      EXPECT_EQ(repeatable(kindOf(r)), r.repeatable());
+      r.type = type, r.streamResume = resume;
+      EXPECT_EQ(idempotent(kindOf(r)), r.idempotent());
     }
 }
