--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -14,12 +14,12 @@
     log::info("controller: " + r.error().message);
     return 1;
   }
-  auto ep = runtime::parseEndpoint(s.controlAddr);
+  auto ep = runtime::parseEndpoint(s.controlAddress);
   if (!ep) {
     log::info("controller: controlPort: " + ep.error().message);
     return 1;
   }
-  CallServer calls(core, "http://" + s.controlAddr);
+  CallServer calls(core, "http://" + s.controlAddress);
   auto listener = transport::openListener(*ep, [&calls](tcp::socket sock) {
     auto held = std::make_shared<tcp::socket>(std::move(sock));
     runtime::EventLoop::get().spawn([&calls, held] { calls.serve(std::move(*held)); });
