--- a/libs/controller/src/core_report.cpp
+++ b/libs/controller/src/core_report.cpp
@@ -1,5 +1,5 @@
 // What a core machine tells operators, as JSON.
-#include "config/calls.hpp"
+#include "config/control_requests.hpp"
 #include "core.hpp"
 
 namespace zinccleat::controller {
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -1,5 +1,4 @@
 #include "client_watch.hpp"
-
 #include "proxy/proxy.hpp"
 #include "request_handler.hpp"
 
--- a/tests/call_server_test.cpp
+++ b/tests/call_server_test.cpp
@@ -3,7 +3,7 @@
 
 #include "standin_core.hpp"
 #include "standins.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/listener.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::controller;
--- a/tests/entry_queue_test.cpp
+++ b/tests/entry_queue_test.cpp
@@ -1,7 +1,7 @@
 // The receiver's queue of log entries, which arrive in any order.
-#include <gtest/gtest.h>
+#include "consensus/entry_queue.hpp"
 
-#include "consensus/queue.hpp"
+#include <gtest/gtest.h>
 
 using namespace zinccleat;
 using namespace zinccleat::consensus;
--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -55,7 +55,7 @@
   EXPECT_EQ(decodedFeed->entries[0].body.size(), kLargeBody);
   const auto decodedLease = unpack<LeaseResponse>((*messages)[1]);
   ASSERT_TRUE(decodedLease);
-  EXPECT_DOUBLE_EQ(decodedLease->grants[0].burst, 2.5);
+  EXPECT_DOUBLE_EQ(decodedLease->grants[0].secondsUntilMore, 2.5);
   EXPECT_FALSE(unpack<LeaseRequest>((*messages)[1])) << "a message of another type";
   EXPECT_EQ(buffer.size(), 2U) << "an incomplete frame stays";
 }
@@ -78,7 +78,7 @@
 }
 TEST(Frames, ChunksAreJoinedAndOtherFramesOvertakeThem) {
   FeedSnapshot large;
-  large.number = 9;
+  large.lastIncludedIndex = 9;
   large.state = std::string(40000, 'q');
   const auto frame = encodeFrame(pack(large));
   const auto bytes =
@@ -100,7 +100,7 @@
   EXPECT_EQ(messages[0].type, MessageType::leaseResponse);
   const auto decoded = unpack<FeedSnapshot>(messages[1]);
   ASSERT_TRUE(decoded);
-  EXPECT_EQ(decoded->number, 9);
+  EXPECT_EQ(decoded->lastIncludedIndex, 9);
   EXPECT_EQ(decoded->state.size(), 40000U);
   EXPECT_TRUE(partial.empty());
 }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -205,9 +205,9 @@
                 QuotaTokenRequest{.requestId = 4005, .waiting = recordsOf<QuotaDemand>("waiting", 70)}),
       frameCase("frame_quota_drawn.hex",
                 QuotaTokenResponse{.requestId = 4006, .granted = true, .grants = recordsOf<QuotaGrant>("grants", 80)}),
-      frameCase(
-          "frame_opening_question.hex",
-          PrefixLookupRequest{.requestId = 4007, .promptPrefix = -6148914691236517206, .tenantDigest = 1311768467463790320}),
+      frameCase("frame_opening_question.hex",
+                PrefixLookupRequest{
+                    .requestId = 4007, .promptPrefix = -6148914691236517206, .tenantDigest = 1311768467463790320}),
       frameCase("frame_opening_answer.hex",
                 PrefixLookupResponse{.requestId = 4008, .access = {"10.1.0.4:8405", "10.1.0.5:8405"}}),
   };
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -2,7 +2,7 @@
 #include "proxy/graceful_shutdown.hpp"
 
 #include "standins.hpp"
-#include "transport/peer_link.hpp"
+#include "transport/listener.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::proxy;
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -125,7 +125,7 @@
   std::int64_t now = 0;
   for (std::int64_t version = 1; version <= changes; ++version) {
     const auto body = "body " + std::to_string(version);
-    history.push_back(replace(now + 1, now + 2, version - 1, version, body, kTaken));
+    history.push_back(replace(now + 1, now + 2, version - 1, version, body, kAcknowledged));
     history.push_back(retrieve(now + 3, now + 4, version, body));
     now += 4;
   }
--- a/tests/nested_json_test.cpp
+++ b/tests/nested_json_test.cpp
@@ -1,8 +1,8 @@
 // A body of 100,000 brackets at each place that reads JSON, on a fiber with its small stack: one clear refusal.
 #include <gtest/gtest.h>
 
-#include "config/calls.hpp"
 #include "config/configuration.hpp"
+#include "config/control_requests.hpp"
 #include "config/settings.hpp"
 #include "operations/observe.hpp"
 #include "operations/runbook.hpp"
@@ -78,7 +78,7 @@
 }
 TEST(NestedJson, AClosureIsRefused) {
   expectRefusals("closure is no JSON object",
-                 [](const std::string& body) { return refusalOf(parseZoneDrainCall(body)); });
+                 [](const std::string& body) { return refusalOf(parseZoneDrainRequest(body)); });
 }
 TEST(NestedJson, APlanOfAScaleRunIsRefused) {
   expectRefusals("plan is no JSON object", [](const std::string& body) { return refusalOf(parsePlan(body)); });
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,7 +1,7 @@
 // Runbooks: read whole, run step by step, stopped by what is not seen.
 #include <gtest/gtest.h>
 
-#include "config/calls.hpp"
+#include "config/control_requests.hpp"
 #include "config/settings.hpp"
 #include "operations/runbook.hpp"
 #include "state_machine/replicated_state.hpp"
