--- a/libs/state_machine/include/state_machine/replicated_state.hpp
+++ b/libs/state_machine/include/state_machine/replicated_state.hpp
@@ -56,8 +56,9 @@
   /// @return the error of `decodeSnapshot` or `resolveConfiguration`; nothing has changed then.
   Result<void> restore(std::string_view snapshot);
 
-  /// The verdict on an operation that was applied; none if it was not, or is forgotten.
-  std::optional<std::int32_t> outcomeOf(const std::string& operationId) const;
+  /// The verdict on an operation that was applied; none if it was not, or is forgotten. On a replica that was restored
+  /// from a snapshot for the data plane it may be 0: the verdict was left out.
+  std::optional<Verdict> outcomeOf(const std::string& operationId) const;
   /// The verdict that a Replace of the configuration would get now; changes nothing.
   Verdict evaluateReplace(std::int64_t base, std::int64_t version, const std::string& digest) const;
   /// A runner in service or draining; null if there is none with this id.
--- a/libs/state_machine/src/replicated_state.cpp
+++ b/libs/state_machine/src/replicated_state.cpp
@@ -197,8 +197,11 @@
 
 // --- Queries ---
 
-std::optional<std::int32_t> ReplicatedState::outcomeOf(const std::string& operationId) const {
-  return contents_.operations.outcomeOf(operationId);
+std::optional<ReplicatedState::Verdict> ReplicatedState::outcomeOf(const std::string& operationId) const {
+  const auto verdict = contents_.operations.outcomeOf(operationId);
+  if (!verdict)
+    return std::nullopt;
+  return static_cast<Verdict>(*verdict);
 }
 const Runner* ReplicatedState::runner(const std::string& id) const {
   const auto found = std::find_if(contents_.runners.begin(), contents_.runners.end(),
--- a/tests/deduplication_test.cpp
+++ b/tests/deduplication_test.cpp
@@ -28,13 +28,15 @@
     entry.index = ++lastIndex_;
     state_.apply(entry);
   }
-  int replace(std::int64_t base, std::int64_t version, const std::string& body) {
+  std::optional<ReplicatedState::Verdict> replace(std::int64_t base, std::int64_t version, const std::string& body) {
     const auto entry = configurationEntry(base, version, body, "operator/" + std::to_string(++operations_));
     apply(entry);
-    return state_.outcomeOf(entry.operationId).value_or(-1);
+    return state_.outcomeOf(entry.operationId);
   }
   /// Repeats the Replace that `applyChanges` did for this version.
-  int repeatChange(int version) { return replace(version - 1, version, bodyOf(version)); }
+  std::optional<ReplicatedState::Verdict> repeatChange(int version) {
+    return replace(version - 1, version, bodyOf(version));
+  }
   /// A chain of changes with versions 1 to `count`, each on the one before.
   void applyChanges(int count) {
     for (int version = 1; version <= count; ++version)
@@ -83,7 +85,7 @@
   struct Replace {
     std::int64_t base, version;
     const char* body;
-    int expected;
+    ReplicatedState::Verdict expected;
     const char* why;
   };
   const std::vector<std::vector<Replace>> sequences = {
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -19,10 +19,11 @@
     state_.apply(entry);
   }
   /// Applies a Replace of the configuration and returns its verdict.
-  int replace(std::int64_t base, std::int64_t version, const std::string& body, const std::string& operation) {
+  std::optional<ReplicatedState::Verdict> replace(std::int64_t base, std::int64_t version, const std::string& body,
+                                                  const std::string& operation) {
     const auto entry = configurationEntry(base, version, body, operation);
     apply(entry);
-    return state_.outcomeOf(entry.operationId).value_or(-1);
+    return state_.outcomeOf(entry.operationId);
   }
 
   ReplicatedState state_;
--- a/tests/storage_faults_test.cpp
+++ b/tests/storage_faults_test.cpp
@@ -8,6 +8,58 @@
 
 namespace {
 const char* const kShapes[] = {"fiiifififi", "iifiif", "ffif"};
+constexpr Fate kErrors[] = {Fate::failsBefore, Fate::failsAfter, Fate::failsAndDrops};
+
+/// The fate of an operation that is to fail in this way; only syncs can drop what is unsynced.
+Fate errorOf(Fate fate, Operation operation) {
+  const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
+  return fate == Fate::failsAndDrops && !sync ? Fate::failsBefore : fate;
+}
+
+/// An operation that fails once.
+struct InjectedError {
+  Fate fate;
+  int code;    // errno
+  int number;  // of the operation
+};
+struct RunResult {
+  std::string violation;  // empty: none
+  bool failed = false;    // whether the run got as far as the error
+};
+/// Appends records of this shape on a disk with one error, which is retried once, and a later power loss. Checks every
+/// outcome of a power loss after each record from the error on, and at the end.
+RunResult runWithErrorThenPowerLoss(Checker& checker, const std::string& shape, const InjectedError& error,
+                                    int powerLossAt) {
+  Disk disk;
+  History history;
+  RunResult result;
+  disk.errorCode = error.code;
+  disk.fate = [&](Operation operation, int number) {
+    if (number == error.number) {
+      result.failed = true;
+      return errorOf(error.fate, operation);
+    }
+    return number == powerLossAt ? Fate::powerLoss : Fate::succeeds;
+  };
+  const auto check = [&] {
+    if (result.violation.empty())
+      result.violation = checker.check(disk, history);
+  };
+  auto storage = storageOn(disk);
+  if (!storage.load())
+    return {"the empty folder could not be loaded", result.failed};
+  try {
+    const auto checkOnceFailed = [&] {
+      if (result.failed)
+        check();
+    };
+    if (!appendAll(storage, shape, history, 2, checkOnceFailed))
+      return {"the retry failed", result.failed};
+  } catch (const PowerLoss&) {
+  }
+  check();
+  return result;
+}
 }  // namespace
 
 // --- Power loss ---
@@ -77,57 +129,33 @@
 // --- Failing operations ---
 
 TEST(StorageFaults, ErrorAtEachOperationIsRetriedThenPowerLoss) {
+  constexpr int kFirstOfAppend = 2;  // 0 and 1: the load of an empty folder
   Checker checker;
   int runs = 0;
-  for (const auto how : {Fate::failsBefore, Fate::failsAfter, Fate::failsAndDrops})
+  for (const auto fate : kErrors)
     for (const int code : {EIO, ENOSPC})
-      for (const std::string shape : {"fiifi", "iif"})
-        for (int failing = 2, done = 0; !done; ++failing)  // 0 and 1: the load of an empty folder
+      for (const std::string shape : {"fiifi", "iif"}) {
+        bool failed = true;
+        for (int failing = kFirstOfAppend; failed; ++failing)
           for (int lostAfter = 1; lostAfter <= 12; ++lostAfter, ++runs) {
-            Disk disk;
-            History history;
-            disk.errorCode = code;
-            bool failed = false;
-            disk.fate = [&](Operation operation, int number) {
-              if (number == failing) {
-                const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
-                failed = true;
-                return how == Fate::failsAndDrops && !sync ? Fate::failsBefore : how;
-              }
-              return number == failing + lostAfter ? Fate::powerLoss : Fate::succeeds;
-            };
-            auto storage = storageOn(disk);
-            ASSERT_TRUE(storage.load());
-            try {
-              ASSERT_TRUE(appendAll(storage, shape, history, 2,
-                                    [&] {
-                                      if (failed) {
-                                        ASSERT_EQ(checker.check(disk, history), "")
-                                            << shape << " operation " << failing << " failed";
-                                      }
-                                    }))
-                  << shape << " operation " << failing << ": the retry failed";
-            } catch (const PowerLoss&) {
-            }
-            ASSERT_EQ(checker.check(disk, history), "")
-                << shape << " operation " << failing << " failed, lost " << lostAfter << " later";
-            done = !failed;
+            const auto run = runWithErrorThenPowerLoss(checker, shape, {fate, code, failing}, failing + lostAfter);
+            ASSERT_EQ(run.violation, "") << shape << " operation " << failing << " failed, power lost " << lostAfter
+                                         << " later";
+            failed = run.failed;
           }
+      }
   RecordProperty("runs", runs);
   RecordProperty("distinct", static_cast<int>(checker.distinct()));
 }
 TEST(StorageFaults, TwoErrorsAtEachPairOfOperations) {
   Checker checker;
-  for (const auto how : {Fate::failsBefore, Fate::failsAfter, Fate::failsAndDrops})
+  for (const auto fate : kErrors)
     for (int first = 2; first < 40; ++first)
       for (int second = first + 1; second < first + 14; ++second) {
         Disk disk;
         History history;
         disk.fate = [&](Operation operation, int number) {
-          if (number != first && number != second)
-            return Fate::succeeds;
-          const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
-          return how == Fate::failsAndDrops && !sync ? Fate::failsBefore : how;
+          return number == first || number == second ? errorOf(fate, operation) : Fate::succeeds;
         };
         auto storage = storageOn(disk);
         ASSERT_TRUE(storage.load());
--- a/tests/storage_fixtures.hpp
+++ b/tests/storage_fixtures.hpp
@@ -4,6 +4,7 @@
 #pragma once
 #include <gtest/gtest.h>
 
+#include <set>
 #include <unordered_set>
 
 #include "simulated_disk.hpp"
--- a/tests/storage_quarantine_test.cpp
+++ b/tests/storage_quarantine_test.cpp
@@ -5,6 +5,39 @@
 
 using namespace zinccleat;
 using namespace zinccleat::storage_testing;
+namespace {
+bool giveUp(const Error&) {
+  return false;
+}
+bool retry(const Error&) {
+  return true;
+}
+
+/// Recovers a disk that loses power at this operation.
+/// @return whether power was lost.
+bool recoverWithPowerLossAt(Disk& disk, int operation) {
+  losePowerAt(disk, operation);
+  try {
+    auto storage = storageOn(disk);
+    EXPECT_TRUE(recoverStorage(storage, giveUp));
+    return false;
+  } catch (const PowerLoss&) {
+    return true;
+  }
+}
+/// Whether a load finds an empty folder, or reports the corruption again.
+bool isEmptyOrCorrupted(const Disk::Content& folder) {
+  Disk disk(folder);
+  const auto records = loadFrom(disk);
+  return records ? records->empty() : records.error().code == ErrorCode::corruption;
+}
+std::multiset<std::string> contentsOf(const Disk::Content& folder) {
+  std::multiset<std::string> contents;
+  for (const auto& [name, content] : folder)
+    contents.insert(content);
+  return contents;
+}
+}  // namespace
 
 TEST(StorageQuarantine, CorruptedDiskIsQuarantinedAndTheMemberStartsEmpty) {
   for (const auto* shape : {"fx", "x", "f-i", "fiiixi", "fi-fx", "fixif-i"}) {
@@ -12,7 +45,7 @@
     folder["record-000000000009.tmp"] = "half";
     Disk disk(folder);
     auto storage = storageOn(disk);
-    const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
+    const auto recovery = recoverStorage(storage, giveUp);
     ASSERT_TRUE(recovery) << shape << ": " << recovery.error().message;
     EXPECT_TRUE(recovery->records.empty());
     EXPECT_TRUE(recovery->identityLost);
@@ -33,58 +66,44 @@
   for (const auto* shape : {"fx", "fi-i", "fiiix", "fixi", "fi-fx", "fiifixi", "f-f-i", "fiif-ii", "iix"})
     for (int operation = 0, lost = 1; lost; ++operation, ++runs) {
       Disk disk(folderOf(shape));
-      losePowerAt(disk, operation);
-      lost = 0;
-      try {
-        auto storage = storageOn(disk);
-        const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
-        ASSERT_TRUE(recovery);
-      } catch (const PowerLoss&) {
-        lost = 1;
-      }
-      for (auto& folder : disk.afterPowerLoss()) {
+      lost = recoverWithPowerLossAt(disk, operation);
+      for (const auto& folder : disk.afterPowerLoss()) {
         ++outcomes;
-        Disk found(folder);
-        const auto records = loadFrom(found);
-        const bool safe = records ? records->empty() : records.error().code == ErrorCode::corruption;
-        ASSERT_TRUE(safe) << shape << " power lost before operation " << operation;
+        ASSERT_TRUE(isEmptyOrCorrupted(folder)) << shape << " power lost before operation " << operation;
       }
     }
   RecordProperty("runs", runs);
   RecordProperty("outcomes", static_cast<int>(outcomes));
 }
 TEST(StorageQuarantine, ErrorAtEachOperationIsRetried) {
-  for (const auto how : {Fate::failsBefore, Fate::failsAfter})
-    for (int failing = 0, done = 0; !done; ++failing) {
-      Disk disk(folderOf("fixi"));
-      done = 1;
+  const auto folder = folderOf("fixi");
+  for (const auto fate : {Fate::failsBefore, Fate::failsAfter}) {
+    bool failed = true;
+    for (int failing = 0; failed; ++failing) {
+      Disk disk(folder);
+      failed = false;
       disk.fate = [&](Operation, int number) {
         if (number != failing)
           return Fate::succeeds;
-        done = 0;
-        return how;
+        failed = true;
+        return fate;
       };
       auto storage = storageOn(disk);
-      const auto recovery = recoverStorage(storage, [](const Error&) { return true; });
+      const auto recovery = recoverStorage(storage, retry);
       ASSERT_TRUE(recovery) << failing;
       ASSERT_TRUE(recovery->records.empty());
       ASSERT_TRUE(recovery->identityLost);
-      std::set<std::string> contents;
-      std::set<std::string> expected;
-      for (auto& [name, content] : folderOf("fixi"))
-        expected.insert(content);
-      for (auto& [name, content] : disk.content()) {
-        ASSERT_EQ(name.rfind("damaged-", 0), 0U) << name;
-        contents.insert(content);
-      }
-      ASSERT_EQ(contents, expected) << "nothing deleted";
+      for (const auto& [name, content] : disk.content())
+        ASSERT_TRUE(name.starts_with("damaged-")) << name;
+      ASSERT_EQ(contentsOf(disk.content()), contentsOf(folder)) << "nothing deleted";
     }
+  }
 }
 TEST(StorageQuarantine, OnlyAWriteWithoutSpaceRemovesAnOlderSetNeverTheNewest) {
   Disk disk(folderOf("fx"));
   for (int set = 1; set <= 3; ++set) {
     auto storage = storageOn(disk);
-    ASSERT_TRUE(recoverStorage(storage, [](const Error&) { return false; }));
+    ASSERT_TRUE(recoverStorage(storage, giveUp));
     for (int sequence = 1; sequence <= 2; ++sequence)
       ASSERT_TRUE(storage.append(recordOf(sequence, sequence == 1)));
     if (set < 3)
