--- a/libs/simulation/src/scale_run.cpp
+++ b/libs/simulation/src/scale_run.cpp
@@ -312,7 +312,8 @@
   std::string difference;
   const double parseMs =
       timed([&] { checkInvariant(config::parseConfiguration(whole).has_value(), "the plan's own configuration"); });
-  const double differMs = timed([&] { difference = state_machine::computeDelta(whole, wholeDigest, next, nextDigest); });
+  const double differMs =
+      timed([&] { difference = state_machine::computeDelta(whole, wholeDigest, next, nextDigest); });
   const double applyMs = timed([&] {
     checkInvariant(state_machine::applyDelta(whole, wholeDigest, difference).has_value(), "its own difference");
   });
--- a/libs/state_machine/include/state_machine/deduplication.hpp
+++ b/libs/state_machine/include/state_machine/deduplication.hpp
@@ -47,7 +47,7 @@
 /// submitter finds the outcome.
 class OperationDeduplication {
  public:
-  /// A controller resubmits an entry for 3 s at most (Core::write). A copy may wait in a connection to a member that is
+  /// A controller resubmits an entry for 3 s at most. A copy may wait in a connection to a member that is
   /// stopped or partitioned, for about a minute, until that connection times out. The most that is written in such a
   /// time is a restart of all 600 runners of the design target: each drains, detaches and joins anew, 1,800 entries,
   /// and at worst each join is reported to a second node. 4,096 entries hold this, in 41 KB.
