--- a/libs/config/include/config/configuration.hpp
+++ b/libs/config/include/config/configuration.hpp
@@ -1,49 +1,82 @@
-// The operator's configuration: read in full, checked in full, or refused.
+/// The operators' configuration: routes, services, subscribers and limits of one fleet.
+///
+/// A configuration is immutable and shared. It is parsed and checked as a whole: either all of it is valid, or
+/// `parseConfiguration` returns an error that names the first problem.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::config {
-enum class RouteType { safe, unsafe, stream };
+/// What a route's requests allow a retry to do.
+enum class RouteType {
+  safe,    ///< idempotent requests
+  unsafe,  ///< requests that a runner must get at most once
+  stream,  ///< answers that are event streams
+};
+/// One of a route's services.
 struct Target {
-  int service = 0;  // index into Configuration::services
-  std::uint32_t weight = 1;
+  int service = 0;           ///< index into `Configuration::services`
+  std::uint32_t weight = 1;  ///< its part of the route's requests, in `Route::totalWeight`
 };
+/// Which requests go to which services, and how.
 struct Route {
-  std::string label, authority, pathPrefix;
+  std::string label;
+  std::string authority;   ///< host in lower case, without a port
+  std::string pathPrefix;  ///< begins and ends with a slash
   RouteType type = RouteType::unsafe;
-  Duration expiry{0}, latencyTarget{0}, gapTarget{0};
-  int precedence = 5, maxAttempts = 1;
-  bool keyless = false, sessionAffinity = false, streamResume = false;
-  std::vector<Target> targets;
-  std::uint64_t totalWeight = 0;
+  Duration expiry{0};             ///< a request is answered within this; always above 0
+  Duration latencyTarget{0};      ///< latency target (SLO) of the first byte; 0: none
+  Duration gapTarget{0};          ///< checked only: nothing uses it
+  int precedence = 5;             ///< priority class: 0 is served first
+  int maxAttempts = 1;            ///< attempts of a request, the first included
+  bool keyless = false;           ///< serves clients without an access key
+  bool sessionAffinity = false;   ///< requests that share a prompt prefix go to the same runner
+  bool streamResume = false;      ///< another runner may take over a stream that broke off
+  std::vector<Target> targets;    ///< never empty
+  std::uint64_t totalWeight = 0;  ///< sum of the targets' weights; always above 0
+  /// Whether a request may be sent again although a runner may have executed it.
   bool idempotent() const { return type == RouteType::safe || (type == RouteType::stream && streamResume); }
 };
+/// A kind of runner that routes send requests to.
 struct Service {
-  std::string label, healthPath;
-  int connLimit = 0;
-  bool engine = false;
-  int capacity = 0;
-  std::int64_t kvCapacity = 0;
-  int stride = 1;
+  std::string label;
+  std::string healthPath;       ///< path of the runners' health check
+  int connLimit = 0;            ///< checked only: nothing uses it
+  bool engine = false;          ///< its runners are inference engines, described by what follows
+  int capacity = 0;             ///< requests that a runner works on at once
+  std::int64_t kvCapacity = 0;  ///< tokens that a runner's KV cache takes
+  int stride = 1;               ///< checked only: nothing uses it
 };
+/// A client with a quota and access keys.
 struct Subscriber {
   std::string label;
-  int precedence = -1;
-  double ratePerS = 0, burstSize = 0;
+  int precedence = -1;   ///< priority class of its requests; -1: that of the route
+  double ratePerS = 0;   ///< quota in requests a second; 0: no quota
+  double burstSize = 0;  ///< requests that it may send at once beyond the rate
 };
+/// Bounds for what clients send.
 struct Limits {
-  std::size_t maxHeaderBytes = 16384, maxBodyBytes = 4194304;
-  Duration headerTimeout{3000}, idleTimeout{15000};
+  std::size_t maxHeaderBytes = 16384;
+  std::size_t maxBodyBytes = 4194304;
+  Duration headerTimeout{3000};  ///< a request's header arrives within this
+  Duration idleTimeout{15000};   ///< a connection without a request is closed after this
 };
+/// A valid configuration.
 struct Configuration {
-  std::int64_t version = 0;
+  std::int64_t version = 0;  ///< always above 0
   std::vector<Route> routes;
   std::vector<Service> services;
   std::vector<Subscriber> subscribers;
-  std::unordered_map<std::string, int> keys;                 // key -> subscriber
-  std::unordered_map<std::string, std::vector<int>> byHost;  // longest prefix first
+  std::unordered_map<std::string, int> subscriberByAccessKey;           ///< index into `subscribers`
+  std::unordered_map<std::string, std::vector<int>> routesByAuthority;  ///< indexes into `routes`, longest prefix first
   Limits limits;
-  int find(std::string_view host, std::string_view path) const;  // -1: none fits
-  int findSubscriber(std::string_view key) const;                // -1: unknown
+  /// Finds the route of a request: the longest prefix of the path among the host's routes.
+  /// @param host as the client sent it: in any case, with or without a port
+  /// @param path with or without a query
+  /// @return index into `routes`, or -1 if none matches
+  int find(std::string_view host, std::string_view path) const;
+  /// @return index into `subscribers` of the one that has this access key, or -1
+  int findSubscriber(std::string_view key) const;
 };
+/// Parses and checks a configuration.
+/// @return the configuration, or `ErrorCode::invalidArgument` with the first problem
 Result<std::shared_ptr<const Configuration>> parseConfiguration(std::string_view text);
 }  // namespace zinccleat::config
--- a/libs/config/include/config/control_requests.hpp
+++ b/libs/config/include/config/control_requests.hpp
@@ -1,19 +1,35 @@
-// The calls of runners, after api/control.yaml.
+/// Bodies of the requests that runners and operators send to the controller, as described in api/control.yaml.
+///
+/// Each parser checks types and bounds and ignores unknown fields. An error is `ErrorCode::invalidArgument` with a
+/// message for the sender; nothing is returned in part.
 #pragma once
+#include "config/quote_json.hpp"
 #include "runtime/common.hpp"
 namespace zinccleat::config {
+/// What a runner reports about itself.
 struct RunnerHeartbeat {
-  std::string id, service, address, zone;
-  std::int64_t capacity = 0, sequence = 0, warmupLeftMs = 0;
-  bool draining = false;
+  std::string id;             ///< the instance's id, from the request's path
+  std::string service;        ///< label of the service that it serves (`targetService`)
+  std::string address;        ///< "IP:port" for requests
+  std::string zone;           ///< failure domain; empty if not known
+  std::int64_t capacity = 0;  ///< requests at once
+  std::int64_t sequence = 0;  ///< rises with each heartbeat of one process
+  Duration warmupLeft{0};     ///< checked only: nothing uses it
+  bool draining = false;      ///< it takes no new requests and will detach
 };
-Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view text);
+/// Parses the body of a heartbeat.
+/// @param id the instance's id, which must not be empty
+Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view body);
+
+/// Starts, advances or ends the drain of a zone.
 struct ZoneDrainRequest {
-  std::string zone, note;
-  std::int32_t drainPercent = 0;
-  bool notAccepting = false, open = false, force = false;
-  double calmBelowPerS = 0;  // 0: no bound
+  std::string zone;               ///< a zone, or a region for all of its zones (`place`)
+  std::string note;               ///< shown to users while the drain lasts
+  std::int32_t drainPercent = 0;  ///< percent of new work kept away from its runners, 0 to 100 (`share`)
+  bool notAccepting = false;      ///< its proxies refuse new connections and move streams away (`doorsShut`)
+  bool open = false;              ///< ends the drain
+  bool force = false;             ///< goes on although the fleet is busier than `calmBelowPerS`
+  double calmBelowPerS = 0;       ///< requests a second above which the drain must not advance; 0: no bound
 };
-Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view text);
-std::string quoteJson(std::string_view s);
+Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view body);
 }  // namespace zinccleat::config
--- a/libs/config/include/config/settings.hpp
+++ b/libs/config/include/config/settings.hpp
@@ -1,33 +1,72 @@
-// The settings file a process is told its place by.
+/// The settings file of one process: which node it is, its addresses, the controllers it starts from, and its timers.
+///
+/// Read once at the start; a reload takes over only what the process can change while it runs. Unknown fields are
+/// ignored. The first field that is missing or wrong makes the whole file an error with a message that names it.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::config {
+/// Time limits and bounds that the operators set (`timers`). The JSON keys are the fields' names with the unit behind:
+/// `Ms`, or `S` for seconds.
 struct Timers {
-  Duration contact{3000}, ack{4000}, drain{2000}, configApply{2000}, revoke{5000}, revertSlack{250}, lossSlack{200};
-  Duration grace{8000}, sync{4000}, addressHold{2000}, quotaWindow{5000}, retryWindow{10000};
-  bool revokedFail = true;
-  double retryRatio = 0.2, retrySlack = 50, quotaExcess = 0.1, quotaSlack = 20;
+  Duration contact{3000};       ///< checked only: nothing uses it
+  Duration ack{4000};           ///< checked only: nothing uses it
+  Duration drain{2000};         ///< checked only: nothing uses it
+  Duration configApply{2000};   ///< checked only: nothing uses it
+  Duration revoke{5000};        ///< by then a node that has lost contact stops using a revoked configuration
+  Duration revertSlack{250};    ///< checked only: nothing uses it
+  Duration lossSlack{200};      ///< checked only: nothing uses it
+  Duration grace{8000};         ///< a process that was asked to stop ends within this
+  Duration sync{4000};          ///< checked only: nothing uses it
+  Duration addressHold{2000};   ///< checked only: nothing uses it
+  Duration quotaWindow{5000};   ///< over this a subscriber's quota is measured
+  Duration retryWindow{10000};  ///< over this the retry budget is measured
+  bool revokedFail = true;      ///< a node without a valid lease refuses requests
+  double retryRatio = 0.2;      ///< retries allowed for each first attempt
+  double retrySlack = 50;       ///< retries allowed beyond that in a window, over all nodes
+  double quotaExcess = 0.1;     ///< part of its quota that a subscriber may exceed it by
+  double quotaSlack = 20;       ///< requests that a subscriber may exceed its quota by
 };
-// A site of somebody else's that may hold what is asked for here; the operators of both agree on a secret.
+/// Another operator's site whose prefix caches may be used from here, and the other way round. Clients' access keys
+/// must be known at both sites.
 struct PartnerSite {
-  std::string name, secret;                  // secret: 32 bytes in hex
-  std::vector<std::string> control, access;  // addresses of its nodes; clients' keys of both sites must be known there
+  std::string name;
+  std::string secret;                ///< shared by the two sites: 32 bytes in hex
+  std::vector<std::string> control;  ///< "IP:port" of its controllers
+  std::vector<std::string> access;   ///< "IP:port" of its proxies
 };
+/// The settings of one process.
 struct Settings {
-  std::string node, role, machineClass, ip, zone, region, dataDir;
-  std::map<std::string, std::string> zones;
-  std::string accessAddress, readinessAddress, controlAddress;
-  unsigned short firstPort = 0, lastPort = 0;
-  std::vector<std::string> seeds;
-  bool initialAttach = false, quorumMember = false;
-  Duration heartbeat{1200};
-  int memoryMb = 0, fdLimit = 0;
-  int toleratedMachineFailures = 1;    // `faultTolerance.machines`: members of the core that may be lost at once
-  std::optional<PartnerSite> partner;  // none: no hints, in or out
+  std::string node;          ///< the node's name (`nodeName`)
+  std::string role;          ///< as the operators call it; not used
+  std::string machineClass;  ///< as the operators call it; not used
+  std::string ip;            ///< the machine's address, which identifies a controller in the cluster
+  std::string zone;          ///< failure domain
+  std::string region;
+  std::string dataDir;                       ///< where a controller stores its state
+  std::map<std::string, std::string> zones;  ///< zone -> region
+  std::string accessAddress;                 ///< "IP:port" for clients (`bindAddresses.accessPort`)
+  std::string readinessAddress;              ///< "IP:port" for readiness checks (`bindAddresses.readinessPort`)
+  std::string controlAddress;                ///< "IP:port" of the control API (`bindAddresses.controlPort`)
+  std::uint16_t firstPort = 0;               ///< first of the ports between our own processes (`internalPorts`)
+  std::uint16_t lastPort = 0;                ///< last of them, above the first
+  std::vector<std::string> seeds;            ///< "IP:port" of controllers to start from (`seedNodes`)
+  bool initialAttach = false;                ///< a new cluster may be founded by the seeds
+  bool quorumMember = false;                 ///< read only: membership is decided by the cluster
+  Duration heartbeat{1200};                  ///< interval at which runners send heartbeats (`heartbeatMs`)
+  int memoryMb = 0;                          ///< memory limit in MiB, 0: none (`limits.memoryMb`)
+  int fdLimit = 0;                           ///< limit of open file descriptors, 0: none (`limits.fdLimit`)
+  int toleratedMachineFailures = 1;          ///< controllers that may be lost at once (`faultTolerance.machines`)
+  std::optional<PartnerSite> partner;        ///< none: no prefix hints in or out
   Timers timers;
 };
+/// Parses the text of a settings file.
+/// @return the settings, or `ErrorCode::invalidArgument` with the first problem
 Result<Settings> parseSettings(std::string_view text);
+/// Reads and parses a settings file.
 Result<Settings> loadSettings(const std::string& path);
+/// Where the settings file is by default: `$ZINCCLEAT_CONFIG`, or /etc/zinccleat/node.json.
 std::string settingsPath();
+/// Reads a file in full.
+/// @return its bytes, or `ErrorCode::invalidArgument` if it cannot be opened
 Result<std::string> readFile(const std::string& path);
 }  // namespace zinccleat::config
--- a/libs/config/src/control_requests.cpp
+++ b/libs/config/src/control_requests.cpp
@@ -1,67 +1,52 @@
 #include "config/control_requests.hpp"
 
-#include <cstdio>
-
 #include "config/json.hpp"
 
 namespace zinccleat::config {
-Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view text) {
-  JsonDocument doc(text);
-  JsonObject o;
-  if (!doc.object(o))
+Result<RunnerHeartbeat> parseRunnerHeartbeat(std::string_view id, std::string_view body) {
+  JsonDocument document(body);
+  JsonObject root;
+  if (!document.object(root))
     return makeError(ErrorCode::invalidArgument, "heartbeat is no JSON object");
-  JsonReader r;
-  RunnerHeartbeat b;
-  b.id = std::string(id);
+  RunnerHeartbeat heartbeat;
+  heartbeat.id = std::string(id);
   std::string state;
-  r.text(o, "targetService", b.service, true);
-  r.text(o, "address", b.address, true);
-  r.text(o, "zone", b.zone);
-  r.text(o, "state", state);
-  r.integer(o, "capacity", b.capacity);
-  r.integer(o, "sequence", b.sequence);
-  r.integer(o, "warmupLeftMs", b.warmupLeftMs);
-  b.draining = state == "draining";
-  if (!r.error.empty())
-    return makeError(ErrorCode::invalidArgument, "heartbeat: " + r.error);
-  if (b.id.empty())
+  Duration::rep warmupLeftMs = 0;
+  JsonReader reader;
+  reader.text(root, "targetService", heartbeat.service, Presence::required);
+  reader.text(root, "address", heartbeat.address, Presence::required);
+  reader.text(root, "zone", heartbeat.zone);
+  reader.text(root, "state", state);
+  reader.integer(root, "capacity", heartbeat.capacity);
+  reader.integer(root, "sequence", heartbeat.sequence);
+  reader.integer(root, "warmupLeftMs", warmupLeftMs);
+  heartbeat.draining = state == "draining";
+  heartbeat.warmupLeft = Duration(warmupLeftMs);
+  if (!reader.ok())
+    return makeError(ErrorCode::invalidArgument, "heartbeat: " + reader.error());
+  if (heartbeat.id.empty())
     return makeError(ErrorCode::invalidArgument, "heartbeat without an id");
-  return b;
+  return heartbeat;
 }
-Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view text) {
-  JsonDocument doc(text);
-  JsonObject o;
-  if (!doc.object(o))
+
+Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view body) {
+  JsonDocument document(body);
+  JsonObject root;
+  if (!document.object(root))
     return makeError(ErrorCode::invalidArgument, "closure is no JSON object");
-  JsonReader r;
-  ZoneDrainRequest c;
-  r.text(o, "place", c.zone, true);
-  r.text(o, "note", c.note);
-  r.integer(o, "share", c.drainPercent);
-  r.boolean(o, "doorsShut", c.notAccepting);
-  r.boolean(o, "open", c.open);
-  r.boolean(o, "force", c.force);
-  r.number(o, "calmBelowPerS", c.calmBelowPerS);
-  if (c.drainPercent < 0 || c.drainPercent > 100)
-    r.fail("no percentage in", "share");
-  if (!r.error.empty())
-    return makeError(ErrorCode::invalidArgument, "closure: " + r.error);
-  return c;
-}
-std::string quoteJson(std::string_view s) {
-  std::string out = "\"";
-  for (char c : s) {
-    if (c == '"' || c == '\\') {
-      out += '\\';
-      out += c;
-    } else if (static_cast<unsigned char>(c) < 0x20) {
-      char b[8];
-      std::snprintf(b, sizeof b, "\\u%04x", c);
-      out += b;
-    } else {
-      out += c;
-    }
-  }
-  return out + "\"";
+  ZoneDrainRequest request;
+  JsonReader reader;
+  reader.text(root, "place", request.zone, Presence::required);
+  reader.text(root, "note", request.note);
+  reader.integer(root, "share", request.drainPercent);
+  reader.boolean(root, "doorsShut", request.notAccepting);
+  reader.boolean(root, "open", request.open);
+  reader.boolean(root, "force", request.force);
+  reader.number(root, "calmBelowPerS", request.calmBelowPerS);
+  if (request.drainPercent < 0 || request.drainPercent > 100)
+    reader.fail("no percentage in", "share");
+  if (!reader.ok())
+    return makeError(ErrorCode::invalidArgument, "closure: " + reader.error());
+  return request;
 }
 }  // namespace zinccleat::config
--- /dev/null
+++ b/libs/config/src/json.cpp
@@ -0,0 +1,109 @@
+#include "config/json.hpp"
+
+namespace zinccleat::config {
+namespace {
+// Up to here each integer has a double of its own (2^53 is a little above).
+constexpr double kLargestExactInteger = 9e15;
+
+std::optional<std::int64_t> exactInteger(double value) {
+  if (value < -kLargestExactInteger || value > kLargestExactInteger)
+    return std::nullopt;
+  const auto integer = static_cast<std::int64_t>(value);
+  if (static_cast<double>(integer) != value)
+    return std::nullopt;
+  return integer;
+}
+}  // namespace
+
+bool JsonDocument::object(JsonObject& root) {
+  JsonElement element;
+  return parse(element) == simdjson::SUCCESS && element.get(root) == simdjson::SUCCESS;
+}
+Result<JsonObject> JsonDocument::parseObject(const std::string& subject) {
+  JsonElement element;
+  if (const auto failure = parse(element))
+    return makeError(ErrorCode::invalidArgument, subject + " no JSON: " + simdjson::error_message(failure));
+  JsonObject root;
+  if (element.get(root))
+    return makeError(ErrorCode::invalidArgument, subject + " no JSON object");
+  return root;
+}
+
+void JsonReader::fail(std::string_view problem, std::string_view name) {
+  if (ok())
+    error_ = std::string(problem) + " '" + std::string(name) + "'";
+}
+bool JsonReader::find(const JsonObject& object, std::string_view key, JsonElement& out, Presence presence) {
+  const bool required = presence == Presence::required;
+  if (object.at_key(key).get(out) == simdjson::SUCCESS)
+    return required || !out.is_null();
+  if (required)
+    fail("missing field", key);
+  return false;
+}
+void JsonReader::text(const JsonObject& object, std::string_view key, std::string& out, Presence presence) {
+  JsonElement element;
+  if (!find(object, key, element, presence))
+    return;
+  std::string_view value;
+  if (element.get(value))
+    fail("no text in", key);
+  else
+    out = std::string(value);
+}
+void JsonReader::number(const JsonObject& object, std::string_view key, double& out, Presence presence) {
+  JsonElement element;
+  if (find(object, key, element, presence) && element.get(out))
+    fail("no number in", key);
+}
+void JsonReader::boolean(const JsonObject& object, std::string_view key, bool& out) {
+  JsonElement element;
+  if (find(object, key, element, Presence::optional) && element.get(out))
+    fail("no true or false in", key);
+}
+std::optional<std::int64_t> JsonReader::readInteger(const JsonObject& object, std::string_view key, Presence presence) {
+  JsonElement element;
+  if (!find(object, key, element, presence))
+    return std::nullopt;
+  std::int64_t integer = 0;
+  if (!element.get(integer))
+    return integer;
+  double value = 0;
+  if (!element.get(value))
+    if (const auto exact = exactInteger(value))
+      return exact;
+  fail("no whole number in", key);
+  return std::nullopt;
+}
+void JsonReader::duration(const JsonObject& object, std::string_view key, Duration& out, Duration unit) {
+  constexpr double kLeftOut = -1;
+  double count = kLeftOut;
+  number(object, key, count);
+  if (count >= 0)
+    out = Duration(static_cast<std::int64_t>(count * static_cast<double>(unit.count())));
+}
+void JsonReader::milliseconds(const JsonObject& object, std::string_view key, Duration& out) {
+  duration(object, key, out, 1ms);
+}
+void JsonReader::seconds(const JsonObject& object, std::string_view key, Duration& out) {
+  duration(object, key, out, 1s);
+}
+bool JsonReader::object(const JsonObject& object, std::string_view key, JsonObject& out, Presence presence) {
+  JsonElement element;
+  if (!find(object, key, element, presence))
+    return false;
+  if (!element.get(out))
+    return true;
+  fail("no object in", key);
+  return false;
+}
+bool JsonReader::array(const JsonObject& object, std::string_view key, JsonArray& out, Presence presence) {
+  JsonElement element;
+  if (!find(object, key, element, presence))
+    return false;
+  if (!element.get(out))
+    return true;
+  fail("no list in", key);
+  return false;
+}
+}  // namespace zinccleat::config
--- a/libs/config/src/settings.cpp
+++ b/libs/config/src/settings.cpp
@@ -1,5 +1,6 @@
 #include "config/settings.hpp"
 
+#include <array>
 #include <cstdlib>
 #include <fstream>
 #include <sstream>
@@ -8,132 +9,184 @@
 #include "runtime/event_loop.hpp"
 
 namespace zinccleat::config {
+namespace {
+constexpr std::int64_t kLargestPort = 65535;
+constexpr int kMostToleratedFailures = 100;
+constexpr std::size_t kSecretHexDigits = 64;
+
+void readIdentity(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  reader.text(root, "nodeName", settings.node, Presence::required);
+  reader.text(root, "role", settings.role);
+  reader.text(root, "machineClass", settings.machineClass);
+  reader.text(root, "ip", settings.ip, Presence::required);
+  reader.text(root, "zone", settings.zone, Presence::required);
+  reader.text(root, "region", settings.region);
+  reader.text(root, "dataDir", settings.dataDir);
+  reader.boolean(root, "initialAttach", settings.initialAttach);
+  reader.boolean(root, "quorumMember", settings.quorumMember);
+  reader.milliseconds(root, "heartbeatMs", settings.heartbeat);
+}
+// A zone whose region is no text is left out.
+void readZones(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  JsonObject zones;
+  if (!reader.object(root, "zones", zones))
+    return;
+  for (const auto field : zones) {
+    std::string_view region;
+    if (!field.value.get(region))
+      settings.zones[std::string(field.key)] = std::string(region);
+  }
+}
+void readBindAddresses(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  JsonObject addresses;
+  if (!reader.object(root, "bindAddresses", addresses))
+    return;
+  reader.text(addresses, "accessPort", settings.accessAddress);
+  reader.text(addresses, "readinessPort", settings.readinessAddress);
+  reader.text(addresses, "controlPort", settings.controlAddress);
+}
+void readInternalPorts(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  constexpr std::string_view kKey = "internalPorts";
+  JsonArray array;
+  if (!reader.array(root, kKey, array, Presence::required))
+    return;
+  std::array<std::int64_t, 2> ports{};
+  std::size_t count = 0;
+  for (const auto element : array) {
+    if (count < ports.size() && element.get(ports[count]))
+      reader.fail("no ports in", kKey);
+    else
+      ++count;
+  }
+  const auto [first, last] = ports;
+  if (count < ports.size() || first <= 0 || last > kLargestPort || last <= first)
+    reader.fail("no range of ports in", kKey);
+  settings.firstPort = static_cast<std::uint16_t>(first);
+  settings.lastPort = static_cast<std::uint16_t>(last);
+}
+void readSeeds(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  JsonArray seeds;
+  if (!reader.array(root, "seedNodes", seeds, Presence::required))
+    return;
+  for (const auto element : seeds) {
+    std::string_view address;
+    if (element.get(address))
+      reader.fail("no text in", "seedNodes");
+    else if (!runtime::parseEndpoint(address))
+      reader.fail("no IP number and port in seedNodes:", address);
+    else
+      settings.seeds.emplace_back(address);
+  }
+}
+void readLimits(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  JsonObject limits;
+  if (!reader.object(root, "limits", limits))
+    return;
+  reader.integer(limits, "memoryMb", settings.memoryMb);
+  reader.integer(limits, "fdLimit", settings.fdLimit);
+}
+void readFaultTolerance(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  JsonObject tolerance;
+  if (!reader.object(root, "faultTolerance", tolerance))
+    return;
+  auto& machines = settings.toleratedMachineFailures;
+  reader.integer(tolerance, "machines", machines);
+  if (machines < 0 || machines > kMostToleratedFailures)
+    reader.fail("no count of machines in", "faultTolerance");
+}
+std::vector<std::string> readPartnerAddresses(JsonReader& reader, const JsonObject& partner, std::string_view key) {
+  std::vector<std::string> addresses;
+  JsonArray array;
+  if (!reader.array(partner, key, array, Presence::required))
+    return addresses;
+  for (const auto element : array) {
+    std::string_view address;
+    if (element.get(address) || !runtime::parseEndpoint(address))
+      reader.fail("no IP numbers and ports in", key);
+    else
+      addresses.emplace_back(address);
+  }
+  return addresses;
+}
+bool isSecret(std::string_view text) {
+  return text.size() == kSecretHexDigits && text.find_first_not_of("0123456789abcdefABCDEF") == std::string_view::npos;
+}
+void readPartnerSite(JsonReader& reader, const JsonObject& root, Settings& settings) {
+  JsonObject object;
+  if (!reader.object(root, "partnerSite", object))
+    return;
+  PartnerSite partner;
+  reader.text(object, "name", partner.name, Presence::required);
+  reader.text(object, "secret", partner.secret, Presence::required);
+  partner.control = readPartnerAddresses(reader, object, "control");
+  partner.access = readPartnerAddresses(reader, object, "access");
+  if (!isSecret(partner.secret))
+    reader.fail("no 32 bytes in hex in", "secret");
+  settings.partner = std::move(partner);
+}
+void readTimers(JsonReader& reader, const JsonObject& root, Timers& timers) {
+  JsonObject object;
+  if (!reader.object(root, "timers", object))
+    return;
+  reader.milliseconds(object, "contactMs", timers.contact);
+  reader.milliseconds(object, "ackMs", timers.ack);
+  reader.milliseconds(object, "drainMs", timers.drain);
+  reader.milliseconds(object, "configApplyMs", timers.configApply);
+  reader.milliseconds(object, "revokeMs", timers.revoke);
+  reader.milliseconds(object, "revertSlackMs", timers.revertSlack);
+  reader.milliseconds(object, "lossSlackMs", timers.lossSlack);
+  reader.seconds(object, "graceS", timers.grace);
+  reader.seconds(object, "syncS", timers.sync);
+  reader.seconds(object, "addressHoldS", timers.addressHold);
+  reader.seconds(object, "quotaWindowS", timers.quotaWindow);
+  reader.seconds(object, "retryWindowS", timers.retryWindow);
+  reader.boolean(object, "revokedFail", timers.revokedFail);
+  reader.number(object, "retryRatio", timers.retryRatio);
+  reader.number(object, "retrySlack", timers.retrySlack);
+  reader.number(object, "quotaExcess", timers.quotaExcess);
+  reader.number(object, "quotaSlack", timers.quotaSlack);
+}
+}  // namespace
+
 Result<std::string> readFile(const std::string& path) {
-  std::ifstream in(path, std::ios::binary);
-  if (!in)
+  std::ifstream file(path, std::ios::binary);
+  if (!file)
     return makeError(ErrorCode::invalidArgument, "cannot read '" + path + "'");
-  std::ostringstream ss;
-  ss << in.rdbuf();
-  return ss.str();
+  std::ostringstream bytes;
+  bytes << file.rdbuf();
+  return bytes.str();
 }
+
 std::string settingsPath() {
-  const char* p = std::getenv("ZINCCLEAT_CONFIG");
-  return p && *p ? p : "/etc/zinccleat/node.json";
+  constexpr const char* kDefaultPath = "/etc/zinccleat/node.json";
+  const char* path = std::getenv("ZINCCLEAT_CONFIG");
+  return path && *path ? path : kDefaultPath;
 }
+
 Result<Settings> parseSettings(std::string_view text) {
-  simdjson::dom::parser parser;
-  simdjson::padded_string padded(text);
-  JsonElement doc;
-  if (auto e = parser.parse(padded).get(doc))
-    return makeError(ErrorCode::invalidArgument, std::string("settings are no JSON: ") + simdjson::error_message(e));
-  JsonObject o;
-  if (doc.get(o))
-    return makeError(ErrorCode::invalidArgument, "settings are no JSON object");
-  JsonReader r;
-  Settings s;
-  r.text(o, "nodeName", s.node, true);
-  r.text(o, "role", s.role);
-  r.text(o, "machineClass", s.machineClass);
-  r.text(o, "ip", s.ip, true);
-  r.text(o, "zone", s.zone, true);
-  r.text(o, "region", s.region);
-  r.text(o, "dataDir", s.dataDir);
-  r.boolean(o, "initialAttach", s.initialAttach);
-  r.boolean(o, "quorumMember", s.quorumMember);
-  r.milliseconds(o, "heartbeatMs", s.heartbeat);
-  JsonObject sub;
-  JsonArray arr;
-  if (r.object(o, "zones", sub))
-    for (auto f : sub) {
-      std::string_view v;
-      if (!f.value.get(v))
-        s.zones[std::string(f.key)] = std::string(v);
-    }
-  if (r.object(o, "bindAddresses", sub)) {
-    r.text(sub, "accessPort", s.accessAddress);
-    r.text(sub, "readinessPort", s.readinessAddress);
-    r.text(sub, "controlPort", s.controlAddress);
-  }
-  if (r.array(o, "internalPorts", arr, true)) {
-    std::int64_t p[2] = {0, 0};
-    std::size_t i = 0;
-    for (auto e : arr)
-      if (i < 2 && e.get(p[i]))
-        r.fail("no ports in", "internalPorts");
-      else
-        ++i;
-    if (i < 2 || p[0] <= 0 || p[1] > 65535 || p[1] < p[0] + 1)
-      r.fail("no range of ports in", "internalPorts");
-    s.firstPort = static_cast<unsigned short>(p[0]);
-    s.lastPort = static_cast<unsigned short>(p[1]);
-  }
-  if (r.array(o, "seedNodes", arr, true))
-    for (auto e : arr) {
-      std::string_view v;
-      if (e.get(v))
-        r.fail("no text in", "seedNodes");
-      else if (!runtime::parseEndpoint(v))
-        r.fail("no IP number and port in seedNodes:", v);
-      else
-        s.seeds.emplace_back(v);
-    }
-  if (r.object(o, "limits", sub)) {
-    r.integer(sub, "memoryMb", s.memoryMb);
-    r.integer(sub, "fdLimit", s.fdLimit);
-  }
-  if (r.object(o, "faultTolerance", sub)) {
-    r.integer(sub, "machines", s.toleratedMachineFailures);
-    if (s.toleratedMachineFailures < 0 || s.toleratedMachineFailures > 100)
-      r.fail("no count of machines in", "faultTolerance");
-  }
-  if (r.object(o, "partnerSite", sub)) {
-    PartnerSite p;
-    r.text(sub, "name", p.name, true);
-    r.text(sub, "secret", p.secret, true);
-    auto addresses = [&](const char* k, std::vector<std::string>& to) {
-      JsonArray list;
-      if (!r.array(sub, k, list, true))
-        return;
-      for (auto e : list) {
-        std::string_view v;
-        if (e.get(v) || !runtime::parseEndpoint(v))
-          r.fail("no IP numbers and ports in", k);
-        else
-          to.emplace_back(v);
-      }
-    };
-    addresses("control", p.control);
-    addresses("access", p.access);
-    if (p.secret.size() != 64 || p.secret.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
-      r.fail("no 32 bytes in hex in", "secret");
-    s.partner = std::move(p);
-  }
-  if (r.object(o, "timers", sub)) {
-    auto& t = s.timers;
-    r.milliseconds(sub, "contactMs", t.contact);
-    r.milliseconds(sub, "ackMs", t.ack);
-    r.milliseconds(sub, "drainMs", t.drain);
-    r.milliseconds(sub, "configApplyMs", t.configApply);
-    r.milliseconds(sub, "revokeMs", t.revoke);
-    r.milliseconds(sub, "revertSlackMs", t.revertSlack);
-    r.milliseconds(sub, "lossSlackMs", t.lossSlack);
-    r.milliseconds(sub, "graceS", t.grace, 1000);
-    r.milliseconds(sub, "syncS", t.sync, 1000);
-    r.milliseconds(sub, "addressHoldS", t.addressHold, 1000);
-    r.milliseconds(sub, "quotaWindowS", t.quotaWindow, 1000);
-    r.milliseconds(sub, "retryWindowS", t.retryWindow, 1000);
-    r.boolean(sub, "revokedFail", t.revokedFail);
-    r.number(sub, "retryRatio", t.retryRatio);
-    r.number(sub, "retrySlack", t.retrySlack);
-    r.number(sub, "quotaExcess", t.quotaExcess);
-    r.number(sub, "quotaSlack", t.quotaSlack);
-  }
-  if (!r.error.empty())
-    return makeError(ErrorCode::invalidArgument, "settings: " + r.error);
-  return s;
+  JsonDocument document(text);
+  const auto root = document.parseObject("settings are");
+  if (!root)
+    return tl::unexpected(root.error());
+  JsonReader reader;
+  Settings settings;
+  // Only the first error is reported: the order of the sections decides which.
+  readIdentity(reader, *root, settings);
+  readZones(reader, *root, settings);
+  readBindAddresses(reader, *root, settings);
+  readInternalPorts(reader, *root, settings);
+  readSeeds(reader, *root, settings);
+  readLimits(reader, *root, settings);
+  readFaultTolerance(reader, *root, settings);
+  readPartnerSite(reader, *root, settings);
+  readTimers(reader, *root, settings.timers);
+  if (!reader.ok())
+    return makeError(ErrorCode::invalidArgument, "settings: " + reader.error());
+  return settings;
 }
+
 Result<Settings> loadSettings(const std::string& path) {
-  auto text = readFile(path);
+  const auto text = readFile(path);
   if (!text)
     return tl::unexpected(text.error());
   return parseSettings(*text);
--- a/libs/simulation/src/plan.cpp
+++ b/libs/simulation/src/plan.cpp
@@ -46,7 +46,7 @@
     r.integer(o, "seconds", p.seconds);
     r.integer(o, "seed", p.seed);
     if (wrong.empty())
-      wrong = r.error;
+      wrong = r.error();
   };
   read(text);
   if (wrong.empty() && !more.empty())
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,119 +1,189 @@
-// What is valid and what is not, after the protocol's list.
+// Parsing of settings, configurations and control requests: what is read, and what is rejected.
 #include <gtest/gtest.h>
 
 #include "config/configuration.hpp"
 #include "config/control_requests.hpp"
+#include "config/json.hpp"
 #include "config/settings.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::config;
 namespace {
-const std::string kGood = R"({"configVersion":7,"routeTable":[
+const std::string kValidConfiguration = R"({"configVersion":7,"routeTable":[
  {"label":"a","authority":"Ficu.Example","pathPrefix":"/p/","routeType":"stream","expiryMs":10000,"targetLatencyMs":600,"precedence":1,"targetService":"s1","maxAttempts":1,"keyless":false,"sessionAffinity":true,"streamResume":true,"gapTargetMs":300},
  {"label":"b","authority":"ficu.example","pathPrefix":"/p/q/","routeType":"safe","expiryMs":100,"weightedTargets":[{"targetService":"s1","share":90},{"targetService":"s2","share":10}],"maxAttempts":2},
  {"label":"c","authority":"ficu.example","pathPrefix":"/","routeType":"unsafe","expiryMs":100,"targetService":"s2"}],
  "serviceTable":[{"label":"s1","healthPath":"/health","connLimit":370,"engine":{"capacity":64,"kvCapacity":591366}},{"label":"s2","healthPath":"/health","connLimit":110}],
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimerMs":3000,"idleTimerMs":15000},
  "subscribers":[{"label":"t1","accessKeys":["k1","k2"],"precedence":1,"ratePerS":38,"burstSize":38},{"label":"t2","accessKeys":["k3"]}]})";
-std::string with(const std::string& what, const std::string& by) {
-  auto s = kGood;
-  const auto at = s.find(what);
-  EXPECT_NE(at, std::string::npos) << what;
-  return s.replace(at, what.size(), by);
+
+// The valid configuration with one part replaced.
+std::string with(const std::string& part, const std::string& replacement) {
+  auto text = kValidConfiguration;
+  const auto position = text.find(part);
+  EXPECT_NE(position, std::string::npos) << part;
+  return text.replace(position, part.size(), replacement);
 }
+struct InvalidText {
+  const char* name;
+  std::string text;
+};
 }  // namespace
 
-TEST(Configuration, IsReadInFull) {
-  auto c = parseConfiguration(kGood);
-  ASSERT_TRUE(c) << c.error().message;
-  EXPECT_EQ((*c)->version, 7);
-  EXPECT_EQ((*c)->routes.size(), 3U);
-  EXPECT_EQ((*c)->routes[1].totalWeight, 100U);
-  EXPECT_TRUE((*c)->routes[0].idempotent());
-  EXPECT_FALSE((*c)->routes[2].idempotent());
-  EXPECT_EQ((*c)->findSubscriber("k2"), 0);
-  EXPECT_EQ((*c)->findSubscriber("k3"), 1);
-  EXPECT_EQ((*c)->findSubscriber("no"), -1);
-  EXPECT_DOUBLE_EQ((*c)->subscribers[0].ratePerS, 38);
+TEST(Configuration, ParsesEveryField) {
+  const auto parsed = parseConfiguration(kValidConfiguration);
+  ASSERT_TRUE(parsed) << parsed.error().message;
+  const auto& configuration = **parsed;
+  EXPECT_EQ(configuration.version, 7);
+  EXPECT_EQ(configuration.routes.size(), 3U);
+  EXPECT_EQ(configuration.routes[1].totalWeight, 100U);
+  EXPECT_TRUE(configuration.routes[0].idempotent());
+  EXPECT_FALSE(configuration.routes[2].idempotent());
+  EXPECT_EQ(configuration.findSubscriber("k2"), 0);
+  EXPECT_EQ(configuration.findSubscriber("k3"), 1);
+  EXPECT_EQ(configuration.findSubscriber("no"), -1);
+  EXPECT_DOUBLE_EQ(configuration.subscribers[0].ratePerS, 38);
 }
-TEST(Configuration, TheLongestPrefixOfTheHostFits) {
-  auto c = parseConfiguration(kGood);
-  ASSERT_TRUE(c);
+
+TEST(Configuration, FindsTheRouteWithTheLongestPrefix) {
+  const auto configuration = parseConfiguration(kValidConfiguration);
+  ASSERT_TRUE(configuration);
   struct {
-    const char *host, *path;
-    int want;
-  } table[] = {{"ficu.example", "/p/x", 0},    {"FICU.example", "/p/q/x", 1}, {"ficu.example", "/p/q", 0},
-               {"ficu.example", "/z", 2},      {"other.example", "/p/x", -1}, {"ficu.example:8405", "/p/x", 0},
-               {"ficu.example", "/?a=/p/", 2}, {"ficu.example", "/pq", 2}};
-  for (auto& t : table)
-    EXPECT_EQ((*c)->find(t.host, t.path), t.want) << t.host << t.path;
+    const char* host;
+    const char* path;
+    int route;
+  } const cases[] = {{"ficu.example", "/p/x", 0},    {"FICU.example", "/p/q/x", 1}, {"ficu.example", "/p/q", 0},
+                     {"ficu.example", "/z", 2},      {"other.example", "/p/x", -1}, {"ficu.example:8405", "/p/x", 0},
+                     {"ficu.example", "/?a=/p/", 2}, {"ficu.example", "/pq", 2}};
+  for (const auto& expected : cases)
+    EXPECT_EQ((*configuration)->find(expected.host, expected.path), expected.route) << expected.host << expected.path;
 }
-TEST(Configuration, WhatIsInvalidIsDeclinedWithA4xx) {
-  const std::pair<const char*, std::string> table[] = {
-      {"cut short", kGood.substr(0, kGood.size() / 2)},
+
+TEST(Configuration, RejectsWhatIsInvalid) {
+  const InvalidText cases[] = {
+      {"cut short", kValidConfiguration.substr(0, kValidConfiguration.size() / 2)},
       {"empty", ""},
       {"no object", "[1]"},
       {"unknown service", with("\"targetService\":\"s1\"", "\"targetService\":\"nope\"")},
       {"unknown weighted service",
        with("{\"targetService\":\"s2\",\"share\":10}", "{\"targetService\":\"zz\",\"share\":10}")},
-      {"two routes at one place", with("\"/p/q/\"", "\"/p/\"")},
-      {"shares sum to 0", with("\"share\":90},{\"targetService\":\"s2\",\"share\":10}",
-                               "\"share\":0},{\"targetService\":\"s2\",\"share\":0}")},
+      {"two routes with one prefix", with("\"/p/q/\"", "\"/p/\"")},
+      {"weights sum to 0", with("\"share\":90},{\"targetService\":\"s2\",\"share\":10}",
+                                "\"share\":0},{\"targetService\":\"s2\",\"share\":0}")},
       {"no time", with("\"expiryMs\":10000", "\"expiryMs\":0")},
       {"time left out", with("\"expiryMs\":10000,", "")},
-      {"key shared", with("\"k3\"", "\"k1\"")},
+      {"access key of two subscribers", with("\"k3\"", "\"k1\"")},
       {"no version", with("\"configVersion\":7,", "")},
       {"version no number", with("\"configVersion\":7", "\"configVersion\":\"x\"")},
       {"routes missing", with("routeTable", "routeTabel")},
       {"unknown type", with("\"routeType\":\"safe\"", "\"routeType\":\"sage\"")},
       {"prefix without its slash", with("\"/p/q/\"", "\"/p/q\"")},
       {"service twice", with("{\"label\":\"s2\",\"healthPath\"", "{\"label\":\"s1\",\"healthPath\"")}};
-  for (auto& [name, body] : table) {
-    auto c = parseConfiguration(body);
-    ASSERT_FALSE(c) << name;
-    EXPECT_EQ(c.error().code, ErrorCode::invalidArgument) << name;
-    EXPECT_FALSE(c.error().message.empty()) << name;
+  for (const auto& [name, text] : cases) {
+    const auto parsed = parseConfiguration(text);
+    ASSERT_FALSE(parsed) << name;
+    EXPECT_EQ(parsed.error().code, ErrorCode::invalidArgument) << name;
+    EXPECT_FALSE(parsed.error().message.empty()) << name;
   }
 }
-TEST(Configuration, HundredsOfRoutes) {
+
+TEST(Configuration, NamesTheFirstProblem) {
+  struct {
+    std::string text;
+    const char* message;
+  } const cases[] = {{"[1]", "configuration is no JSON object"},
+                     {with("\"configVersion\":7,", ""), "configuration: missing field 'configVersion'"},
+                     {with("\"share\":90", "\"share\":-1"), "configuration: no share in 'weightedTargets'"},
+                     {with("\"k3\"", "\"k1\""), "configuration: key shared by two subscribers: 't2'"},
+                     {with("\"/p/q/\"", "\"/p/\""), "configuration: two routes at 'ficu.example/p/'"},
+                     {with("\"serviceTable\":[", "\"serviceTable\":[7,"), "no object in 'serviceTable'"}};
+  for (const auto& expected : cases) {
+    const auto parsed = parseConfiguration(expected.text);
+    ASSERT_FALSE(parsed) << expected.message;
+    EXPECT_EQ(parsed.error().message, expected.message);
+  }
+}
+
+TEST(Configuration, ParsesHundredsOfRoutes) {
   std::string routes;
   for (int i = 0; i < 600; ++i)
     routes += std::string(i ? "," : "") + R"({"label":"r","authority":"h.example","pathPrefix":"/x)" +
               std::to_string(i) + R"(/","routeType":"safe","expiryMs":5,"targetService":"s"})";
-  auto c =
+  const auto configuration =
       parseConfiguration("{\"configVersion\":1,\"routeTable\":[" + routes + "],\"serviceTable\":[{\"label\":\"s\"}]}");
-  ASSERT_TRUE(c) << c.error().message;
-  EXPECT_EQ((*c)->find("h.example", "/x599/y"), 599);
+  ASSERT_TRUE(configuration) << configuration.error().message;
+  EXPECT_EQ((*configuration)->find("h.example", "/x599/y"), 599);
 }
-TEST(Settings, UnknownFieldsAreIgnoredAndBrokenOnesNamed) {
-  const std::string good =
+
+TEST(Settings, IgnoresUnknownFields) {
+  const std::string text =
       R"({"nodeName":"n","role":"r","ip":"10.1.0.5","zone":"z","bindAddresses":{"accessPort":"10.1.0.5:1","readinessPort":"10.1.0.5:2"},
     "internalPorts":[7660,7675],"seedNodes":["10.1.0.7:8407"],"initialAttach":true,"dataDir":null,"somethingNew":{"a":[1]},"timers":{"revokeMs":5000,"graceS":8,"retryRatio":0.2}})";
-  auto s = parseSettings(good);
-  ASSERT_TRUE(s) << s.error().message;
-  EXPECT_EQ(s->timers.grace, Duration(8000));
-  EXPECT_EQ(s->lastPort, 7675);
-  EXPECT_TRUE(s->dataDir.empty());
-  for (const std::string& broken :
-       {std::string("{"), std::string("[]"), std::string("{}"),
-        std::string(R"({"nodeName":1,"ip":"a","zone":"z","internalPorts":[1,2],"seedNodes":[]})"),
-        std::string(R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9],"seedNodes":[]})"),
-        std::string(R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9,12],"seedNodes":["somewhere:80"]})"),
-        std::string(R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9,2],"seedNodes":[]})")}) {
-    auto b = parseSettings(broken);
-    ASSERT_FALSE(b) << broken;
-    EXPECT_FALSE(b.error().message.empty());
+  const auto settings = parseSettings(text);
+  ASSERT_TRUE(settings) << settings.error().message;
+  EXPECT_EQ(settings->timers.grace, Duration(8000));
+  EXPECT_EQ(settings->lastPort, 7675);
+  EXPECT_TRUE(settings->dataDir.empty());
+}
+
+TEST(Settings, RejectsWhatIsInvalid) {
+  const InvalidText cases[] = {
+      {"cut short", "{"},
+      {"no object", "[]"},
+      {"empty", "{}"},
+      {"name is no text", R"({"nodeName":1,"ip":"a","zone":"z","internalPorts":[1,2],"seedNodes":[]})"},
+      {"one port", R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9],"seedNodes":[]})"},
+      {"seed is a host name",
+       R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9,12],"seedNodes":["somewhere:80"]})"},
+      {"ports in the wrong order", R"({"nodeName":"n","ip":"a","zone":"z","internalPorts":[9,2],"seedNodes":[]})"}};
+  for (const auto& [name, text] : cases) {
+    const auto settings = parseSettings(text);
+    ASSERT_FALSE(settings) << name;
+    EXPECT_FALSE(settings.error().message.empty()) << name;
   }
 }
-TEST(Calls, HeartbeatsAreCheckedWhole) {
-  auto b = parseRunnerHeartbeat(
+
+TEST(RunnerHeartbeat, RejectsInvalidFields) {
+  const auto heartbeat = parseRunnerHeartbeat(
       "i-1",
       R"({"targetService":"s","address":"10.0.0.1:80","zone":"z","capacity":4,"state":"draining","sequence":9,"more":1})");
-  ASSERT_TRUE(b);
-  EXPECT_TRUE(b->draining);
-  EXPECT_EQ(b->sequence, 9);
+  ASSERT_TRUE(heartbeat);
+  EXPECT_TRUE(heartbeat->draining);
+  EXPECT_EQ(heartbeat->sequence, 9);
   EXPECT_FALSE(parseRunnerHeartbeat("i-1", "{"));
   EXPECT_FALSE(parseRunnerHeartbeat("i-1", "{}"));
   EXPECT_FALSE(parseRunnerHeartbeat("", R"({"targetService":"s","address":"10.0.0.1:80"})"));
   EXPECT_FALSE(parseRunnerHeartbeat("i-1", R"({"targetService":"s","address":"a","sequence":"x"})"));
 }
+
+TEST(ZoneDrainRequest, RejectsInvalidFields) {
+  EXPECT_TRUE(parseZoneDrainRequest(R"({"place":"za","share":50,"calmBelowPerS":20})"));
+  for (const auto* invalid : {"{", "[]", "{}", R"({"place":"za","share":101})", R"({"place":"za","share":-1})",
+                              R"({"place":7})", R"({"place":"z","doorsShut":"yes"})"})
+    EXPECT_FALSE(parseZoneDrainRequest(invalid)) << invalid;
+}
+
+TEST(JsonReader, KeepsTheFirstErrorAndTheDefaults) {
+  JsonDocument document(R"({"text":1,"whole":7.0,"fraction":7.5,"null":null})");
+  JsonObject root;
+  ASSERT_TRUE(document.object(root));
+  JsonReader reader;
+  int whole = 0;
+  int fraction = 3;
+  Duration time{5};
+  reader.integer(root, "whole", whole);
+  reader.milliseconds(root, "null", time);
+  EXPECT_TRUE(reader.ok());
+  reader.integer(root, "fraction", fraction);
+  std::string text = "default";
+  reader.text(root, "text", text);
+  EXPECT_EQ(whole, 7);
+  EXPECT_EQ(fraction, 3);
+  EXPECT_EQ(time, Duration(5));
+  EXPECT_EQ(text, "default");
+  EXPECT_EQ(reader.error(), "no whole number in 'fraction'");
+}
+
+TEST(QuoteJson, EscapesQuotesBackslashesAndControlCharacters) {
+  EXPECT_EQ(quoteJson("a\"b\\c\n\x1f\xc3\xa4"), "\"a\\\"b\\\\c\\u000a\\u001f\xc3\xa4\"");
+}
--- a/tests/fuzz/configurations_fuzzer.cpp
+++ b/tests/fuzz/configurations_fuzzer.cpp
@@ -1,4 +1,4 @@
-// What operators and runners send as JSON: configurations, heartbeats, closures.
+// What operators and runners send as JSON: configurations, heartbeats, zone drains.
 #include "config/configuration.hpp"
 #include "config/control_requests.hpp"
 #include "fuzz_target.hpp"
@@ -14,7 +14,7 @@
       fuzz::require(target.service >= 0 && target.service < services);
     fuzz::require(c.find(route.authority, route.pathPrefix) >= 0);
   }
-  for (auto& [key, subscriber] : c.keys)
+  for (auto& [key, subscriber] : c.subscriberByAccessKey)
     fuzz::require(c.findSubscriber(key) == subscriber && subscriber < static_cast<int>(c.subscribers.size()));
 }
 void parseAnything(std::string_view input) {
