--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -1,16 +1,17 @@
-// One binary, its programs by subcommand.
+/// The zinccleat program: one binary whose parts are chosen by a subcommand.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
 #include <unistd.h>
 
+#include <algorithm>
+#include <array>
 #include <cstdio>
 
 #include "agent/agent.hpp"
-#include "config/configuration.hpp"
 #include "config/settings.hpp"
 #include "controller/controller.hpp"
-#include "operations/runbook.hpp"
+#include "operations/commands.hpp"
 #include "proxy_daemon/proxy_daemon.hpp"
 #include "runtime/log_ring.hpp"
 #include "simulation/plan.hpp"
@@ -24,6 +25,8 @@
 ABSL_FLAG(bool, verbose, false, "write log notes at once, not only when something goes wrong");
 
 namespace {
+using namespace zinccleat;
+
 constexpr const char* kVersion = "0.3 (frames 2)";
 constexpr const char* kUsage =
     "zinccleat SUBCOMMAND [--settings FILE] [--verbose]\n"
@@ -37,144 +40,186 @@
     "  trial [--seconds N]  a small fleet on loopback that serves while a leader and a runner are lost\n"
     "  --help, --version\n"
     "exit status: 0 as asked, 1 it went otherwise, 2 the command line or a file is wrong";
+constexpr int kUsageError = 2;
+constexpr int kLeastTrialSeconds = 3;
+constexpr int kMostTrialSeconds = 600;
+constexpr const char* kThisProgram = "/proc/self/exe";
+
+// What follows the subcommand, without flags.
+using Arguments = std::vector<std::string>;
+
+int usageError(const std::string& subcommand, const std::string& problem) {
+  std::fprintf(stderr, "zinccleat %s: %s\n", subcommand.c_str(), problem.c_str());
+  return kUsageError;
+}
 
-// Which subcommands know a flag: one given to another is a mistake worth a word.
-struct Known {
-  std::string_view flag, by;
+// --- Which subcommands know a flag. One given to another is an error: it would have no effect.
+struct FlagUse {
+  std::string_view flag;
+  std::string_view subcommands;  // separated by spaces
 };
-constexpr Known kKnown[] = {{"settings", "proxy agent controller"}, {"verbose", "proxy agent controller"},
-                            {"set", "runbook scale-run"},           {"dry", "runbook"},
-                            {"json", "status scale-run"},           {"seconds", "trial"}};
-// The first complaint about the flags given; empty: none.
-std::string wrongFlag(int argc, char** argv) {
-  std::string sub;
-  for (int i = 1; i < argc && sub.empty(); ++i)
-    if (argv[i][0] != '-')
-      sub = argv[i];
-  for (int i = 1; i < argc; ++i) {
-    std::string_view a = argv[i];
-    if (a.substr(0, 2) != "--" || a.size() == 2)
-      continue;
-    const auto name = a.substr(2, a.find('=') == a.npos ? a.npos : a.find('=') - 2);
-    const auto* k = std::find_if(std::begin(kKnown), std::end(kKnown), [&](auto& x) {
-      return x.flag == name || (name.substr(0, 2) == "no" && x.flag == name.substr(2));
-    });
-    if (k == std::end(kKnown))
-      return "no subcommand knows the flag '--" + std::string(name) + "'";
-    if ((" " + std::string(k->by) + " ").find(" " + sub + " ") == std::string::npos)
-      return "the flag '--" + std::string(name) + "' is for: " + std::string(k->by);
-  }
+constexpr std::array<FlagUse, 6> kFlagUses{{{"settings", "proxy agent controller"},
+                                            {"verbose", "proxy agent controller"},
+                                            {"set", "runbook scale-run"},
+                                            {"dry", "runbook"},
+                                            {"json", "status scale-run"},
+                                            {"seconds", "trial"}}};
+
+// The flag's name in an argument "--name" or "--name=value"; nothing if it is no flag.
+std::optional<std::string_view> flagName(std::string_view argument) {
+  constexpr std::string_view kDashes = "--";
+  if (!argument.starts_with(kDashes) || argument.size() == kDashes.size())
+    return std::nullopt;
+  argument.remove_prefix(kDashes.size());
+  return argument.substr(0, argument.find('='));
+}
+const FlagUse* findFlag(std::string_view name) {
+  constexpr std::string_view kNegation = "no";  // --nodry is --dry=false
+  const auto negated = name.starts_with(kNegation) ? name.substr(kNegation.size()) : std::string_view{};
+  for (const auto& use : kFlagUses)
+    if (use.flag == name || use.flag == negated)
+      return &use;
+  return nullptr;
+}
+bool knows(std::string_view subcommand, const FlagUse& use) {
+  const auto list = " " + std::string(use.subcommands) + " ";
+  return list.find(" " + std::string(subcommand) + " ") != std::string::npos;
+}
+// What is wrong with a flag given to a subcommand; empty if nothing is.
+std::string flagError(std::string_view subcommand, std::string_view name) {
+  const auto* const use = findFlag(name);
+  if (!use)
+    return "no subcommand knows the flag '--" + std::string(name) + "'";
+  if (!knows(subcommand, *use))
+    return "the flag '--" + std::string(name) + "' is for: " + std::string(use->subcommands);
   return {};
 }
-// Why not return: the fiber library would wait for fibers that are parked on connections nobody serves any more.
-[[noreturn]] void quit(int rc) {
-  std::fflush(nullptr);
-  ::_exit(rc);
+std::string firstFlagError(const std::vector<std::string_view>& arguments) {
+  const auto subcommand = std::find_if(arguments.begin(), arguments.end(), [](std::string_view argument) {
+    return !argument.empty() && argument.front() != '-';
+  });
+  const auto chosen = subcommand == arguments.end() ? std::string_view{} : *subcommand;
+  for (const auto argument : arguments)
+    if (const auto name = flagName(argument))
+      if (auto problem = flagError(chosen, *name); !problem.empty())
+        return problem;
+  return {};
 }
 
-int check(const std::vector<char*>& args) {
-  if (args.size() != 4) {
-    std::fprintf(stderr, "zinccleat check: wants KIND FILE\n");
-    return 2;
-  }
-  const std::string kind = args[2];
-  auto text = zinccleat::config::readFile(args[3]);
-  std::string wrong;
+// --- The subcommands. Each returns the process's exit status.
+int check(const Arguments& arguments) {
+  if (arguments.size() != 2)
+    return usageError("check", "wants KIND FILE");
+  return operations::checkCommand(arguments[0], arguments[1]);
+}
+int status(const Arguments& arguments) {
+  return operations::statusCommand(arguments, absl::GetFlag(FLAGS_json));
+}
+// A bare name means one of the runbooks that come with the program.
+std::string runbookPath(const std::string& file) {
+  return file.find_first_of("./") == std::string::npos ? "runbooks/" + file + ".run" : file;
+}
+int runbook(const Arguments& arguments) {
+  if (arguments.size() != 1)
+    return usageError("runbook", "wants one FILE");
+  auto assignments = absl::GetFlag(FLAGS_set);
+  for (auto& assignment : assignments)
+    std::replace(assignment.begin(), assignment.end(), '+', ',');
+  return operations::runbookCommand(runbookPath(arguments[0]), assignments, absl::GetFlag(FLAGS_dry));
+}
+int trial(const Arguments& /*arguments*/) {
+  const int seconds = absl::GetFlag(FLAGS_seconds);
+  if (seconds < kLeastTrialSeconds || seconds > kMostTrialSeconds)
+    return usageError("trial", "--seconds is 3 to 600");
+  return simulation::trial(kThisProgram, seconds);
+}
+Result<simulation::ScaleRunPlan> loadPlan(const Arguments& arguments) {
+  const auto text = arguments.empty() ? Result<std::string>("{}") : config::readFile(arguments[0]);
   if (!text)
-    wrong = text.error().message;
-  else if (kind == "settings") {
-    if (auto s = zinccleat::config::parseSettings(*text); !s)
-      wrong = s.error().message;
-  } else if (kind == "configuration") {
-    if (auto c = zinccleat::config::parseConfiguration(*text); !c)
-      wrong = c.error().message;
-  } else if (kind == "runbook") {
-    if (auto b = zinccleat::operations::parseRunbook(*text, zinccleat::operations::sampleValues(*text)); !b)
-      wrong = b.error().message;
-  } else {
-    std::fprintf(stderr, "zinccleat check: unknown kind '%s'\n", kind.c_str());
-    return 2;
-  }
-  if (!wrong.empty()) {
-    std::fprintf(stderr, "zinccleat check: %s: %s\n", args[3], wrong.c_str());
-    return 1;
-  }
-  std::printf("%s: fine\n", args[3]);
-  return 0;
+    return tl::unexpected(text.error());
+  return simulation::parsePlan(*text, absl::GetFlag(FLAGS_set));
+}
+int scaleRun(const Arguments& arguments) {
+  const auto plan = loadPlan(arguments);
+  if (!plan)
+    return usageError("scale-run", plan.error().message);
+  return simulation::runAtScale(*plan, kThisProgram, absl::GetFlag(FLAGS_json));
+}
+int runDaemon(const std::string& name, int (*run)(const config::Settings&)) {
+  const auto path = absl::GetFlag(FLAGS_settings);
+  const auto settings = config::loadSettings(path.empty() ? config::settingsPath() : path);
+  if (!settings)
+    return usageError(name, settings.error().message);
+  log::setNodeName(settings->node + "/" + name);
+  log::setVerbose(absl::GetFlag(FLAGS_verbose));
+  return run(*settings);
+}
+int proxyDaemon(const Arguments& /*arguments*/) {
+  return runDaemon("proxy", proxy_daemon::runProxy);
+}
+int agentDaemon(const Arguments& /*arguments*/) {
+  return runDaemon("agent", agent::runAgent);
+}
+int controllerDaemon(const Arguments& /*arguments*/) {
+  return runDaemon("controller", controller::runController);
 }
-}  // namespace
 
-int main(int argc, char** argv) {
-  for (int i = 1; i < argc; ++i) {
-    const std::string_view a = argv[i];
-    if (a == "--help" || a == "-h") {
+struct Subcommand {
+  std::string_view name;
+  int (*run)(const Arguments& arguments);
+};
+constexpr std::array<Subcommand, 8> kSubcommands{{{"proxy", proxyDaemon},
+                                                  {"agent", agentDaemon},
+                                                  {"controller", controllerDaemon},
+                                                  {"check", check},
+                                                  {"status", status},
+                                                  {"runbook", runbook},
+                                                  {"scale-run", scaleRun},
+                                                  {"trial", trial}}};
+
+int runSubcommand(const std::string& name, const Arguments& arguments) {
+  const auto found = std::find_if(kSubcommands.begin(), kSubcommands.end(),
+                                  [&](const Subcommand& candidate) { return candidate.name == name; });
+  if (found != kSubcommands.end())
+    return found->run(arguments);
+  std::fprintf(stderr, "zinccleat: unknown subcommand '%s'\n%s\n", name.c_str(), kUsage);
+  return kUsageError;
+}
+
+// Answers --help and --version, wherever they stand. Returns whether one was given.
+bool answeredHelp(const std::vector<std::string_view>& arguments) {
+  for (const auto argument : arguments) {
+    if (argument == "--help" || argument == "-h") {
       std::printf("%s\n", kUsage);
-      return 0;
+      return true;
     }
-    if (a == "--version") {
+    if (argument == "--version") {
       std::printf("zinccleat %s\n", kVersion);
-      return 0;
+      return true;
     }
   }
-  if (const auto wrong = wrongFlag(argc, argv); !wrong.empty()) {
-    std::fprintf(stderr, "zinccleat: %s\n", wrong.c_str());
-    return 2;
+  return false;
+}
+
+// Ends the process without waiting for fibers: the fiber library would wait for those parked on connections that
+// nobody serves any more.
+[[noreturn]] void exitNow(int exitStatus) {
+  std::fflush(nullptr);
+  ::_exit(exitStatus);
+}
+}  // namespace
+
+int main(int argc, char** argv) {
+  const std::vector<std::string_view> given(argv + std::min(argc, 1), argv + argc);
+  if (answeredHelp(given))
+    return 0;
+  if (const auto problem = firstFlagError(given); !problem.empty()) {
+    std::fprintf(stderr, "zinccleat: %s\n", problem.c_str());
+    return kUsageError;
   }
   absl::SetProgramUsageMessage(kUsage);
-  const auto args = absl::ParseCommandLine(argc, argv);
-  const std::string sub = args.size() > 1 ? args[1] : "";
-  if (sub == "check")
-    return check(args);
-  const std::vector<std::string> rest(
-      args.begin() + std::min<std::ptrdiff_t>(2, static_cast<std::ptrdiff_t>(args.size())), args.end());
-  if (sub == "status")
-    quit(zinccleat::operations::statusCommand(rest, absl::GetFlag(FLAGS_json)));
-  if (sub == "runbook") {
-    if (rest.size() != 1) {
-      std::fprintf(stderr, "zinccleat runbook: wants one FILE\n");
-      return 2;
-    }
-    auto sets = absl::GetFlag(FLAGS_set);
-    for (auto& s : sets)
-      std::replace(s.begin(), s.end(), '+', ',');
-    // A bare name means one of those that come with the program.
-    const auto file = rest[0].find_first_of("./") == std::string::npos ? "runbooks/" + rest[0] + ".run" : rest[0];
-    quit(zinccleat::operations::runbookCommand(file, sets, absl::GetFlag(FLAGS_dry)));
-  }
-  if (sub == "trial") {
-    const int seconds = absl::GetFlag(FLAGS_seconds);
-    if (seconds < 3 || seconds > 600) {
-      std::fprintf(stderr, "zinccleat trial: --seconds is 3 to 600\n");
-      return 2;
-    }
-    quit(zinccleat::simulation::trial("/proc/self/exe", seconds));
-  }
-  if (sub == "scale-run") {
-    auto text = rest.empty() ? zinccleat::Result<std::string>("{}") : zinccleat::config::readFile(rest[0]);
-    auto plan = text ? zinccleat::simulation::parsePlan(*text, absl::GetFlag(FLAGS_set))
-                     : zinccleat::Result<zinccleat::simulation::ScaleRunPlan>(tl::unexpected(text.error()));
-    if (!plan) {
-      std::fprintf(stderr, "zinccleat scale-run: %s\n", plan.error().message.c_str());
-      return 2;
-    }
-    quit(zinccleat::simulation::runAtScale(*plan, "/proc/self/exe", absl::GetFlag(FLAGS_json)));
-  }
-  if (sub != "proxy" && sub != "agent" && sub != "controller") {
-    std::fprintf(stderr, "zinccleat: unknown subcommand '%s'\n%s\n", sub.c_str(), kUsage);
-    return 2;
-  }
-  auto path = absl::GetFlag(FLAGS_settings);
-  if (path.empty())
-    path = zinccleat::config::settingsPath();
-  auto s = zinccleat::config::loadSettings(path);
-  if (!s) {
-    std::fprintf(stderr, "zinccleat %s: %s\n", sub.c_str(), s.error().message.c_str());
-    return 2;
-  }
-  zinccleat::log::setNodeName(s->node + "/" + sub);
-  zinccleat::log::setVerbose(absl::GetFlag(FLAGS_verbose));
-  const int rc = sub == "proxy"   ? zinccleat::proxy_daemon::runProxy(*s)
-                 : sub == "agent" ? zinccleat::agent::runAgent(*s)
-                                  : zinccleat::controller::runController(*s);
-  quit(rc);
+  const auto positional = absl::ParseCommandLine(argc, argv);  // the program's name, the subcommand, its arguments
+  const std::string subcommand = positional.size() > 1 ? positional[1] : "";
+  const auto first = positional.begin() + std::min<std::ptrdiff_t>(2, std::ssize(positional));
+  exitNow(runSubcommand(subcommand, Arguments(first, positional.end())));
 }
--- /dev/null
+++ b/libs/operations/include/operations/commands.hpp
@@ -0,0 +1,17 @@
+/// The command line's subcommands for operators. Each prints to stdout, complains to stderr and returns the process's
+/// exit status: 0 as asked, 1 it went otherwise, 2 the command line or a file is wrong.
+#pragma once
+#include <string>
+#include <vector>
+namespace zinccleat::operations {
+/// `zinccleat check KIND FILE`: parses a file and says whether it is valid.
+/// @param kind `settings`, `configuration` or `runbook`
+int checkCommand(const std::string& kind, const std::string& file);
+/// `zinccleat runbook FILE`: runs a runbook against the controllers that the parameter `core` names.
+/// @param assignments the parameters' values as NAME=VALUE
+/// @param dryRun prints the steps, calls nothing
+int runbookCommand(const std::string& file, const std::vector<std::string>& assignments, bool dryRun);
+/// `zinccleat status ADDRESS...`: prints what controllers report about themselves, as a table or as a JSON list.
+/// @return 1 if none of them answered
+int statusCommand(const std::vector<std::string>& addresses, bool asJson);
+}  // namespace zinccleat::operations
--- a/libs/operations/include/operations/runbook.hpp
+++ b/libs/operations/include/operations/runbook.hpp
@@ -1,36 +1,68 @@
-// Runbooks that can be executed: steps and the observations they expect stand in a plain file.
+/// Runbooks that a program executes: a plain file of steps, calls and what must be observed after them.
+///
+/// One step a line: a keyword, a space, and its text. Lines that begin with '#' are comments. Keywords:
+///   title TEXT               the runbook's title
+///   param NAME[=DEFAULT] TEXT  a parameter and what it is for; `{NAME}` in a step stands for its value
+///   step TEXT                begins a numbered step
+///   tell TEXT                shows a line to the operator
+///   head NAME VALUE          a header field for the next call
+///   get PATH                 GET from any controller
+///   getall PATH              GET from all controllers
+///   post PATH [BODY]         POST to any controller; a body `@FILE` is read from that file
+///   expect OBSERVATION       the last call's answers meet this (observation.hpp), or the runbook stops
+///   await SECONDS OBSERVATION  the same, repeating the call until it is met or the time is over
+///   pause SECONDS            waits
+/// An observation of the field `status` is about the HTTP status instead of the answer's body.
 #pragma once
 #include "operations/call.hpp"
-#include "operations/observe.hpp"
+#include "operations/observation.hpp"
 namespace zinccleat::operations {
+/// What a step does; see the list of keywords above.
+enum class StepKind { heading, message, header, get, getFromAll, post, expect, await, pause };
+
+/// One step. Only the fields that its kind uses are set.
 struct Step {
-  enum class Do { step, tell, get, getall, post, head, expect, await, pause } what = Do::step;
-  int line = 0;
-  std::string text;        // step, tell; head: NAME VALUE
-  std::string path, body;  // calls; a body @FILE is read from that file
-  Observation see;         // expect, await
-  bool status = false;     // the observation is about the call's status
-  Duration within{0};      // await, pause
+  StepKind kind = StepKind::heading;
+  int line = 0;                 ///< in the runbook's file, from 1
+  std::string text;             ///< heading, message; header: NAME VALUE
+  std::string path;             ///< calls
+  std::string body;             ///< calls; `@FILE` is read from that file
+  Observation observation;      ///< expect, await
+  bool observesStatus = false;  ///< expect, await: about the HTTP status
+  Duration timeout{0};          ///< await: how long at most; pause: how long
+};
+/// A parameter that a runbook declares.
+struct Parameter {
+  std::string name;
+  std::string description;
 };
+/// Values of parameters by their names.
+using ParameterValues = std::map<std::string, std::string>;
+
+/// A parsed runbook, with the parameters' values filled in.
 struct Runbook {
   std::string title;
-  std::vector<std::pair<std::string, std::string>> params;  // name, what for
-  std::vector<Step> steps;
+  std::vector<Parameter> parameters;
+  std::vector<Step> steps;  ///< never empty
 };
-// Fills {name} from given; a parameter without a value is a fault, so is an unknown word.
-Result<Runbook> parseRunbook(const std::string& text, const std::map<std::string, std::string>& given);
-// A stand-in value for each parameter that the text declares, to check it without running it.
-std::map<std::string, std::string> sampleValues(const std::string& text);
-struct RunbookPorts {
-  std::function<Result<Called>(const Call&)> any;
-  std::function<std::vector<Result<Called>>(const Call&)> all;
+/// Parses a runbook.
+/// @param values the parameters' values; a parameter with a default may be left out
+/// @return the runbook, or `ErrorCode::invalidArgument` with the line: an unknown keyword, a parameter without a value,
+///   an observation before any call
+Result<Runbook> parseRunbook(const std::string& text, const ParameterValues& values);
+/// A stand-in value for each parameter that has no default, to check a runbook without running it.
+ParameterValues sampleValues(const std::string& text);
+
+/// What running a runbook needs from outside; tests pass stand-ins.
+struct RunbookEnvironment {
+  std::function<Result<CallResponse>(const Call&)> callAny;               ///< to any controller
+  std::function<std::vector<Result<CallResponse>>(const Call&)> callAll;  ///< to each controller
   std::function<void(Duration)> sleepFor;
-  std::function<void(const std::string&)> print;
+  std::function<void(const std::string&)> print;  ///< one line, without its end
   std::function<TimePoint()> now;
 };
-// 0: all observations were met; 1: one was not, and the rest was left undone.
-int runRunbook(const Runbook& b, const RunbookPorts& io, bool dry);
-
-int runbookCommand(const std::string& file, const std::vector<std::string>& sets, bool dry);
-int statusCommand(const std::vector<std::string>& addresses, bool json);
+/// Runs the steps in order and prints what it does.
+/// @param dryRun prints the steps, calls nothing
+/// @return 0 if all observations were met; 1 if one was not or a body's file cannot be read: the rest was not done
+int runRunbook(const Runbook& runbook, const RunbookEnvironment& environment, bool dryRun);
 }  // namespace zinccleat::operations
--- a/libs/operations/src/call.cpp
+++ b/libs/operations/src/call.cpp
@@ -4,81 +4,98 @@
 
 namespace zinccleat::operations {
 namespace {
-Result<Called> callThere(const std::string& address, const std::string& path, const Call& c, Duration within,
-                         std::string& location) {
-  auto ep = runtime::parseEndpoint(address);
-  if (!ep)
-    return tl::unexpected(ep.error());
-  runtime::Connection w;
-  runtime::SocketError ec;
-  w.setDeadline(Clock::now() + within);
-  w.connect(*ep, ec);
-  if (ec)
-    return makeError(ErrorCode::unavailable, address + ": " + (w.deadlineExceeded() ? "no answer" : ec.message()));
-  std::string s = c.method + " " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n";
-  for (auto& [n, v] : c.heads)
-    s += n + ": " + v + "\r\n";
-  if (!c.body.empty())
-    s += "Content-Type: application/json\r\n";
-  s += "Content-Length: " + std::to_string(c.body.size()) + "\r\n\r\n" + c.body;
-  w.write(asio::buffer(s), ec);
-  proxy::Buffer buf;
-  http::response_parser<http::string_body> p;
-  p.eager(true);
-  p.body_limit(64U << 20);
-  if (!ec)
-    proxy::pump(w, buf, p, false, ec);
-  if (ec)
-    return makeError(ErrorCode::unavailable, address + ": " + (w.deadlineExceeded() ? "no answer" : ec.message()));
-  const auto l = p.get()[http::field::location];
-  location.assign(l.data(), l.size());
-  return Called{static_cast<int>(p.get().result_int()), p.get().body(), address};
+constexpr std::size_t kLargestBodyBytes = std::size_t{64} << 20;
+constexpr int kMostRedirections = 2;
+constexpr int kTemporaryRedirect = 307;
+constexpr int kFirstServerError = 500;
+
+struct HttpAnswer {
+  CallResponse response;
+  std::string location;  // of a redirection
+};
+// Where a redirection points to.
+struct Destination {
+  std::string address;
+  std::string path;
+};
+
+std::string writeRequest(const std::string& address, const std::string& path, const Call& call) {
+  std::string request = call.method + " " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n";
+  for (const auto& header : call.headers)
+    request += header.name + ": " + header.value + "\r\n";
+  if (!call.body.empty())
+    request += "Content-Type: application/json\r\n";
+  request += "Content-Length: " + std::to_string(call.body.size()) + "\r\n\r\n" + call.body;
+  return request;
+}
+
+tl::unexpected<Error> connectionError(const std::string& address, const runtime::Connection& connection,
+                                      const runtime::SocketError& failure) {
+  const auto reason = connection.deadlineExceeded() ? "no answer" : failure.message();
+  return makeError(ErrorCode::unavailable, address + ": " + reason);
+}
+
+// One request to one node, without redirections.
+Result<HttpAnswer> exchange(const Destination& destination, const Call& call, Duration timeout) {
+  const auto& address = destination.address;
+  const auto endpoint = runtime::parseEndpoint(address);
+  if (!endpoint)
+    return tl::unexpected(endpoint.error());
+  runtime::Connection connection;
+  runtime::SocketError failure;
+  connection.setDeadline(Clock::now() + timeout);
+  connection.connect(*endpoint, failure);
+  if (failure)
+    return connectionError(address, connection, failure);
+  const auto request = writeRequest(address, destination.path, call);
+  connection.write(asio::buffer(request), failure);
+  proxy::Buffer buffer;
+  http::response_parser<http::string_body> parser;
+  parser.eager(true);
+  parser.body_limit(kLargestBodyBytes);
+  if (!failure)
+    proxy::pump(connection, buffer, parser, false, failure);
+  if (failure)
+    return connectionError(address, connection, failure);
+  auto& message = parser.get();
+  const auto location = message[http::field::location];
+  return HttpAnswer{{static_cast<int>(message.result_int()), std::move(message.body()), address},
+                    {location.data(), location.size()}};
+}
+
+std::optional<Destination> parseLocation(std::string_view location) {
+  constexpr std::string_view kScheme = "http://";
+  if (!location.starts_with(kScheme))
+    return std::nullopt;
+  location.remove_prefix(kScheme.size());
+  const auto slash = location.find('/');
+  const auto path = slash == std::string_view::npos ? std::string_view("/") : location.substr(slash);
+  return Destination{std::string(location.substr(0, slash)), std::string(path)};
 }
 }  // namespace
-Result<Called> callOne(const std::string& first, const Call& c, Duration within) {
-  auto address = first;
-  auto path = c.path;
-  for (int hop = 0;; ++hop) {
-    std::string location;
-    auto r = callThere(address, path, c, within, location);
-    if (!r || r->status != 307 || hop == 2)
-      return r;
-    constexpr std::string_view scheme = "http://";
-    if (location.rfind(scheme, 0) != 0)
-      return makeError(ErrorCode::unavailable, address + ": a redirection without an address");
-    location.erase(0, scheme.size());
-    const auto slash = location.find('/');
-    address = location.substr(0, slash);
-    path = slash == std::string::npos ? "/" : location.substr(slash);
+
+Result<CallResponse> callOne(const std::string& address, const Call& call, Duration timeout) {
+  Destination destination{address, call.path};
+  for (int redirections = 0;; ++redirections) {
+    auto answer = exchange(destination, call, timeout);
+    if (!answer)
+      return tl::unexpected(answer.error());
+    if (answer->response.status != kTemporaryRedirect || redirections == kMostRedirections)
+      return std::move(answer->response);
+    auto next = parseLocation(answer->location);
+    if (!next)
+      return makeError(ErrorCode::unavailable, destination.address + ": a redirection without an address");
+    destination = std::move(*next);
   }
 }
-Result<Called> callAny(const std::vector<std::string>& addresses, const Call& c, Duration within) {
-  Result<Called> last = makeError(ErrorCode::unavailable, "no address to call");
-  for (auto& a : addresses) {
-    last = callOne(a, c, within);
-    if (last && last->status < 500)
-      return last;
+
+Result<CallResponse> callAny(const std::vector<std::string>& addresses, const Call& call, Duration timeout) {
+  Result<CallResponse> last = makeError(ErrorCode::invalidArgument, "no address to call");
+  for (const auto& address : addresses) {
+    last = callOne(address, call, timeout);
+    if (last && last->status < kFirstServerError)
+      break;
   }
   return last;
 }
-std::vector<std::string> splitList(std::string_view s) {
-  std::vector<std::string> out;
-  while (!s.empty()) {
-    const auto c = std::min(s.find(','), s.size());
-    if (c > 0)
-      out.emplace_back(s.substr(0, c));
-    s.remove_prefix(std::min(s.size(), c + 1));
-  }
-  return out;
-}
-int runOnEventLoop(const std::function<int()>& f) {
-  runtime::EventLoop loop;
-  int rc = 0;
-  loop.spawn([&] {
-    rc = f();
-    loop.stop();
-  });
-  loop.run();
-  return rc;
-}
 }  // namespace zinccleat::operations
--- /dev/null
+++ b/libs/operations/src/check_command.cpp
@@ -0,0 +1,54 @@
+#include <array>
+#include <cstdio>
+
+#include "config/configuration.hpp"
+#include "config/settings.hpp"
+#include "operations/commands.hpp"
+#include "operations/runbook.hpp"
+
+namespace zinccleat::operations {
+namespace {
+// Returns what is wrong, or an empty text.
+template <class Value>
+std::string errorOf(const Result<Value>& result) {
+  return result ? std::string() : result.error().message;
+}
+std::string checkSettings(const std::string& text) {
+  return errorOf(config::parseSettings(text));
+}
+std::string checkConfiguration(const std::string& text) {
+  return errorOf(config::parseConfiguration(text));
+}
+std::string checkRunbook(const std::string& text) {
+  return errorOf(parseRunbook(text, sampleValues(text)));
+}
+
+struct FileKind {
+  std::string_view name;
+  std::string (*check)(const std::string& text);
+};
+constexpr std::array<FileKind, 3> kFileKinds{
+    {{"settings", checkSettings}, {"configuration", checkConfiguration}, {"runbook", checkRunbook}}};
+
+int invalid(const std::string& file, const std::string& problem) {
+  std::fprintf(stderr, "zinccleat check: %s: %s\n", file.c_str(), problem.c_str());
+  return 1;
+}
+}  // namespace
+
+int checkCommand(const std::string& kind, const std::string& file) {
+  const auto text = config::readFile(file);
+  if (!text)
+    return invalid(file, text.error().message);
+  const auto found = std::find_if(kFileKinds.begin(), kFileKinds.end(),
+                                  [&](const FileKind& candidate) { return candidate.name == kind; });
+  if (found == kFileKinds.end()) {
+    std::fprintf(stderr, "zinccleat check: unknown kind '%s'\n", kind.c_str());
+    return 2;
+  }
+  if (const auto problem = found->check(*text); !problem.empty())
+    return invalid(file, problem);
+  std::printf("%s: fine\n", file.c_str());
+  return 0;
+}
+}  // namespace zinccleat::operations
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -6,7 +6,7 @@
 
 #include <filesystem>
 
-#include "operations/observe.hpp"
+#include "operations/observation.hpp"
 #include "operations/runbook.hpp"
 #include "simulation/plan.hpp"
 
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,4 +1,4 @@
-// Runbooks: read whole, run step by step, stopped by what is not seen.
+// Runbooks: parsed completely before the first call, run step by step, stopped by an observation that is not met.
 #include <gtest/gtest.h>
 
 #include "config/settings.hpp"
@@ -6,114 +6,181 @@
 #include "state_machine/replicated_state.hpp"
 
 using namespace zinccleat;
-using namespace zinccleat::config;
 using namespace zinccleat::operations;
-using namespace zinccleat::state_machine;
-using namespace zinccleat::transport;
 namespace {
-const std::string kBook =
+const std::string kRunbook =
     "title T\nparam core x\nparam who someone\nstep look\nget /v1/Status\nexpect any node == {who}\nstep change\npost "
     "/v1/Set {\"a\":\"{who}\"}\nexpect any status == 200\n";
-struct Stage {
-  std::vector<std::string> printed, called;
+
+// Controllers that always give the same answer, a clock that only sleeping advances, and what was printed and called.
+struct FakeEnvironment {
+  std::vector<std::string> printed;
+  std::vector<std::string> calls;
   std::string answer = "{\"node\":\"n1\",\"runners\":[{\"id\":\"r.1\",\"state\":\"draining\"}],\"leased\":true}";
   int status = 200;
   TimePoint clock{100s};
-  RunbookPorts ports() {
-    RunbookPorts p;
-    p.any = [this](const Call& c) -> Result<Called> {
-      called.push_back(c.method + " " + c.path + " " + c.body);
-      return Called{status, answer, "x"};
+
+  RunbookEnvironment environment() {
+    RunbookEnvironment environment;
+    environment.callAny = [this](const Call& call) -> Result<CallResponse> {
+      std::string headers;
+      for (const auto& header : call.headers)
+        headers += " " + header.name + ":" + header.value;
+      calls.push_back(call.method + " " + call.path + " " + call.body + headers);
+      return CallResponse{status, answer, "x"};
     };
-    p.all = [this](const Call& c) {
-      called.push_back("all " + c.path);
-      return std::vector<Result<Called>>{Called{200, answer, "x"}, makeError(ErrorCode::ioError, "no answer")};
+    environment.callAll = [this](const Call& call) {
+      calls.push_back("all " + call.path);
+      return std::vector<Result<CallResponse>>{CallResponse{200, answer, "x"},
+                                               makeError(ErrorCode::ioError, "no answer")};
     };
-    p.sleepFor = [this](Duration d) { clock += d; };
-    p.print = [this](const std::string& s) { printed.push_back(s); };
-    p.now = [this] { return clock; };
-    return p;
+    environment.sleepFor = [this](Duration duration) { clock += duration; };
+    environment.print = [this](const std::string& line) { printed.push_back(line); };
+    environment.now = [this] { return clock; };
+    return environment;
+  }
+  std::string output() const {
+    std::string lines;
+    for (const auto& line : printed)
+      lines += line + "\n";
+    return lines;
   }
 };
 }  // namespace
-TEST(Runbook, RunsItsStepsWhileTheObservationsAreMet) {
-  auto b = parseRunbook(kBook, {{"who", "n1"}});
-  ASSERT_TRUE(b) << b.error().message;
-  Stage s;
-  EXPECT_EQ(runRunbook(*b, s.ports(), false), 0);
-  ASSERT_EQ(s.called.size(), 2U);
-  EXPECT_EQ(s.called[1], "POST /v1/Set {\"a\":\"n1\"}");
+
+TEST(Runbook, RunsItsStepsWhileObservationsAreMet) {
+  const auto runbook = parseRunbook(kRunbook, {{"who", "n1"}});
+  ASSERT_TRUE(runbook) << runbook.error().message;
+  FakeEnvironment fake;
+  EXPECT_EQ(runRunbook(*runbook, fake.environment(), false), 0);
+  ASSERT_EQ(fake.calls.size(), 2U);
+  EXPECT_EQ(fake.calls[1], "POST /v1/Set {\"a\":\"n1\"}");
+}
+
+TEST(Runbook, StopsAtTheFirstObservationThatIsNotMet) {
+  const auto runbook = parseRunbook(kRunbook, {{"who", "n2"}});
+  ASSERT_TRUE(runbook);
+  FakeEnvironment fake;
+  EXPECT_EQ(runRunbook(*runbook, fake.environment(), false), 1);
+  EXPECT_EQ(fake.calls.size(), 1U) << "nothing after it was done";
+  EXPECT_NE(fake.output().find("wanted node == n2, saw n1"), std::string::npos) << fake.output();
 }
-TEST(Runbook, StopsAtWhatWasNotSeenAndSaysSo) {
-  auto b = parseRunbook(kBook, {{"who", "n2"}});
-  ASSERT_TRUE(b);
-  Stage s;
-  EXPECT_EQ(runRunbook(*b, s.ports(), false), 1);
-  EXPECT_EQ(s.called.size(), 1U) << "nothing after it was done";
-  std::string all;
-  for (auto& p : s.printed)
-    all += p + "\n";
-  EXPECT_NE(all.find("wanted node == n2, saw n1"), std::string::npos) << all;
+
+TEST(Runbook, DryRunCallsNothing) {
+  const auto runbook = parseRunbook(kRunbook, {{"who", "n2"}});
+  ASSERT_TRUE(runbook);
+  FakeEnvironment fake;
+  EXPECT_EQ(runRunbook(*runbook, fake.environment(), true), 0);
+  EXPECT_TRUE(fake.calls.empty());
+}
+
+TEST(Runbook, AwaitRepeatsTheCallUntilItsTimeout) {
+  const auto runbook = parseRunbook("step x\ngetall /v1/Status\nawait 3 all leased == true\n", {});
+  ASSERT_TRUE(runbook) << runbook.error().message;
+  FakeEnvironment fake;
+  EXPECT_EQ(runRunbook(*runbook, fake.environment(), false), 1) << "one node never answers";
+  EXPECT_GT(fake.calls.size(), 8U);
+  EXPECT_GE(fake.clock, TimePoint{103s});
 }
-TEST(Runbook, ADryRunCallsNothing) {
-  auto b = parseRunbook(kBook, {{"who", "n2"}});
-  Stage s;
-  EXPECT_EQ(runRunbook(*b, s.ports(), true), 0);
-  EXPECT_TRUE(s.called.empty());
+
+TEST(Runbook, RejectsWhatItCannotParse) {
+  for (const auto* text : {"step x\nfrobnicate\n", "step x\nexpect any a == b\n", "step x\nget v1\n", "step {nobody}\n",
+                           "", "step x\nget /a\nexpect a ~ b\n", "step x\nget /a\nawait x any a == b\n"}) {
+    const auto runbook = parseRunbook(text, {});
+    ASSERT_FALSE(runbook) << text;
+    EXPECT_EQ(runbook.error().code, ErrorCode::invalidArgument) << text;
+  }
 }
-TEST(Runbook, AwaitAsksAgainUntilItsTime) {
-  auto b = parseRunbook("step x\ngetall /v1/Status\nawait 3 all leased == true\n", {});
-  ASSERT_TRUE(b) << b.error().message;
-  Stage s;
-  EXPECT_EQ(runRunbook(*b, s.ports(), false), 1) << "one node never answers";
-  EXPECT_GT(s.called.size(), 8U);
-  EXPECT_GE(s.clock, TimePoint{103s});
+
+TEST(Runbook, HeadersGoWithTheNextCallOnly) {
+  const auto runbook = parseRunbook("head X-A one two\npost /a {x}\nget /b\n", {{"x", "body"}});
+  ASSERT_TRUE(runbook) << runbook.error().message;
+  FakeEnvironment fake;
+  EXPECT_EQ(runRunbook(*runbook, fake.environment(), false), 0);
+  EXPECT_EQ(fake.calls, (std::vector<std::string>{"POST /a body X-A:one two", "GET /b "}));
 }
-TEST(Runbook, WhatIsNotUnderstoodIsNamedBeforeAnythingRuns) {
-  for (auto bad : {"step x\nfrobnicate\n", "step x\nexpect any a == b\n", "step x\nget v1\n", "step {nobody}\n", "",
-                   "step x\nget /a\nexpect a ~ b\n", "step x\nget /a\nawait x any a == b\n"})
-    EXPECT_FALSE(parseRunbook(bad, {})) << bad;
+
+TEST(Runbook, ParametersHaveDefaults) {
+  const auto runbook = parseRunbook("param lead=2 seconds of warning\nstep wait\npause {lead}\n", {});
+  ASSERT_TRUE(runbook) << runbook.error().message;
+  ASSERT_EQ(runbook->parameters.size(), 1U);
+  EXPECT_EQ(runbook->parameters[0].name, "lead");
+  EXPECT_EQ(runbook->parameters[0].description, "seconds of warning");
+  FakeEnvironment fake;
+  EXPECT_EQ(runRunbook(*runbook, fake.environment(), false), 0);
+  EXPECT_EQ(fake.clock, TimePoint{102s});
 }
-TEST(Runbook, ThoseThatComeWithTheProgramAreWhole) {
-  for (auto name :
+
+TEST(Runbook, ShippedRunbooksParse) {
+  for (const std::string name :
        {"replace-core", "drain-runner", "why-not-ready", "revoke-key", "roll-version", "close-zone", "open-zone"}) {
-    auto text = readFile("runbooks/" + std::string(name) + ".run");
+    const auto text = config::readFile("runbooks/" + name + ".run");
     ASSERT_TRUE(text) << name;
-    auto b = parseRunbook(*text, sampleValues(*text));
-    EXPECT_TRUE(b) << name << ": " << (b ? "" : b.error().message);
+    const auto runbook = parseRunbook(*text, sampleValues(*text));
+    EXPECT_TRUE(runbook) << name << ": " << (runbook ? "" : runbook.error().message);
   }
 }
-TEST(Observation, FieldsOfAnAnswer) {
-  const std::string j = R"({"a":{"b":[1,2,3]},"l":[{"id":"x.y","n":4},{"id":"z"}],"t":true})";
-  EXPECT_EQ(fieldOf(j, "a.b#"), "3");
-  EXPECT_EQ(fieldOf(j, "l[id=x.y].n"), "4");
-  EXPECT_EQ(fieldOf(j, "t"), "true");
-  EXPECT_EQ(fieldOf(j, "l[id=q].n"), std::nullopt);
+
+TEST(JsonPath, FindsFieldsCountsAndListElements) {
+  const std::string json = R"({"a":{"b":[1,2,3]},"l":[{"id":"x.y","n":4},{"id":"z"}],"t":true})";
+  EXPECT_EQ(fieldOf(json, "a.b#"), "3");
+  EXPECT_EQ(fieldOf(json, "l[id=x.y].n"), "4");
+  EXPECT_EQ(fieldOf(json, "t"), "true");
+  EXPECT_EQ(fieldOf(json, "l[id=q].n"), std::nullopt);
   EXPECT_EQ(fieldOf("nonsense", "t"), std::nullopt);
-  auto o = parseObservation("one t == true");
-  ASSERT_TRUE(o);
-  EXPECT_TRUE(meets(*o, {j, "{}"}));
-  EXPECT_FALSE(meets(*o, {j, j}));
 }
-TEST(ZoneDrain, IsNumberedStateLikeTheRest) {
-  ReplicatedState c;
-  auto put = [&, n = 0](LogEntry e) mutable {
-    e.index = ++n;
-    return c.apply(e);
-  };
-  EXPECT_TRUE(put(zoneDrainEntry({"za", "sunday", 25, false}, false, "1")).zoneDrains);
-  put(zoneDrainEntry({"za", "sunday", 100, true}, false, "2"));
-  ASSERT_EQ(c.state().zoneDrains.size(), 1U);
-  EXPECT_EQ(c.state().zoneDrains[0].share, 100);
-  ReplicatedState d;
-  ASSERT_TRUE(d.restore(c.snapshot()));
-  EXPECT_TRUE(d.state().zoneDrains[0].notAccepting);
-  put(zoneDrainEntry({"za", "", 0, false}, true, "3"));
-  EXPECT_TRUE(c.state().zoneDrains.empty());
+
+TEST(JsonPath, MalformedPathsFindNothing) {
+  const std::string json = R"({"l":[{"id":"z"}],"t":true})";
+  for (const auto* path : {"l[id]", "l[id=z", "t#", "t.x", "l.id", ".t", "nothing"})
+    EXPECT_EQ(fieldOf(json, path), std::nullopt) << path;
+}
+
+TEST(Observation, QuantifierSaysHowManyAnswersMustMeetIt) {
+  const std::string met = R"({"t":true})";
+  const auto one = parseObservation("one t == true");
+  ASSERT_TRUE(one);
+  EXPECT_TRUE(meets(*one, {met, "{}"}));
+  EXPECT_FALSE(meets(*one, {met, met}));
+  const auto all = parseObservation("all t == true");
+  ASSERT_TRUE(all);
+  EXPECT_TRUE(meets(*all, {met, met}));
+  EXPECT_FALSE(meets(*all, {met, "{}"}));
+  EXPECT_FALSE(meets(*all, {}));
+  const auto any = parseObservation("t == true");
+  ASSERT_TRUE(any);
+  EXPECT_TRUE(meets(*any, {met, "{}"}));
+  EXPECT_FALSE(meets(*any, {"{}"}));
+}
+
+TEST(Observation, ComparesAsTextOrAsNumber) {
+  struct {
+    const char* observation;
+    bool met;
+  } const cases[] = {{"n == 12", true},  {"n != 12", false}, {"n < 12.5", true},     {"n < 12", false},
+                     {"n <= 12", true},  {"n > 9", true},    {"n >= 12", true},      {"n > x", false},
+                     {"s has ee", true}, {"s > 1", false},   {"missing != x", true}, {"missing == x", false}};
+  for (const auto& expected : cases) {
+    const auto observation = parseObservation(expected.observation);
+    ASSERT_TRUE(observation) << expected.observation;
+    EXPECT_EQ(meets(*observation, {R"({"n":12,"s":"seen"})"}), expected.met) << expected.observation;
+  }
 }
-TEST(ZoneDrain, CallsAreChecked) {
-  EXPECT_TRUE(parseZoneDrainRequest(R"({"place":"za","share":50,"calmBelowPerS":20})"));
-  for (auto bad : {"{", "[]", "{}", R"({"place":"za","share":101})", R"({"place":"za","share":-1})", R"({"place":7})",
-                   R"({"place":"z","doorsShut":"yes"})"})
-    EXPECT_FALSE(parseZoneDrainRequest(bad)) << bad;
+
+TEST(ZoneDrain, IsReplicatedState) {
+  using namespace zinccleat::state_machine;
+  ReplicatedState state;
+  const auto apply = [&, index = 0](transport::LogEntry entry) mutable {
+    entry.index = ++index;
+    return state.apply(entry);
+  };
+  EXPECT_TRUE(apply(zoneDrainEntry({"za", "sunday", 25, false}, false, "1")).zoneDrains);
+  apply(zoneDrainEntry({"za", "sunday", 100, true}, false, "2"));
+  ASSERT_EQ(state.state().zoneDrains.size(), 1U);
+  EXPECT_EQ(state.state().zoneDrains[0].share, 100);
+  ReplicatedState restored;
+  ASSERT_TRUE(restored.restore(state.snapshot()));
+  EXPECT_TRUE(restored.state().zoneDrains[0].notAccepting);
+  apply(zoneDrainEntry({"za", "", 0, false}, true, "3"));
+  EXPECT_TRUE(state.state().zoneDrains.empty());
 }
