--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -7,7 +7,7 @@
 #include <filesystem>
 #include <regex>
 
-#include "operations/observe.hpp"
+#include "operations/observation.hpp"
 #include "operations/runbook.hpp"
 #include "simulation/plan.hpp"
 
