--- a/libs/agent/include/agent/port.hpp
+++ b/libs/agent/include/agent/port.hpp
@@ -1,4 +1,6 @@
+/// Where an agent listens for its proxy.
 #pragma once
 namespace zinccleat::agent {
-constexpr int kAgentPortOffset = 1;  // where the agent listens for its proxy: an offset into the internal ports
-}
+/// The agent's port, counted from the first of the machine's internal ports. It is bound on 127.0.0.1 only.
+constexpr int kAgentPortOffset = 1;
+}  // namespace zinccleat::agent
--- /dev/null
+++ b/libs/agent/src/agent_daemon.cpp
@@ -0,0 +1,201 @@
+#include "agent/agent_daemon.hpp"
+
+#include "agent/port.hpp"
+#include "agent/request_forwarding.hpp"
+#include "runtime/log_ring.hpp"
+#include "transport/listener.hpp"
+
+namespace zinccleat::agent {
+namespace {
+constexpr auto kStateInterval = 1000ms;  // between two reports of the agent's state to the core
+constexpr int kReceiptsPerState = 32;    // ... or so many entries' messages and snapshots received
+constexpr int kStatesPerViewSample = 8;  // each so many-th report bears a sample of the partial view
+constexpr auto kLinkInterval = 250ms;    // between two looks at which links are wanted
+constexpr auto kShutdownInterval = 100ms;
+}  // namespace
+
+AgentDaemon::AgentDaemon(const config::Settings& settings)
+    : settings_(settings),
+      identity_(settings.ip + "#agent"),
+      discovery_(settings.ip, randomSeed()),
+      proxyFeed_(follower_),
+      links_(
+          settings.firstPort,
+          [this](const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+            onCoreMessage(link, envelope);
+          },
+          [this](const std::string& address, const transport::PeerLinkPtr& link) { onCoreConnected(address, link); }) {}
+
+Result<void> AgentDaemon::start() {
+  discovery_.setSeeds(settings_.seeds);
+  if (auto listening = listenForProxy(); !listening)
+    return listening;
+  chooseLinks();
+  startTimers();
+  return {};
+}
+Result<void> AgentDaemon::listenForProxy() {
+  const auto endpoint = runtime::parseEndpoint("127.0.0.1:" + std::to_string(settings_.firstPort + kAgentPortOffset));
+  if (!endpoint)
+    return tl::unexpected(endpoint.error());
+  return transport::listen(*endpoint, [this](tcp::socket socket) {
+    auto proxy = std::make_shared<transport::PeerLink>(
+        std::move(socket),
+        [this](const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+          onProxyMessage(link, envelope);
+        },
+        [](const transport::PeerLinkPtr&) {});
+    proxy->start();
+  });
+}
+void AgentDaemon::startTimers() {
+  auto& loop = runtime::EventLoop::get();
+  loop.callEvery(kLinkInterval, [this] { chooseLinks(); });
+  loop.callEvery(kStateInterval, [this] { sendStateToAll(); });
+  loop.callEvery(LogFollower::kRefetchInterval, [this] { refetchIfBehind(); });
+}
+void AgentDaemon::shutDown() {
+  // The proxy ends its work within the grace; the agent outlasts it.
+  const auto deadline = Clock::now() + settings_.timers.grace * 9 / 10;
+  runtime::EventLoop::get().callEvery(kShutdownInterval, [this, deadline] { stopWhenProxyIsGone(deadline); });
+}
+void AgentDaemon::stopWhenProxyIsGone(TimePoint deadline) {
+  if (Clock::now() >= deadline || !proxyFeed_.connected())
+    runtime::EventLoop::get().stop();
+}
+void AgentDaemon::reloadSettings(const config::Settings& settings) {
+  discovery_.setSeeds(settings.seeds);
+  chooseLinks();
+}
+
+void AgentDaemon::chooseLinks() {
+  links_.connectTo(discovery_.desiredAddresses(
+      Clock::now(), [this](const std::string& address) { return links_.isConnected(address); }));
+}
+transport::PeerLinkPtr AgentDaemon::leaderLink() const {
+  return links_.connectedLink(discovery_.leaderAddress());
+}
+transport::Envelope AgentDaemon::stateMessage() {
+  transport::AgentState state;
+  state.lastApplied = follower_.replica().lastApplied();
+  if (++stateMessages_ % kStatesPerViewSample == 1)
+    state.view = discovery_.sampleView();
+  return transport::pack(state, identity_);
+}
+void AgentDaemon::sendStateToAll() {
+  links_.sendToAll([this] { return stateMessage(); });
+  receiptsSinceState_ = 0;
+}
+void AgentDaemon::sendStateIfDue(const transport::PeerLinkPtr& link) {
+  if (++receiptsSinceState_ < kReceiptsPerState)
+    return;
+  link->send(stateMessage());
+  receiptsSinceState_ = 0;
+}
+
+void AgentDaemon::follow(const transport::PeerLinkPtr& link, bool refetch) {
+  link->send(transport::pack(follower_.follow(Clock::now(), refetch), identity_));
+}
+void AgentDaemon::refetch() {
+  if (!follower_.mayAskAgain(Clock::now()))
+    return;
+  if (const auto link = leaderLink())
+    follow(link, true);
+}
+void AgentDaemon::refetchIfBehind() {
+  if (follower_.isBehind())
+    refetch();
+}
+void AgentDaemon::applyEntries() {
+  std::vector<transport::LogEntry> entries;
+  while (auto applied = follower_.applyNext()) {
+    if (applied->change.corrupted) {
+      log::error("replica_corrupted", {{"index", applied->entry.index}, {"reason", "a delta did not fit"}});
+      refetch();
+    }
+    entries.push_back(std::move(applied->entry));
+  }
+  proxyFeed_.sendEntries(std::move(entries));
+}
+
+void AgentDaemon::onCoreConnected(const std::string& address, const transport::PeerLinkPtr& link) {
+  link->send(stateMessage());
+  if (address == discovery_.leaderAddress())
+    follow(link, false);
+}
+void AgentDaemon::onCoreMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  if (!envelope.sender.empty())
+    discovery_.recordContact(envelope.sender);
+  transport::receive<transport::ClusterStatus>(
+      link, envelope, [this](const transport::ClusterStatus& status) { onClusterStatus(status); });
+  transport::receive<transport::FeedEntries>(link, envelope,
+                                             [&](transport::FeedEntries feed) { onEntries(link, std::move(feed)); });
+  transport::receive<transport::FeedSnapshot>(
+      link, envelope, [&](const transport::FeedSnapshot& snapshot) { onSnapshot(link, snapshot); });
+  transport::receive<transport::BodyAhead>(link, envelope, [this](transport::BodyAhead body) {
+    follower_.offerBody(std::move(body));
+    applyEntries();
+  });
+  transport::receive<transport::LeaseResponse>(
+      link, envelope, [this](const transport::LeaseResponse& response) { onLeaseResponse(response); });
+  if (isResponseForProxy(envelope.type))
+    proxyFeed_.forward(envelope);
+}
+void AgentDaemon::onClusterStatus(const transport::ClusterStatus& status) {
+  const auto change = discovery_.observe(status);
+  if (change.stale)
+    return;
+  if (change.voters)
+    chooseLinks();
+  if (change.leader) {
+    discovery_.setLeader(status.leader);
+    log::debug("leader_followed", {{"member", status.leader}, {"term", status.term}});
+    follower_.stopFollowing();
+    chooseLinks();
+  }
+  if (follower_.following())
+    return;
+  if (const auto link = leaderLink())
+    follow(link, false);
+}
+void AgentDaemon::onEntries(const transport::PeerLinkPtr& link, transport::FeedEntries feed) {
+  if (!discovery_.acceptsTerm(feed.term))
+    return;
+  follower_.offer(std::move(feed));
+  applyEntries();
+  sendStateIfDue(link);
+}
+void AgentDaemon::onSnapshot(const transport::PeerLinkPtr& link, const transport::FeedSnapshot& snapshot) {
+  if (!discovery_.acceptsTerm(snapshot.term) || !follower_.needsSnapshot(snapshot))
+    return;
+  if (const auto restored = follower_.restore(snapshot); !restored) {
+    log::error("snapshot_declined", {{"index", snapshot.lastIncludedIndex}, {"reason", restored.error().message}});
+    return refetch();
+  }
+  proxyFeed_.sendSnapshot();
+  applyEntries();
+  sendStateIfDue(link);
+}
+void AgentDaemon::onLeaseResponse(const transport::LeaseResponse& response) {
+  if (!response.granted)
+    return;
+  const bool behind = follower_.recordCommitIndex(response.commitIndex);
+  discovery_.recordLease(Clock::now());
+  if (behind)
+    refetch();
+}
+void AgentDaemon::onProxyMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  transport::receive<transport::FollowLog>(
+      link, envelope, [&](const transport::FollowLog& request) { proxyFeed_.subscribe(link, request); });
+  if (isRequestForLeader(envelope.type))
+    forwardToLeader(link, envelope);
+}
+void AgentDaemon::forwardToLeader(const transport::PeerLinkPtr& proxy, const transport::Envelope& envelope) {
+  const auto leader = leaderLink();
+  if (!leader)
+    return proxy->send(transport::pack(transport::ClusterStatus{}));  // keeps the link alive: there is no leader to ask
+  auto forwarded = envelope;
+  forwarded.sender = identity_;
+  leader->send(forwarded);
+}
+}  // namespace zinccleat::agent
--- /dev/null
+++ b/libs/agent/src/log_follower.cpp
@@ -0,0 +1,54 @@
+#include "agent/log_follower.hpp"
+
+namespace zinccleat::agent {
+transport::FollowLog LogFollower::follow(TimePoint now, bool refetch) {
+  lastFollow_ = now;
+  following_ = true;
+  // A corrupted replica asks for the complete state.
+  return {.lastApplied = replica_.corrupted() ? 0 : replica_.lastApplied(),
+          .cachedDigest = replica_.state().digest,
+          .refetch = refetch};
+}
+bool LogFollower::isBehind() const {
+  return replica_.hasGap() || replica_.lastApplied() < newestIndex_ || replica_.corrupted();
+}
+void LogFollower::offer(transport::FeedEntries feed) {
+  for (auto& entry : feed.entries)
+    replica_.offer(std::move(entry));
+  newestIndex_ = std::max(newestIndex_, feed.newestIndex);
+}
+std::optional<FollowedReplica::Applied> LogFollower::applyNext() {
+  auto applied = replica_.applyNext();
+  if (!applied)
+    return std::nullopt;
+  tail_.push_back(applied->entry);
+  if (tail_.size() > kTailCapacity)
+    tail_.pop_front();
+  return applied;
+}
+Result<void> LogFollower::restore(const transport::FeedSnapshot& snapshot) {
+  if (auto restored = replica_.restore(snapshot); !restored) {
+    replica_.markCorrupted();
+    return restored;
+  }
+  tail_.clear();
+  newestIndex_ = std::max(newestIndex_, snapshot.lastIncludedIndex);
+  return {};
+}
+bool LogFollower::recordCommitIndex(std::int64_t index) {
+  newestIndex_ = std::max(newestIndex_, index);
+  return replica_.lastApplied() < index;
+}
+std::optional<transport::FeedEntries> LogFollower::entriesAfter(std::int64_t index) const {
+  transport::FeedEntries feed;
+  for (const auto& entry : tail_)
+    if (entry.index > index)
+      feed.entries.push_back(entry);
+  const bool behind = index < replica_.lastApplied();
+  const bool tailReaches = !feed.entries.empty() && feed.entries.front().index == index + 1;
+  if (behind && !tailReaches)
+    return std::nullopt;
+  feed.newestIndex = replica_.lastApplied();
+  return feed;
+}
+}  // namespace zinccleat::agent
