--- /dev/null
+++ b/libs/proxy_daemon/include/proxy_daemon/lease_renewal.hpp
@@ -0,0 +1,40 @@
+/// Until when a proxy may serve. Pure: the present time is passed in.
+///
+/// A lease says that the proxy's configuration was the newest when the leader answered. It lasts from the moment of the
+/// proxy's own request, so clocks need not agree, and it may be used only once everything is applied here that was
+/// committed when the leader answered. Source: Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for
+/// distributed file cache consistency" (SOSP 1989).
+#pragma once
+#include "config/settings.hpp"
+#include "proxy_daemon/pending_requests.hpp"
+#include "transport/access_messages.hpp"
+namespace zinccleat::proxy_daemon {
+class LeaseRenewal {
+ public:
+  /// A response that grants the lease.
+  struct Granted {
+    TimePoint requestedAt;
+    bool newestRequest = false;  ///< the response is to the newest request
+  };
+  /// How long a lease lasts under these settings. It ends a margin before a revoked key must be refused, as a request
+  /// may be in progress when it ends.
+  static Duration leaseDuration(const config::Timers& timers);
+
+  /// @param previousId see `PendingRequests`.
+  LeaseRenewal(Duration leaseDuration, std::int64_t previousId) : leaseDuration_(leaseDuration), pending_(previousId) {}
+  /// Begins a renewal.
+  /// @return the id of its request.
+  std::int64_t start(TimePoint now) { return pending_.start(now); }
+  /// Takes over a response.
+  /// @return none if it grants nothing, or answers no pending request.
+  std::optional<Granted> accept(const transport::LeaseResponse& response);
+  /// When the lease ends that may be used once entries up to `lastApplied` are applied; none if none may.
+  std::optional<TimePoint> usableUntil(std::int64_t lastApplied) const;
+
+ private:
+  Duration leaseDuration_;
+  PendingRequests pending_;
+  TimePoint grantedUntil_{};        // of the grant that lasts longest
+  std::int64_t requiredIndex_ = 0;  // must be applied before that grant may be used
+};
+}  // namespace zinccleat::proxy_daemon
--- /dev/null
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -0,0 +1,212 @@
+#include "proxy_daemon/daemon.hpp"
+
+#include "agent/port.hpp"
+#include "proxy/proxy.hpp"
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::proxy_daemon {
+namespace {
+constexpr auto kRenewalInterval = 400ms;
+constexpr auto kRenewalIntervalWithoutLease = kRenewalInterval / 4;
+constexpr auto kConnectionSweepInterval = 1000ms;
+constexpr auto kShutdownInterval = 100ms;
+/// This node's retry budget stays below the rule's by a margin.
+constexpr double kRetryRatioPart = 0.75;
+constexpr double kRetrySlackPart = 0.5;
+constexpr int kRetryWindowParts = 4;
+
+double randomFraction() {
+  constexpr std::uint64_t kSteps = 10007;
+  return static_cast<double>(randomSeed() % kSteps) / kSteps;
+}
+}  // namespace
+
+ProxyDaemon::ProxyDaemon(const config::Settings& settings)
+    : settings_(settings),
+      adoption_(context_, settings.zones),
+      lease_(LeaseRenewal::leaseDuration(settings.timers), randomRequestId()),
+      report_(context_, settings.zones, Clock::now()),
+      quotaTokens_(context_, agentLink_),
+      readiness_(context_),
+      retrySlackDraw_(randomFraction()) {
+  context_.zone = settings.zone;
+  context_.rng.seed(randomSeed());
+  context_.runners = balancing::RunnerPool(randomSeed());
+  context_.runners.regions(settings.zones);
+  context_.budget =
+      balancing::Budget(settings.timers.retryRatio * kRetryRatioPart, settings.timers.retryWindow / kRetryWindowParts);
+  applyLimits();
+  connectCallbacks();
+}
+void ProxyDaemon::applyLimits() {
+  constexpr int kReservedDescriptors = 260;  // for files, listeners, the agent, and a margin
+  constexpr int kDescriptorsPerRequest = 2;  // one for the client, one for the runner
+  constexpr int kMinClients = 64;
+  constexpr std::size_t kBytesPerMb = std::size_t{1024} * 1024;
+  constexpr std::size_t kMemoryPartForBodies = 4;
+  if (settings_.fdLimit > 0)
+    context_.maxClients = std::max(kMinClients, (settings_.fdLimit - kReservedDescriptors) / kDescriptorsPerRequest);
+  if (settings_.memoryMb > 0)
+    context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryPartForBodies;
+}
+void ProxyDaemon::connectCallbacks() {
+  context_.drawGrants = [this] { renewLease(); };
+  context_.askTokens = [this] { quotaTokens_.requestSoon(); };
+  if (!settings_.partner || settings_.partner->access.empty())
+    return;
+  partnerLookup_.emplace(context_, agentLink_, settings_.partner->secret);
+  context_.lookupPartner = [this](std::uint64_t promptPrefix, const std::string& tenant) {
+    return partnerLookup_->lookup(promptPrefix, tenant);
+  };
+}
+
+Result<void> ProxyDaemon::start() {
+  const auto access = runtime::parseEndpoint(settings_.accessAddress);
+  const auto readiness = runtime::parseEndpoint(settings_.readinessAddress);
+  const auto agent =
+      runtime::parseEndpoint("127.0.0.1:" + std::to_string(settings_.firstPort + agent::kAgentPortOffset));
+  for (const auto* endpoint : {&access, &readiness, &agent})
+    if (!*endpoint)
+      return tl::unexpected(endpoint->error());
+  agentLink_.start(
+      *agent,
+      [this](const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+        onAgentMessage(link, envelope);
+      },
+      [this](const transport::PeerLinkPtr& link) { onAgentConnected(link); });
+  if (auto listening = listenForClients(*access); !listening)
+    return listening;
+  if (auto listening = readiness_.start(*readiness); !listening)
+    return listening;
+  startTimers();
+  return {};
+}
+Result<void> ProxyDaemon::listenForClients(const tcp::endpoint& endpoint) {
+  auto listener =
+      transport::openListener(endpoint, [this](tcp::socket socket) { proxy::takeClient(context_, std::move(socket)); });
+  if (!listener)
+    return tl::unexpected(listener.error());
+  clientListener_ = std::move(*listener);
+  return {};
+}
+void ProxyDaemon::startTimers() {
+  auto& loop = runtime::EventLoop::get();
+  loop.callEvery(kRenewalInterval, [this] { renewLease(); });
+  // More often without a lease: while there is no leader, such a request goes no further than the agent.
+  loop.callEvery(kRenewalIntervalWithoutLease, [this] {
+    if (!context_.hasLease(Clock::now()))
+      renewLease();
+  });
+  loop.callEvery(kConnectionSweepInterval, [this] { context_.connections.sweep(Clock::now()); });
+}
+void ProxyDaemon::shutDown() {
+  if (context_.shutdown.begin(Clock::now(), settings_.timers.grace))
+    runtime::EventLoop::get().callEvery(kShutdownInterval, [this] { advanceShutdown(Clock::now()); });
+}
+void ProxyDaemon::advanceShutdown(TimePoint now) {
+  if (!context_.shutdown.takesRequests(now)) {
+    clientListener_->close();
+    context_.idleConnections.limit(proxy::kIdleWhileLeaving);
+  }
+  if (context_.shutdown.mayExit(now, context_.clients, context_.inFlight))
+    runtime::EventLoop::get().stop();
+}
+
+void ProxyDaemon::onAgentConnected(const transport::PeerLinkPtr& link) {
+  transport::FollowLog message;
+  message.lastApplied = replica_.lastApplied();
+  message.cachedDigest = replica_.state().digest;
+  message.refetch = replica_.corrupted();
+  link->send(transport::pack(message));
+  renewLease();
+}
+void ProxyDaemon::onAgentMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  transport::receive<transport::FeedSnapshot>(
+      link, envelope, [this](const transport::FeedSnapshot& snapshot) { onSnapshot(snapshot); });
+  transport::receive<transport::FeedEntries>(link, envelope,
+                                             [this](transport::FeedEntries feed) { onEntries(std::move(feed)); });
+  transport::receive<transport::LeaseResponse>(
+      link, envelope, [this](const transport::LeaseResponse& response) { onLeaseResponse(response); });
+  transport::receive<transport::QuotaTokenResponse>(
+      link, envelope, [this](const transport::QuotaTokenResponse& response) { quotaTokens_.accept(response); });
+  transport::receive<transport::PrefixLookupResponse>(link, envelope, [this](transport::PrefixLookupResponse response) {
+    if (partnerLookup_)
+      partnerLookup_->accept(std::move(response));
+  });
+}
+
+void ProxyDaemon::onSnapshot(const transport::FeedSnapshot& snapshot) {
+  if (!replica_.needsSnapshot(snapshot))
+    return;
+  if (const auto restored = replica_.restore(snapshot); !restored) {
+    log::error("snapshot_declined", {{"index", snapshot.lastIncludedIndex}, {"reason", restored.error().message}});
+    return requestSnapshot();
+  }
+  adopt({.configuration = true, .runners = true, .zoneDrains = true});
+  applyEntries();
+}
+void ProxyDaemon::onEntries(transport::FeedEntries feed) {
+  for (auto& entry : feed.entries)
+    replica_.offer(std::move(entry));
+  applyEntries();
+}
+/// Does not yield: no request sees a part of the entries applied.
+void ProxyDaemon::applyEntries() {
+  state_machine::ReplicatedState::Change changes;
+  while (const auto applied = replica_.applyNext()) {
+    changes.configuration |= applied->change.configuration;
+    changes.runners |= applied->change.runners;
+    changes.zoneDrains |= applied->change.zoneDrains;
+  }
+  if (replica_.corrupted()) {
+    log::error("replica_corrupted", {{"index", replica_.lastApplied()}, {"reason", "a delta did not fit"}});
+    return requestSnapshot();
+  }
+  adopt(changes);
+  useLease();
+}
+/// A corrupted replica must not decide about requests: nothing is served until a full snapshot has come.
+void ProxyDaemon::requestSnapshot() {
+  replica_.markCorrupted();
+  context_.leaseEnds = {};
+  transport::FollowLog message;
+  message.refetch = true;
+  agentLink_.send(message);
+}
+void ProxyDaemon::adopt(state_machine::ReplicatedState::Change change) {
+  if (adoption_.adopt(replica_.state(), change))
+    renewLease();
+}
+
+void ProxyDaemon::renewLease() {
+  if (!agentLink_.connected())
+    return;
+  const auto now = Clock::now();
+  transport::LeaseRequest request;
+  request.requestId = lease_.start(now);
+  report_.fill(request, now, replica_.state().zoneDrains);
+  request.outliersVersion = adoption_.ejectionsVersion();
+  agentLink_.send(request);
+}
+void ProxyDaemon::onLeaseResponse(const transport::LeaseResponse& response) {
+  const auto granted = lease_.accept(response);
+  if (!granted)
+    return;
+  // Only from the newest: what a later request reported of the local reserve did not include these tokens yet.
+  if (granted->newestRequest)
+    context_.quota.drawn(response.grants, granted->requestedAt);
+  if (response.accessMachines > 0)
+    context_.budget.share(settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines),
+                          retrySlackDraw_);
+  adoption_.adoptEjections(response);
+  useLease();
+}
+void ProxyDaemon::useLease() {
+  const auto usableUntil = lease_.usableUntil(replica_.lastApplied());
+  if (!usableUntil || replica_.corrupted())
+    return;
+  if (context_.leaseEnds == TimePoint{})
+    log::debug("lease_acquired", {{"index", replica_.lastApplied()}});
+  context_.leaseEnds = std::max(context_.leaseEnds, *usableUntil);
+}
+}  // namespace zinccleat::proxy_daemon
--- /dev/null
+++ b/libs/proxy_daemon/src/state_adoption.cpp
@@ -0,0 +1,39 @@
+#include "proxy_daemon/state_adoption.hpp"
+
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::proxy_daemon {
+bool StateAdoption::adopt(const state_machine::StateContents& state, state_machine::ReplicatedState::Change change) {
+  if (change.runners)
+    adoptRunners(state);
+  if (change.zoneDrains)
+    adoptZoneDrains(state);
+  return change.configuration && !state.configuration.empty() && adoptConfiguration(state);
+}
+void StateAdoption::adoptEjections(const transport::LeaseResponse& response) {
+  if (response.outliersVersion == 0 || response.outliersVersion == ejectionsVersion_)
+    return;
+  ejectionsVersion_ = response.outliersVersion;
+  ejections_ = response.outliers;
+  context_.runners.setEjected(ejections_);
+}
+void StateAdoption::adoptRunners(const state_machine::StateContents& state) {
+  context_.runners.follow(state.runners);
+  context_.runners.setEjected(ejections_);  // a runner that joins may be on the list already
+}
+void StateAdoption::adoptZoneDrains(const state_machine::StateContents& state) {
+  auto levels = drainLevels(zones_, state.zoneDrains);
+  const auto own = levels.find(context_.zone);
+  context_.zoneDraining = own != levels.end() && own->second.migrateStreams;
+  context_.runners.setZoneDrains(std::move(levels));
+}
+bool StateAdoption::adoptConfiguration(const state_machine::StateContents& state) {
+  const auto configuration = config::parseConfiguration(state.configuration);
+  if (!configuration) {
+    log::error("configuration_unreadable", {{"version", state.version}, {"reason", configuration.error().message}});
+    return false;
+  }
+  context_.configuration = *configuration;
+  return true;
+}
+}  // namespace zinccleat::proxy_daemon
--- /dev/null
+++ b/libs/proxy_daemon/src/zone_drains.cpp
@@ -0,0 +1,21 @@
+#include "proxy_daemon/zone_drains.hpp"
+
+namespace zinccleat::proxy_daemon {
+std::set<std::string> zonesNamed(const ZoneToRegion& zones, const std::string& name) {
+  std::set<std::string> named;
+  for (const auto& [zone, region] : zones)
+    if (zone == name || region == name)
+      named.insert(zone);
+  return named;
+}
+ZoneDrainLevels drainLevels(const ZoneToRegion& zones, const std::vector<state_machine::ZoneDrain>& drains) {
+  ZoneDrainLevels levels;
+  for (const auto& drain : drains)
+    for (const auto& zone : zonesNamed(zones, drain.zone)) {
+      auto& level = levels[zone];
+      level.share = std::max(level.share, static_cast<int>(drain.drainPercent));
+      level.migrateStreams = level.migrateStreams || drain.notAccepting;
+    }
+  return levels;
+}
+}  // namespace zinccleat::proxy_daemon
--- /dev/null
+++ b/tests/lease_renewal_test.cpp
@@ -0,0 +1,107 @@
+// Until when a proxy may serve, and the matching of responses to requests.
+#include "proxy_daemon/lease_renewal.hpp"
+
+#include <gtest/gtest.h>
+
+using namespace zinccleat;
+using namespace zinccleat::proxy_daemon;
+using transport::LeaseResponse;
+
+namespace {
+const TimePoint kNow = TimePoint{} + 1h;
+constexpr Duration kLease{3500};
+
+LeaseResponse grant(std::int64_t requestId, std::int64_t commitIndex = 0) {
+  LeaseResponse response;
+  response.requestId = requestId;
+  response.granted = true;
+  response.commitIndex = commitIndex;
+  return response;
+}
+}  // namespace
+
+TEST(PendingRequests, IdsAscendAndResponsesCountOnce) {
+  PendingRequests pending(100);
+  EXPECT_EQ(pending.start(kNow), 101);
+  EXPECT_EQ(pending.start(kNow + 5ms), 102);
+  EXPECT_EQ(pending.newestId(), 102);
+  EXPECT_EQ(pending.startedAt(102), kNow + 5ms);
+  EXPECT_TRUE(pending.finish(101));
+  EXPECT_FALSE(pending.finish(101));
+  EXPECT_FALSE(pending.startedAt(101));
+  EXPECT_FALSE(pending.finish(7)) << "of an earlier incarnation";
+}
+TEST(PendingRequests, ForgetsTheOldest) {
+  PendingRequests pending(0);
+  for (std::size_t i = 0; i <= PendingRequests::kCapacity; ++i)
+    pending.start(kNow);
+  EXPECT_FALSE(pending.startedAt(1));
+  EXPECT_TRUE(pending.startedAt(2));
+  EXPECT_TRUE(pending.startedAt(17));
+}
+TEST(PendingRequests, RandomIdsStayShortOnTheWire) {
+  for (int i = 0; i < 100; ++i) {
+    const auto id = randomRequestId();
+    EXPECT_GE(id, 0);
+    EXPECT_LT(id, std::int64_t{1} << 40);
+  }
+}
+
+TEST(LeaseRenewal, DurationLeavesAMarginBeforeRevocation) {
+  config::Timers timers;
+  timers.revoke = 5000ms;
+  EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 3500ms);
+  timers.revoke = 1200ms;
+  EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 500ms);
+  timers.revokedFail = false;
+  EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 60s);
+}
+TEST(LeaseRenewal, NothingIsUsableBeforeTheFirstGrant) {
+  LeaseRenewal lease(kLease, 0);
+  lease.start(kNow);
+  EXPECT_FALSE(lease.usableUntil(1000));
+}
+TEST(LeaseRenewal, LastsFromItsRequestNotFromTheResponse) {
+  LeaseRenewal lease(kLease, 0);
+  const auto first = lease.start(kNow);
+  lease.start(kNow + 400ms);
+  const auto granted = lease.accept(grant(first));
+  ASSERT_TRUE(granted);
+  EXPECT_EQ(granted->requestedAt, kNow);
+  EXPECT_FALSE(granted->newestRequest);
+  EXPECT_EQ(lease.usableUntil(0), kNow + kLease);
+}
+TEST(LeaseRenewal, UsableOnlyOnceTheReplicaHasCaughtUp) {
+  LeaseRenewal lease(kLease, 0);
+  lease.accept(grant(lease.start(kNow), 12));
+  EXPECT_FALSE(lease.usableUntil(11));
+  EXPECT_EQ(lease.usableUntil(12), kNow + kLease);
+}
+TEST(LeaseRenewal, ALaterGrantExtendsAndRaisesTheIndex) {
+  LeaseRenewal lease(kLease, 0);
+  const auto first = lease.start(kNow);
+  const auto second = lease.start(kNow + 400ms);
+  EXPECT_TRUE(lease.accept(grant(second, 20))->newestRequest);
+  EXPECT_TRUE(lease.accept(grant(first, 30))) << "late, and older: it changes nothing";
+  EXPECT_FALSE(lease.usableUntil(19));
+  EXPECT_EQ(lease.usableUntil(20), kNow + 400ms + kLease);
+}
+TEST(LeaseRenewal, AnOlderCommitIndexDoesNotLowerTheRequiredOne) {
+  LeaseRenewal lease(kLease, 0);
+  lease.accept(grant(lease.start(kNow), 20));
+  lease.accept(grant(lease.start(kNow + 400ms), 10));
+  EXPECT_FALSE(lease.usableUntil(19));
+  EXPECT_EQ(lease.usableUntil(20), kNow + 400ms + kLease);
+}
+TEST(LeaseRenewal, RefusalsRepeatsAndStrangersGrantNothing) {
+  LeaseRenewal lease(kLease, 0);
+  const auto request = lease.start(kNow);
+  auto refusal = grant(request);
+  refusal.granted = false;
+  EXPECT_FALSE(lease.accept(refusal));
+  EXPECT_FALSE(lease.accept(grant(request + 1)));
+  EXPECT_FALSE(lease.usableUntil(0));
+
+  EXPECT_TRUE(lease.accept(grant(request))) << "a refusal leaves the request pending";
+  EXPECT_FALSE(lease.accept(grant(request)));
+}
