--- a/libs/agent/src/agent.cpp
+++ b/libs/agent/src/agent.cpp
@@ -1,7 +1,7 @@
 #include "agent/agent.hpp"
 
 #include "agent/agent_daemon.hpp"
-#include "config/daemon.hpp"
+#include "config/run_daemon.hpp"
 
 namespace zinccleat::agent {
 int runAgent(const config::Settings& settings) {
--- a/libs/config/src/daemon.cpp
+++ b/libs/config/src/run_daemon.cpp
@@ -1,4 +1,4 @@
-#include "config/daemon.hpp"
+#include "config/run_daemon.hpp"
 
 #include "runtime/lifecycle.hpp"
 #include "runtime/log_ring.hpp"
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -1,6 +1,6 @@
 #include "proxy_daemon/proxy_daemon.hpp"
 
-#include "config/daemon.hpp"
+#include "config/run_daemon.hpp"
 #include "proxy_daemon/daemon.hpp"
 
 namespace zinccleat::proxy_daemon {
