--- a/libs/agent/include/agent/agent_daemon.hpp
+++ b/libs/agent/include/agent/agent_daemon.hpp
@@ -15,7 +15,7 @@
   /// Listens for the proxy, connects to the core and starts the timers.
   /// @return the error of the proxy's endpoint or of its listener.
   Result<void> start();
-  /// SIGTERM has come: ends the event loop once the proxy is gone, or after nine tenths of the grace.
+  /// SIGTERM has come: ends the event loop once the proxy has disconnected, or after nine tenths of the grace.
   void shutDown();
   /// Takes over the seeds of settings that were read again.
   void reloadSettings(const config::Settings& settings);
@@ -23,7 +23,7 @@
  private:
   Result<void> listenForProxy();
   void startTimers();
-  void stopWhenProxyIsGone(TimePoint deadline);
+  void stopOnceProxyDisconnects(TimePoint deadline);
 
   void chooseLinks();
   transport::PeerLinkPtr leaderLink() const;
--- a/libs/agent/include/agent/followed_replica.hpp
+++ b/libs/agent/include/agent/followed_replica.hpp
@@ -17,7 +17,7 @@
   void offer(transport::LogEntry entry) { queue_.offer(std::move(entry)); }
   /// Keeps the body of a large write for its entry, which follows without it.
   void offerBody(const std::string& digest, std::string body) { queue_.body(digest, std::move(body)); }
-  /// Applies the next entry. Its change may tell that the replica is corrupted now.
+  /// Applies the next entry. Its change says whether the replica is corrupted now.
   /// @return none if the next entry has not arrived yet.
   std::optional<Applied> applyNext();
   /// Whether a snapshot would bring this replica forward, or repair it.
--- a/libs/agent/include/agent/leader_discovery.hpp
+++ b/libs/agent/include/agent/leader_discovery.hpp
@@ -10,7 +10,7 @@
 /// number of its connections does not grow with the core.
 class LeaderDiscovery {
  public:
-  /// Links to voters besides the leader, which tell of the next leader.
+  /// Links to voters besides the leader, which announce the next leader.
   static constexpr std::size_t kExtraVoterLinks = 2;
   /// Without a granted lease for so long, links to all known machines are wanted.
   static constexpr auto kLeaseTimeout = 1000ms;
--- a/libs/agent/include/agent/log_follower.hpp
+++ b/libs/agent/include/agent/log_follower.hpp
@@ -1,4 +1,4 @@
-/// The agent's side of following the replicated log: what to ask the leader for, and when. Pure: messages come in,
+/// The agent's side of following the replicated log: what to request from the leader, and when. Pure: messages come in,
 /// messages to be sent go out, the present time is passed in.
 #pragma once
 #include "agent/followed_replica.hpp"
@@ -12,16 +12,16 @@
   /// Entries kept for a proxy that connects again.
   static constexpr std::size_t kTailCapacity = 256;
 
-  /// Subscribes to the leader's log, or asks again for what is missing.
+  /// Subscribes to the leader's log, or requests again what is missing.
   transport::FollowLog follow(TimePoint now, bool refetch);
-  /// Whether the leader was asked since `stopFollowing`.
+  /// Whether the leader was sent a request since `stopFollowing`.
   bool following() const { return following_; }
-  /// There is another leader, which has to be asked.
+  /// There is another leader, whose log has to be subscribed to.
   void stopFollowing() { following_ = false; }
   /// Whether something is missing that is known to exist.
   bool isBehind() const;
-  /// Whether `kRefetchInterval` has passed since the leader was asked.
-  bool mayAskAgain(TimePoint now) const { return now - lastFollow_ >= kRefetchInterval; }
+  /// Whether `kRefetchInterval` has passed since the last request.
+  bool mayRefetch(TimePoint now) const { return now - lastFollow_ >= kRefetchInterval; }
 
   /// Queues the entries of a message.
   void offer(transport::FeedEntries feed);
--- a/libs/agent/include/agent/proxy_feed.hpp
+++ b/libs/agent/include/agent/proxy_feed.hpp
@@ -11,7 +11,7 @@
   explicit ProxyFeed(const LogFollower& follower) : follower_(follower) {}
   /// Whether a proxy has subscribed and is connected.
   bool connected() const { return link_ && link_->open(); }
-  /// A proxy subscribes, or asks again for what it lacks: it gets entries, or a snapshot if those do not suffice.
+  /// A proxy subscribes, or requests again what it lacks: it gets entries, or a snapshot if those do not suffice.
   void subscribe(const transport::PeerLinkPtr& link, const transport::FollowLog& request);
   /// Sends entries that were applied just now, if there are any and a proxy is connected.
   void sendEntries(std::vector<transport::LogEntry> entries);
--- a/libs/agent/src/agent_daemon.cpp
+++ b/libs/agent/src/agent_daemon.cpp
@@ -57,9 +57,9 @@
 void AgentDaemon::shutDown() {
   // The proxy ends its work within the grace; the agent outlasts it.
   const auto deadline = Clock::now() + settings_.timers.grace * 9 / 10;
-  runtime::EventLoop::get().callEvery(kShutdownInterval, [this, deadline] { stopWhenProxyIsGone(deadline); });
+  runtime::EventLoop::get().callEvery(kShutdownInterval, [this, deadline] { stopOnceProxyDisconnects(deadline); });
 }
-void AgentDaemon::stopWhenProxyIsGone(TimePoint deadline) {
+void AgentDaemon::stopOnceProxyDisconnects(TimePoint deadline) {
   if (Clock::now() >= deadline || !proxyFeed_.connected())
     runtime::EventLoop::get().stop();
 }
@@ -97,7 +97,7 @@
   link->send(transport::pack(follower_.follow(Clock::now(), refetch), identity_));
 }
 void AgentDaemon::refetch() {
-  if (!follower_.mayAskAgain(Clock::now()))
+  if (!follower_.mayRefetch(Clock::now()))
     return;
   if (const auto link = leaderLink())
     follow(link, true);
@@ -193,7 +193,8 @@
 void AgentDaemon::forwardToLeader(const transport::PeerLinkPtr& proxy, const transport::Envelope& envelope) {
   const auto leader = leaderLink();
   if (!leader)
-    return proxy->send(transport::pack(transport::ClusterStatus{}));  // keeps the link alive: there is no leader to ask
+    return proxy->send(
+        transport::pack(transport::ClusterStatus{}));  // keeps the link alive: there is no leader to forward to
   auto forwarded = envelope;
   forwarded.sender = identity_;
   leader->send(forwarded);
--- a/libs/agent/src/log_follower.cpp
+++ b/libs/agent/src/log_follower.cpp
@@ -4,7 +4,7 @@
 transport::FollowLog LogFollower::follow(TimePoint now, bool refetch) {
   lastFollow_ = now;
   following_ = true;
-  // A corrupted replica asks for the complete state.
+  // A corrupted replica requests the complete state.
   return {.lastApplied = replica_.corrupted() ? 0 : replica_.lastApplied(),
           .cachedDigest = replica_.state().digest,
           .refetch = refetch};
--- a/libs/proxy_daemon/include/proxy_daemon/proxy_daemon.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/proxy_daemon.hpp
@@ -3,7 +3,7 @@
 ///
 ///  - `daemon.hpp` wires the parts below to sockets, timers and signals;
 ///  - `agent_link.hpp` is the connection to the agent on the same machine;
-///  - `lease_renewal.hpp` tells until when the proxy may serve (pure);
+///  - `lease_renewal.hpp` decides until when the proxy may serve (pure);
 ///  - `pending_requests.hpp` matches responses of the leader to requests (pure);
 ///  - `state_adoption.hpp` hands what the log says to the proxy: runners, zone drains, configuration;
 ///  - `zone_drains.hpp` resolves zones and regions (pure);
--- a/libs/proxy_daemon/src/node_report.cpp
+++ b/libs/proxy_daemon/src/node_report.cpp
@@ -24,7 +24,7 @@
   context_.countSlow(now);
   request.attempts = context_.observer.report(kMaxReportedRunners);
 }
-/// The whole machine's load, and the progress of each drain.
+/// The load of the machine, and the progress of each drain.
 std::vector<transport::ZoneLoad> NodeReport::load(TimePoint now, const std::vector<state_machine::ZoneDrain>& drains) {
   std::vector<transport::ZoneLoad> loads;
   loads.push_back({"", rate_.update(now, context_.served + context_.refused), 0});
--- a/tests/log_follower_test.cpp
+++ b/tests/log_follower_test.cpp
@@ -52,17 +52,17 @@
   EXPECT_TRUE(follower.recordCommitIndex(2));
   EXPECT_TRUE(follower.isBehind());
 }
-TEST(LogFollower, AFeedWithoutEntriesTellsOfWhatIsMissing) {
+TEST(LogFollower, AFeedWithoutEntriesShowsThatSomeAreMissing) {
   LogFollower follower;
   follower.offer(feedOf({}, 4));
   EXPECT_TRUE(follower.isBehind());
 }
-TEST(LogFollower, AsksAgainOnlyAfterTheInterval) {
+TEST(LogFollower, RefetchesOnlyAfterTheInterval) {
   LogFollower follower;
-  EXPECT_TRUE(follower.mayAskAgain(kNow));
+  EXPECT_TRUE(follower.mayRefetch(kNow));
   follower.follow(kNow, true);
-  EXPECT_FALSE(follower.mayAskAgain(kNow + 149ms));
-  EXPECT_TRUE(follower.mayAskAgain(kNow + 150ms));
+  EXPECT_FALSE(follower.mayRefetch(kNow + 149ms));
+  EXPECT_TRUE(follower.mayRefetch(kNow + 150ms));
 }
 TEST(LogFollower, RequestNamesWhatIsHere) {
   LogFollower follower;
@@ -94,7 +94,7 @@
   EXPECT_EQ(applyAll(follower), (Indexes{1}));
   EXPECT_EQ(follower.replica().state().configuration, configurationText(1, 10));
 }
-TEST(LogFollower, ACorruptedReplicaAsksForTheCompleteState) {
+TEST(LogFollower, ACorruptedReplicaRequestsTheCompleteState) {
   LogFollower follower;
   follower.offer(feedOf({firstConfiguration("x"), deltaConfiguration()}, 2));
   EXPECT_FALSE(follower.applyNext()->change.corrupted);
--- a/tests/proxy_state_test.cpp
+++ b/tests/proxy_state_test.cpp
@@ -124,7 +124,7 @@
   EXPECT_DOUBLE_EQ(rate.update(kNow + 1400ms, 9000), 500);
   EXPECT_DOUBLE_EQ(rate.update(kNow + 3000ms, 900), 200);
 }
-TEST(NodeReport, TellsTheLoadOfTheMachineAndOfEachDrain) {
+TEST(NodeReport, ContainsTheLoadOfTheMachineAndOfEachDrain) {
   proxy::ProxyContext context;
   context.zone = "z1";
   context.runners.follow({runnerIn("z1"), runnerIn("z3")});
