--- a/libs/simulation/include/simulation/trial.hpp
+++ b/libs/simulation/include/simulation/trial.hpp
@@ -1,8 +1,12 @@
-// One command for a newcomer: a small fleet on loopback that serves for some seconds while a leader and a runner are
-// lost.
+/// One command for a newcomer: a small fleet on loopback that serves for some seconds while its leader and a runner are
+/// killed.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::simulation {
-// Prints what clients saw and where to look further. 0: nothing lost, nothing doubled.
+/// Runs the trial and prints what the clients and operators saw.
+/// @param binary the program that is started as controller, agent and proxy.
+/// @param seconds for which clients send requests.
+/// @return the exit code: 0 if no request was lost, answered wrongly or run twice, and the operators' calls are
+///   linearizable; else 1.
 int trial(const std::string& binary, int seconds);
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/child_process.cpp
+++ b/libs/simulation/src/child_process.cpp
@@ -10,10 +10,10 @@
 
 namespace zinccleat::simulation {
 namespace {
-constexpr int kInheritedAs = 3;
-constexpr int kFirstClosed = kInheritedAs + 1;
+constexpr int kInheritedDescriptor = 3;
+constexpr int kFirstClosedDescriptor = kInheritedDescriptor + 1;
 constexpr int kLogMode = 0644;
-constexpr int kCannotStart = 127;  // exit status, as a shell has it
+constexpr int kExitCannotStart = 127;  // as of a shell
 
 // What the child needs between fork() and exec(), where nothing may be allocated.
 struct Launch {
@@ -23,7 +23,7 @@
   int errorPipe;  // closed by exec(); carries errno if something fails before
   pid_t parent;
 };
-// Why also look at the parent: one that ended before prctl() was called sends no signal.
+// Checks the parent too: one that ended before prctl() was called sends no signal.
 bool dieWithParent(pid_t parent) {
   return ::prctl(PR_SET_PDEATHSIG, SIGKILL) == 0 && ::getppid() == parent;
 }
@@ -31,35 +31,35 @@
   const int log = ::open(launch.logPath, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
   return log >= 0 && ::dup2(log, STDOUT_FILENO) >= 0 && ::dup2(log, STDERR_FILENO) >= 0;
 }
-// Why close the rest: a child that kept our sockets would keep connections alive that we have closed.
+// The rest is closed: a child that kept our sockets open would keep connections alive that we have closed.
 bool keepOnlyInherited(const Launch& launch) {
   // dup2() of a descriptor onto itself would leave close-on-exec as it is.
-  if (launch.inherited == kInheritedAs) {
-    if (::fcntl(kInheritedAs, F_SETFD, 0) != 0)
+  if (launch.inherited == kInheritedDescriptor) {
+    if (::fcntl(kInheritedDescriptor, F_SETFD, 0) != 0)
       return false;
-  } else if (::dup2(launch.inherited, kInheritedAs) < 0) {
+  } else if (::dup2(launch.inherited, kInheritedDescriptor) < 0) {
     return false;
   }
-  return ::close_range(kFirstClosed, ~0U, CLOSE_RANGE_CLOEXEC) == 0;
+  return ::close_range(kFirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC) == 0;
 }
 [[noreturn]] void becomeChild(Launch launch) {
   // Out of the way of descriptor 3.
-  launch.errorPipe = ::fcntl(launch.errorPipe, F_DUPFD_CLOEXEC, kFirstClosed);
+  launch.errorPipe = ::fcntl(launch.errorPipe, F_DUPFD_CLOEXEC, kFirstClosedDescriptor);
   if (launch.errorPipe >= 0 && dieWithParent(launch.parent) && redirect(launch) && keepOnlyInherited(launch))
     ::execv(launch.arguments[0], launch.arguments);
   const int error = errno;
   if (launch.errorPipe >= 0)
     (void)!::write(launch.errorPipe, &error, sizeof error);
-  ::_exit(kCannotStart);
+  ::_exit(kExitCannotStart);
 }
 // The errno that the child reports, or 0 once its exec() has closed the pipe.
 int awaitExec(int errorPipe) {
   int error = 0;
-  ssize_t got = 0;
+  ssize_t received = 0;
   do
-    got = ::read(errorPipe, &error, sizeof error);
-  while (got < 0 && errno == EINTR);
-  return got == sizeof error ? error : 0;
+    received = ::read(errorPipe, &error, sizeof error);
+  while (received < 0 && errno == EINTR);
+  return received == sizeof error ? error : 0;
 }
 }  // namespace
 
--- /dev/null
+++ b/libs/simulation/src/control_calls.cpp
@@ -0,0 +1,36 @@
+#include "control_calls.hpp"
+
+namespace zinccleat::simulation {
+namespace {
+constexpr int kOk = 200;
+constexpr auto kStatusTimeout = 1000ms;
+}  // namespace
+
+operations::Call heartbeatCall(const std::string& runnerId, std::string report) {
+  return {"POST", "/v1/Instances.Heartbeat/" + runnerId, std::move(report), {}};
+}
+operations::Call detachCall(const std::string& runnerId) {
+  return {"POST", "/v1/Instances.Detach/" + runnerId, "{}", {}};
+}
+operations::Call replaceCall(std::string configuration, std::int64_t baseVersion) {
+  return {
+      "POST", "/v1/Configuration.Replace", std::move(configuration), {{"X-Base-Version", std::to_string(baseVersion)}}};
+}
+operations::Call retrieveCall() {
+  return {"GET", "/v1/Configuration.Retrieve", "", {}};
+}
+operations::Call statusCall() {
+  return {"GET", "/v1/Status", "", {}};
+}
+bool isAcknowledged(const Result<operations::Called>& answer) {
+  return answer && answer->status == kOk;
+}
+std::optional<std::size_t> findLeader(const LocalFleet& fleet) {
+  for (std::size_t i = 0; i < fleet.core().size(); ++i) {
+    const auto status = operations::callOne(fleet.control(i), statusCall(), kStatusTimeout);
+    if (status && status->body.find("\"leased\":true") != std::string::npos)
+      return i;
+  }
+  return std::nullopt;
+}
+}  // namespace zinccleat::simulation
--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -17,24 +17,26 @@
 constexpr int kFirstInternalPort = 20'000;
 constexpr int kInternalPorts = 16;
 static_assert(kFirstInternalPort + kNetworks * kInternalPorts < 32'768);
+constexpr unsigned short kReadinessPort = 8406;
+constexpr std::size_t kMaxSeeds = 3;
 }  // namespace
 
 LocalFleet::LocalFleet(std::string binary, int core) : binary_(std::move(binary)) {
-  std::string t = std::filesystem::temp_directory_path() / "zinccleat-fleet-XXXXXX";
-  dir_ = ::mkdtemp(t.data());
+  std::string pattern = std::filesystem::temp_directory_path() / "zinccleat-fleet-XXXXXX";
+  folder_ = ::mkdtemp(pattern.data());
   reserveNetwork();
   for (int i = 0; i < core; ++i)
     core_.push_back(ip(2, i + 1));
 }
 void LocalFleet::reserveNetwork() {
   using boost::asio::ip::tcp;
-  for (int tried = 0; tried < kNetworks; ++tried) {
-    network_ = kFirstNetwork + (::getpid() + tried) % kNetworks;
+  for (int attempt = 0; attempt < kNetworks; ++attempt) {
+    network_ = kFirstNetwork + (::getpid() + attempt) % kNetworks;
     boost::system::error_code ec;
     reservation_.open(tcp::v4(), ec);
     // Without address reuse: the kernel gives the address to one socket at a time. The children inherit the socket
-    // (see spawn), so the network is free again when the last process of the fleet has ended, not when the first has.
-    reservation_.bind({boost::asio::ip::make_address_v4(ip(255, 254)), kControl}, ec);
+    // (see spawn), so the network is free again once the last process of the fleet has ended.
+    reservation_.bind({boost::asio::ip::make_address_v4(ip(255, 254)), kControlPort}, ec);
     if (!ec)
       return;
     reservation_.close(ec);
@@ -51,68 +53,75 @@
   for (std::size_t i = 0; i < processes_.size(); ++i)
     kill(i);
   std::error_code ec;
-  std::filesystem::remove_all(dir_, ec);
+  std::filesystem::remove_all(folder_, ec);
 }
-std::string LocalFleet::control(std::size_t i) const {
-  return core_[i % core_.size()] + ":" + std::to_string(kControl);
+std::string LocalFleet::control(std::size_t controller) const {
+  return core_[controller % core_.size()] + ":" + std::to_string(kControlPort);
 }
-void LocalFleet::settings(const std::string& name, const std::string& ip, const std::string& role,
-                          const std::string& addresses, bool disk) {
+std::string LocalFleet::seedNodes() const {
   std::string seeds;
-  for (std::size_t i = 0; i < std::min<std::size_t>(3, core_.size()); ++i)
+  for (std::size_t i = 0; i < std::min(kMaxSeeds, core_.size()); ++i)
     seeds += (i ? ",\"" : "\"") + control(i) + "\"";
-  if (disk)
-    std::filesystem::create_directories(dir_ + "/" + name);
-  std::ofstream(dir_ + "/" + name + ".json")
-      << "{\"nodeName\":\"" << name << "\",\"role\":\"" << role << "\",\"ip\":\"" << ip
-      << "\",\"zone\":\"z\",\"region\":\"r\",\"zones\":{\"z\":\"r\"},"
-      << "\"bindAddresses\":{" << addresses << "},\"internalPorts\":[" << internalPort() << ","
-      << internalPort() + kInternalPorts - 1 << "],\"seedNodes\":[" << seeds
-      << "],\"initialAttach\":true,\"quorumMember\":" << (disk ? "true" : "false")
-      << ",\"dataDir\":" << (disk ? "\"" + dir_ + "/" + name + "\"" : "null")
-      << ",\"heartbeatMs\":1200,\"limits\":{\"memoryMb\":256,\"fdLimit\":8192},"
-      << "\"faultTolerance\":{\"machines\":" << (core_.size() - 1) / 2 << "},\"timers\":{}}";
+  return seeds;
 }
-bool LocalFleet::spawn(Process& p) {
-  const auto path = "--settings=" + dir_ + "/" + p.settings + ".json";
-  const auto log = dir_ + "/" + p.name + ".log";
-  const pid_t pid = startChild({binary_, p.role, path}, log, reservation_.native_handle());
+void LocalFleet::writeSettings(const Machine& machine) const {
+  const auto path = folder_ + "/" + machine.name;
+  if (machine.hasDisk)
+    std::filesystem::create_directories(path);
+  std::ofstream(path + ".json") << "{\"nodeName\":\"" << machine.name << "\",\"role\":\"" << machine.role
+                                << "\",\"ip\":\"" << machine.ip
+                                << "\",\"zone\":\"z\",\"region\":\"r\",\"zones\":{\"z\":\"r\"},"
+                                << "\"bindAddresses\":{" << machine.bindAddresses << "},\"internalPorts\":["
+                                << internalPort() << "," << internalPort() + kInternalPorts - 1 << "],\"seedNodes\":["
+                                << seedNodes()
+                                << "],\"initialAttach\":true,\"quorumMember\":" << (machine.hasDisk ? "true" : "false")
+                                << ",\"dataDir\":" << (machine.hasDisk ? "\"" + path + "\"" : "null")
+                                << ",\"heartbeatMs\":1200,\"limits\":{\"memoryMb\":256,\"fdLimit\":8192},"
+                                << "\"faultTolerance\":{\"machines\":" << (core_.size() - 1) / 2 << "},\"timers\":{}}";
+}
+bool LocalFleet::spawn(Process& process) {
+  const auto settings = "--settings=" + folder_ + "/" + process.settings + ".json";
+  const auto log = folder_ + "/" + process.name + ".log";
+  const pid_t pid = startChild({binary_, process.role, settings}, log, reservation_.native_handle());
   if (pid < 0)
     return false;
-  p.pid = pid;
+  process.pid = pid;
   return true;
 }
 bool LocalFleet::startCore() {
   for (std::size_t i = 0; i < core_.size(); ++i) {
-    Process p{"core-" + std::to_string(i + 1), "controller", "core-" + std::to_string(i + 1)};
-    settings(p.name, core_[i], p.role, "\"controlPort\":\"" + control(i) + "\"", true);
-    if (!spawn(p))
+    const auto name = "core-" + std::to_string(i + 1);
+    writeSettings({name, core_[i], "controller", "\"controlPort\":\"" + control(i) + "\"", true});
+    Process process{name, "controller", name};
+    if (!spawn(process))
       return false;
-    processes_.push_back(std::move(p));
+    processes_.push_back(std::move(process));
   }
   return true;
 }
 bool LocalFleet::startPair() {
-  settings("access-1", ip(3, 1), "proxy",
-           "\"accessPort\":\"" + access() + "\",\"readinessPort\":\"" + ip(3, 1) + ":8406\"", false);
+  const std::string name = "access-1";
+  const auto readiness = ip(3, 1) + ":" + std::to_string(kReadinessPort);
+  writeSettings(
+      {name, ip(3, 1), "proxy", "\"accessPort\":\"" + access() + "\",\"readinessPort\":\"" + readiness + "\"", false});
   for (const char* role : {"agent", "proxy"}) {
-    Process p{role, role, "access-1"};
-    if (!spawn(p))
+    Process process{role, role, name};
+    if (!spawn(process))
       return false;
-    processes_.push_back(std::move(p));
+    processes_.push_back(std::move(process));
   }
   return true;
 }
-bool LocalFleet::kill(std::size_t i) {
-  auto& p = processes_[i];
-  if (p.pid <= 0)
+bool LocalFleet::kill(std::size_t process) {
+  auto& pid = processes_[process].pid;
+  if (pid <= 0)
     return false;
-  ::kill(p.pid, SIGKILL);
-  ::waitpid(p.pid, nullptr, 0);
-  p.pid = 0;
+  ::kill(pid, SIGKILL);
+  ::waitpid(pid, nullptr, 0);
+  pid = 0;
   return true;
 }
-bool LocalFleet::startAgain(std::size_t i) {
-  return processes_[i].pid == 0 && spawn(processes_[i]);
+bool LocalFleet::startAgain(std::size_t process) {
+  return processes_[process].pid == 0 && spawn(processes_[process]);
 }
 }  // namespace zinccleat::simulation
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -1,4 +1,4 @@
-// The processes of a trial or a scale run end with the one that started them, and no two runs share addresses.
+/// The processes of a trial or a scale run end with the one that started them, and no two runs share addresses.
 #include "child_process.hpp"
 
 #include <gtest/gtest.h>
@@ -21,13 +21,13 @@
 using namespace zinccleat;
 using namespace zinccleat::simulation;
 namespace {
-constexpr int kMostWaitMs = 10'000;
+constexpr int kMaxWaitMs = 10'000;
 constexpr const char* kEndless[] = {"/usr/bin/tail", "-f", "/dev/null"};
 
 std::vector<std::string> endless() {
   return {std::begin(kEndless), std::end(kEndless)};
 }
-// A program that takes any arguments and goes on until it is killed, in a folder of its own.
+// A program that takes any arguments and runs until it is killed, in a folder of its own.
 class EndlessProgram {
  public:
   EndlessProgram() {
@@ -43,30 +43,30 @@
  private:
   std::string folder_;
 };
-// True: every process that held the other end of the pipe has ended.
+// Whether every process that had the other end of the pipe open has ended.
 bool awaitEnd(int readEnd) {
   pollfd waited{readEnd, POLLIN, 0};
   char byte = 0;
-  return ::poll(&waited, 1, kMostWaitMs) == 1 && ::read(readEnd, &byte, 1) == 0;
+  return ::poll(&waited, 1, kMaxWaitMs) == 1 && ::read(readEnd, &byte, 1) == 0;
 }
-// Waits for a child, or for an orphan left to this process, and kills it if it does not end by itself.
+// Waits for a child, or for an orphan reparented to this process, and kills it if it does not end by itself.
 bool endsByItself(pid_t process) {
   const int handle = static_cast<int>(::syscall(SYS_pidfd_open, process, 0));
   pollfd waited{handle, POLLIN, 0};
-  const bool ended = handle >= 0 && ::poll(&waited, 1, kMostWaitMs) == 1;
+  const bool ended = handle >= 0 && ::poll(&waited, 1, kMaxWaitMs) == 1;
   if (!ended)
     ::kill(process, SIGKILL);
   ::waitpid(process, nullptr, 0);
   ::close(handle);
   return ended;
 }
-// The kernel's answer to another who wants the address by which a fleet reserves its network.
+// The errno of another process that binds the address by which a fleet reserves its network; 0 if it can.
 int errorOfReserving(const std::string& ip) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io);
   boost::system::error_code ec;
   acceptor.open(boost::asio::ip::tcp::v4());
-  acceptor.bind({boost::asio::ip::make_address_v4(ip), LocalFleet::kControl}, ec);
+  acceptor.bind({boost::asio::ip::make_address_v4(ip), LocalFleet::kControlPort}, ec);
   return ec.value();
 }
 std::string reservedIp(const LocalFleet& fleet) {
@@ -74,7 +74,7 @@
 }
 }  // namespace
 
-// Found when a trial crashed: its processes went on, and after nine such trials the next one served nobody.
+// Regression: the processes of a crashed trial ran on, and after nine such trials the next one could not serve.
 TEST(ChildProcess, EndsWhenItsParentIsKilled) {
   int alive[2];
   ASSERT_EQ(::pipe(alive), 0);
@@ -91,7 +91,7 @@
   EXPECT_TRUE(awaitEnd(alive[0]));
   ::close(alive[0]);
 }
-TEST(ChildProcess, LivesOnWhileItsParentDoes) {
+TEST(ChildProcess, RunsOnWhileItsParentDoes) {
   int alive[2];
   ASSERT_EQ(::pipe(alive), 0);
   const pid_t child = startChild(endless(), "/dev/null", alive[1]);
@@ -105,30 +105,30 @@
   EXPECT_TRUE(awaitEnd(alive[0]));
   ::close(alive[0]);
 }
-TEST(ChildProcess, AProgramThatThereIsNotIsToldWithItsError) {
+TEST(ChildProcess, AMissingProgramIsReportedWithErrno) {
   EXPECT_EQ(startChild({"/nowhere/program"}, "/dev/null", STDIN_FILENO), -1);
   EXPECT_EQ(errno, ENOENT);
   EXPECT_EQ(startChild(endless(), "/nowhere/log", STDIN_FILENO), -1);
   EXPECT_EQ(errno, ENOENT);
 }
-TEST(ChildProcess, KeepsNoOtherDescriptorThanTheOneItIsGiven) {
-  int kept[2];
-  int notKept[2];
-  ASSERT_EQ(::pipe(kept), 0);
-  ASSERT_EQ(::pipe(notKept), 0);
-  const pid_t child = startChild(endless(), "/dev/null", kept[1]);
+TEST(ChildProcess, InheritsNoDescriptorButTheOneGiven) {
+  int inherited[2];
+  int notInherited[2];
+  ASSERT_EQ(::pipe(inherited), 0);
+  ASSERT_EQ(::pipe(notInherited), 0);
+  const pid_t child = startChild(endless(), "/dev/null", inherited[1]);
   ASSERT_GT(child, 0);
-  ::close(kept[1]);
-  ::close(notKept[1]);
-  EXPECT_TRUE(awaitEnd(notKept[0]));
-  pollfd waited{kept[0], POLLIN, 0};
+  ::close(inherited[1]);
+  ::close(notInherited[1]);
+  EXPECT_TRUE(awaitEnd(notInherited[0]));
+  pollfd waited{inherited[0], POLLIN, 0};
   EXPECT_EQ(::poll(&waited, 1, 0), 0);
   ::kill(child, SIGKILL);
   ::waitpid(child, nullptr, 0);
-  ::close(kept[0]);
-  ::close(notKept[0]);
+  ::close(inherited[0]);
+  ::close(notInherited[0]);
 }
-TEST(LocalFleet, TwoNeverShareANetworkOrInternalPorts) {
+TEST(LocalFleet, TwoFleetsNeverShareANetworkOrInternalPorts) {
   std::vector<std::unique_ptr<LocalFleet>> fleets;
   std::set<std::string> reserved;
   std::set<unsigned short> ports;
@@ -140,7 +140,7 @@
     EXPECT_EQ(errorOfReserving(reservedIp(*fleets.back())), EADDRINUSE);
   }
 }
-TEST(LocalFleet, ItsNetworkStaysReservedAsLongAsOneOfItsProcessesLives) {
+TEST(LocalFleet, NetworkStaysReservedUntilItsLastProcessEnds) {
   const EndlessProgram program;
   struct Report {
     pid_t child = 0;
@@ -148,7 +148,7 @@
   };
   int reports[2];
   ASSERT_EQ(::pipe(reports), 0);
-  // The fleet's process, once killed, leaves its children to this one, which can then wait for them.
+  // Once the fleet's process is killed, its children are reparented to this one, which can then wait for them.
   ASSERT_EQ(::prctl(PR_SET_CHILD_SUBREAPER, 1), 0);
   const pid_t parent = ::fork();
   if (parent == 0) {
@@ -158,7 +158,7 @@
       ::_exit(1);
     report.child = fleet.processes()[0].pid;
     reservedIp(fleet).copy(report.ip, sizeof report.ip - 1);
-    // The parent's own socket goes, as it does first when a process ends.
+    // Closes the parent's own socket, which is what happens first when a process ends.
     ::close_range(STDERR_FILENO + 1, static_cast<unsigned>(reports[1]) - 1, 0);
     ::close_range(static_cast<unsigned>(reports[1]) + 1, ~0U, 0);
     (void)!::write(reports[1], &report, sizeof report);
