--- a/libs/controller/include/controller/controller.hpp
+++ b/libs/controller/include/controller/controller.hpp
@@ -1,6 +1,9 @@
-// The core's program: leader role, store, runner list, operator calls, quota grants.
+/// @file
+/// The controller's program: a member of the replicated log that serves runners, operators and access machines.
 #pragma once
 #include "config/settings.hpp"
 namespace zinccleat::controller {
-int runController(const config::Settings& s);
-}
+/// Runs a controller until the process is told to end.
+/// @return the process's exit status: 0, or 1 if it could not start.
+int runController(const config::Settings& settings);
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/agent_request_handler.hpp
@@ -0,0 +1,51 @@
+/// @file
+/// The leader's answers to access machines: leases, tokens of tenants' quotas and runners to avoid. Their requests also
+/// report how busy the fleet is and how attempts at runners went.
+///
+/// Owns the soft state behind the answers (token buckets, outlier detection, reported load), which no other component
+/// changes. On the event-loop thread.
+#pragma once
+#include "controller_context.hpp"
+#include "outlier_detector.hpp"
+#include "quota_allocator.hpp"
+#include "transport/access_messages.hpp"
+namespace zinccleat::controller {
+/// What still runs in a zone or region that is being drained.
+struct ZoneDrainProgress {
+  double runnerRequests = 0;  ///< requests in flight at its runners
+  double proxyRequests = 0;   ///< requests in flight at its proxies
+  int reportingProxies = 0;   ///< proxies of the fleet that reported their load lately
+};
+
+class AgentRequestHandler {
+ public:
+  explicit AgentRequestHandler(const ControllerContext& context);
+  /// This controller has become the leader: what was learned in an earlier term is dropped.
+  void startTerm(TimePoint now);
+  /// Has outlier detection judge the runners again. For the leader, several times a second.
+  void evaluateRunners(TimePoint now);
+  /// Forgets access machines that have not asked for long. To be called each second.
+  void expireSilentMachines(TimePoint now);
+  /// A lease is granted by a leader with a valid lease of its own; every answer tells how far the log is committed.
+  transport::LeaseResponse onLeaseRequest(TimePoint now, const std::string& agent,
+                                          const transport::LeaseRequest& request);
+  transport::QuotaTokenResponse onQuotaTokenRequest(TimePoint now, const transport::QuotaTokenRequest& request);
+
+  /// Requests a second of all proxies that reported lately.
+  double requestsPerS(TimePoint now) const;
+  /// @param zone a zone or region.
+  ZoneDrainProgress drainProgressOf(const std::string& zone, TimePoint now) const;
+  const OutlierDetector& outliers() const { return outliers_; }
+
+ private:
+  struct ReportedLoad {
+    std::vector<transport::ZoneLoad> zones;
+    TimePoint reportedAt;
+  };
+  const ControllerContext& context_;
+  QuotaAllocator quota_;
+  OutlierDetector outliers_;
+  std::map<std::string, ReportedLoad> loads_;  // by agent
+  std::int64_t accessMachines_ = 0;            // that asked for a lease lately
+};
+}  // namespace zinccleat::controller
--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -2,131 +2,137 @@
 
 #include <cstddef>
 
+#include "runtime/log_ring.hpp"
+
 namespace zinccleat::controller {
 namespace {
-constexpr std::size_t kMostBacklog =
-    std::size_t{64} * 1024;               // bytes that wait for one agent before the rest is sent later
-constexpr std::size_t kLinksOfAgent = 3;  // with more voters an agent is not linked to each, and misses bodies
-constexpr auto kSilentAfter = 6s;
-constexpr int kFullAnswerEvery = 8;  // state messages: voters and view go with each so many-th, changed or not
+// Bytes that wait for one agent before further entries are sent later.
+constexpr std::size_t kMaxBacklogBytes = std::size_t{64} * 1024;
+// An agent links to so many controllers. With more voters it misses bodies that were sent ahead.
+constexpr std::size_t kLinksPerAgent = 3;
+constexpr auto kSessionTimeout = 6s;
+// Every so many answers to an agent's state hold voters and view, changed or not.
+constexpr int kFullStatusInterval = 8;
 
 std::size_t hashOf(const std::vector<std::string>& names) {
   std::size_t hash = 0;
-  for (auto& name : names)
+  for (const auto& name : names)
     hash = hash64(name, hash);
   return hash;
 }
 }  // namespace
 
-transport::ClusterStatus AgentSessions::standing() {
-  const auto& raft = *core_.raft;
-  transport::ClusterStatus standing;
-  standing.term = raft.term();
-  standing.leader = raft.leader();
-  standing.voters = raft.voters();
-  standing.commitIndex = raft.commitIndex();
-  standing.view = core_.view.sample();
-  return standing;
-}
-template <class T>
-transport::Envelope AgentSessions::fromUs(const T& message) const {
-  return transport::pack(message, core_.raft->self());
-}
-void AgentSessions::onState(const transport::PeerLinkPtr& link, const std::string& agent,
-                            const transport::AgentState& state) {
+transport::ClusterStatus AgentSessions::clusterStatus() {
+  const auto& raft = *context_.raft;
+  transport::ClusterStatus status;
+  status.term = raft.term();
+  status.leader = raft.leader();
+  status.voters = raft.voters();
+  status.commitIndex = raft.commitIndex();
+  status.view = context_.view.sample();
+  return status;
+}
+template <class Message>
+transport::Envelope AgentSessions::pack(const Message& message) const {
+  return transport::pack(message, context_.raft->self());
+}
+void AgentSessions::onAgentState(const transport::PeerLinkPtr& link, const std::string& agent,
+                                 const transport::AgentState& state) {
   auto& session = sessions_[agent];
   if (session.link != link) {
     if (session.link)
       session.link->end();
     session = Session{};
     session.link = link;
+    log::debug("agent_session_opened", {{"peer", agent}, {"index", state.lastApplied}});
   }
-  core_.view.add(consensus::addressOf(agent) + "/access");
-  core_.view.merge(state.view);
-  session.applied = state.lastApplied;
-  auto answer = standing();
-  // Changes only: what the far end was told on this link already is left out.
-  const auto voters = hashOf(answer.voters);
-  const bool sameVoters = std::exchange(session.votersTold, voters) == voters;
-  if (sameVoters && session.statesAnswered % kFullAnswerEvery) {
-    answer.voters.clear();
-    answer.view.clear();
+  context_.view.add(consensus::addressOf(agent) + "/access");
+  context_.view.merge(state.view);
+  session.lastApplied = state.lastApplied;
+  auto status = clusterStatus();
+  // Voters and view are left out where this link has carried them already.
+  const auto votersHash = hashOf(status.voters);
+  const bool votersKnown = std::exchange(session.sentVotersHash, votersHash) == votersHash;
+  if (votersKnown && session.statesAnswered % kFullStatusInterval != 0) {
+    status.voters.clear();
+    status.view.clear();
   }
   ++session.statesAnswered;
-  link->send(fromUs(answer));
+  link->send(pack(status));
 }
-void AgentSessions::onFollow(const transport::PeerLinkPtr& link, const std::string& agent,
-                             const transport::FollowLog& message) {
+void AgentSessions::onFollowLog(const transport::PeerLinkPtr& link, const std::string& agent,
+                                const transport::FollowLog& request) {
   auto& session = sessions_[agent];
-  // Why not while something is under way: it would be sent again and again to one that reads slowly.
-  if (message.refetch && session.link == link && session.fed >= 0 && link->backlog() > 0)
+  // While an answer is under way a refetch is ignored: a slow reader would be sent the same again and again.
+  if (request.refetch && session.link == link && session.sentIndex && link->backlog() > 0)
     return;
+  const auto from = std::max<std::int64_t>(0, request.lastApplied);
   session.link = link;
-  session.fed = std::max<std::int64_t>(0, message.lastApplied);
-  session.held = message.cachedDigest;
-  if (!core_.isLeader())
-    return link->send(fromUs(standing()));
-  // One that holds nothing, or nothing that it trusts, takes a snapshot instead.
-  if (message.refetch && session.fed > 0 && session.fed + 1 >= core_.raft->firstIndex())
-    return feedEntriesInFull(session);
+  session.sentIndex = from;
+  session.cachedDigest = request.cachedDigest;
+  if (!context_.isLeader())
+    return link->send(pack(clusterStatus()));
+  // An agent that has nothing, or nothing that it trusts, gets a snapshot instead of entries.
+  if (request.refetch && from > 0 && from + 1 >= context_.raft->firstIndex())
+    return feedWithBodies(session);
   feed(session);
-  link->send(fromUs(standing()));
+  link->send(pack(clusterStatus()));
 }
-transport::FeedEntries AgentSessions::entriesAfter(std::int64_t number) const {
-  const auto& raft = *core_.raft;
+transport::FeedEntries AgentSessions::entriesAfter(std::int64_t index) const {
+  const auto& raft = *context_.raft;
   transport::FeedEntries feed;
   feed.term = raft.term();
   feed.newestIndex = raft.commitIndex();
-  for (auto n = number + 1; n <= raft.commitIndex(); ++n)
-    feed.entries.push_back(*raft.entryAt(n));
+  for (auto next = index + 1; next <= raft.commitIndex(); ++next)
+    feed.entries.push_back(*raft.entryAt(next));
   return feed;
 }
-transport::FeedSnapshot AgentSessions::snapshotFor(std::int64_t number, const std::string& held) const {
+transport::FeedSnapshot AgentSessions::snapshotFor(std::int64_t index, const std::string& cachedDigest) const {
   transport::FeedSnapshot feed;
-  feed.term = core_.raft->term();
-  feed.number = core_.copy.state().index;
-  // What the receiver holds already is not sent again: only the difference from it.
-  feed.state = core_.copy.snapshotFor(number == 0 ? std::string{} : held);
+  feed.term = context_.raft->term();
+  feed.number = context_.replica.state().index;
+  // A configuration that the agent has cached is not sent again, unless it starts from nothing.
+  feed.state = context_.replica.snapshotFor(index == 0 ? std::string{} : cachedDigest);
   return feed;
 }
-// A refetch is answered in full: what was left out before is not left out again.
-void AgentSessions::feedEntriesInFull(Session& session) {
-  const auto feed = entriesAfter(session.fed);
-  session.fed = feed.newestIndex;
-  session.link->sendBulk(transport::frameOf(fromUs(feed)));
+void AgentSessions::feedWithBodies(Session& session) {
+  const auto feed = entriesAfter(*session.sentIndex);
+  session.sentIndex = feed.newestIndex;
+  session.link->sendBulk(transport::frameOf(pack(feed)));
 }
 transport::FeedEntries AgentSessions::withoutBodiesAhead(transport::FeedEntries feed) const {
-  const auto& raft = *core_.raft;
-  if (raft.voters().size() > kLinksOfAgent)
+  const auto& raft = *context_.raft;
+  if (raft.voters().size() > kLinksPerAgent)
     return feed;
   for (auto& entry : feed.entries) {
-    const bool ours = entry.operationId.rfind(raft.self() + "/", 0) == 0;
-    if (ours || entry.digest.empty() || entry.body.size() <= kLargeBody)
+    const bool takenHere = entry.operationId.starts_with(raft.self() + "/");
+    if (takenHere || entry.digest.empty() || entry.body.size() <= kLargeBodyBytes)
       continue;
     entry.body.clear();
     entry.omitted = true;
   }
   return feed;
 }
-AgentSessions::Frame AgentSessions::frameFrom(std::int64_t number, const std::string& held) {
-  const auto& raft = *core_.raft;
-  if (std::exchange(framesOf_, raft.commitIndex()) != raft.commitIndex())
+AgentSessions::Frame AgentSessions::frameFrom(std::int64_t index, const std::string& cachedDigest) {
+  const auto& raft = *context_.raft;
+  if (std::exchange(framesCommitIndex_, raft.commitIndex()) != raft.commitIndex())
     frames_.clear();
-  const bool whole = number == 0 || number + 1 < raft.firstIndex();
-  auto& frame = whole ? frames_[{-1, held}] : frames_[{number, {}}];
+  const bool needsSnapshot = index == 0 || index + 1 < raft.firstIndex();
+  auto& frame = needsSnapshot ? frames_[{std::nullopt, cachedDigest}] : frames_[{index, {}}];
   if (frame)
     return frame;
-  const auto envelope = whole ? fromUs(snapshotFor(number, held)) : fromUs(withoutBodiesAhead(entriesAfter(number)));
+  const auto envelope =
+      needsSnapshot ? pack(snapshotFor(index, cachedDigest)) : pack(withoutBodiesAhead(entriesAfter(index)));
   return frame = std::make_shared<const std::string>(transport::frameOf(envelope));
 }
 void AgentSessions::feed(Session& session) {
-  const auto newest = core_.raft->commitIndex();
-  const bool wants = session.fed >= 0 && session.fed < newest;
-  if (!wants || !session.link->open() || session.link->backlog() > kMostBacklog)
+  const auto newest = context_.raft->commitIndex();
+  const bool lacksEntries = session.sentIndex && *session.sentIndex < newest;
+  if (!lacksEntries || !session.link->open() || session.link->backlog() > kMaxBacklogBytes)
     return;
-  session.link->sendBulk(frameFrom(session.fed, session.held));
-  session.fed = newest;
-  session.held = core_.copy.state().digest;
+  session.link->sendBulk(frameFrom(*session.sentIndex, session.cachedDigest));
+  session.sentIndex = newest;
+  session.cachedDigest = context_.replica.state().digest;
 }
 void AgentSessions::feedAll() {
   for (auto& [agent, session] : sessions_)
@@ -135,41 +141,42 @@
 }
 void AgentSessions::stopFeeding() {
   for (auto& [agent, session] : sessions_)
-    session.fed = -1;
+    session.sentIndex.reset();
 }
-void AgentSessions::tellAll() {
-  std::erase_if(sessions_, [](auto& session) { return !session.second.link->open(); });
-  const auto news = fromUs(standing());
+void AgentSessions::broadcastStatus() {
+  std::erase_if(sessions_, [](const auto& session) { return !session.second.link->open(); });
+  const auto status = pack(clusterStatus());
   for (auto& [agent, session] : sessions_)
-    session.link->send(news);
+    session.link->send(status);
 }
-void AgentSessions::dropSilent(TimePoint now) {
-  std::erase_if(sessions_, [now](auto& session) {
-    auto& link = session.second.link;
-    if (link->open() && now - link->heard() < kSilentAfter)
+void AgentSessions::closeSilentSessions(TimePoint now) {
+  std::erase_if(sessions_, [now](const auto& entry) {
+    const auto& [agent, session] = entry;
+    if (session.link->open() && now - session.link->heard() < kSessionTimeout)
       return false;
-    link->end();
+    log::debug("agent_session_closed", {{"peer", agent}, {"index", session.lastApplied}});
+    session.link->end();
     return true;
   });
 }
-void AgentSessions::sendBody(const transport::LogEntry& entry) {
+void AgentSessions::sendBodyAhead(const transport::LogEntry& entry) {
   const auto frame =
-      std::make_shared<const std::string>(transport::frameOf(fromUs(transport::BodyAhead{entry.digest, entry.body})));
+      std::make_shared<const std::string>(transport::frameOf(pack(transport::BodyAhead{entry.digest, entry.body})));
   for (auto& [agent, session] : sessions_)
     if (session.link->open())
       session.link->sendBulk(frame);
 }
-std::size_t AgentSessions::waitingBytes() const {
+std::size_t AgentSessions::backlogBytes() const {
   std::size_t bytes = 0;
-  for (auto& [agent, session] : sessions_)
+  for (const auto& [agent, session] : sessions_)
     bytes += session.link->backlog();
   return bytes;
 }
 std::int64_t AgentSessions::lowestApplied(std::int64_t newest) const {
   auto lowest = newest;
-  for (auto& [agent, session] : sessions_)
+  for (const auto& [agent, session] : sessions_)
     if (session.link->open())
-      lowest = std::min(lowest, session.applied);
+      lowest = std::min(lowest, session.lastApplied);
   return lowest;
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/agent_sessions.hpp
+++ b/libs/controller/src/agent_sessions.hpp
@@ -1,57 +1,69 @@
-/// The access machines' agents that are linked to this core machine: who leads is told to each, and the leader feeds
-/// those that follow it with committed entries, snapshots and bodies ahead.
+/// @file
+/// The leader's and followers' sessions with the agents of access machines. Every controller tells the agents linked
+/// to it who leads; the leader also feeds those that follow its log with committed entries, snapshots and bodies ahead.
+///
+/// A session is soft state: an agent that loses its link opens another one and says where it stands. All sessions are
+/// changed here only, on the event-loop thread.
 #pragma once
-#include "core_context.hpp"
+#include "controller_context.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
 namespace zinccleat::controller {
 class AgentSessions {
  public:
-  explicit AgentSessions(CoreContext& core) : core_(core) {}
-  void onState(const transport::PeerLinkPtr& link, const std::string& agent, const transport::AgentState& state);
-  void onFollow(const transport::PeerLinkPtr& link, const std::string& agent, const transport::FollowLog& message);
-  /// To all: who leads, who votes, how far it is committed.
-  void tellAll();
-  /// For the leader, after each commit.
+  explicit AgentSessions(ControllerContext& context) : context_(context) {}
+  /// Answers with the cluster's status. A new link replaces the agent's earlier one.
+  void onAgentState(const transport::PeerLinkPtr& link, const std::string& agent, const transport::AgentState& state);
+  void onFollowLog(const transport::PeerLinkPtr& link, const std::string& agent, const transport::FollowLog& request);
+  /// Sends all agents who leads, who votes and how far the log is committed.
+  void broadcastStatus();
+  /// Sends each agent that follows what it lacks. For the leader, after each commit.
   void feedAll();
-  /// This machine leads no more.
+  /// This controller no longer leads: agents ask the new leader.
   void stopFeeding();
-  /// An agent that says nothing for long has another link by now, or is gone: nothing is kept for it.
-  void dropSilent(TimePoint now);
-  /// The body of a large write, ahead of its number.
-  void sendBody(const transport::LogEntry& entry);
+  /// Ends the sessions of agents that have said nothing for long: they have another link by now, or have ended.
+  void closeSilentSessions(TimePoint now);
+  /// Sends all agents the body of a large write, ahead of its entry.
+  void sendBodyAhead(const transport::LogEntry& entry);
 
   std::size_t count() const { return sessions_.size(); }
-  /// Bytes that agents have not read yet.
-  std::size_t waitingBytes() const;
-  /// The lowest number that an agent has applied, at most `newest`.
+  /// Bytes sent that agents have not read yet.
+  std::size_t backlogBytes() const;
+  /// The lowest index that a linked agent has applied, at most `newest`.
   std::int64_t lowestApplied(std::int64_t newest) const;
 
  private:
   using Frame = std::shared_ptr<const std::string>;
   struct Session {
     transport::PeerLinkPtr link;
-    std::int64_t fed = -1;       // -1: asks for nothing here
-    std::int64_t applied = 0;    // by its state messages
-    int statesAnswered = 0;      // on this link
-    std::size_t votersTold = 0;  // a hash of the voters last told
-    std::string held;            // digest of the configuration that it says it holds
+    std::optional<std::int64_t> sentIndex;  ///< newest entry sent; none: the agent does not follow this controller
+    std::int64_t lastApplied = 0;           ///< by its state messages
+    int statesAnswered = 0;                 ///< on this link
+    std::size_t sentVotersHash = 0;         ///< of the voters last sent on this link
+    std::string cachedDigest;               ///< of the configuration that the agent has
   };
-  transport::ClusterStatus standing();
-  template <class T>
-  transport::Envelope fromUs(const T& message) const;
+  /// What a frame for followers depends on: where they stand, and for a snapshot what they have cached.
+  struct FrameKey {
+    std::optional<std::int64_t> fromIndex;  ///< none: a snapshot
+    std::string cachedDigest;
+    auto operator<=>(const FrameKey&) const = default;
+  };
+  transport::ClusterStatus clusterStatus();
+  template <class Message>
+  transport::Envelope pack(const Message& message) const;
   void feed(Session& session);
-  void feedEntriesInFull(Session& session);
-  /// What brings a copy from a number to the newest, encoded once for all agents that stand there.
-  Frame frameFrom(std::int64_t number, const std::string& held);
-  transport::FeedSnapshot snapshotFor(std::int64_t number, const std::string& held) const;
-  transport::FeedEntries entriesAfter(std::int64_t number) const;
-  /// The node that took a large write has fanned its body out already, to the agents linked to it.
+  /// The answer to a refetch: nothing is left out because it was sent ahead.
+  void feedWithBodies(Session& session);
+  /// What brings an agent from `index` to the newest entry, encoded once for all agents that stand there.
+  Frame frameFrom(std::int64_t index, const std::string& cachedDigest);
+  transport::FeedSnapshot snapshotFor(std::int64_t index, const std::string& cachedDigest) const;
+  transport::FeedEntries entriesAfter(std::int64_t index) const;
+  /// Leaves out large bodies that the controller which took the write has sent to its agents already.
   transport::FeedEntries withoutBodiesAhead(transport::FeedEntries feed) const;
 
-  CoreContext& core_;
+  ControllerContext& context_;
   std::map<std::string, Session> sessions_;  // by agent
-  std::map<std::pair<std::int64_t, std::string>, Frame> frames_;
-  std::int64_t framesOf_ = -1;  // the newest number that they bring a copy to
+  std::map<FrameKey, Frame> frames_;
+  std::int64_t framesCommitIndex_ = -1;  // the index to which the cached frames lead
 };
 }  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/api_responses.cpp
@@ -0,0 +1,46 @@
+#include "api_responses.hpp"
+
+#include "proxy/http.hpp"
+
+namespace zinccleat::controller {
+namespace {
+// A caller goes on to the next controller after a second of silence; the rest of it is for the network.
+constexpr Duration kResponseTimeout{850};
+constexpr Duration kMaxResponseTimeout{2500};
+constexpr std::size_t kBodyBytesPerExtraMs = 1024;
+
+HttpStatus httpStatusOf(ErrorCode code) {
+  switch (code) {
+    case ErrorCode::invalidArgument:
+      return HttpStatus::bad_request;
+    case ErrorCode::permissionDenied:
+      return HttpStatus::forbidden;
+    case ErrorCode::notFound:
+      return HttpStatus::not_found;
+    default:
+      return HttpStatus::service_unavailable;
+  }
+}
+}  // namespace
+
+ApiResponse errorResponse(HttpStatus status, std::string_view message) {
+  const char* headers = status == HttpStatus::service_unavailable ? "Retry-After: 0.2\r\n" : "";
+  return {status, proxy::jsonError(message), headers};
+}
+ApiResponse errorResponse(const Error& error) {
+  return errorResponse(httpStatusOf(error.code), error.message);
+}
+ApiResponse noContactResponse() {
+  return errorResponse(HttpStatus::service_unavailable, "no contact with a majority of the core");
+}
+ApiResponse redirectTo(const std::string& address, std::string_view path) {
+  return {HttpStatus::temporary_redirect, "{}", "Location: http://" + address + std::string(path) + "\r\n"};
+}
+ResponseDeadline::ResponseDeadline(std::size_t bodyBytes) {
+  const Duration extra(static_cast<std::int64_t>(bodyBytes / kBodyBytesPerExtraMs));
+  deadline_ = Clock::now() + std::min(kMaxResponseTimeout, kResponseTimeout + extra);
+}
+Duration ResponseDeadline::left() const {
+  return std::max(Duration(0), toDuration(deadline_ - Clock::now()));
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/configuration_handlers.cpp
@@ -0,0 +1,84 @@
+/// @file
+/// The calls of operators that replace and retrieve the configuration.
+#include <charconv>
+
+#include "api_handlers.hpp"
+#include "api_responses.hpp"
+#include "config/configuration.hpp"
+
+namespace zinccleat::controller {
+namespace {
+using state_machine::ReplicatedState;
+
+/// What a Replace asks for, beside the configuration's text.
+struct Replacement {
+  std::int64_t baseVersion = 0;  ///< of the configuration that it replaces
+  std::int64_t version = 0;      ///< its own
+};
+Result<std::int64_t> parseBaseVersion(std::string_view header) {
+  constexpr std::uint64_t kMaxVersion = 10'000'000'000'000'009;
+  std::uint64_t version = 0;
+  const auto* end = header.data() + header.size();
+  const auto parsed = std::from_chars(header.data(), end, version);
+  const bool isNumber = parsed.ec == std::errc{} && parsed.ptr == end;
+  if (!header.empty() && (!isNumber || version > kMaxVersion))
+    return makeError(ErrorCode::invalidArgument, "X-Base-Version is no number");
+  return static_cast<std::int64_t>(version);
+}
+Result<Replacement> parseReplacement(const ApiRequest& request) {
+  const auto configuration = config::parseConfiguration(request.body);
+  if (!configuration)
+    return tl::unexpected(configuration.error());
+  const auto base = parseBaseVersion(request.baseVersion);
+  if (!base)
+    return tl::unexpected(base.error());
+  return Replacement{*base, (*configuration)->version};
+}
+ApiResponse acceptedResponse(std::int64_t version) {
+  return {HttpStatus::ok, "{\"configVersion\":" + std::to_string(version) + "}", ""};
+}
+ApiResponse responseTo(const Replacement& replacement, std::int32_t outcome) {
+  switch (outcome) {
+    case ReplicatedState::kAcknowledged:
+      return acceptedResponse(replacement.version);
+    case ReplicatedState::kNoClearAnswer:
+      return errorResponse(HttpStatus::service_unavailable, "too old to tell whether it was taken");
+    case ReplicatedState::kOtherVersion:
+      return errorResponse(HttpStatus::precondition_failed, "another configuration is in place");
+    default:
+      return errorResponse(static_cast<HttpStatus>(outcome), "configVersion is not above the current one");
+  }
+}
+}  // namespace
+
+ApiResponse handleReplaceConfiguration(const ApiCall& call) {
+  auto& services = call.services;
+  const auto& body = call.request.body;
+  const ResponseDeadline deadline(body.size());
+  const auto replacement = parseReplacement(call.request);
+  if (!replacement)
+    return errorResponse(replacement.error());
+  const auto [base, version] = *replacement;
+  // This replica may be old, but what was accepted once stays accepted. It may confirm that and nothing else.
+  if (services.replica().evaluateReplace(base, version, digestOf(body)) == ReplicatedState::kAcknowledged)
+    return acceptedResponse(version);
+  if (!services.awaitContact(kContactTimeout))
+    return noContactResponse();
+  auto entry = state_machine::configurationChangeEntry(base, version, body, services.nextOperationId(),
+                                                       services.replica().state());
+  const auto outcome = services.write(std::move(entry), deadline.left());
+  return outcome ? responseTo(*replacement, *outcome) : errorResponse(outcome.error());
+}
+ApiResponse handleRetrieveConfiguration(const ApiCall& call) {
+  const ResponseDeadline deadline;
+  auto& services = call.services;
+  if (!services.awaitContact(kContactTimeout))
+    return noContactResponse();
+  if (auto fresh = services.awaitReadIndex(deadline.left()); !fresh)
+    return errorResponse(fresh.error());
+  const auto& configuration = services.replica().state().configuration;
+  if (configuration.empty())
+    return errorResponse(HttpStatus::not_found, "no configuration yet");
+  return {HttpStatus::ok, configuration, ""};
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/control_api.cpp
@@ -0,0 +1,43 @@
+#include "control_api.hpp"
+
+#include <array>
+
+#include "api_handlers.hpp"
+#include "api_responses.hpp"
+
+namespace zinccleat::controller {
+namespace {
+struct Route {
+  std::string_view method;
+  std::string_view path;  ///< one that ends in a slash is followed by a runner's id
+  ApiResponse (*handler)(const ApiCall& call);
+
+  bool namesRunner() const { return path.ends_with('/'); }
+  bool matches(std::string_view requested) const {
+    return namesRunner() ? requested.starts_with(path) : requested == path;
+  }
+};
+constexpr std::array kRoutes{
+    Route{"POST", "/v1/Instances.Heartbeat/", handleHeartbeat},
+    Route{"POST", "/v1/Instances.Detach/", handleDetach},
+    Route{"POST", "/v1/Configuration.Replace", handleReplaceConfiguration},
+    Route{"GET", "/v1/Configuration.Retrieve", handleRetrieveConfiguration},
+    Route{"POST", "/v1/Closures.Set", handleSetZoneDrain},
+    Route{"GET", "/v1/Closures.List", handleListZoneDrains},
+    Route{"POST", "/v1/Hints.Exchange", handleExchangeHints},
+    Route{"GET", "/v1/Status", handleStatus},
+};
+}  // namespace
+
+ApiResponse answerApiRequest(ControllerServices& services, const ApiRequest& request, const std::string& heartbeatUri) {
+  const auto path = std::string_view(request.target).substr(0, request.target.find('?'));
+  const auto* const route =
+      std::find_if(kRoutes.begin(), kRoutes.end(), [path](const Route& known) { return known.matches(path); });
+  if (route == kRoutes.end())
+    return errorResponse(HttpStatus::not_found, "no such call");
+  if (request.method != route->method)
+    return errorResponse(HttpStatus::method_not_allowed, std::string(route->method) + " only");
+  const auto runner = route->namesRunner() ? path.substr(route->path.size()) : std::string_view{};
+  return route->handler({services, request, path, runner, heartbeatUri});
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/controller_context.cpp
@@ -0,0 +1,13 @@
+#include "controller_context.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr std::size_t kViewSize = 12;  // machines
+}
+
+std::string viewNameOfController(const std::string& address) {
+  return address + "/core";
+}
+ControllerContext::ControllerContext(config::Settings given)
+    : settings(std::move(given)), view(viewNameOfController(settings.ip), kViewSize, randomSeed()) {}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/controller_node.cpp
@@ -0,0 +1,132 @@
+#include "controller_node.hpp"
+
+#include "runtime/log_ring.hpp"
+#include "startup.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr auto kTickInterval = 50ms;
+constexpr int kTicksPerEvaluation = 4;  // of the runners, by the leader
+constexpr auto kForwardInterval = 500ms;
+constexpr auto kMaintenanceInterval = 1000ms;
+}  // namespace
+
+ControllerNode::ControllerNode(config::Settings settings)
+    : context_(std::move(settings)),
+      contact_(context_),
+      peers_(context_, [this](const transport::PeerLinkPtr& link,
+                              const transport::Envelope& envelope) { dispatcher_.onMessage(link, envelope); }),
+      agents_(context_),
+      writes_(context_, submitters()),
+      reads_(context_, [this](const consensus::MemberId& leader,
+                              std::int64_t requestId) { peers_.send(leader, transport::ReadIndexRequest{requestId}); }),
+      requests_(context_),
+      hints_(context_),
+      runners_(context_, peers_),
+      shutdown_(context_),
+      roles_(context_, {requests_, agents_, runners_, writes_}),
+      driver_(context_, {peers_, agents_, writes_, reads_, roles_}),
+      dispatcher_(context_, {peers_, driver_, reads_, runners_, agents_, requests_, hints_}) {}
+ControllerNode::~ControllerNode() = default;
+
+PendingWrites::Submitters ControllerNode::submitters() {
+  PendingWrites::Submitters submitters;
+  submitters.submitHere = [this](const transport::LogEntry& entry) {
+    context_.raft->submit(Clock::now(), entry);
+    driver_.run();
+  };
+  submitters.forwardToLeader = [this](const consensus::MemberId& leader, const transport::LogEntry& entry) {
+    peers_.send(leader, transport::SubmitEntry{entry});
+  };
+  submitters.sendBodyAhead = [this](const transport::LogEntry& entry) {
+    peers_.sendToVoters(consensus::EntryBody{entry.digest, entry.body});
+    agents_.sendBodyAhead(entry);
+  };
+  return submitters;
+}
+Result<void> ControllerNode::start() {
+  if (const auto reason = unusableSettings(context_.settings))
+    return makeError(ErrorCode::invalidArgument, *reason);
+  auto disk = recoverDisk(context_.settings.dataDir);
+  if (!disk)
+    return tl::unexpected(disk.error());
+  startRaft(context_, disk->recovery, incarnation_);
+  operationIds_.emplace(context_.raft->self(), incarnation_);
+  driver_.startStorage(std::move(disk->storage));
+  if (auto started = hints_.start(); !started)
+    return started;
+  if (auto started = startLinks(); !started)
+    return started;
+  startTimers();
+  driver_.run();
+  return {};
+}
+Result<void> ControllerNode::startLinks() {
+  const auto& settings = context_.settings;
+  const auto endpoint = runtime::parseEndpoint(settings.ip + ":" + std::to_string(settings.portFirst));
+  if (!endpoint)
+    return tl::unexpected(endpoint.error());
+  auto listening = transport::listen(*endpoint, [this](tcp::socket socket) {
+    auto link = std::make_shared<transport::PeerLink>(
+        std::move(socket),
+        [this](const transport::PeerLinkPtr& inbound, const transport::Envelope& envelope) {
+          dispatcher_.onMessage(inbound, envelope);
+        },
+        [](const transport::PeerLinkPtr&) {});
+    link->start();
+  });
+  if (!listening)
+    return listening;
+  // At once, so that the first request to the others is not lost to a connection that is not open yet.
+  const auto voters = context_.raft->voters();
+  for (const auto& voter : voters)
+    peers_.dial(consensus::addressOf(voter));
+  if (voters.empty())
+    for (const auto& seed : seedAddresses(settings))
+      peers_.dial(seed);
+  return {};
+}
+void ControllerNode::startTimers() {
+  auto& loop = runtime::EventLoop::get();
+  loop.callEvery(kTickInterval, [this] { onTick(); });
+  loop.callEvery(kMaintenanceInterval, [this] { onSecond(); });
+  loop.callEvery(kForwardInterval, [this] { runners_.forwardHeartbeats(Clock::now()); });
+}
+void ControllerNode::onTick() {
+  context_.raft->tick(Clock::now());
+  if (roles_.isLeader() && ++ticksAsLeader_ % kTicksPerEvaluation == 0)
+    requests_.evaluateRunners(Clock::now());
+  driver_.run();
+}
+void ControllerNode::onSecond() {
+  const auto now = Clock::now();
+  requests_.expireSilentMachines(now);
+  agents_.closeSilentSessions(now);
+  if (runners_.submitExpired(now))
+    driver_.run();
+}
+void ControllerNode::reloadSettings(const config::Settings& settings) {
+  const auto seeds = seedAddresses(settings);
+  for (const auto& seed : seeds)
+    context_.view.add(viewNameOfController(seed));
+  context_.raft->setSeeds(seeds);
+  context_.settings.seeds = settings.seeds;
+  context_.settings.timers = settings.timers;
+  log::debug("settings_reloaded", {{"seeds", seeds.size()}});
+}
+void ControllerNode::shutDown(const std::function<void()>& done) {
+  if (shutdown_.begin(done))
+    driver_.run();
+}
+bool ControllerNode::heartbeatsReachLeader() const {
+  // One that shuts down sends runners to other controllers before it ends.
+  return !shutdown_.inProgress() && runners_.heartbeatsReachLeader(Clock::now());
+}
+std::optional<std::string> ControllerNode::leaderControlAddress() const {
+  if (!context_.knowsOtherLeader())
+    return std::nullopt;
+  // All controllers use the same port for their control API.
+  const auto& own = context_.settings.controlAddr;
+  return consensus::addressOf(context_.raft->leader()) + own.substr(own.rfind(':'));
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/controller_node.hpp
@@ -0,0 +1,81 @@
+/// @file
+/// One controller: a member of the replicated log with its replica, its links and the control API's services.
+///
+/// It wires its components and passes events on; each component owns its own state (see its header). All of them run on
+/// the one event-loop thread; only the storage has a thread of its own.
+#pragma once
+#include "agent_request_handler.hpp"
+#include "agent_sessions.hpp"
+#include "controller_context.hpp"
+#include "controller_services.hpp"
+#include "graceful_shutdown.hpp"
+#include "lease_reads.hpp"
+#include "majority_contact.hpp"
+#include "message_dispatcher.hpp"
+#include "operation_ids.hpp"
+#include "partner_hints.hpp"
+#include "peer_links.hpp"
+#include "pending_writes.hpp"
+#include "raft_driver.hpp"
+#include "role_changes.hpp"
+#include "runner_liveness.hpp"
+#include "status_report.hpp"
+namespace zinccleat::controller {
+class ControllerNode final : public ControllerServices {
+ public:
+  explicit ControllerNode(config::Settings settings);
+  ~ControllerNode() override;
+  /// Recovers the disk, joins the other controllers and starts the timers. Blocks while the disk can't be read.
+  /// @return `ErrorCode::invalidArgument` for settings that no controller can start with, or the error of the disk,
+  /// of the listening socket or of the partner's secret.
+  Result<void> start();
+  /// Takes over what may change in the settings of a running controller: seeds and timers.
+  void reloadSettings(const config::Settings& settings);
+  /// Ends in good order; see `GracefulShutdown`.
+  void shutDown(const std::function<void()>& done);
+
+  const config::Settings& settings() const override { return context_.settings; }
+  const state_machine::ReplicatedState& replica() const override { return context_.replica; }
+  bool inContact() const override { return contact_.inContact(); }
+  bool awaitContact(Duration timeout) override { return contact_.await(timeout); }
+  bool heartbeatsReachLeader() const override;
+  void recordHeartbeat(const std::string& runner) override { runners_.recordHeartbeat(runner, Clock::now()); }
+  Result<std::int32_t> write(transport::LogEntry entry, Duration timeout) override {
+    return writes_.write(entry, timeout);
+  }
+  Result<void> awaitReadIndex(Duration timeout) override { return reads_.awaitReadIndex(timeout); }
+  std::string nextOperationId() override { return operationIds_->next(); }
+  std::optional<std::string> leaderControlAddress() const override;
+  double requestsPerS() const override { return requests_.requestsPerS(Clock::now()); }
+  std::string statusJson() const override { return controller::statusJson(statusSources(), Clock::now()); }
+  std::string zoneDrainsJson() const override { return controller::zoneDrainsJson(statusSources(), Clock::now()); }
+  Result<std::string> exchangeHints(std::string_view body, std::string_view seal) override {
+    return hints_.exchange(body, seal);
+  }
+
+ private:
+  PendingWrites::Submitters submitters();
+  Result<void> startLinks();
+  void startTimers();
+  void onTick();
+  void onSecond();
+  StatusSources statusSources() const { return {context_, agents_, requests_, hints_}; }
+
+  const std::uint64_t incarnation_ = randomSeed();  // of this process
+  ControllerContext context_;
+  std::optional<OperationIds> operationIds_;  // once the member's id is known
+  MajorityContact contact_;
+  PeerLinks peers_;
+  AgentSessions agents_;
+  PendingWrites writes_;
+  LeaseReads reads_;
+  AgentRequestHandler requests_;
+  PartnerHints hints_;
+  RunnerLiveness runners_;
+  GracefulShutdown shutdown_;
+  RoleChanges roles_;
+  RaftDriver driver_;
+  MessageDispatcher dispatcher_;
+  std::uint64_t ticksAsLeader_ = 0;
+};
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/controller_services.hpp
@@ -0,0 +1,38 @@
+/// @file
+/// What the control API needs of the controller that serves it.
+#pragma once
+#include "config/settings.hpp"
+#include "state_machine/replicated_state.hpp"
+namespace zinccleat::controller {
+/// Implemented by `ControllerNode`, and by tests. Calls that park their fiber say so.
+class ControllerServices {
+ public:
+  virtual ~ControllerServices() = default;
+  virtual const config::Settings& settings() const = 0;
+  /// This controller's replica: everything in it is committed, but it may be old.
+  virtual const state_machine::ReplicatedState& replica() const = 0;
+  /// Whether a majority of the controllers was heard a moment ago, through a leader or as the leader.
+  virtual bool inContact() const = 0;
+  /// Parks the calling fiber until there is contact. @return false: there was none within `timeout`.
+  virtual bool awaitContact(Duration timeout) = 0;
+  /// False: heartbeats received here do not reach the leader.
+  virtual bool heartbeatsReachLeader() const = 0;
+  virtual void recordHeartbeat(const std::string& runner) = 0;
+  /// Parks the calling fiber until its own write is committed and applied here.
+  /// @return the write's outcome by the replica, or `ErrorCode::unavailable`.
+  virtual Result<std::int32_t> write(transport::LogEntry entry, Duration timeout) = 0;
+  /// Parks the calling fiber until the replica is as new as the leader's log was at the call: what is read from it then
+  /// is linearizable. @return `ErrorCode::unavailable` if that took longer than `timeout`.
+  virtual Result<void> awaitReadIndex(Duration timeout) = 0;
+  /// A new id for a write; it is never used again.
+  virtual std::string nextOperationId() = 0;
+  /// Where the leader's control API listens; none: the leader is unknown, or it is this controller.
+  virtual std::optional<std::string> leaderControlAddress() const = 0;
+  /// Requests a second of the whole fleet; known to the leader only.
+  virtual double requestsPerS() const = 0;
+  virtual std::string statusJson() const = 0;
+  virtual std::string zoneDrainsJson() const = 0;
+  /// Takes in the partner site's prefix hints. @return our own hints, sealed.
+  virtual Result<std::string> exchangeHints(std::string_view body, std::string_view seal) = 0;
+};
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/graceful_shutdown.cpp
@@ -0,0 +1,27 @@
+#include "graceful_shutdown.hpp"
+
+#include "runtime/event_loop.hpp"
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr auto kPollInterval = 50ms;
+constexpr Duration kMinDuration = 400ms;   // answers under way are sent before the process ends
+constexpr Duration kKillReserve = 1500ms;  // the process ends so long before it would be killed
+}  // namespace
+
+bool GracefulShutdown::begin(const std::function<void()>& done) {
+  if (std::exchange(inProgress_, true))
+    return false;
+  const auto begun = Clock::now();
+  const auto deadline = begun + std::max(kMinDuration, context_.settings.timers.grace - kKillReserve);
+  log::debug("shutdown_started", {{"term", context_.raft->term()}, {"member", context_.raft->self()}});
+  context_.raft->leave(begun);
+  runtime::EventLoop::get().callEvery(kPollInterval, [this, done, begun, deadline] {
+    const auto now = Clock::now();
+    if (now - begun >= kMinDuration && (context_.raft->mayExit() || now >= deadline))
+      done();
+  });
+  return true;
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/graceful_shutdown.hpp
@@ -0,0 +1,21 @@
+/// @file
+/// The orderly end of a controller: it hands over the leadership, asks the others to go on without it and ends once
+/// they can, or in time before the platform would kill it.
+#pragma once
+#include "controller_context.hpp"
+namespace zinccleat::controller {
+/// Owns the state of the shutdown; changed on the event-loop thread.
+class GracefulShutdown {
+ public:
+  explicit GracefulShutdown(ControllerContext& context) : context_(context) {}
+  /// Begins the shutdown; a second call does nothing. The raft node then has actions to carry out.
+  /// @param done is called on the event loop, once the process may end.
+  /// @return whether this call began it.
+  bool begin(const std::function<void()>& done);
+  bool inProgress() const { return inProgress_; }
+
+ private:
+  ControllerContext& context_;
+  bool inProgress_ = false;
+};
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/json_object.hpp
@@ -0,0 +1,28 @@
+/// @file
+/// Writes JSON objects and arrays as text.
+#pragma once
+#include "config/calls.hpp"
+namespace zinccleat::controller {
+/// One JSON object; its fields keep the order in which they are added.
+class JsonObject {
+ public:
+  /// Adds a value that is JSON already.
+  JsonObject& raw(std::string_view name, std::string_view json) {
+    text_ += text_.empty() ? "\"" : ",\"";
+    text_.append(name).append("\":").append(json);
+    return *this;
+  }
+  JsonObject& text(std::string_view name, std::string_view value) { return raw(name, config::quoteJson(value)); }
+  JsonObject& flag(std::string_view name, bool value) { return raw(name, value ? "true" : "false"); }
+  template <class Number>
+  JsonObject& number(std::string_view name, Number value) {
+    return raw(name, std::to_string(value));
+  }
+  std::string json() const { return "{" + text_ + "}"; }
+
+ private:
+  std::string text_;
+};
+/// @param elements are JSON already.
+std::string jsonArray(const std::vector<std::string>& elements);
+}  // namespace zinccleat::controller
--- a/libs/controller/src/lease_reads.cpp
+++ b/libs/controller/src/lease_reads.cpp
@@ -2,49 +2,51 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr Duration kAnswerWithin{400};
-constexpr Duration kAskedAgainAfter{50};
+constexpr Duration kAttemptTimeout{400};
+constexpr Duration kRetryInterval{50};
 }  // namespace
 
-bool LeaseReads::isDone(const Read& read) const {
-  return read.target >= 0 && core_.copy.state().index >= read.target;
+bool LeaseReads::isDone(const PendingRead& read) const {
+  return read.readIndex && context_.replica.state().index >= *read.readIndex;
 }
-bool LeaseReads::askOnce(TimePoint until) {
-  Read own;
-  const auto requestId = ++questions_;
-  reads_[requestId] = &own;
-  if (core_.knowsOtherLeader())
-    ask_(core_.raft->leader(), requestId);
-  while (!isDone(own) && Clock::now() < until) {
-    const bool woken = runtime::EventLoop::get().waitFor(own.waiter, std::max(1ms, toDuration(until - Clock::now())));
-    // Answered without a lease: it is asked again a little later.
-    if (!woken || own.target < 0)
+bool LeaseReads::attempt(TimePoint until) {
+  PendingRead read;
+  const auto requestId = ++lastRequestId_;
+  pending_[requestId] = &read;
+  if (context_.knowsOtherLeader())
+    sendRequest_(context_.raft->leader(), requestId);
+  while (!isDone(read) && Clock::now() < until) {
+    const auto left = std::max(1ms, toDuration(until - Clock::now()));
+    const bool woken = runtime::EventLoop::get().waitFor(read.waiter, left);
+    // The other controller has answered without a lease: the next attempt follows a little later.
+    if (!woken || !read.readIndex)
       break;
   }
-  reads_.erase(requestId);
-  return isDone(own);
+  pending_.erase(requestId);
+  return isDone(read);
 }
-Result<void> LeaseReads::fresh(Duration within) {
-  const auto end = Clock::now() + within;
-  while (Clock::now() < end) {
-    if (core_.raft->hasLease(Clock::now()))
+Result<void> LeaseReads::awaitReadIndex(Duration timeout) {
+  const auto deadline = Clock::now() + timeout;
+  while (Clock::now() < deadline) {
+    if (context_.raft->hasLease(Clock::now()))
       return {};
-    if (askOnce(std::min(end, Clock::now() + kAnswerWithin)))
+    if (attempt(std::min(deadline, Clock::now() + kAttemptTimeout)))
       return {};
-    runtime::EventLoop::get().sleepFor(kAskedAgainAfter);
+    runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
   return makeError(ErrorCode::unavailable, "no fresh lease");
 }
-void LeaseReads::answered(std::int64_t requestId, bool underLease, std::int64_t commitIndex) {
-  const auto it = reads_.find(requestId);
-  if (it == reads_.end())
+void LeaseReads::onResponse(std::int64_t requestId, bool underLease, std::int64_t commitIndex) {
+  const auto it = pending_.find(requestId);
+  if (it == pending_.end())
     return;
+  auto& read = *it->second;
   if (underLease)
-    it->second->target = commitIndex;
-  it->second->waiter.wake();
+    read.readIndex = commitIndex;
+  read.waiter.wake();
 }
-void LeaseReads::applied() {
-  for (auto& [requestId, read] : reads_)
+void LeaseReads::onApplied() {
+  for (auto& [requestId, read] : pending_)
     if (isDone(*read))
       read->waiter.wake();
 }
--- a/libs/controller/src/lease_reads.hpp
+++ b/libs/controller/src/lease_reads.hpp
@@ -1,30 +1,40 @@
-/// Linearizable reads (read index): a follower asks the leader, which answers under a valid lease how far it is
-/// committed, and reads its own copy once that is applied. Each question has a number of its own; an answer to one that
-/// nobody waits for any more is dropped.
+/// @file
+/// Linearizable reads by read index (Ongaro's thesis on Raft, section 6.4). A follower asks the leader, which answers
+/// under a valid lease how far the log is committed, and reads its own replica once it has applied that much. A leader
+/// with a valid lease reads its replica at once.
+///
+/// The pending reads are changed here only, on the event-loop thread; the calls that wait park their fiber.
 #pragma once
-#include "core_context.hpp"
+#include "controller_context.hpp"
 #include "runtime/event_loop.hpp"
 namespace zinccleat::controller {
 class LeaseReads {
  public:
-  using Ask = std::function<void(const consensus::MemberId& leader, std::int64_t requestId)>;
-  LeaseReads(const CoreContext& core, Ask ask) : core_(core), ask_(std::move(ask)) {}
-  /// Parks until this copy is as new as the leader's at the time of asking.
-  Result<void> fresh(Duration within);
-  void answered(std::int64_t requestId, bool underLease, std::int64_t commitIndex);
-  /// The copy has grown.
-  void applied();
+  using SendRequest = std::function<void(const consensus::MemberId& leader, std::int64_t requestId)>;
+  /// @param sendRequest sends the leader a read-index request.
+  LeaseReads(const ControllerContext& context, SendRequest sendRequest)
+      : context_(context), sendRequest_(std::move(sendRequest)) {}
+  /// Parks the calling fiber until the replica is as new as the leader's log was when this was called.
+  /// @return `ErrorCode::unavailable` if that took longer than `timeout`.
+  Result<void> awaitReadIndex(Duration timeout);
+  /// A response that comes too late for its request is dropped.
+  /// @param underLease false: `commitIndex` says nothing.
+  void onResponse(std::int64_t requestId, bool underLease, std::int64_t commitIndex);
+  /// The replica has applied an entry or a snapshot.
+  void onApplied();
 
  private:
-  struct Read {
+  struct PendingRead {
     runtime::Waiter waiter;
-    std::int64_t target = -1;  // to be applied here; -1: not answered yet
+    std::optional<std::int64_t> readIndex;  ///< to be applied here; none: not answered yet
   };
-  bool isDone(const Read& read) const;
-  bool askOnce(TimePoint until);
-  const CoreContext& core_;
-  Ask ask_;
-  std::map<std::int64_t, Read*> reads_;  // by question
-  std::int64_t questions_ = 0;
+  bool isDone(const PendingRead& read) const;
+  /// Sends one request and waits for its answer. @return whether the read may go on.
+  bool attempt(TimePoint until);
+
+  const ControllerContext& context_;
+  SendRequest sendRequest_;
+  std::map<std::int64_t, PendingRead*> pending_;  // by request, on the stacks of the fibers that wait
+  std::int64_t lastRequestId_ = 0;
 };
 }  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/message_dispatcher.cpp
@@ -0,0 +1,76 @@
+#include "message_dispatcher.hpp"
+
+namespace zinccleat::controller {
+void MessageDispatcher::onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  if (envelope.sender.empty())
+    return link->decline("a message that names no sender");
+  // Each of these looks at the messages of its own types only.
+  onConsensusMessage(link, envelope);
+  transport::receive<transport::SubmitEntry>(link, envelope, [&](transport::SubmitEntry message) {
+    onSubmitEntry(link, envelope.sender, std::move(message.entry));
+  });
+  onReadIndexMessage(link, envelope);
+  onHeartbeatMessage(link, envelope);
+  onLogMessage(link, envelope);
+  onAgentRequest(link, envelope);
+}
+void MessageDispatcher::onConsensusMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  if (envelope.type != transport::MessageType::consensus)
+    return;
+  auto message = consensus::decodeMessage(envelope.payload);
+  if (!message)
+    return link->decline(message.error().message);
+  components_.peers.recordMessage(envelope.sender, link);
+  context_.view.add(viewNameOfController(consensus::addressOf(envelope.sender)));
+  context_.raft->receive(Clock::now(), envelope.sender, std::move(*message));
+  components_.driver.run();
+}
+void MessageDispatcher::onSubmitEntry(const transport::PeerLinkPtr& link, const consensus::MemberId& from,
+                                      transport::LogEntry entry) {
+  components_.peers.recordMessage(from, link);
+  // A write that is submitted again after its commit is still that one write: its sender sees it in its own replica.
+  const bool isApplied = context_.replica.outcomeOf(entry.operationId).has_value();
+  const bool accepted = isApplied || context_.raft->submit(Clock::now(), std::move(entry));
+  components_.peers.send(from, transport::SubmitEntryResponse{accepted});
+  components_.driver.run();
+}
+void MessageDispatcher::onReadIndexMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  transport::receive<transport::ReadIndexRequest>(link, envelope, [&](const transport::ReadIndexRequest& message) {
+    const bool underLease = context_.raft->hasLease(Clock::now());
+    respond(link, transport::ReadIndexResponse{message.requestId, underLease, context_.raft->commitIndex()});
+  });
+  transport::receive<transport::ReadIndexResponse>(link, envelope, [this](const transport::ReadIndexResponse& message) {
+    components_.reads.onResponse(message.requestId, message.underLease, message.commitIndex);
+  });
+}
+void MessageDispatcher::onHeartbeatMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  transport::receive<transport::HeartbeatBatch>(link, envelope, [&](const transport::HeartbeatBatch& message) {
+    components_.runners.onHeartbeatBatch(link, message, Clock::now());
+  });
+  transport::receive<transport::HeartbeatBatchResponse>(
+      link, envelope, [&](const transport::HeartbeatBatchResponse& message) {
+        components_.runners.onHeartbeatBatchResponse(envelope.sender, message);
+      });
+}
+void MessageDispatcher::onLogMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  transport::receive<transport::AgentState>(link, envelope, [&](const transport::AgentState& message) {
+    components_.agents.onAgentState(link, envelope.sender, message);
+  });
+  transport::receive<transport::FollowLog>(link, envelope, [&](const transport::FollowLog& message) {
+    components_.agents.onFollowLog(link, envelope.sender, message);
+  });
+}
+void MessageDispatcher::onAgentRequest(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
+  const auto now = Clock::now();
+  transport::receive<transport::LeaseRequest>(link, envelope, [&](const transport::LeaseRequest& message) {
+    respond(link, components_.requests.onLeaseRequest(now, envelope.sender, message));
+  });
+  transport::receive<transport::QuotaTokenRequest>(link, envelope, [&](const transport::QuotaTokenRequest& message) {
+    respond(link, components_.requests.onQuotaTokenRequest(now, message));
+  });
+  transport::receive<transport::PrefixLookupRequest>(
+      link, envelope, [&](const transport::PrefixLookupRequest& message) {
+        respond(link, components_.hints.onPrefixLookupRequest(now, message));
+      });
+}
+}  // namespace zinccleat::controller
--- a/libs/controller/src/operation_ids.hpp
+++ b/libs/controller/src/operation_ids.hpp
@@ -1,6 +1,7 @@
-/// Names for this member's own writes. A name never returns: not in this life of the process, not in another one of the
-/// same member, not at another member. Why it matters: an operation's verdict is kept under its name, so two orders
-/// with one name would share one verdict, and the second would be confirmed although only the first was taken.
+/// @file
+/// Ids of the writes that this member takes. An id is never used twice: not by this process, not by another
+/// incarnation of the same member, not by another member. The outcome of a write is kept under its id, so two writes
+/// with one id would share one outcome, and the second would be confirmed although only the first was accepted.
 #pragma once
 #include <cstdio>
 
@@ -8,14 +9,17 @@
 namespace zinccleat::controller {
 class OperationIds {
  public:
-  /// member: the identity that this machine keeps over its lives. boot: drawn anew at each start, all 64 bits count.
-  OperationIds(const std::string& member, std::uint64_t boot) : prefix_(member + "/" + hex(boot) + ".") {}
+  /// @param member the id that this machine keeps over its restarts.
+  /// @param incarnation drawn at random at each start; all 64 bits count.
+  OperationIds(const std::string& member, std::uint64_t incarnation) : prefix_(member + "/" + hex(incarnation) + ".") {}
   std::string next() { return prefix_ + std::to_string(++count_); }
 
  private:
   static std::string hex(std::uint64_t number) {
-    char digits[17];
-    std::snprintf(digits, sizeof digits, "%016llx", static_cast<unsigned long long>(number));
+    constexpr std::size_t kDigits = 16;
+    std::string digits(kDigits + 1, '\0');
+    std::snprintf(digits.data(), digits.size(), "%016llx", static_cast<unsigned long long>(number));
+    digits.resize(kDigits);
     return digits;
   }
   std::string prefix_;
--- a/libs/controller/src/partner_hints.cpp
+++ b/libs/controller/src/partner_hints.cpp
@@ -8,81 +8,95 @@
 namespace zinccleat::controller {
 namespace {
 constexpr hints::HintBounds kBounds{};
-constexpr auto kTellEvery = 2000ms;
-constexpr auto kAnswerWithin = 1000ms;
-// By the time of day: both sites change the key together, and a list one key old still counts.
-std::int64_t epochNow() {
+constexpr auto kSendInterval = 2000ms;
+constexpr auto kResponseTimeout = 1000ms;
+constexpr int kHttpOk = 200;
+
+// By the time of day: both sites change the key at the same time, and hints under the previous key still count.
+std::int64_t currentEpoch() {
   return std::chrono::system_clock::now().time_since_epoch() / kBounds.epoch;
 }
+/// A response is the seal, a line feed and the hints.
+struct SealedHints {
+  std::string seal, body;
+};
+std::optional<SealedHints> splitResponse(const std::string& response) {
+  const auto lineEnd = response.find('\n');
+  if (lineEnd == std::string::npos)
+    return std::nullopt;
+  return SealedHints{response.substr(0, lineEnd), response.substr(lineEnd + 1)};
+}
 }  // namespace
 
 Result<void> PartnerHints::start() {
-  if (!core_.settings.partner)
+  if (!context_.settings.partner)
     return {};
-  auto key = hints::HintKey::from(core_.settings.partner->secret);
+  auto key = hints::HintKey::from(context_.settings.partner->secret);
   if (!key)
     return tl::unexpected(key.error());
   key_ = *key;
   table_.emplace(*key, kBounds, randomSeed());
-  runtime::EventLoop::get().callEvery(kTellEvery, [this] { tell(); });
+  runtime::EventLoop::get().callEvery(kSendInterval, [this] { sendInBackground(); });
   return {};
 }
-void PartnerHints::tell() {
-  if (!core_.raft->hasLease(Clock::now()) || std::exchange(telling_, true))
+std::string PartnerHints::encodedHints() {
+  return avro::encode(table_->news(Clock::now(), currentEpoch()));
+}
+std::string PartnerHints::sealed(const std::string& body) const {
+  return key_->seal(body) + "\n" + body;
+}
+void PartnerHints::sendInBackground() {
+  if (!context_.raft->hasLease(Clock::now()) || std::exchange(sending_, true))
     return;
   runtime::EventLoop::get().spawn([this] {
-    tellOne();
-    telling_ = false;
+    send();
+    sending_ = false;
   });
 }
-// To the first of the partner's machines that answers.
-void PartnerHints::tellOne() {
-  const auto news = avro::encode(table_->news(Clock::now(), epochNow()));
-  const operations::Call call{"POST", "/v1/Hints.Exchange", news, {{"X-Hint-Seal", key_->seal(news)}}};
-  for (auto& address : core_.settings.partner->control) {
-    const auto answer = operations::callOne(address, call, kAnswerWithin);
-    if (answer && answer->status == 200)
-      return takeAnswer(address, answer->body);
+void PartnerHints::send() {
+  const auto body = encodedHints();
+  const operations::Call call{"POST", "/v1/Hints.Exchange", body, {{"X-Hint-Seal", key_->seal(body)}}};
+  for (const auto& address : context_.settings.partner->control) {
+    const auto answer = operations::callOne(address, call, kResponseTimeout);
+    if (answer && answer->status == kHttpOk)
+      return onResponse(address, answer->body);
   }
 }
-void PartnerHints::takeAnswer(const std::string& from, const std::string& answer) {
-  const auto cut = answer.find('\n');
-  const auto body = cut == std::string::npos ? std::string{} : answer.substr(cut + 1);
-  const auto news = avro::decode<hints::HintUpdate>(body);
-  if (cut == std::string::npos || !key_->fits(body, answer.substr(0, cut)) || !news) {
+Result<void> PartnerHints::accept(std::string_view body, std::string_view seal) {
+  const auto update = avro::decode<hints::HintUpdate>(body);
+  if (!key_->fits(body, seal) || !update) {
     table_->decline();
-    return log::debug("hints from " + from + " declined");
+    return makeError(ErrorCode::permissionDenied, "hints of a stranger");
   }
-  if (auto taken = table_->heard(Clock::now(), epochNow(), *news); !taken)
-    log::debug("hints from " + from + " declined: " + taken.error().message);
+  return table_->heard(Clock::now(), currentEpoch(), *update);
+}
+void PartnerHints::onResponse(const std::string& from, const std::string& response) {
+  const auto hints = splitResponse(response).value_or(SealedHints{});
+  if (auto accepted = accept(hints.body, hints.seal); !accepted)
+    log::debug("partner_hints_declined", {{"peer", from}, {"reason", accepted.error().message}});
 }
-Result<std::string> PartnerHints::take(std::string_view body, std::string_view seal) {
+Result<std::string> PartnerHints::exchange(std::string_view body, std::string_view seal) {
   if (!table_)
     return makeError(ErrorCode::notFound, "no partner site");
-  if (!core_.raft->hasLease(Clock::now()))
+  if (!context_.raft->hasLease(Clock::now()))
     return makeError(ErrorCode::unavailable, "no lease");
-  const auto news = avro::decode<hints::HintUpdate>(body);
-  if (!key_->fits(body, seal) || !news) {
-    table_->decline();
-    log::debug("hints from a stranger declined");
-    return makeError(ErrorCode::permissionDenied, "hints of a stranger");
+  if (auto accepted = accept(body, seal); !accepted) {
+    log::debug("partner_hints_declined", {{"peer", "caller"}, {"reason", accepted.error().message}});
+    return tl::unexpected(accepted.error());
   }
-  if (auto taken = table_->heard(Clock::now(), epochNow(), *news); !taken)
-    return tl::unexpected(taken.error());
-  const auto ours = avro::encode(table_->news(Clock::now(), epochNow()));
-  return key_->seal(ours) + "\n" + ours;
+  return sealed(encodedHints());
 }
 transport::PrefixLookupResponse PartnerHints::onPrefixLookupRequest(TimePoint now,
-                                                                    const transport::PrefixLookupRequest& requestId) {
-  transport::PrefixLookupResponse answer;
-  answer.requestId = requestId.requestId;
-  if (!table_ || !core_.raft->hasLease(now))
-    return answer;
-  const auto opening = static_cast<std::uint64_t>(requestId.opening);
-  const auto tenantDigest = static_cast<std::uint64_t>(requestId.tenantDigest);
-  // Alike whether the partner does not hold it, or has not told: only whether to go there.
-  if (table_->elsewhere(now, epochNow(), opening, tenantDigest))
-    answer.access = core_.settings.partner->access;
-  return answer;
+                                                                    const transport::PrefixLookupRequest& request) {
+  transport::PrefixLookupResponse response;
+  response.requestId = request.requestId;
+  if (!table_ || !context_.raft->hasLease(now))
+    return response;
+  const auto prefix = static_cast<std::uint64_t>(request.opening);
+  const auto tenantDigest = static_cast<std::uint64_t>(request.tenantDigest);
+  // The answer is the same whether the partner has not cached the prefix or has not said so.
+  if (table_->elsewhere(now, currentEpoch(), prefix, tenantDigest))
+    response.access = context_.settings.partner->access;
+  return response;
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/peer_links.cpp
+++ b/libs/controller/src/peer_links.cpp
@@ -2,20 +2,27 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::size_t kMostBacklog = 4U << 20;  // bytes that wait for a member before it is told again later
-constexpr auto kSpokeLately = 1s;
+// Bytes that wait for a member before further messages to it are dropped.
+constexpr std::size_t kMaxBacklogBytes = 4U << 20;
+constexpr auto kRecentlyUsed = 1s;
+
+void sendUnlessBacklogged(transport::PeerLink& link, const transport::Envelope& envelope) {
+  // The replicated log tolerates losses: a member that reads slowly is sent the same again later.
+  if (link.backlog() <= kMaxBacklogBytes)
+    link.send(envelope);
+}
 }  // namespace
 
 void PeerLinks::dial(const std::string& address) {
   (void)dialerTo(address);
 }
 transport::Dialer* PeerLinks::dialerTo(const std::string& address) {
-  if (address == core_.settings.ip)
+  if (address == context_.settings.ip)
     return nullptr;
   auto& dialer = dialers_[address];
   if (dialer)
     return dialer.get();
-  const auto endpoint = runtime::parseEndpoint(address + ":" + std::to_string(core_.settings.portFirst));
+  const auto endpoint = runtime::parseEndpoint(address + ":" + std::to_string(context_.settings.portFirst));
   if (!endpoint) {
     dialers_.erase(address);
     return nullptr;
@@ -24,30 +31,30 @@
   return dialer.get();
 }
 transport::Envelope PeerLinks::envelopeOf(const consensus::ConsensusMessage& message) const {
-  return {transport::MessageType::consensus, core_.raft->self(), consensus::encodeMessage(message)};
+  return {transport::MessageType::consensus, context_.raft->self(), consensus::encodeMessage(message)};
 }
 void PeerLinks::send(const consensus::MemberId& to, const consensus::ConsensusMessage& message) {
-  post(to, envelopeOf(message));
-}
-void PeerLinks::post(const consensus::MemberId& to, const transport::Envelope& envelope) {
-  // The replicated log bears losses: one that reads slowly is told again later.
-  auto write = [&](transport::PeerLink& link) {
-    if (link.backlog() <= kMostBacklog)
-      link.send(envelope);
-  };
-  // An answer goes back on the connection the other spoke on; only what has none goes on a dialled one.
-  if (const auto it = spokeOn_.find(to); it != spokeOn_.end()) {
-    const auto link = it->second.lock();
-    if (link && link->open() && Clock::now() - link->heard() < kSpokeLately)
-      return write(*link);
-  }
+  sendEnvelope(to, envelopeOf(message));
+}
+transport::PeerLinkPtr PeerLinks::recentLinkOf(const consensus::MemberId& member) const {
+  const auto it = inboundLinks_.find(member);
+  if (it == inboundLinks_.end())
+    return nullptr;
+  auto link = it->second.lock();
+  const bool recentlyUsed = link && link->open() && Clock::now() - link->heard() < kRecentlyUsed;
+  return recentlyUsed ? link : nullptr;
+}
+void PeerLinks::sendEnvelope(const consensus::MemberId& to, const transport::Envelope& envelope) {
+  // Answers go back on the connection that the other member uses; a dialled one serves where there is none.
+  if (const auto link = recentLinkOf(to))
+    return sendUnlessBacklogged(*link, envelope);
   if (auto* dialer = dialerTo(consensus::addressOf(to)); dialer && dialer->up())
-    write(*dialer->link());
+    sendUnlessBacklogged(*dialer->link(), envelope);
 }
 void PeerLinks::sendToVoters(const consensus::ConsensusMessage& message) {
   const auto envelope = envelopeOf(message);
-  for (auto& voter : core_.raft->voters())
-    if (voter != core_.raft->self())
-      post(voter, envelope);
+  for (const auto& voter : context_.raft->voters())
+    if (voter != context_.raft->self())
+      sendEnvelope(voter, envelope);
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/peer_links.hpp
+++ b/libs/controller/src/peer_links.hpp
@@ -1,31 +1,40 @@
-/// Links to the other core machines. A message is sent once or lost: the replicated log sends again what matters.
+/// @file
+/// Links to the other controllers. A message is sent at most once and may be lost: whoever needs an answer sends again.
+/// The links are opened, kept and used here only, on the event-loop thread.
 #pragma once
-#include "core_context.hpp"
+#include "controller_context.hpp"
 #include "transport/peer_link.hpp"
 namespace zinccleat::controller {
 class PeerLinks {
  public:
-  PeerLinks(const CoreContext& core, transport::PeerLink::OnMessage onMessage)
-      : core_(core), onMessage_(std::move(onMessage)) {}
-  /// Keeps a link to a machine dialled from here on.
+  /// @param onMessage is called for each message that comes on a link dialled from here.
+  PeerLinks(const ControllerContext& context, transport::PeerLink::OnMessage onMessage)
+      : context_(context), onMessage_(std::move(onMessage)) {}
+  /// Opens a link to a controller and opens it again whenever it ends.
   void dial(const std::string& address);
-  /// A member has spoken on this link: answers go back on it for as long as it does.
-  void heardFrom(const consensus::MemberId& member, const transport::PeerLinkPtr& link) { spokeOn_[member] = link; }
-  template <class T>
-  void send(const consensus::MemberId& to, const T& message) {
-    post(to, transport::pack(message, core_.raft->self()));
+  /// A member has sent a message on this link: answers go back on it while it stays in use.
+  void recordMessage(const consensus::MemberId& member, const transport::PeerLinkPtr& link) {
+    inboundLinks_[member] = link;
+  }
+  template <class Message>
+  void send(const consensus::MemberId& to, const Message& message) {
+    sendEnvelope(to, transport::pack(message, context_.raft->self()));
   }
   void send(const consensus::MemberId& to, const consensus::ConsensusMessage& message);
-  /// To all other voters.
+  /// Sends to all voters but this member.
   void sendToVoters(const consensus::ConsensusMessage& message);
 
  private:
-  void post(const consensus::MemberId& to, const transport::Envelope& envelope);
+  void sendEnvelope(const consensus::MemberId& to, const transport::Envelope& envelope);
   transport::Envelope envelopeOf(const consensus::ConsensusMessage& message) const;
+  /// The link that the member used within the last second; null: none.
+  transport::PeerLinkPtr recentLinkOf(const consensus::MemberId& member) const;
+  /// Null: the address is our own or can't be dialled.
   transport::Dialer* dialerTo(const std::string& address);
-  const CoreContext& core_;
+
+  const ControllerContext& context_;
   transport::PeerLink::OnMessage onMessage_;
   std::map<std::string, std::unique_ptr<transport::Dialer>> dialers_;  // by address
-  std::map<consensus::MemberId, std::weak_ptr<transport::PeerLink>> spokeOn_;
+  std::map<consensus::MemberId, std::weak_ptr<transport::PeerLink>> inboundLinks_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/pending_writes.cpp
+++ b/libs/controller/src/pending_writes.cpp
@@ -2,71 +2,73 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr Duration kSentAgainAfter{250};
+constexpr Duration kResubmitInterval{250};
 }
 
-Result<std::int32_t> PendingWrites::write(const transport::LogEntry& entry, Duration within) {
-  const auto end = Clock::now() + within;
-  const auto id = entry.operationId;
-  Pending own;
-  own.verdict = core_.copy.outcomeOf(id);
-  pending_[id].push_back(&own);
-  bool bodyIsAhead = false;
-  while (!own.verdict && Clock::now() < end) {
-    submit(entry, bodyIsAhead);
-    // It may be applied at once, where this machine is a core of one.
-    if (own.verdict)
+Result<std::int32_t> PendingWrites::write(const transport::LogEntry& entry, Duration timeout) {
+  const auto deadline = Clock::now() + timeout;
+  const auto operationId = entry.operationId;
+  PendingWrite own;
+  own.outcome = context_.replica.outcomeOf(operationId);
+  pending_[operationId].push_back(&own);
+  bool bodySentAhead = false;
+  while (!own.outcome && Clock::now() < deadline) {
+    submit(entry, bodySentAhead);
+    // A cluster of one has applied it by now.
+    if (own.outcome)
       break;
-    (void)runtime::EventLoop::get().waitFor(own.waiter,
-                                            std::min(toDuration(end - Clock::now()) + 1ms, kSentAgainAfter));
-    if (!own.verdict)
-      own.verdict = core_.copy.outcomeOf(id);
+    const auto left = toDuration(deadline - Clock::now()) + 1ms;
+    (void)runtime::EventLoop::get().waitFor(own.waiter, std::min(left, kResubmitInterval));
+    if (!own.outcome)
+      own.outcome = context_.replica.outcomeOf(operationId);
   }
-  forget(id, &own);
-  if (!own.verdict)
+  forget(operationId, &own);
+  if (!own.outcome)
     return makeError(ErrorCode::unavailable, "no outcome yet");
-  return *own.verdict;
+  return *own.outcome;
 }
-void PendingWrites::submit(const transport::LogEntry& entry, bool& bodyIsAhead) {
-  const auto leader = core_.raft->leader();
-  if (leader == core_.raft->self())
-    return ways_.submitHere(entry);
+void PendingWrites::submit(const transport::LogEntry& entry, bool& bodySentAhead) {
+  const auto leader = context_.raft->leader();
+  if (leader == context_.raft->self())
+    return submitters_.submitHere(entry);
   if (leader.empty())
     return;
-  const bool large = entry.body.size() > kLargeBody && !entry.digest.empty();
-  // Sent again, it goes whole: the body may have been lost.
-  if (!large || bodyIsAhead)
-    return ways_.submitThere(leader, entry);
-  ways_.sendBodyAhead(entry);
-  bodyIsAhead = true;
+  const bool isLarge = entry.body.size() > kLargeBodyBytes && !entry.digest.empty();
+  // Submitted again, an entry goes with its body, which may have been lost.
+  if (!isLarge || std::exchange(bodySentAhead, true))
+    return submitters_.forwardToLeader(leader, entry);
+  forwardWithBodyAhead(leader, entry);
+}
+void PendingWrites::forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry) {
+  submitters_.sendBodyAhead(entry);
   auto withoutBody = entry;
   withoutBody.body.clear();
   withoutBody.omitted = true;
-  ways_.submitThere(leader, withoutBody);
+  submitters_.forwardToLeader(leader, withoutBody);
 }
-void PendingWrites::forget(const std::string& operationId, const Pending* pending) {
-  auto& ofId = pending_[operationId];
-  std::erase(ofId, pending);
-  if (ofId.empty())
+void PendingWrites::forget(const std::string& operationId, const PendingWrite* write) {
+  auto& writes = pending_[operationId];
+  std::erase(writes, write);
+  if (writes.empty())
     pending_.erase(operationId);
 }
-void PendingWrites::applied(const std::string& operationId) {
+void PendingWrites::onApplied(const std::string& operationId) {
   const auto it = pending_.find(operationId);
   if (it == pending_.end())
     return;
-  for (auto* pending : it->second) {
-    pending->verdict = core_.copy.outcomeOf(operationId);
-    pending->waiter.wake();
+  for (auto* write : it->second) {
+    write->outcome = context_.replica.outcomeOf(operationId);
+    write->waiter.wake();
   }
 }
-void PendingWrites::snapshotRestored() {
-  for (auto& [id, ofId] : pending_)
-    if (core_.copy.outcomeOf(id))
-      applied(id);
+void PendingWrites::onSnapshotRestored() {
+  for (auto& [operationId, writes] : pending_)
+    if (context_.replica.outcomeOf(operationId))
+      onApplied(operationId);
 }
-void PendingWrites::leaderChanged() {
-  for (auto& [id, ofId] : pending_)
-    for (auto* pending : ofId)
-      pending->waiter.wake();
+void PendingWrites::onLeaderChanged() {
+  for (auto& [operationId, writes] : pending_)
+    for (auto* write : writes)
+      write->waiter.wake();
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/pending_writes.hpp
+++ b/libs/controller/src/pending_writes.hpp
@@ -1,34 +1,44 @@
-/// Writes taken at this machine that wait for their verdict. Each is sent to the leader until it is applied here, or
-/// its time is up; sent again it stays the one write, by its operation id.
+/// @file
+/// Writes that this controller has accepted from a caller and whose outcome is awaited. Each is submitted to the leader
+/// again and again until the replica has applied it or its time is up; by its operation id it stays one write.
+///
+/// The pending writes are changed here only, on the event-loop thread; the calls that wait park their fiber.
 #pragma once
-#include "core_context.hpp"
+#include "controller_context.hpp"
 #include "runtime/event_loop.hpp"
 namespace zinccleat::controller {
 class PendingWrites {
  public:
-  struct Ways {
-    std::function<void(const transport::LogEntry&)> submitHere;  // this machine leads
-    std::function<void(const consensus::MemberId& leader, const transport::LogEntry&)> submitThere;  // another one does
+  /// The ways on which a write leaves this controller.
+  struct Submitters {
+    std::function<void(const transport::LogEntry&)> submitHere;  ///< this controller leads
+    std::function<void(const consensus::MemberId& leader, const transport::LogEntry&)> forwardToLeader;
     std::function<void(const transport::LogEntry&)> sendBodyAhead;
   };
-  PendingWrites(const CoreContext& core, Ways ways) : core_(core), ways_(std::move(ways)) {}
-  /// Parks the calling fiber until its own write is applied here; the verdict is the copy's.
-  Result<std::int32_t> write(const transport::LogEntry& entry, Duration within);
-  void applied(const std::string& operationId);
-  /// Any of them may be applied by now.
-  void snapshotRestored();
-  /// All are sent again, to the new one.
-  void leaderChanged();
+  PendingWrites(const ControllerContext& context, Submitters submitters)
+      : context_(context), submitters_(std::move(submitters)) {}
+  /// Parks the calling fiber until its own write is applied here.
+  /// @return the write's outcome by the replica (see `ReplicatedState::outcomeOf`), or `ErrorCode::unavailable` if it
+  /// was not applied within `timeout`; it may still be applied later.
+  Result<std::int32_t> write(const transport::LogEntry& entry, Duration timeout);
+  void onApplied(const std::string& operationId);
+  /// The replica was restored from a snapshot, which may hold the outcome of any of them.
+  void onSnapshotRestored();
+  /// All are submitted again, to the new leader.
+  void onLeaderChanged();
 
  private:
-  struct Pending {
+  struct PendingWrite {
     runtime::Waiter waiter;
-    std::optional<std::int32_t> verdict;
+    std::optional<std::int32_t> outcome;
   };
-  void submit(const transport::LogEntry& entry, bool& bodyIsAhead);
-  void forget(const std::string& operationId, const Pending* pending);
-  const CoreContext& core_;
-  Ways ways_;
-  std::map<std::string, std::vector<Pending*>> pending_;  // by operation id
+  void submit(const transport::LogEntry& entry, bool& bodySentAhead);
+  /// The body goes to all controllers at once, and the entry without it to the leader.
+  void forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry);
+  void forget(const std::string& operationId, const PendingWrite* write);
+
+  const ControllerContext& context_;
+  Submitters submitters_;
+  std::map<std::string, std::vector<PendingWrite*>> pending_;  // by operation id, on the stacks of waiting fibers
 };
 }  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/raft_driver.cpp
@@ -0,0 +1,75 @@
+#include "raft_driver.hpp"
+
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr std::int64_t kCompactionInterval = 96;                          // applied entries
+constexpr std::int64_t kMaxCompactionInterval = 4 * kCompactionInterval;  // whether or not agents lag behind
+constexpr std::int64_t kAgentLag = kCompactionInterval / 2;               // entries that an agent may lag behind
+}  // namespace
+
+void RaftDriver::startStorage(storage::Storage storage) {
+  storage_ = std::make_unique<StorageThread>(std::move(storage));
+}
+void RaftDriver::run() {
+  if (running_)
+    return;
+  running_ = true;
+  for (auto actions = context_.raft->takeActions(); !actions.empty(); actions = context_.raft->takeActions())
+    for (auto& action : actions)
+      std::visit([this](auto& alternative) { carryOut(alternative); }, action);
+  running_ = false;
+  components_.roles.update();
+  if (components_.roles.isLeader())
+    components_.agents.feedAll();
+}
+void RaftDriver::carryOut(consensus::SendMessage& action) {
+  components_.peers.send(action.to, action.message);
+}
+void RaftDriver::carryOut(consensus::PersistRecord& action) {
+  storage_->append(std::move(action.record), [this, ticket = action.ticket](const Result<void>& appended) {
+    if (!appended)
+      log::error("storage_append_failed", {{"reason", appended.error().message}});
+    context_.raft->persisted(Clock::now(), ticket, appended.has_value());
+    run();
+  });
+}
+void RaftDriver::carryOut(consensus::ApplyEntry& action) {
+  const auto change = context_.replica.apply(action.entry);
+  // The entry had another effect here than at all other members. Ending helps: the records on the disk, replayed by
+  // the next start, restore the replica.
+  checkInvariant(!change.damaged, "a replica that differs from the others");
+  if (change.configuration)
+    adoptConfiguration();
+  components_.writes.onApplied(action.entry.operationId);
+  components_.reads.onApplied();
+  compactIfDue();
+}
+void RaftDriver::carryOut(consensus::RestoreSnapshot& action) {
+  // Every snapshot is validated before it gets here: those of the disk by `recoverDisk`, those of other members by
+  // `snapshotIsValid`. A committed state that can't be restored must not be replaced by anything else.
+  checkInvariant(context_.replica.restore(action.state).has_value(), "a snapshot that was found valid restores");
+  adoptConfiguration();
+  components_.writes.onSnapshotRestored();
+  components_.reads.onApplied();
+}
+void RaftDriver::compactIfDue() {
+  const auto newest = context_.replica.state().index;
+  // Entries that a linked agent still lacks are kept for a while; an agent far behind gets a snapshot in the end.
+  const bool agentsAreClose = components_.agents.lowestApplied(newest) + kAgentLag >= newest;
+  if (++appliedSinceCompaction_ < (agentsAreClose ? kCompactionInterval : kMaxCompactionInterval))
+    return;
+  appliedSinceCompaction_ = 0;
+  context_.raft->compact(newest, context_.replica.snapshot(), Clock::now());
+}
+void RaftDriver::adoptConfiguration() {
+  const auto& text = context_.replica.state().configuration;
+  if (text.empty())
+    return;
+  if (auto configuration = config::parseConfiguration(text))
+    context_.configuration = *configuration;
+  else
+    log::error("configuration_unreadable", {{"reason", configuration.error().message}});
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/raft_driver.hpp
@@ -0,0 +1,47 @@
+/// @file
+/// Carries out what the raft node asks for: sends messages, makes records durable, applies committed entries and
+/// snapshots to the replica, compacts the log.
+///
+/// The only writer of the replica and of the parsed configuration in `ControllerContext`, and the owner of the storage
+/// thread. On the event-loop thread; results of the disk come back to it.
+#pragma once
+#include "agent_sessions.hpp"
+#include "controller_context.hpp"
+#include "lease_reads.hpp"
+#include "peer_links.hpp"
+#include "pending_writes.hpp"
+#include "role_changes.hpp"
+#include "storage_thread.hpp"
+namespace zinccleat::controller {
+class RaftDriver {
+ public:
+  /// The components that the raft node's actions reach.
+  struct Components {
+    PeerLinks& peers;
+    AgentSessions& agents;
+    PendingWrites& writes;
+    LeaseReads& reads;
+    RoleChanges& roles;
+  };
+  RaftDriver(ControllerContext& context, Components components) : context_(context), components_(components) {}
+  /// Takes over a storage that has been recovered. To be called once, before `run`.
+  void startStorage(storage::Storage storage);
+  /// Carries out all actions that the raft node has by now, and what follows from a change of roles. To be called after
+  /// each event that was passed to the raft node. A nested call does nothing: the outer one goes on with its actions.
+  void run();
+
+ private:
+  void carryOut(consensus::SendMessage& action);
+  void carryOut(consensus::PersistRecord& action);
+  void carryOut(consensus::ApplyEntry& action);
+  void carryOut(consensus::RestoreSnapshot& action);
+  void compactIfDue();
+  void adoptConfiguration();
+
+  ControllerContext& context_;
+  Components components_;
+  std::unique_ptr<StorageThread> storage_;
+  std::int64_t appliedSinceCompaction_ = 0;  // entries
+  bool running_ = false;
+};
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/role_changes.cpp
@@ -0,0 +1,30 @@
+#include "role_changes.hpp"
+
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::controller {
+void RoleChanges::update() {
+  updateRole();
+  updateLeader();
+}
+void RoleChanges::updateRole() {
+  const bool leads = context_.isLeader();
+  if (std::exchange(isLeader_, leads) == leads)
+    return;
+  log::debug(leads ? "leadership_gained" : "leadership_lost", {{"term", context_.raft->term()}});
+  if (leads)
+    observers_.requests.startTerm(Clock::now());
+  else
+    observers_.agents.stopFeeding();
+}
+void RoleChanges::updateLeader() {
+  const auto leader = context_.raft->leader();
+  if (leader == leader_)
+    return;
+  leader_ = leader;
+  log::debug("leader_changed", {{"term", context_.raft->term()}, {"leader", leader}});
+  observers_.runners.onLeaderChanged();
+  observers_.agents.broadcastStatus();
+  observers_.writes.onLeaderChanged();
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/runner_handlers.cpp
@@ -0,0 +1,87 @@
+/// @file
+/// The calls of runners: heartbeats and detaching.
+#include "api_handlers.hpp"
+#include "api_responses.hpp"
+#include "config/calls.hpp"
+
+namespace zinccleat::controller {
+namespace {
+using state_machine::Runner;
+using state_machine::RunnerState;
+
+bool describesSame(const Runner& one, const Runner& other) {
+  return one.address == other.address && one.service == other.service && one.capacity == other.capacity &&
+         one.zone == other.zone;
+}
+Runner runnerOf(const config::RunnerHeartbeat& heartbeat) {
+  Runner runner;
+  runner.id = heartbeat.id;
+  runner.service = heartbeat.service;
+  runner.address = heartbeat.address;
+  runner.zone = heartbeat.zone;
+  runner.capacity = heartbeat.capacity;
+  runner.sequence = heartbeat.sequence;
+  runner.state = static_cast<std::int32_t>(heartbeat.draining ? RunnerState::draining : RunnerState::inService);
+  return runner;
+}
+/// Whether a heartbeat says what the replica does not hold yet. One that comes out of order does not; a runner that
+/// drains never returns to service.
+bool isUpdate(const Runner& reported, const state_machine::ReplicatedState& replica) {
+  if (replica.isDetached(reported.id))
+    return false;
+  const auto* known = replica.runner(reported.id);
+  if (!known)
+    return true;
+  if (reported.sequence < known->sequence)
+    return false;
+  const bool stateChanges = reported.state != known->state && known->at() != RunnerState::draining;
+  return stateChanges || !describesSame(reported, *known);
+}
+/// The id names the content: the same update brought to two controllers is one write.
+std::string operationIdOf(const Runner& reported) {
+  const char* state = reported.at() == RunnerState::draining ? "draining" : "in";
+  return "runner/" + reported.id + "/" + state + "/" + std::to_string(reported.sequence);
+}
+Runner detachedRunner(const std::string& id, const state_machine::ReplicatedState& replica) {
+  const auto* known = replica.runner(id);
+  Runner runner = known ? *known : Runner{};
+  runner.id = id;
+  runner.state = static_cast<std::int32_t>(RunnerState::gone);
+  runner.sequence = std::max<std::int64_t>(1, runner.sequence);
+  return runner;
+}
+}  // namespace
+
+ApiResponse handleHeartbeat(const ApiCall& call) {
+  const ResponseDeadline deadline;
+  auto& services = call.services;
+  const auto heartbeat = config::parseRunnerHeartbeat(call.runner, call.request.body);
+  if (!heartbeat)
+    return errorResponse(heartbeat.error());
+  if (!services.inContact())
+    return noContactResponse();
+  if (!services.heartbeatsReachLeader())
+    return errorResponse(HttpStatus::service_unavailable, "the leader does not answer");
+  const auto reported = runnerOf(*heartbeat);
+  services.recordHeartbeat(reported.id);
+  if (isUpdate(reported, services.replica())) {
+    auto entry = state_machine::runnerEntry(reported, operationIdOf(reported));
+    if (auto written = services.write(std::move(entry), deadline.left()); !written)
+      return errorResponse(written.error());
+  }
+  return {HttpStatus::ok, "{\"heartbeatUri\":" + config::quoteJson(call.heartbeatUri) + "}", ""};
+}
+ApiResponse handleDetach(const ApiCall& call) {
+  const ResponseDeadline deadline;
+  auto& services = call.services;
+  const std::string id(call.runner);
+  if (services.replica().isDetached(id))
+    return {};
+  if (!services.awaitContact(kContactTimeout))
+    return noContactResponse();
+  auto entry = state_machine::runnerEntry(detachedRunner(id, services.replica()), "runner/" + id + "/gone");
+  if (auto written = services.write(std::move(entry), deadline.left()); !written)
+    return errorResponse(written.error());
+  return {};
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/runner_liveness.cpp
@@ -0,0 +1,59 @@
+#include "runner_liveness.hpp"
+
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::controller {
+namespace {
+/// The write that removes a runner whose heartbeats have stopped. It may come back: sequence 0 says that it did not
+/// detach itself.
+transport::LogEntry expiryOf(const state_machine::Runner& runner) {
+  auto expired = runner;
+  expired.state = static_cast<std::int32_t>(state_machine::RunnerState::gone);
+  expired.sequence = 0;
+  return state_machine::runnerEntry(expired, "missed/" + runner.id + "/" + std::to_string(runner.sequence));
+}
+}  // namespace
+
+RunnerLiveness::RunnerLiveness(ControllerContext& context, PeerLinks& peers)
+    : context_(context), peers_(peers), monitor_(context.settings.heartbeat) {}
+void RunnerLiveness::recordHeartbeat(const std::string& runner, TimePoint now) {
+  forwarder_.record(runner, now);
+  monitor_.recordHeartbeat(runner, now);
+}
+void RunnerLiveness::forwardHeartbeats(TimePoint now) {
+  // A leader's own monitor has recorded each heartbeat when it came.
+  if (context_.isLeader())
+    return forwarder_.clear();
+  if (!context_.knowsOtherLeader())
+    return;
+  const auto batch = forwarder_.nextBatch(now);
+  if (!batch)
+    return;
+  transport::HeartbeatBatch message;
+  message.number = batch->number;
+  for (const auto& heartbeat : batch->heartbeats)
+    message.runners.push_back({heartbeat.runner, toDuration(now - heartbeat.receivedAt).count()});
+  peers_.send(context_.raft->leader(), message);
+}
+void RunnerLiveness::onHeartbeatBatch(const transport::PeerLinkPtr& link, const transport::HeartbeatBatch& batch,
+                                      TimePoint now) {
+  if (!context_.raft->hasLease(now))
+    return;
+  for (const auto& runner : batch.runners)
+    monitor_.recordHeartbeat(runner.id, now - Duration(runner.ageMs));
+  link->send(transport::pack(transport::HeartbeatBatchResponse{batch.number}, context_.raft->self()));
+}
+void RunnerLiveness::onHeartbeatBatchResponse(const consensus::MemberId& from,
+                                              const transport::HeartbeatBatchResponse& response) {
+  if (from == context_.raft->leader())
+    forwarder_.onAcknowledged(response.number);
+}
+bool RunnerLiveness::submitExpired(TimePoint now) {
+  const auto expired = monitor_.findExpired(now, context_.raft->hasLease(now), context_.replica.state().runners);
+  for (const auto& runner : expired) {
+    log::debug("runner_expired", {{"runner", runner.id}, {"zone", runner.zone}, {"reason", "no heartbeats"}});
+    context_.raft->submit(now, expiryOf(runner));
+  }
+  return !expired.empty();
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/runner_monitor.cpp
@@ -0,0 +1,42 @@
+#include "runner_monitor.hpp"
+
+#include <set>
+
+namespace zinccleat::controller {
+namespace {
+constexpr int kIntervalsUntilExpiry = 3;
+constexpr Duration kFailoverAllowance = 1500ms;  // a runner's search for a controller that answers, and the forwarding
+constexpr auto kForgetAfter = 30s;               // heartbeats of a runner that is no longer present
+constexpr auto kSuspendedAfter = 2500ms;         // a longer gap between checks: this process itself stood still
+}  // namespace
+
+RunnerMonitor::RunnerMonitor(Duration heartbeatInterval)
+    : timeout_(heartbeatInterval * kIntervalsUntilExpiry + kFailoverAllowance) {}
+void RunnerMonitor::recordHeartbeat(const std::string& runner, TimePoint receivedAt) {
+  auto& newest = lastHeartbeat_[runner];
+  newest = std::max(newest, receivedAt);
+}
+std::vector<state_machine::Runner> RunnerMonitor::findExpired(TimePoint now, bool hasLease,
+                                                              const std::vector<state_machine::Runner>& runners) {
+  const bool wasSuspended = now - std::exchange(lastCheck_, now) > kSuspendedAfter;
+  if (!hasLease) {
+    monitoringSince_.reset();
+    return {};
+  }
+  if (!monitoringSince_ || wasSuspended)
+    monitoringSince_ = now;
+  const bool hasListened = now - *monitoringSince_ >= timeout_;
+  std::set<std::string> present;
+  std::vector<state_machine::Runner> expired;
+  for (const auto& runner : runners) {
+    present.insert(runner.id);
+    const auto last = lastHeartbeat_.try_emplace(runner.id, now).first->second;
+    if (hasListened && now - last > timeout_)
+      expired.push_back(runner);
+  }
+  std::erase_if(lastHeartbeat_, [&](const auto& heartbeat) {
+    return !present.contains(heartbeat.first) && now - heartbeat.second > kForgetAfter;
+  });
+  return expired;
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/startup.cpp
@@ -0,0 +1,136 @@
+#include "startup.hpp"
+
+#include <thread>
+
+#include "runtime/log_ring.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr auto kDiskRetryInterval = 500ms;
+constexpr int kDiskRetriesPerReport = 120;  // so one report a minute
+
+/// How a member starts.
+enum class StartKind { resumes, founds, joins };
+const char* nameOf(StartKind kind) {
+  switch (kind) {
+    case StartKind::resumes:
+      return "resumes";
+    case StartKind::founds:
+      return "founds";
+    case StartKind::joins:
+      return "joins";
+  }
+  return "";
+}
+StartKind startKindOf(const config::Settings& settings, const storage::Recovery& recovery) {
+  if (!recovery.records.empty())
+    return StartKind::resumes;
+  const auto seeds = seedAddresses(settings);
+  const bool isSeed = std::find(seeds.begin(), seeds.end(), settings.ip) != seeds.end();
+  // A member whose damaged disk was set aside may have voted as a founder and forgotten it.
+  return settings.initialAttach && isSeed && !recovery.identityLost ? StartKind::founds : StartKind::joins;
+}
+consensus::MemberId founderId(const std::string& address) {
+  return address + "#0";
+}
+consensus::MemberId selfId(StartKind kind, const config::Settings& settings, const storage::Recovery& recovery,
+                           std::uint64_t incarnation) {
+  switch (kind) {
+    case StartKind::resumes:
+      return recovery.records.front().self;
+    case StartKind::founds:
+      return founderId(settings.ip);
+    case StartKind::joins:
+      break;
+  }
+  return settings.ip + "#" + std::to_string(incarnation | 1);  // never a founder's 0
+}
+std::vector<consensus::MemberId> founderIds(const config::Settings& settings) {
+  std::vector<consensus::MemberId> founders;
+  for (const auto& seed : seedAddresses(settings))
+    founders.push_back(founderId(seed));
+  return founders;
+}
+/// Checked before the records are used: with a state that this program can't read it must neither lead nor vote.
+Result<void> checkSnapshots(const std::string& dataDir, const std::vector<consensus::DiskRecord>& records) {
+  for (const auto& record : records)
+    if (record.full && !record.state.empty() && !snapshotIsValid(record.state))
+      return makeError(ErrorCode::ioError,
+                       dataDir + ": record " + std::to_string(record.seq) + " holds a state that can't be restored");
+  return {};
+}
+/// A disk in trouble mostly comes back, while ending the process in a loop would help nobody. Until then the member
+/// counts as down, and nothing on its disk is changed.
+std::function<bool(const Error&)> diskRetry() {
+  return [retries = 0](const Error& error) mutable {
+    if (retries++ % kDiskRetriesPerReport == 0)
+      log::info("disk_recovery_waiting", {{"reason", error.message}});
+    std::this_thread::sleep_for(kDiskRetryInterval);
+    return true;
+  };
+}
+}  // namespace
+
+std::vector<std::string> seedAddresses(const config::Settings& settings) {
+  std::vector<std::string> addresses;
+  addresses.reserve(settings.seeds.size());
+  for (const auto& seed : settings.seeds)
+    addresses.push_back(seed.substr(0, seed.rfind(':')));
+  return addresses;
+}
+bool seedsNameOnlySelf(const config::Settings& settings) {
+  const auto seeds = seedAddresses(settings);
+  return std::all_of(seeds.begin(), seeds.end(), [&](const auto& seed) { return seed == settings.ip; });
+}
+std::optional<std::string> unusableSettings(const config::Settings& settings) {
+  if (settings.dataDir.empty())
+    return "settings name no dataDir for a core machine";
+  if (settings.initialAttach && seedsNameOnlySelf(settings) && settings.tolerateMachines > 0)
+    return "seedNodes hold this machine alone, and faultTolerance.machines is " +
+           std::to_string(settings.tolerateMachines) + ": a core of one bears no loss";
+  return std::nullopt;
+}
+bool snapshotIsValid(const std::string& snapshot) {
+  state_machine::ReplicatedState probe;
+  return probe.restore(snapshot).has_value();
+}
+Result<RecoveredDisk> recoverDisk(const std::string& dataDir) {
+  storage::Storage storage(dataDir);
+  auto recovery = storage::recoverStorage(storage, diskRetry());
+  if (!recovery) {
+    auto error = recovery.error();
+    const bool otherFormat = error.code == ErrorCode::incompatibleFormat;
+    const char* advice = otherFormat ? "; start that version, or empty the folder to join as a new member" : "";
+    return makeError(error.code, dataDir + ": " + error.message + advice, error.subcode);
+  }
+  for (const auto& warning : recovery->warnings)
+    log::info("disk_recovery_warning", {{"path", dataDir}, {"reason", warning}});
+  if (auto valid = checkSnapshots(dataDir, recovery->records); !valid)
+    return tl::unexpected(valid.error());
+  return RecoveredDisk{std::move(storage), std::move(*recovery)};
+}
+void startRaft(ControllerContext& context, const storage::Recovery& recovery, std::uint64_t incarnation) {
+  const auto& settings = context.settings;
+  const auto kind = startKindOf(settings, recovery);
+  const auto self = selfId(kind, settings, recovery, incarnation);
+  const auto seeds = seedAddresses(settings);
+  const auto now = Clock::now();  // after the disk's recovery, which may have taken long
+  consensus::RaftOptions options;
+  options.largeBody = kLargeBodyBytes;
+  options.snapshotIsValid = snapshotIsValid;
+  context.raft = std::make_unique<consensus::RaftNode>(self, options, incarnation, now);
+  context.raft->setSeeds(seeds);
+  for (const auto& seed : seeds)
+    context.view.add(viewNameOfController(seed));
+  if (kind == StartKind::resumes)
+    context.raft->recover(recovery.records, now);
+  if (kind == StartKind::founds)
+    context.raft->found(founderIds(settings), now);
+  // The process goes on all the same: the others may only be down, and reloaded settings may name them.
+  if (kind == StartKind::joins && seedsNameOnlySelf(settings)) {
+    ++context.seedsDeclined;
+    log::info("no_seed_to_join", {{"member", self}, {"reason", "seedNodes name only this machine"}});
+  }
+  log::debug("controller_started", {{"member", self}, {"start", nameOf(kind)}});
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/status_report.cpp
@@ -0,0 +1,93 @@
+#include "status_report.hpp"
+
+#include "json_object.hpp"
+#include "transport/peer_link.hpp"
+
+namespace zinccleat::controller {
+namespace {
+const char* nameOf(consensus::Role role) {
+  switch (role) {
+    case consensus::Role::learner:
+      return "learner";
+    case consensus::Role::follower:
+      return "follower";
+    case consensus::Role::candidate:
+      return "candidate";
+    case consensus::Role::leader:
+      return "leader";
+  }
+  return "";
+}
+std::string membersJson(const consensus::RaftNode& raft) {
+  std::vector<std::string> members;
+  for (const auto& voter : raft.voters())
+    members.push_back(config::quoteJson(voter));
+  return jsonArray(members);
+}
+std::string runnerJson(const state_machine::Runner& runner) {
+  const bool inService = runner.at() == state_machine::RunnerState::inService;
+  return JsonObject()
+      .text("id", runner.id)
+      .text("service", runner.service)
+      .text("address", runner.address)
+      .text("state", inService ? "in_service" : "draining")
+      .json();
+}
+std::string runnersJson(const state_machine::StateContents& state) {
+  std::vector<std::string> runners;
+  runners.reserve(state.runners.size());
+  for (const auto& runner : state.runners)
+    runners.push_back(runnerJson(runner));
+  return jsonArray(runners);
+}
+std::string zoneDrainJson(const state_machine::ZoneDrain& drain, const ZoneDrainProgress& progress) {
+  return JsonObject()
+      .text("place", drain.place)
+      .text("note", drain.note)
+      .number("share", drain.share)
+      .flag("doorsShut", drain.notAccepting)
+      .number("atItsRunners", static_cast<int>(progress.runnerRequests))
+      .number("atItsProxies", static_cast<int>(progress.proxyRequests))
+      .number("nodesHeard", progress.reportingProxies)
+      .json();
+}
+void addRaft(JsonObject& report, const consensus::RaftNode& raft, TimePoint now) {
+  report.text("member", raft.self()).text("role", nameOf(raft.role()));
+  report.number("term", raft.term()).text("leader", raft.leader()).flag("leased", raft.hasLease(now));
+  report.flag("inContact", raft.inContactWithMajority(now)).flag("diskSick", raft.diskStalled());
+  report.number("released", raft.commitIndex());
+}
+void addCounters(JsonObject& report, const StatusSources& sources) {
+  const auto traffic = transport::trafficSoFar();
+  const auto* hints = sources.hints.table();
+  const auto& outliers = sources.requests.outliers();
+  report.number("agents", sources.agents.count()).number("waitingBytes", sources.agents.backlogBytes());
+  report.number("snapshotsDeclined", sources.context.raft->snapshotsRefused());
+  report.number("seedsDeclined", sources.context.seedsDeclined);
+  report.number("framesDeclined", traffic.framesDeclined);
+  report.number("framesOfOtherFormats", traffic.framesOfOtherFormats);
+  report.number("hintsTold", hints ? hints->told() : 0).number("hintsKnown", hints ? hints->known() : 0);
+  report.number("hintsDeclined", hints ? hints->errorResponse() : 0);
+  report.number("runnersAside", outliers.ejections().size());
+  report.number("wordsDeclined", outliers.unknownRunnerReports());
+}
+}  // namespace
+
+std::string statusJson(const StatusSources& sources, TimePoint now) {
+  const auto& raft = *sources.context.raft;
+  const auto& state = sources.context.replica.state();
+  JsonObject report;
+  report.text("node", sources.context.settings.node);
+  addRaft(report, raft, now);
+  report.number("applied", state.index).number("version", state.version);
+  addCounters(report, sources);
+  return report.raw("members", membersJson(raft)).raw("runners", runnersJson(state)).json();
+}
+std::string zoneDrainsJson(const StatusSources& sources, TimePoint now) {
+  std::vector<std::string> drains;
+  for (const auto& drain : sources.context.replica.state().zoneDrains)
+    drains.push_back(zoneDrainJson(drain, sources.requests.drainProgressOf(drain.place, now)));
+  const double requestsPerS = sources.requests.requestsPerS(now);
+  return JsonObject().number("requestsPerS", requestsPerS).raw("closures", jsonArray(drains)).json();
+}
+}  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/zone_drain_handlers.cpp
@@ -0,0 +1,75 @@
+/// @file
+/// The calls of operators that drain zones and regions. The wire calls a drain a closure, and a zone or region a place.
+#include "api_handlers.hpp"
+#include "api_responses.hpp"
+#include "config/calls.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr std::int32_t kFullDrain = 100;  // percent
+
+/// Whether a call drains more than what is in force.
+bool drainsMore(const config::ZoneDrainCall& wanted, const std::vector<state_machine::ZoneDrain>& drains) {
+  const auto current =
+      std::find_if(drains.begin(), drains.end(), [&](const auto& drain) { return drain.place == wanted.place; });
+  if (current == drains.end())
+    return wanted.share > 0 || wanted.notAccepting;
+  return wanted.share > current->share || (wanted.notAccepting && !current->notAccepting);
+}
+bool isZoneOrRegion(const config::Settings& settings, const std::string& name) {
+  return std::any_of(settings.zones.begin(), settings.zones.end(), [&](const auto& zoneToRegion) {
+    return zoneToRegion.first == name || zoneToRegion.second == name;
+  });
+}
+/// Refuses a call that must not be carried out now; none: it may be.
+std::optional<ApiResponse> refusalOf(const config::ZoneDrainCall& wanted, const ControllerServices& services) {
+  if (!isZoneOrRegion(services.settings(), wanted.place))
+    return errorResponse(HttpStatus::bad_request, "no zone or region '" + wanted.place + "'");
+  // While the fleet is busier than the operator allows, a drain goes no further, unless it is forced.
+  const double requestsPerS = services.requestsPerS();
+  const bool busy = wanted.calmBelowPerS > 0 && requestsPerS > wanted.calmBelowPerS;
+  if (busy && !wanted.force && drainsMore(wanted, services.replica().state().zoneDrains))
+    return errorResponse(HttpStatus::conflict,
+                         "live play: " + std::to_string(static_cast<int>(requestsPerS)) + " requests a second");
+  if (wanted.notAccepting && wanted.share < kFullDrain)
+    return errorResponse(HttpStatus::bad_request, "doors are shut only once all new work keeps away (share 100)");
+  return std::nullopt;
+}
+ApiResponse setZoneDrain(const ApiCall& call, const ResponseDeadline& deadline) {
+  auto& services = call.services;
+  const auto wanted = config::parseZoneDrainCall(call.request.body);
+  if (!wanted)
+    return errorResponse(wanted.error());
+  if (auto refusal = refusalOf(*wanted, services))
+    return *refusal;
+  const state_machine::ZoneDrain drain{wanted->place, wanted->note, wanted->share, wanted->notAccepting};
+  auto entry = state_machine::zoneDrainEntry(drain, wanted->open, services.nextOperationId());
+  if (auto written = services.write(std::move(entry), deadline.left()); !written)
+    return errorResponse(written.error());
+  return {HttpStatus::ok, services.zoneDrainsJson(), ""};
+}
+/// Refuses or redirects a call that this controller can't answer; none: it leads, and its replica is fresh.
+std::optional<ApiResponse> unlessFreshLeader(const ApiCall& call, const ResponseDeadline& deadline) {
+  if (!call.services.awaitContact(kContactTimeout))
+    return noContactResponse();
+  if (const auto leader = call.services.leaderControlAddress())
+    return redirectTo(*leader, call.path);
+  if (auto fresh = call.services.awaitReadIndex(deadline.left()); !fresh)
+    return errorResponse(fresh.error());
+  return std::nullopt;
+}
+}  // namespace
+
+ApiResponse handleSetZoneDrain(const ApiCall& call) {
+  const ResponseDeadline deadline;
+  if (auto response = unlessFreshLeader(call, deadline))
+    return *response;
+  return setZoneDrain(call, deadline);
+}
+ApiResponse handleListZoneDrains(const ApiCall& call) {
+  const ResponseDeadline deadline;
+  if (auto response = unlessFreshLeader(call, deadline))
+    return *response;
+  return {HttpStatus::ok, call.services.zoneDrainsJson(), ""};
+}
+}  // namespace zinccleat::controller
--- a/tests/balancing_test.cpp
+++ b/tests/balancing_test.cpp
@@ -7,7 +7,7 @@
 #include "balancing/budget.hpp"
 #include "balancing/quota.hpp"
 #include "balancing/runner_pool.hpp"
-#include "quota.hpp"
+#include "quota_allocator.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::balancing;
@@ -38,9 +38,9 @@
     const double burst = rate * (0.5 + static_cast<double>(rng() % 3) * 0.5);
     auto cfg = tenants(rate, burst);
     TimePoint now{100s};
-    auto desk = std::make_unique<QuotaAllocator>();
-    desk->bounds({0.1, 20, 5});
-    desk->noOp(now);
+    auto allocator = std::make_unique<QuotaAllocator>();
+    allocator->setBounds({0.1, 20, 5});
+    allocator->startTerm(now);
     struct Node {
       QuotaGrants reserve;
       int waiting = 0;
@@ -67,9 +67,9 @@
         nodes[pick].cutUntil = now + Duration(500 + rng() % 6000);
       if (rng() % 1500 == 0 && ms - lastChange > 6000) {
         lastChange = ms;
-        desk = std::make_unique<QuotaAllocator>();
-        desk->bounds({0.1, 20, 5});
-        desk->noOp(now);
+        allocator = std::make_unique<QuotaAllocator>();
+        allocator->setBounds({0.1, 20, 5});
+        allocator->startTerm(now);
       }
       for (auto& f : flying)
         if (f.due <= now) {
@@ -97,12 +97,12 @@
         const auto name = "n" + std::to_string(i);
         const Duration delay(rng() % 50 == 0 ? 900 : rng() % 12);
         if (const auto w = n.reserve.unasked(); !w.empty())
-          flying.push_back({i, now, now + delay, desk->draw(now, name, w, {}, cfg.get()), true});
+          flying.push_back({i, now, now + delay, allocator->allocate(now, name, w, {}, cfg.get()), true});
         if ((ms + static_cast<int>(i) * 10) % 400 == 0 || n.reserve.low("t", now)) {
           newest[i] = now;
           const auto holds = n.reserve.holds(now);
           flying.push_back(
-              {i, now, now + delay, desk->draw(now, name, n.reserve.demand(now), holds, cfg.get()), false});
+              {i, now, now + delay, allocator->allocate(now, name, n.reserve.demand(now), holds, cfg.get()), false});
         }
       }
       while (!ran.empty() && now - ran.front() > 5s)
@@ -117,10 +117,10 @@
   for (const std::size_t count : {9U, 70U, 330U}) {
     std::mt19937_64 rng(3);
     auto cfg = tenants(32, 32);
-    QuotaAllocator desk;
-    desk.bounds({0.1, 20, 5});
+    QuotaAllocator allocator;
+    allocator.setBounds({0.1, 20, 5});
     TimePoint now{100s};
-    desk.noOp(now);
+    allocator.startTerm(now);
     std::vector<QuotaGrants> nodes(count);
     int asked = 0;
     int refused = 0;
@@ -134,7 +134,7 @@
           bool ok = n.take("t", now);
           if (!ok) {
             n.wait("t");
-            n.loose(desk.draw(now, "n" + std::to_string(i), n.unasked(), {}, cfg.get()), now);
+            n.loose(allocator.allocate(now, "n" + std::to_string(i), n.unasked(), {}, cfg.get()), now);
             ok = n.retake("t", now);
           }
           refused += !ok;
@@ -142,8 +142,9 @@
       }
       if (ms % 400 == 0)
         for (std::size_t i = 0; i < nodes.size(); ++i)
-          nodes[i].drawn(desk.draw(now, "n" + std::to_string(i), nodes[i].demand(now), nodes[i].holds(now), cfg.get()),
-                         now);
+          nodes[i].drawn(
+              allocator.allocate(now, "n" + std::to_string(i), nodes[i].demand(now), nodes[i].holds(now), cfg.get()),
+              now);
     }
     EXPECT_GT(asked, 500);
     EXPECT_LE(refused * 1000, asked) << refused << " of " << asked << " on " << count << " nodes";
--- /dev/null
+++ b/tests/control_api_test.cpp
@@ -0,0 +1,203 @@
+/// @file
+/// The calls of runners and operators to a controller that is partitioned, lags or can't write.
+#include <gtest/gtest.h>
+
+#include "control_api.hpp"
+#include "operation_ids.hpp"
+
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::controller;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
+namespace {
+constexpr Duration kCallersSecond{1000};
+const std::string kUri = "http://10.0.0.4:8080";
+
+/// A controller whose surroundings the test sets. Its waits take no time; they are added up.
+struct FakeController final : ControllerServices {
+  Settings configuredSettings;
+  ReplicatedState ownReplica;
+  bool hasContact = true, reachesLeader = true, commits = true;
+  std::optional<std::string> leader;
+  std::int64_t lastIndex = 0;
+  std::vector<std::string> heartbeats, written;
+  Duration waited{0};
+  OperationIds ids{"10.0.0.4#7", 1};
+
+  const Settings& settings() const override { return configuredSettings; }
+  const ReplicatedState& replica() const override { return ownReplica; }
+  bool inContact() const override { return hasContact; }
+  bool awaitContact(Duration timeout) override {
+    if (!hasContact)
+      waited += timeout;
+    return hasContact;
+  }
+  bool heartbeatsReachLeader() const override { return reachesLeader; }
+  void recordHeartbeat(const std::string& runner) override { heartbeats.push_back(runner); }
+  Result<std::int32_t> write(LogEntry entry, Duration timeout) override {
+    written.push_back(entry.operationId);
+    if (!commits) {
+      waited += timeout;
+      return makeError(ErrorCode::unavailable, "no outcome yet");
+    }
+    entry.index = ++lastIndex;
+    ownReplica.apply(entry);
+    return *ownReplica.outcomeOf(entry.operationId);
+  }
+  Result<void> awaitReadIndex(Duration timeout) override {
+    if (commits)
+      return {};
+    waited += timeout;
+    return makeError(ErrorCode::unavailable, "no fresh lease");
+  }
+  std::string nextOperationId() override { return ids.next(); }
+  std::optional<std::string> leaderControlAddress() const override { return leader; }
+  double requestsPerS() const override { return 0; }
+  std::string statusJson() const override { return "{}"; }
+  std::string zoneDrainsJson() const override { return "{}"; }
+  Result<std::string> exchangeHints(std::string_view, std::string_view) override {
+    return makeError(ErrorCode::notFound, "no partner site");
+  }
+
+  ApiResponse post(const std::string& target, const std::string& body, const std::string& base = "0") {
+    return answerApiRequest(*this, {"POST", target, body, base, ""}, kUri);
+  }
+  ApiResponse get(const std::string& target) { return answerApiRequest(*this, {"GET", target, "", "", ""}, kUri); }
+  ApiResponse heartbeat(const std::string& id, int sequence, const std::string& state = "in_service") {
+    return post("/v1/Instances.Heartbeat/" + id,
+                R"({"targetService":"s","address":"10.0.1.1:80","zone":"z","capacity":4,)"
+                R"("state":")" +
+                    state + R"(","sequence":)" + std::to_string(sequence) + "}");
+  }
+};
+std::string configuration(int version, const std::string& label = "a") {
+  return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[],"serviceTable":[{"label":")" + label +
+         R"("}],"limits":{}})";
+}
+/// Expects a response that sends its caller to another controller, in time.
+void expectSentElsewhere(const FakeController& controller, const ApiResponse& answer) {
+  EXPECT_EQ(answer.status, HttpStatus::service_unavailable) << answer.body;
+  EXPECT_NE(answer.headers.find("Retry-After"), std::string::npos);
+  EXPECT_EQ(answer.body.find("heartbeatUri"), std::string::npos);
+  EXPECT_LE(controller.waited, kCallersSecond * 9 / 10) << "the caller has given up by then";
+}
+}  // namespace
+
+TEST(ControlApi, AControllerInContactAcknowledgesHeartbeatsAndKeepsTheRunner) {
+  FakeController controller;
+  EXPECT_EQ(controller.heartbeat("i1", 1).status, HttpStatus::ok);
+  EXPECT_TRUE(controller.replica().runner("i1")) << "a join is acknowledged once it is committed";
+  const auto again = controller.heartbeat("i1", 2);
+  EXPECT_EQ(again.status, HttpStatus::ok);
+  EXPECT_NE(again.body.find(kUri), std::string::npos);
+  EXPECT_EQ(controller.written.size(), 1U) << "a heartbeat without an update is no write";
+  EXPECT_EQ(controller.heartbeats.size(), 2U);
+}
+TEST(ControlApi, APartitionedControllerSendsAKnownRunnerElsewhereAtOnce) {
+  FakeController controller;
+  controller.heartbeat("i1", 1);
+  controller.heartbeats.clear();
+  controller.hasContact = false;
+  expectSentElsewhere(controller, controller.heartbeat("i1", 2));
+  EXPECT_EQ(controller.waited, Duration(0)) << "a heartbeat has nothing to wait for";
+  EXPECT_TRUE(controller.heartbeats.empty());
+}
+TEST(ControlApi, APartitionedControllerAcknowledgesNoJoinAndNoDrain) {
+  FakeController controller;
+  controller.heartbeat("i1", 1);
+  controller.hasContact = false;
+  expectSentElsewhere(controller, controller.heartbeat("i2", 1));
+  expectSentElsewhere(controller, controller.heartbeat("i1", 2, "draining"));
+  EXPECT_EQ(controller.written.size(), 1U);
+}
+TEST(ControlApi, AControllerWhoseHeartbeatsDoNotReachTheLeaderSendsRunnersElsewhere) {
+  FakeController controller;
+  controller.heartbeat("i1", 1);
+  controller.reachesLeader = false;
+  expectSentElsewhere(controller, controller.heartbeat("i1", 2));
+}
+TEST(ControlApi, AJoinThatCantBeWrittenIsNotAcknowledged) {
+  FakeController controller;
+  controller.commits = false;
+  expectSentElsewhere(controller, controller.heartbeat("i1", 1));
+  EXPECT_FALSE(controller.replica().runner("i1"));
+}
+TEST(ControlApi, NoCallWaitsLongerThanItsCaller) {
+  for (const bool hasContact : {true, false}) {
+    auto expectInTime = [&](const std::function<ApiResponse(FakeController&)>& call) {
+      FakeController controller;
+      controller.heartbeat("i1", 1);
+      controller.hasContact = hasContact;
+      controller.commits = false;
+      expectSentElsewhere(controller, call(controller));
+    };
+    expectInTime([](auto& controller) { return controller.post("/v1/Configuration.Replace", configuration(2)); });
+    expectInTime([](auto& controller) { return controller.post("/v1/Instances.Detach/i1", ""); });
+    expectInTime([](auto& controller) { return controller.heartbeat("i1", 5, "draining"); });
+    expectInTime([](auto& controller) { return controller.get("/v1/Configuration.Retrieve"); });
+    expectInTime([](auto& controller) { return controller.get("/v1/Closures.List"); });
+  }
+}
+TEST(ControlApi, NothingIsSubmittedWithoutContact) {
+  FakeController controller;
+  controller.hasContact = false;
+  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(2)));
+  EXPECT_TRUE(controller.written.empty()) << "it could take effect long after its caller gave up";
+}
+TEST(ControlApi, AnOldReplicaRefusesNothing) {
+  FakeController controller;
+  EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(5)).status, HttpStatus::ok);
+  controller.hasContact = false;
+  // To this replica the first is not above the current one, and the second builds on another: both may be wrong.
+  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(4), "5"));
+  controller.waited = Duration(0);
+  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(9), "7"));
+  EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(5)).status, HttpStatus::ok)
+      << "once accepted is accepted for good";
+  controller.hasContact = true;
+  EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(4), "5").status, HttpStatus::bad_request);
+  EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(9), "7").status,
+            HttpStatus::precondition_failed);
+  EXPECT_EQ(controller.written.size(), 3U) << "each refusal is the outcome of a committed write";
+}
+TEST(ControlApi, NothingIsRedirectedToALeaderThatMayHaveFailed) {
+  FakeController controller;
+  controller.leader = "10.0.0.5:8080";
+  EXPECT_EQ(controller.get("/v1/Closures.List").status, HttpStatus::temporary_redirect);
+  controller.hasContact = false;
+  expectSentElsewhere(controller, controller.get("/v1/Closures.List"));
+}
+TEST(ControlApi, ADetachedRunnerIsConfirmedByAnyReplica) {
+  FakeController controller;
+  controller.heartbeat("i1", 1);
+  EXPECT_EQ(controller.post("/v1/Instances.Detach/i1", "").status, HttpStatus::ok);
+  controller.hasContact = false;
+  EXPECT_EQ(controller.post("/v1/Instances.Detach/i1", "").status, HttpStatus::ok);
+}
+
+// Regression: ids held the last five digits of the incarnation and a counter that started again.
+TEST(OperationIds, TwoIncarnationsOfOneMemberNeverShareAnId) {
+  const std::uint64_t incarnations[] = {5, 100005, 1ULL << 40 | 5, ~0ULL};
+  std::map<std::string, std::uint64_t> seen;
+  for (const auto incarnation : incarnations) {
+    OperationIds ids("10.0.0.4#7", incarnation);
+    for (int i = 0; i < 200; ++i)
+      EXPECT_TRUE(seen.emplace(ids.next(), incarnation).second);
+  }
+}
+TEST(OperationIds, AnOutcomeOfAnEarlierIncarnationIsNotTakenForANewWrites) {
+  ReplicatedState replica;
+  OperationIds older("10.0.0.4#7", 5);
+  OperationIds newer("10.0.0.4#7", 100005);
+  auto first = configurationEntry(0, 2, configuration(2), older.next());
+  first.index = 1;
+  replica.apply(first);
+  ASSERT_EQ(replica.outcomeOf(first.operationId), 200);
+  const auto second = configurationEntry(0, 2, configuration(2, "b"), newer.next());
+  EXPECT_FALSE(replica.outcomeOf(second.operationId)) << "two operators confirmed under one id";
+  auto applied = second;
+  applied.index = 2;
+  replica.apply(applied);
+  EXPECT_EQ(replica.outcomeOf(second.operationId), 412);
+}
--- /dev/null
+++ b/tests/controller_node_test.cpp
@@ -0,0 +1,231 @@
+/// @file
+/// One controller with its real links, on loopback: receivers that do not read, invalid input, its first start.
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+
+#include <filesystem>
+
+#include "control_api.hpp"
+#include "controller_node.hpp"
+#include "operations/observe.hpp"
+#include "operations/runbook.hpp"
+#include "simulation/plan.hpp"
+#include "startup.hpp"
+
+using namespace zinccleat;
+using namespace zinccleat::config;
+using namespace zinccleat::consensus;
+using namespace zinccleat::controller;
+using namespace zinccleat::operations;
+using namespace zinccleat::runtime;
+using namespace zinccleat::simulation;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
+namespace {
+/// A controller that is started without the others of its cluster.
+struct SingleController {
+  std::unique_ptr<ControllerNode> node;
+  Settings settings;
+  explicit SingleController(const std::string& ip, const std::vector<std::string>& others = {}) {
+    std::string folder = std::filesystem::temp_directory_path() / "zinccleat-core-XXXXXX";
+    settings.node = "core", settings.ip = ip, settings.zone = "z", settings.dataDir = ::mkdtemp(folder.data());
+    settings.portFirst = 7960, settings.portLast = 7975;
+    settings.controlAddr = ip + ":8477";
+    settings.seeds = {settings.controlAddr};
+    for (const auto& other : others)
+      settings.seeds.push_back(other + ":8477");
+    settings.initialAttach = true;
+    settings.tolerateMachines = static_cast<int>(others.size() / 2);
+    node = std::make_unique<ControllerNode>(settings);
+  }
+  bool waitUntil(Duration timeout, const std::function<bool()>& condition) {
+    for (const auto end = Clock::now() + timeout; Clock::now() < end; EventLoop::get().sleepFor(5ms))
+      if (condition())
+        return true;
+    return false;
+  }
+  std::int64_t status(const char* field) const {
+    return std::atoll(fieldOf(node->statusJson(), field).value_or("-1").c_str());
+  }
+};
+/// Runs a test in a fiber of the loop until it ends.
+void runOnLoop(const std::function<void()>& test) {
+  EventLoop::get().spawn([test] {
+    test();
+    EventLoop::get().stop();
+  });
+  EventLoop::get().run();
+}
+/// Starts no controller yet. It is kept to the end of the process, since timers of the loop refer to it.
+SingleController& newController(const std::string& ip, const std::vector<std::string>& others = {}) {
+  static std::vector<std::unique_ptr<SingleController>> all;
+  all.push_back(std::make_unique<SingleController>(ip, others));
+  return *all.back();
+}
+std::string configurationOf(int version) {
+  constexpr int kTenants = 1500;
+  ScaleRunPlan plan;
+  plan.tenants = kTenants;
+  return planConfiguration(plan, version, std::vector<int>(kTenants, version));
+}
+}  // namespace
+
+// Regression: a controller ran out of memory because each refetch added an answer to those that already waited.
+TEST(ControllerNode, AnAgentThatDoesNotReadCostsABoundedBacklog) {
+  runOnLoop([] {
+    auto& controller = newController("127.0.5.1");
+    auto& node = *controller.node;
+    ASSERT_TRUE(node.start());
+    ASSERT_TRUE(controller.waitUntil(10s, [&] { return fieldOf(node.statusJson(), "leased") == "true"; }));
+    std::size_t size = 0;
+    for (int version = 1; version <= 3; ++version) {
+      const auto configuration = configurationOf(version);
+      size = configuration.size();
+      const auto entry = configurationEntry(version - 1, version, configuration, node.nextOperationId());
+      const auto outcome = node.write(entry, 5000ms);
+      ASSERT_TRUE(outcome && *outcome == ReplicatedState::kAcknowledged);
+    }
+    ASSERT_GT(size, 150'000U);
+    Connection slowReader;
+    SocketError ec;
+    slowReader.socket().open(tcp::v4(), ec);
+    slowReader.socket().set_option(asio::socket_base::receive_buffer_size(4096), ec);
+    slowReader.socket().connect(*parseEndpoint("127.0.5.1:7960"), ec);
+    ASSERT_FALSE(ec);
+    auto send = [&](const auto& message) {
+      const auto frame = frameOf(pack(message, "127.0.5.9#agent"));
+      slowReader.write(asio::buffer(frame), ec);
+    };
+    send(AgentState{});
+    std::int64_t maxBacklog = 0;
+    for (int i = 0; i < 120; ++i) {
+      FollowLog follow;
+      follow.lastApplied = 1;
+      follow.refetch = true;
+      send(follow);
+      EventLoop::get().sleepFor(2ms);
+      maxBacklog = std::max(maxBacklog, controller.status("waitingBytes"));
+    }
+    EXPECT_EQ(controller.status("agents"), 1);
+    EXPECT_GT(maxBacklog, 0) << "something must wait, or this shows nothing";
+    EXPECT_LT(maxBacklog, static_cast<std::int64_t>(4 * size)) << "what it lacks once, not once for each refetch";
+  });
+}
+
+// Regression: a founder whose peers never started acknowledged heartbeats and kept the runners at itself.
+TEST(ControllerNode, OneWithoutContactSendsItsCallersElsewhere) {
+  runOnLoop([] {
+    auto& node = *newController("127.0.5.2", {"127.0.5.3", "127.0.5.4"}).node;
+    ASSERT_TRUE(node.start());
+    auto call = [&](const std::string& method, const std::string& target, const std::string& body) {
+      const auto from = Clock::now();
+      const auto answer = answerApiRequest(node, {method, target, body, "", ""}, "http://127.0.5.2:8477");
+      EXPECT_EQ(answer.status, HttpStatus::service_unavailable) << target;
+      EXPECT_LT(Clock::now() - from, 900ms) << target;
+    };
+    call("POST", "/v1/Instances.Heartbeat/i1", R"({"targetService":"s","address":"10.0.1.1:80","sequence":1})");
+    call("POST", "/v1/Instances.Detach/i1", "");
+    call("POST", "/v1/Configuration.Replace", configurationOf(1));
+    call("GET", "/v1/Configuration.Retrieve", "");
+  });
+}
+// Regression: the failure was only logged, and later entries were applied to the old state.
+TEST(ControllerNode, ASnapshotThatCantBeRestoredIsDeclinedAndNothingChanges) {
+  runOnLoop([] {
+    auto& controller = newController("127.0.5.5", {"127.0.5.6", "127.0.5.7"});
+    ASSERT_TRUE(controller.node->start());
+    Connection leader;
+    SocketError ec;
+    leader.connect(*parseEndpoint("127.0.5.5:7960"), ec);
+    ASSERT_FALSE(ec);
+    InstallSnapshot snapshot;
+    snapshot.term = 1;
+    snapshot.lastLogIndex = 40;
+    snapshot.lastTerm = 1;
+    snapshot.commitIndex = 40;
+    snapshot.config = "127.0.5.5#0 127.0.5.6#0 127.0.5.7#0";
+    snapshot.state = "no state at all \xff\xff\xff\xff\xff\xff\xff\xff\xff\xff";
+    auto send = [&] {
+      const auto frame = frameOf({MessageType::consensus, "127.0.5.6#0", encodeMessage(snapshot)});
+      leader.write(asio::buffer(frame), ec);
+    };
+    send();
+    ASSERT_TRUE(controller.waitUntil(5s, [&] { return controller.status("snapshotsDeclined") == 1; }));
+    EXPECT_EQ(controller.status("released"), 0);
+    EXPECT_EQ(controller.status("applied"), 0);
+    ReplicatedState complete;
+    auto entry = configurationEntry(0, 1, configurationOf(1), "op");
+    entry.index = 40;
+    complete.apply(entry);
+    snapshot.state = complete.snapshot();
+    send();
+    ASSERT_TRUE(controller.waitUntil(5s, [&] { return controller.status("applied") == 40; }))
+        << "a complete one is installed";
+    EXPECT_EQ(controller.status("version"), 1);
+  });
+}
+TEST(ControllerNode, AFrameThatDoesNotParseEndsItsConnectionAndIsCounted) {
+  runOnLoop([] {
+    auto& controller = newController("127.0.5.8");
+    ASSERT_TRUE(controller.node->start());
+    const auto before = controller.status("framesDeclined");
+    const auto others = controller.status("framesOfOtherFormats");
+    const auto valid = frameOf(pack(AgentState{7, {"x"}}, "127.0.5.9#agent"));
+    auto otherFormat = valid;
+    otherFormat[4] = 9;
+    auto otherFields = valid;
+    for (std::size_t i = valid.size() - 4; i < valid.size(); ++i)
+      otherFields[i] = '\xff';
+    auto noSender = frameOf(pack(AgentState{}));
+    const auto noConsensus = frameOf({MessageType::consensus, "127.0.5.9#0", "\xff"});
+    const auto otherType = frameOf({MessageType{99}, "127.0.5.9#0", ""});
+    for (const auto& frame : {otherFormat, otherFields, noSender, noConsensus, otherType}) {
+      Connection sender;
+      SocketError ec;
+      sender.connect(*parseEndpoint("127.0.5.8:7960"), ec);
+      sender.write(asio::buffer(frame), ec);
+      char byte = 0;
+      sender.setDeadline(Clock::now() + 5s);
+      sender.read(asio::buffer(&byte, 1), ec);
+      EXPECT_TRUE(ec);
+      EXPECT_FALSE(sender.deadlineExceeded()) << "the far end closes it";
+    }
+    EXPECT_EQ(controller.status("framesDeclined"), before + 5);
+    EXPECT_EQ(controller.status("framesOfOtherFormats"), others + 1);
+  });
+}
+TEST(ControllerNode, AFirstStartWhoseSeedsNameOnlyItselfIsRefused) {
+  Settings settings;
+  settings.ip = "10.0.0.4", settings.dataDir = "/tmp/x", settings.seeds = {"10.0.0.4:8080"};
+  settings.initialAttach = true;
+  settings.tolerateMachines = 0;
+  EXPECT_FALSE(unusableSettings(settings)) << "a cluster of one";
+  settings.tolerateMachines = 1;
+  EXPECT_TRUE(unusableSettings(settings)) << "a cluster of one tolerates no loss";
+  settings.seeds.emplace_back("10.0.0.5:8080");
+  EXPECT_FALSE(unusableSettings(settings));
+}
+// A later start may find a list from which all others are missing because they are down. It must not end in a loop, and
+// it must neither found a cluster of its own nor acknowledge anything.
+TEST(ControllerNode, ALaterStartWhoseSeedsNameOnlyItselfFoundsNothing) {
+  runOnLoop([] {
+    auto& controller = newController("127.0.5.9");
+    controller.settings.initialAttach = false;
+    controller.node = std::make_unique<ControllerNode>(controller.settings);
+    ASSERT_TRUE(controller.node->start());
+    EXPECT_EQ(controller.status("seedsDeclined"), 1);
+    EXPECT_FALSE(controller.waitUntil(1500ms, [&] { return controller.node->inContact(); }));
+    EXPECT_EQ(controller.status("term"), 0);
+  });
+}
+TEST(ControllerNode, OnlyACompleteStateIsAValidSnapshot) {
+  ReplicatedState replica;
+  auto entry = configurationEntry(0, 1, configurationOf(1), "op");
+  entry.index = 1;
+  replica.apply(entry);
+  EXPECT_TRUE(snapshotIsValid(replica.snapshot()));
+  EXPECT_FALSE(snapshotIsValid(replica.snapshotFor(replica.state().digest))) << "a partial one";
+  auto truncated = replica.snapshot();
+  truncated.resize(truncated.size() / 2);
+  EXPECT_FALSE(snapshotIsValid(truncated));
+}
--- a/tests/golden_calls_test.cpp
+++ b/tests/golden_calls_test.cpp
@@ -6,8 +6,8 @@
 #include <filesystem>
 #include <fstream>
 
-#include "calls.hpp"
-#include "core.hpp"
+#include "control_api.hpp"
+#include "controller_node.hpp"
 #include "golden_files.hpp"
 #include "runtime/event_loop.hpp"
 
@@ -20,97 +20,97 @@
 using namespace zinccleat::storage;
 using namespace zinccleat::transport;
 namespace {
-/// A core machine whose surroundings the test sets. Nothing waits.
-struct FixedCore final : CoreServices {
-  Settings its;
-  ReplicatedState state;
-  bool contact = true, reaches = true, commits = true, readsFresh = true;
-  std::string leader;
-  double rate = 0;
+/// A controller whose surroundings the test sets. Nothing waits.
+struct FakeController final : ControllerServices {
+  Settings configuredSettings;
+  ReplicatedState ownReplica;
+  bool hasContact = true, reachesLeader = true, commits = true, readsFresh = true;
+  std::optional<std::string> leader;
+  double requestRate = 0;
   Result<std::string> hints = "seal\nnews";
   std::int64_t writes = 0;
   std::string written;  // a line for each
 
-  FixedCore() { its.zones = {{"zone-1", "region-1"}}; }
-  const Settings& settings() const override { return its; }
-  const ReplicatedState& copy() const override { return state; }
-  bool inContact() const override { return contact; }
-  bool awaitContact(Duration /*within*/) override { return contact; }
-  bool heartbeatsReachLeader() const override { return reaches; }
-  void noteHeartbeat(const std::string& /*runnerId*/) override {}
-  Result<std::int32_t> write(LogEntry entry, Duration /*within*/) override {
+  FakeController() { configuredSettings.zones = {{"zone-1", "region-1"}}; }
+  const Settings& settings() const override { return configuredSettings; }
+  const ReplicatedState& replica() const override { return ownReplica; }
+  bool inContact() const override { return hasContact; }
+  bool awaitContact(Duration /*timeout*/) override { return hasContact; }
+  bool heartbeatsReachLeader() const override { return reachesLeader; }
+  void recordHeartbeat(const std::string& /*runner*/) override {}
+  Result<std::int32_t> write(LogEntry entry, Duration /*timeout*/) override {
     if (!commits)
       return makeError(ErrorCode::unavailable, "no outcome yet");
     const auto id = entry.operationId;
     written += "writes " + id + ", kind " + std::to_string(entry.kind) + ", base " + std::to_string(entry.base) + "\n";
     entry.index = ++writes;
-    state.apply(entry);
-    return *state.outcomeOf(id);
+    ownReplica.apply(entry);
+    return *ownReplica.outcomeOf(id);
   }
-  Result<void> fresh(Duration /*within*/) override {
+  Result<void> awaitReadIndex(Duration /*timeout*/) override {
     if (!readsFresh)
       return makeError(ErrorCode::unavailable, "no fresh lease");
     return {};
   }
-  std::string operationId() override { return "operator/" + std::to_string(writes); }
-  std::string leaderControl() const override { return leader; }
-  double requestsPerS() const override { return rate; }
+  std::string nextOperationId() override { return "operator/" + std::to_string(writes); }
+  std::optional<std::string> leaderControlAddress() const override { return leader; }
+  double requestsPerS() const override { return requestRate; }
   std::string statusJson() const override { return R"({"status":"of the core"})"; }
   std::string zoneDrainsJson() const override { return R"({"closures":"of the core"})"; }
-  Result<std::string> hintsFrom(std::string_view /*body*/, std::string_view /*seal*/) override { return hints; }
+  Result<std::string> exchangeHints(std::string_view /*body*/, std::string_view /*seal*/) override { return hints; }
 };
 
-using Situation = std::function<void(FixedCore&)>;
-void usual(FixedCore& /*core*/) {}
-void cutOff(FixedCore& core) {
-  core.contact = false;
+using Situation = std::function<void(FakeController&)>;
+void usual(FakeController& /*controller*/) {}
+void partitioned(FakeController& controller) {
+  controller.hasContact = false;
 }
-void unheardByLeader(FixedCore& core) {
-  core.reaches = false;
+void notHeardByLeader(FakeController& controller) {
+  controller.reachesLeader = false;
 }
-void commitsNothing(FixedCore& core) {
-  core.commits = false;
+void commitsNothing(FakeController& controller) {
+  controller.commits = false;
 }
-void readsNothing(FixedCore& core) {
-  core.readsFresh = false;
+void readsNothing(FakeController& controller) {
+  controller.readsFresh = false;
 }
-void anotherLeads(FixedCore& core) {
-  core.leader = "10.0.0.5:8477";
+void anotherControllerLeads(FakeController& controller) {
+  controller.leader = "10.0.0.5:8477";
 }
-void busy(FixedCore& core) {
-  core.rate = 321.5;
+void busyFleet(FakeController& controller) {
+  controller.requestRate = 321.5;
 }
-void withoutPartner(FixedCore& core) {
-  core.hints = makeError(ErrorCode::notFound, "no partner site");
+void withoutPartner(FakeController& controller) {
+  controller.hints = makeError(ErrorCode::notFound, "no partner site");
 }
-void withStranger(FixedCore& core) {
-  core.hints = makeError(ErrorCode::permissionDenied, "hints of a stranger");
+void withStranger(FakeController& controller) {
+  controller.hints = makeError(ErrorCode::permissionDenied, "hints of a stranger");
 }
 std::string configuration(int version, const std::string& label = "a") {
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[],"serviceTable":[{"label":")" + label +
          R"("}],"limits":{}})";
 }
-ApiResponse replace(FixedCore& core, const std::string& base, const std::string& body) {
-  return answerCall(core, {"POST", "/v1/Configuration.Replace", body, base, ""}, "");
+ApiResponse replace(FakeController& controller, const std::string& base, const std::string& body) {
+  return answerApiRequest(controller, {"POST", "/v1/Configuration.Replace", body, base, ""}, "");
 }
-void holdsVersion3(FixedCore& core) {
-  (void)replace(core, "0", configuration(3));
+void hasVersion3(FakeController& controller) {
+  (void)replace(controller, "0", configuration(3));
 }
 /// Versions up to 5 were taken; only the newest is still known.
-void hasForgotten(FixedCore& core) {
-  (void)replace(core, "0", configuration(3));
-  (void)replace(core, "3", configuration(5));
-  ReplicatedState away;
-  ASSERT_TRUE(away.restore(core.state.snapshotFor("")));
-  core.state = away;
+void hasForgotten(FakeController& controller) {
+  (void)replace(controller, "0", configuration(3));
+  (void)replace(controller, "3", configuration(5));
+  ReplicatedState restored;
+  ASSERT_TRUE(restored.restore(controller.ownReplica.snapshotFor("")));
+  controller.ownReplica = restored;
 }
-constexpr const char* kBeat =
+constexpr const char* kHeartbeat =
     R"({"targetService":"s","address":"10.0.1.1:80","zone":"z","capacity":4,"state":"in_service","sequence":7})";
-void holdsRunner(FixedCore& core) {
-  (void)answerCall(core, {"POST", "/v1/Instances.Heartbeat/i-1", kBeat, "", ""}, "");
+void knowsRunner(FakeController& controller) {
+  (void)answerApiRequest(controller, {"POST", "/v1/Instances.Heartbeat/i-1", kHeartbeat, "", ""}, "");
 }
-void runnerHasEnded(FixedCore& core) {
-  (void)answerCall(core, {"POST", "/v1/Instances.Detach/i-1", "", "", ""}, "");
+void runnerHasDetached(FakeController& controller) {
+  (void)answerApiRequest(controller, {"POST", "/v1/Instances.Detach/i-1", "", "", ""}, "");
 }
 
 struct Call {
@@ -132,82 +132,85 @@
   return {
       {"heartbeat",
        "/v1/Instances.Heartbeat/i-1",
-       {{"joins", usual, "POST", kBeat, ""},
-        {"is known", holdsRunner, "POST", kBeat, ""},
-        {"has ended", runnerHasEnded, "POST", kBeat, ""},
+       {{"joins", usual, "POST", kHeartbeat, ""},
+        {"is known", knowsRunner, "POST", kHeartbeat, ""},
+        {"has ended", runnerHasDetached, "POST", kHeartbeat, ""},
         {"no JSON", usual, "POST", "beat", ""},
         {"no address", usual, "POST", R"({"targetService":"s"})", ""},
         {"wrong type", usual, "POST", R"({"targetService":"s","address":"a","capacity":"four"})", ""},
-        {"cut off", cutOff, "POST", kBeat, ""},
-        {"the leader does not hear", unheardByLeader, "POST", kBeat, ""},
-        {"no outcome of the write", commitsNothing, "POST", kBeat, ""},
+        {"cut off", partitioned, "POST", kHeartbeat, ""},
+        {"the leader does not hear", notHeardByLeader, "POST", kHeartbeat, ""},
+        {"no outcome of the write", commitsNothing, "POST", kHeartbeat, ""},
         {"other method", usual, "GET", "", ""}}},
       {"detach",
        "/v1/Instances.Detach/i-1",
-       {{"leaves", holdsRunner, "POST", "", ""},
+       {{"leaves", knowsRunner, "POST", "", ""},
         {"is unknown", usual, "POST", "", ""},
         {"has left before, cut off",
-         [](FixedCore& core) {
-           runnerHasEnded(core);
-           cutOff(core);
+         [](FakeController& controller) {
+           runnerHasDetached(controller);
+           partitioned(controller);
          },
          "POST", "", ""},
-        {"cut off", cutOff, "POST", "", ""},
+        {"cut off", partitioned, "POST", "", ""},
         {"no outcome of the write", commitsNothing, "POST", "", ""},
         {"other method", usual, "GET", "", ""}}},
       {"configuration_replace",
        "/v1/Configuration.Replace",
        {{"the first", usual, "POST", configuration(3), ""},
-        {"on top of version 3", holdsVersion3, "POST", configuration(5), "3"},
-        {"the same again", holdsVersion3, "POST", configuration(3), "0"},
-        {"another one is in place", holdsVersion3, "POST", configuration(5), "2"},
-        {"not above the current one", holdsVersion3, "POST", configuration(3, "b"), "3"},
+        {"on top of version 3", hasVersion3, "POST", configuration(5), "3"},
+        {"the same again", hasVersion3, "POST", configuration(3), "0"},
+        {"another one is in place", hasVersion3, "POST", configuration(5), "2"},
+        {"not above the current one", hasVersion3, "POST", configuration(3, "b"), "3"},
         {"too old to tell", hasForgotten, "POST", configuration(3, "b"), "0"},
         {"no object", usual, "POST", "[]", "0"},
         {"no version", usual, "POST", R"({"routeTable":[],"serviceTable":[]})", "0"},
         {"base is no number", usual, "POST", configuration(3), "three"},
-        {"cut off", cutOff, "POST", configuration(3), "0"},
+        {"cut off", partitioned, "POST", configuration(3), "0"},
         {"no outcome of the write", commitsNothing, "POST", configuration(3), "0"},
         {"other method", usual, "GET", "", ""}}},
       {"configuration_retrieve",
        "/v1/Configuration.Retrieve",
-       {{"version 3", holdsVersion3, "GET", "", ""},
+       {{"version 3", hasVersion3, "GET", "", ""},
         {"none yet", usual, "GET", "", ""},
-        {"cut off", cutOff, "GET", "", ""},
+        {"cut off", partitioned, "GET", "", ""},
         {"no fresh read", readsNothing, "GET", "", ""},
         {"other method", usual, "POST", "", ""}}},
       {"closures_set",
        "/v1/Closures.Set",
        {{"closes", usual, "POST", R"({"place":"zone-1","note":"n","share":50})", ""},
-        {"another leads", anotherLeads, "POST", R"({"place":"zone-1"})", ""},
+        {"another leads", anotherControllerLeads, "POST", R"({"place":"zone-1"})", ""},
         {"no such place", usual, "POST", R"({"place":"zone-9"})", ""},
         {"no percentage", usual, "POST", R"({"place":"zone-1","share":101})", ""},
         {"doors too early", usual, "POST", R"({"place":"zone-1","share":99,"doorsShut":true})", ""},
         {"no JSON", usual, "POST", "closure", ""},
-        {"live play", busy, "POST", R"({"place":"zone-1","share":50,"calmBelowPerS":100})", ""},
-        {"live play, forced", busy, "POST", R"({"place":"zone-1","share":50,"calmBelowPerS":100,"force":true})", ""},
-        {"cut off", cutOff, "POST", R"({"place":"zone-1"})", ""},
+        {"live play", busyFleet, "POST", R"({"place":"zone-1","share":50,"calmBelowPerS":100})", ""},
+        {"live play, forced", busyFleet, "POST",
+         R"({"place":"zone-1","share":50,"calmBelowPerS":100,"force":true})", ""},
+        {"cut off", partitioned, "POST", R"({"place":"zone-1"})", ""},
         {"no outcome of the write", commitsNothing, "POST", R"({"place":"zone-1"})", ""},
         {"no fresh read", readsNothing, "POST", R"({"place":"zone-1"})", ""},
         {"other method", usual, "GET", "", ""}}},
       {"closures_list",
        "/v1/Closures.List",
        {{"leads", usual, "GET", "", ""},
-        {"another leads", anotherLeads, "GET", "", ""},
-        {"cut off", cutOff, "GET", "", ""},
+        {"another leads", anotherControllerLeads, "GET", "", ""},
+        {"cut off", partitioned, "GET", "", ""},
         {"no fresh read", readsNothing, "GET", "", ""},
         {"other method", usual, "POST", "", ""}}},
       {"hints_exchange",
        "/v1/Hints.Exchange",
        {{"leads", usual, "POST", "news", ""},
-        {"another leads", anotherLeads, "POST", "news", ""},
+        {"another leads", anotherControllerLeads, "POST", "news", ""},
         {"no partner", withoutPartner, "POST", "news", ""},
         {"a stranger", withStranger, "POST", "news", ""},
-        {"cut off", cutOff, "POST", "news", ""},
+        {"cut off", partitioned, "POST", "news", ""},
         {"other method", usual, "GET", "", ""}}},
       {"status",
        "/v1/Status?of=all",
-       {{"usual", usual, "GET", "", ""}, {"cut off", cutOff, "GET", "", ""}, {"other method", usual, "POST", "", ""}}},
+       {{"usual", usual, "GET", "", ""},
+        {"cut off", partitioned, "GET", "", ""},
+        {"other method", usual, "POST", "", ""}}},
       {"unknown", "/v1/Other", {{"usual", usual, "GET", "", ""}}},
   };
 }
@@ -220,19 +223,21 @@
   return lines;
 }
 std::string described(const CallTable& table, const Call& call) {
-  FixedCore core;
-  call.arrange(core);
-  core.written.clear();
-  const auto answer = answerCall(core, {call.method, table.path, call.body, call.base, "seal"}, "http://10.0.0.4:8477");
+  FakeController controller;
+  call.arrange(controller);
+  controller.written.clear();
+  const auto answer =
+      answerApiRequest(controller, {call.method, table.path, call.body, call.base, "seal"}, "http://10.0.0.4:8477");
   return std::string("== ") + call.situation + "\n" + call.method + " " + table.path + "\n" + call.body + "\n" +
-         core.written + "-> " + std::to_string(answer.status) + "\n" + plainLines(answer.heads) + answer.body + "\n";
+         controller.written + "-> " + std::to_string(static_cast<int>(answer.status)) + "\n" +
+         plainLines(answer.headers) + answer.body + "\n";
 }
 
-/// A core machine that has just come back with its disk: nothing has happened yet, so its report is always the same.
+/// A controller that has just come back with its disk: nothing has happened yet, so its report is always the same.
 /// Kept to the end: the loop still refers to it.
-Core& recoveredCore() {
+ControllerNode& recoveredController() {
   constexpr const char* ip = "127.0.5.61";
-  static std::vector<std::unique_ptr<Core>> kept;
+  static std::vector<std::unique_ptr<ControllerNode>> kept;
   std::string folder = std::filesystem::temp_directory_path() / "zinccleat-golden-XXXXXX";
   Settings settings;
   settings.node = "core-a";
@@ -242,9 +247,9 @@
   settings.seeds = {std::string(ip) + ":8477"};
   settings.tolerateMachines = 0;
 
-  FixedCore before;
-  holdsVersion3(before);
-  holdsRunner(before);
+  FakeController before;
+  hasVersion3(before);
+  knowsRunner(before);
   (void)before.write(runnerEntry({"i-2", "t", "10.0.1.2:80", "z", 4, 8, 1}, "runner/i-2"), Duration(0));
   (void)before.write(zoneDrainEntry({"zone-1", "a \"note\"", 50, false}, false, "closure/1"), Duration(0));
   (void)before.write(zoneDrainEntry({"zone-2", "b", 100, true}, false, "closure/2"), Duration(0));
@@ -256,10 +261,10 @@
   record.snapshotIndex = before.writes;
   record.snapshotTerm = 11;
   record.snapshotConfig = record.self;
-  record.state = before.state.snapshot();
+  record.state = before.ownReplica.snapshot();
   std::ofstream(std::filesystem::path(settings.dataDir) / recordName(1), std::ios::binary) << encodeRecord(record);
 
-  kept.push_back(std::make_unique<Core>(settings));
+  kept.push_back(std::make_unique<ControllerNode>(settings));
   const auto started = kept.back()->start();
   EXPECT_TRUE(started) << started.error().message;
   return *kept.back();
@@ -288,13 +293,13 @@
 INSTANTIATE_TEST_SUITE_P(All, GoldenCalls, testing::ValuesIn(tables()),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// In the suite `Core`, whose tests run one at a time: it listens on loopback.
-TEST(Core, ReportsAsInTheGoldenFiles) {
+// In the suite `ControllerNode`, whose tests run one at a time: it listens on loopback.
+TEST(ControllerNode, ReportsAsInTheGoldenFiles) {
   EventLoop::get().spawn([] {
-    const auto& core = recoveredCore();
-    const auto status = withoutCount(withoutCount(core.statusJson(), "framesDeclined"), "framesOfOtherFormats");
+    const auto& controller = recoveredController();
+    const auto status = withoutCount(withoutCount(controller.statusJson(), "framesDeclined"), "framesOfOtherFormats");
     golden::expectStored("core_status.json", status);
-    golden::expectStored("core_closures.json", core.zoneDrainsJson());
+    golden::expectStored("core_closures.json", controller.zoneDrainsJson());
     EventLoop::get().stop();
   });
   EventLoop::get().run();
--- a/tests/heartbeats_test.cpp
+++ b/tests/heartbeats_test.cpp
@@ -1,126 +1,129 @@
-// Runners' heartbeats inside the core: forwarded until acknowledged, and a leader's patience.
-#include "heartbeats.hpp"
-
+/// @file
+/// Runners' heartbeats between controllers: forwarded until acknowledged, and when a leader lets a runner expire.
 #include <gtest/gtest.h>
 
+#include "heartbeat_forwarder.hpp"
+#include "runner_monitor.hpp"
+
 using namespace zinccleat;
 using namespace zinccleat::controller;
 using namespace zinccleat::state_machine;
 namespace {
 const TimePoint kStart{std::chrono::seconds(1000)};
-constexpr Duration kHeartbeat{1200};
-constexpr Duration kPatience = kHeartbeat * 3 + Duration(1500);
+constexpr Duration kHeartbeatInterval{1200};
+constexpr Duration kTimeout = kHeartbeatInterval * 3 + Duration(1500);
 Runner runner(const std::string& id) {
-  Runner r;
-  r.id = id;
-  return r;
+  Runner runner;
+  runner.id = id;
+  return runner;
 }
 }  // namespace
 
-// Found by reading: a batch was forgotten as soon as it was sent, and three lost ones dropped a healthy runner.
-TEST(HeartbeatForwarder, SendsAgainUntilALeaderHasAcknowledged) {
+// Regression: a batch was forgotten as soon as it was sent, and after three lost ones a healthy runner expired.
+TEST(HeartbeatForwarder, ResendsUntilALeaderHasAcknowledged) {
   HeartbeatForwarder forwarder;
-  forwarder.heard("i1", kStart);
+  forwarder.record("i1", kStart);
   const auto lost = forwarder.nextBatch(kStart + 100ms);
   ASSERT_TRUE(lost);
-  forwarder.heard("i2", kStart + 200ms);
+  forwarder.record("i2", kStart + 200ms);
   const auto second = forwarder.nextBatch(kStart + 600ms);
   ASSERT_TRUE(second);
-  EXPECT_EQ(second->runners.size(), 2U) << "the lost one goes again";
-  forwarder.heard("i1", kStart + 700ms);
-  forwarder.acknowledged(second->number);
+  EXPECT_EQ(second->heartbeats.size(), 2U) << "the lost one is sent again";
+  forwarder.record("i1", kStart + 700ms);
+  forwarder.onAcknowledged(second->number);
   const auto third = forwarder.nextBatch(kStart + 1100ms);
   ASSERT_TRUE(third);
-  ASSERT_EQ(third->runners.size(), 1U) << "only what came after the acknowledged batch";
-  EXPECT_EQ(third->runners[0].at, kStart + 700ms);
-  forwarder.acknowledged(third->number);
+  ASSERT_EQ(third->heartbeats.size(), 1U) << "only what came after the acknowledged batch";
+  EXPECT_EQ(third->heartbeats[0].receivedAt, kStart + 700ms);
+  forwarder.onAcknowledged(third->number);
   EXPECT_FALSE(forwarder.nextBatch(kStart + 1600ms));
 }
-TEST(HeartbeatForwarder, ALateAcknowledgementOfAnOlderBatchTakesNothingNewer) {
+TEST(HeartbeatForwarder, ALateAcknowledgementOfAnOlderBatchDropsNothingNewer) {
   HeartbeatForwarder forwarder;
-  forwarder.heard("i1", kStart);
+  forwarder.record("i1", kStart);
   const auto first = forwarder.nextBatch(kStart);
-  forwarder.heard("i1", kStart + 50ms);
-  forwarder.acknowledged(first->number);
-  forwarder.acknowledged(first->number);
+  forwarder.record("i1", kStart + 50ms);
+  forwarder.onAcknowledged(first->number);
+  forwarder.onAcknowledged(first->number);
   EXPECT_TRUE(forwarder.nextBatch(kStart + 500ms));
-  forwarder.acknowledged(99);
+  forwarder.onAcknowledged(99);
   EXPECT_TRUE(forwarder.nextBatch(kStart + 1000ms));
 }
-TEST(HeartbeatForwarder, TellsWhenTheLeaderDoesNotAnswer) {
+TEST(HeartbeatForwarder, ReportsALeaderThatDoesNotAcknowledge) {
   HeartbeatForwarder forwarder;
-  EXPECT_TRUE(forwarder.leaderAnswers(kStart)) << "nothing was asked yet";
+  EXPECT_TRUE(forwarder.leaderAcknowledges(kStart)) << "nothing was sent yet";
   std::optional<HeartbeatForwarder::Batch> last;
   for (int i = 0; i < 4; ++i) {
-    forwarder.heard("i1", kStart + Duration(500 * i));
+    forwarder.record("i1", kStart + Duration(500 * i));
     last = forwarder.nextBatch(kStart + Duration(500 * i));
   }
-  EXPECT_TRUE(forwarder.leaderAnswers(kStart + 1500ms));
-  EXPECT_FALSE(forwarder.leaderAnswers(kStart + 1501ms));
-  forwarder.acknowledged(last->number);
-  EXPECT_TRUE(forwarder.leaderAnswers(kStart + 1600ms));
+  EXPECT_TRUE(forwarder.leaderAcknowledges(kStart + 1500ms));
+  EXPECT_FALSE(forwarder.leaderAcknowledges(kStart + 1501ms));
+  forwarder.onAcknowledged(last->number);
+  EXPECT_TRUE(forwarder.leaderAcknowledges(kStart + 1600ms));
 }
-TEST(HeartbeatForwarder, ANewLeaderIsToldWhatTheOldOneDidNotAcknowledge) {
+TEST(HeartbeatForwarder, ANewLeaderGetsWhatThePreviousOneDidNotAcknowledge) {
   HeartbeatForwarder forwarder;
-  forwarder.heard("i1", kStart);
-  const auto toOld = forwarder.nextBatch(kStart);
-  forwarder.leaderChanged();
-  EXPECT_TRUE(forwarder.leaderAnswers(kStart + 5s)) << "the new one was not asked yet";
-  forwarder.acknowledged(toOld->number);
-  EXPECT_TRUE(forwarder.nextBatch(kStart + 5s)) << "an answer of the old one no longer counts";
+  forwarder.record("i1", kStart);
+  const auto toPrevious = forwarder.nextBatch(kStart);
+  forwarder.onLeaderChanged();
+  EXPECT_TRUE(forwarder.leaderAcknowledges(kStart + 5s)) << "nothing was sent to the new one yet";
+  forwarder.onAcknowledged(toPrevious->number);
+  EXPECT_TRUE(forwarder.nextBatch(kStart + 5s)) << "an answer of the previous leader no longer counts";
 }
 
-// Found by reading: a runner that joined at another machine was unknown to the leader until that one's next batch came,
-// and dropped at the next look.
-TEST(RunnerMonitor, ARunnerSeenForTheFirstTimeHasItsFullTime) {
-  RunnerMonitor monitor(kHeartbeat);
-  monitor.missed(kStart, true, {});
+// Regression: a runner that joined at another controller was unknown to the leader until that one's next batch came,
+// and expired at the next check.
+TEST(RunnerMonitor, ARunnerSeenForTheFirstTimeHasItsFullTimeout) {
+  RunnerMonitor monitor(kHeartbeatInterval);
+  monitor.findExpired(kStart, true, {});
   auto now = kStart;
-  while (now < kStart + kPatience + 1s)
-    monitor.missed(now += 1s, true, {});
-  for (const auto end = now + kPatience; now + 1s <= end;)
-    EXPECT_TRUE(monitor.missed(now += 1s, true, {runner("i1")}).empty());
+  while (now < kStart + kTimeout + 1s)
+    monitor.findExpired(now += 1s, true, {});
+  for (const auto end = now + kTimeout; now + 1s <= end;)
+    EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty());
   now += 1s;
   now += 1s;
-  monitor.missed(now, true, {runner("i1")});
-  EXPECT_EQ(monitor.missed(now += 1s, true, {runner("i1")}).size(), 1U) << "silent for good";
+  monitor.findExpired(now, true, {runner("i1")});
+  EXPECT_EQ(monitor.findExpired(now += 1s, true, {runner("i1")}).size(), 1U) << "still silent";
 }
 TEST(RunnerMonitor, ALeaderThatHadNoLeaseListensFirst) {
-  RunnerMonitor monitor(kHeartbeat);
+  RunnerMonitor monitor(kHeartbeatInterval);
   auto now = kStart;
-  monitor.heard("i1", now);
+  monitor.recordHeartbeat("i1", now);
   for (int i = 0; i < 20; ++i)
-    EXPECT_TRUE(monitor.missed(now += 1s, false, {runner("i1")}).empty());
+    EXPECT_TRUE(monitor.findExpired(now += 1s, false, {runner("i1")}).empty());
   for (int i = 0; i < 5; ++i)
-    EXPECT_TRUE(monitor.missed(now += 1s, true, {runner("i1")}).empty()) << "its beats went to others meanwhile";
-  monitor.heard("i1", now);
+    EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty())
+        << "its heartbeats went to other controllers meanwhile";
+  monitor.recordHeartbeat("i1", now);
   for (int i = 0; i < 5; ++i)
-    EXPECT_TRUE(monitor.missed(now += 1s, true, {runner("i1")}).empty());
+    EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty());
 }
-TEST(RunnerMonitor, ALeaderThatStoodStillListensFirst) {
-  RunnerMonitor monitor(kHeartbeat);
+TEST(RunnerMonitor, ALeaderThatWasSuspendedListensFirst) {
+  RunnerMonitor monitor(kHeartbeatInterval);
   auto now = kStart;
   for (int i = 0; i < 10; ++i) {
-    monitor.heard("i1", now);
-    EXPECT_TRUE(monitor.missed(now += 1s, true, {runner("i1")}).empty());
+    monitor.recordHeartbeat("i1", now);
+    EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty());
   }
-  now += 15s;  // frozen
-  EXPECT_TRUE(monitor.missed(now, true, {runner("i1")}).empty());
-  EXPECT_TRUE(monitor.missed(now += 1s, true, {runner("i1")}).empty());
+  now += 15s;  // suspended
+  EXPECT_TRUE(monitor.findExpired(now, true, {runner("i1")}).empty());
+  EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty());
 }
-TEST(RunnerMonitor, ASilentRunnerIsMissed) {
-  RunnerMonitor monitor(kHeartbeat);
+TEST(RunnerMonitor, ASilentRunnerExpires) {
+  RunnerMonitor monitor(kHeartbeatInterval);
   auto now = kStart;
   for (int i = 0; i < 10; ++i) {
-    monitor.heard("i1", now);
-    monitor.heard("i2", now);
-    EXPECT_TRUE(monitor.missed(now += 1s, true, {runner("i1"), runner("i2")}).empty());
+    monitor.recordHeartbeat("i1", now);
+    monitor.recordHeartbeat("i2", now);
+    EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1"), runner("i2")}).empty());
   }
-  std::vector<Runner> missed;
-  for (int i = 0; i < 6 && missed.empty(); ++i) {
-    monitor.heard("i2", now);
-    missed = monitor.missed(now += 1s, true, {runner("i1"), runner("i2")});
+  std::vector<Runner> expired;
+  for (int i = 0; i < 6 && expired.empty(); ++i) {
+    monitor.recordHeartbeat("i2", now);
+    expired = monitor.findExpired(now += 1s, true, {runner("i1"), runner("i2")});
   }
-  ASSERT_EQ(missed.size(), 1U);
-  EXPECT_EQ(missed[0].id, "i1");
+  ASSERT_EQ(expired.size(), 1U);
+  EXPECT_EQ(expired[0].id, "i1");
 }
--- a/tests/illness_test.cpp
+++ b/tests/illness_test.cpp
@@ -1,8 +1,8 @@
 // Runners that are ill while they say that they are well: the whole way from an answer to the choice, with stand-ins.
 #include <sys/socket.h>
 
-#include "outliers.hpp"
-#include "quota.hpp"
+#include "outlier_detector.hpp"
+#include "quota_allocator.hpp"
 #include "standins.hpp"
 
 using namespace zinccleat;
@@ -14,12 +14,12 @@
 using namespace zinccleat::standin;
 namespace {
 // What the leader would make of this node's words, had another node seen the same.
-void exchange(TestProxy& h, OutlierDetector& desk, const std::vector<Runner>& runners, TimePoint now) {
+void exchange(TestProxy& h, OutlierDetector& detector, const std::vector<Runner>& runners, TimePoint now) {
   const auto seen = h.context.observer.report(24);
-  desk.told(now, "node-a", seen);
-  desk.told(now, "node-b", seen);
-  desk.evaluate(now, runners);
-  h.context.runners.setEjected(desk.list());
+  detector.report(now, "node-a", seen);
+  detector.report(now, "node-b", seen);
+  detector.evaluate(now, runners);
+  h.context.runners.setEjected(detector.ejections());
 }
 std::vector<Runner> known(const TestProxy& h) {
   std::vector<Runner> v;
@@ -46,23 +46,23 @@
     });
     for (int i = 1; i < 5; ++i)
       h.runner("i-" + std::to_string(i), answers);
-    OutlierDetector desk;
+    OutlierDetector detector;
     const auto rs = known(h);
     TimePoint now = Clock::now();
-    desk.evaluate(now, rs);
+    detector.evaluate(now, rs);
     int served = 0;
     for (int i = 0; i < 120; ++i) {
       h.context.runners.recordSuccess(0);  // as seen by nodes that have not met it yet
       const auto a = once(h, ask("/open/" + std::to_string(i), "a" + std::to_string(i)));
       served += a.status == 200;
       if (i % 10 == 9)
-        exchange(h, desk, rs, now += 100ms);
+        exchange(h, detector, rs, now += 100ms);
     }
     const auto before = asked(*ill);
     EXPECT_GT(before, 4);
-    ASSERT_FALSE(desk.list().empty());
-    EXPECT_EQ(desk.list()[0].runner, "i-0");
-    EXPECT_EQ(desk.list().size(), 1U);
+    ASSERT_FALSE(detector.ejections().empty());
+    EXPECT_EQ(detector.ejections()[0].runner, "i-0");
+    EXPECT_EQ(detector.ejections().size(), 1U);
     for (int i = 0; i < 40; ++i)
       EXPECT_EQ(once(h, ask("/open/x", "b" + std::to_string(i))).status, 200);
     EXPECT_EQ(asked(*ill), before) << "left alone";
@@ -176,10 +176,10 @@
   std::mt19937_64 rng(8);
   auto cfg = *parseConfiguration(R"({"configVersion":1,"routeTable":[],"serviceTable":[],"subscribers":[
     {"label":"flood","accessKeys":["a"],"ratePerS":20,"burstSize":20},{"label":"other","accessKeys":["b"],"ratePerS":20,"burstSize":20}]})");
-  QuotaAllocator desk;
-  desk.bounds({0.1, 20, 5});
+  QuotaAllocator allocator;
+  allocator.setBounds({0.1, 20, 5});
   TimePoint now{100s};
-  desk.noOp(now);
+  allocator.startTerm(now);
   std::vector<QuotaGrants> nodes(70);
   std::map<std::string, int> got;
   std::map<std::string, int> sent;
@@ -194,7 +194,7 @@
       bool ok = n.take(who, now);
       if (!ok) {
         n.wait(who);
-        n.loose(desk.draw(now, {}, n.unasked(), {}, cfg.get()), now);
+        n.loose(allocator.allocate(now, {}, n.unasked(), {}, cfg.get()), now);
         ok = n.retake(who, now);
       }
       got[who] += ok;
--- a/tests/outlier_test.cpp
+++ b/tests/outlier_test.cpp
@@ -1,11 +1,13 @@
-// Ill runners: what one node sees, how all nodes' words are weighed, and what the choice makes of it.
+/// @file
+/// Unhealthy runners: what one proxy observes, how the leader judges the reports of all proxies, and what the choice of
+/// a runner makes of it.
 #include <gtest/gtest.h>
 
 #include <random>
 
 #include "balancing/runner_observer.hpp"
 #include "balancing/runner_pool.hpp"
-#include "outliers.hpp"
+#include "outlier_detector.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::balancing;
@@ -16,129 +18,136 @@
 Runner runner(const std::string& id, const std::string& service = "s") {
   return Runner{id, service, id + ":1", "z", 16, 1, 0};
 }
-std::vector<Runner> fleet(int n) {
-  std::vector<Runner> v;
-  v.reserve(n);
-  for (int i = 0; i < n; ++i)
-    v.push_back(runner("r" + std::to_string(i)));
-  return v;
+std::vector<Runner> fleet(int count) {
+  std::vector<Runner> runners;
+  runners.reserve(count);
+  for (int i = 0; i < count; ++i)
+    runners.push_back(runner("r" + std::to_string(i)));
+  return runners;
 }
-bool aside(const OutlierDetector& d, const std::string& id) {
-  return std::any_of(d.list().begin(), d.list().end(), [&](auto& g) { return g.runner == id && g.level >= 1; });
+bool isEjected(const OutlierDetector& detector, const std::string& runner) {
+  const auto& ejections = detector.ejections();
+  return std::any_of(ejections.begin(), ejections.end(),
+                     [&](const auto& ejection) { return ejection.runner == runner && ejection.level >= 1; });
 }
-// 70 nodes, 8 requests a second each, spread evenly; `ill` says whether an attempt at a runner goes badly.
-struct Play {
+/// A fleet under load: 70 proxies, 8 requests a second each, spread evenly over the runners that are not ejected.
+struct FleetSimulation {
+  static constexpr int kProxies = 70;
   std::mt19937_64 rng;
-  OutlierDetector desk;
+  OutlierDetector detector;
   std::vector<Runner> runners;
   TimePoint now{100s};
-  std::function<double(const std::string&)> ill;
-  int atIll = 0;
-  Play(std::uint64_t seed, int n) : rng(seed), runners(fleet(n)) { desk.evaluate(now, runners); }
-  void run(Duration d) {
-    for (const auto end = now + d; now < end; now += 200ms) {
-      for (int node = 0; node < 70; ++node) {
-        std::map<std::string, RunnerAttempts> seen;
-        for (int k = 0; k < 2; ++k) {
-          if (rng() % 10 >= 8)
-            continue;
-          const auto& r = runners[rng() % runners.size()];
-          if (aside(desk, r.id))
-            continue;
-          auto& g = seen[r.id];
-          g.runner = r.id;
-          const bool bad = static_cast<double>(rng() % 1000) < ill(r.id) * 1000;
-          (bad ? g.failed : g.succeeded) += 1;
-          atIll += ill(r.id) > 0.1;
-        }
-        std::vector<RunnerAttempts> v;
-        v.reserve(seen.size());
-        for (auto& [id, g] : seen)
-          v.push_back(g);
-        desk.told(now, "n" + std::to_string(node), v);
-      }
-      desk.evaluate(now, runners);
+  std::function<double(const std::string& runner)> failureRate;
+
+  FleetSimulation(std::uint64_t seed, int runnerCount) : rng(seed), runners(fleet(runnerCount)) {
+    detector.evaluate(now, runners);
+  }
+  void run(Duration duration) {
+    for (const auto end = now + duration; now < end; now += 200ms) {
+      for (int proxy = 0; proxy < kProxies; ++proxy)
+        detector.report(now, "n" + std::to_string(proxy), attemptsOfOneProxy());
+      detector.evaluate(now, runners);
     }
   }
+  /// Of 200 ms.
+  std::vector<RunnerAttempts> attemptsOfOneProxy() {
+    std::map<std::string, RunnerAttempts> byRunner;
+    for (int request = 0; request < 2; ++request) {
+      if (rng() % 10 >= 8)
+        continue;
+      const auto& target = runners[rng() % runners.size()];
+      if (isEjected(detector, target.id))
+        continue;
+      auto& attempts = byRunner[target.id];
+      attempts.runner = target.id;
+      const bool failed = static_cast<double>(rng() % 1000) < failureRate(target.id) * 1000;
+      (failed ? attempts.failed : attempts.succeeded) += 1;
+    }
+    std::vector<RunnerAttempts> report;
+    report.reserve(byRunner.size());
+    for (const auto& [id, attempts] : byRunner)
+      report.push_back(attempts);
+    return report;
+  }
 };
 }  // namespace
 
-TEST(Outliers, TheOnesThatFailAPartAreSetAsideSoonAndNobodyElse) {
+TEST(OutlierDetector, EjectsRunnersThatFailSomeRequestsSoonAndNobodyElse) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Play p(seed, 90);
-    p.ill = [](const std::string& id) { return id == "r7" || id == "r40" ? 0.5 : 0.01; };
-    p.run(4s);
-    int times = 0;
+    FleetSimulation simulation(seed, 90);
+    simulation.failureRate = [](const std::string& id) { return id == "r7" || id == "r40" ? 0.5 : 0.01; };
+    simulation.run(4s);
+    int timesEjected = 0;
     for (int i = 0; i < 20; ++i) {
-      p.run(200ms);
-      times += aside(p.desk, "r7");
-      for (auto& g : p.desk.list())
-        EXPECT_TRUE(g.runner == "r7" || g.runner == "r40") << g.runner << " seed " << seed;
+      simulation.run(200ms);
+      timesEjected += isEjected(simulation.detector, "r7");
+      for (const auto& ejection : simulation.detector.ejections())
+        EXPECT_TRUE(ejection.runner == "r7" || ejection.runner == "r40") << ejection.runner << " seed " << seed;
     }
-    EXPECT_GE(times, 10) << "seed " << seed;
+    EXPECT_GE(timesEjected, 10) << "seed " << seed;
   }
 }
-TEST(Outliers, WhereAllAreSlowNobodyIsToBlame) {
-  Play p(3, 90);
-  p.ill = [](const std::string&) { return 0.6; };
-  p.run(10s);
-  EXPECT_TRUE(p.desk.list().empty());
+TEST(OutlierDetector, EjectsNobodyWhereAllFail) {
+  FleetSimulation simulation(3, 90);
+  simulation.failureRate = [](const std::string&) { return 0.6; };
+  simulation.run(10s);
+  EXPECT_TRUE(simulation.detector.ejections().empty());
 }
-TEST(Outliers, AtMostAFifthIsSetAside) {
-  Play p(4, 20);
-  p.ill = [](const std::string& id) { return id.size() == 2 && id[1] < '8' ? 0.9 : 0.0; };
+TEST(OutlierDetector, EjectsAtMostAFifth) {
+  FleetSimulation simulation(4, 20);
+  simulation.failureRate = [](const std::string& id) { return id.size() == 2 && id[1] < '8' ? 0.9 : 0.0; };
   for (int i = 0; i < 50; ++i) {
-    p.run(200ms);
-    EXPECT_LE(p.desk.list().size(), 4U);
+    simulation.run(200ms);
+    EXPECT_LE(simulation.detector.ejections().size(), 4U);
   }
-  EXPECT_GE(p.desk.list().size(), 1U);
+  EXPECT_GE(simulation.detector.ejections().size(), 1U);
 }
-TEST(Outliers, OneNodesWordAloneSetsNobodyAside) {
-  OutlierDetector d;
+TEST(OutlierDetector, ReportsOfOneProxyAloneEjectNobody) {
+  OutlierDetector detector;
   TimePoint now{100s};
-  const auto rs = fleet(10);
-  d.evaluate(now, rs);
+  const auto runners = fleet(10);
+  detector.evaluate(now, runners);
   for (int i = 0; i < 50; ++i, now += 200ms) {
-    d.told(now, "liar", {{"r1", 0, 1000}});
-    d.evaluate(now, rs);
-    ASSERT_TRUE(d.list().empty());
+    detector.report(now, "liar", {{"r1", 0, 1000}});
+    detector.evaluate(now, runners);
+    ASSERT_TRUE(detector.ejections().empty());
   }
 }
-TEST(Outliers, WhoRecoversComesBackAndIsForgiven) {
-  Play p(5, 30);
-  p.ill = [](const std::string& id) { return id == "r3" ? 1.0 : 0.0; };
-  p.run(4s);
-  ASSERT_TRUE(aside(p.desk, "r3") || !p.desk.list().empty());
-  p.ill = [](const std::string&) { return 0.0; };
-  p.run(20s);
-  EXPECT_TRUE(p.desk.list().empty());
+TEST(OutlierDetector, ARunnerThatRecoversIsReadmitted) {
+  FleetSimulation simulation(5, 30);
+  simulation.failureRate = [](const std::string& id) { return id == "r3" ? 1.0 : 0.0; };
+  simulation.run(4s);
+  ASSERT_TRUE(isEjected(simulation.detector, "r3") || !simulation.detector.ejections().empty());
+  simulation.failureRate = [](const std::string&) { return 0.0; };
+  simulation.run(20s);
+  EXPECT_TRUE(simulation.detector.ejections().empty());
 }
-TEST(Outliers, UnknownRunnersAreDeclinedAndCounted) {
-  OutlierDetector d;
-  TimePoint now{100s};
-  d.evaluate(now, fleet(3));
-  d.told(now, "a", {{"nobody", 0, 4}});
-  d.told(now, "b", {{"nobody", 0, 4}, {"r1", 1, 0}});
-  EXPECT_EQ(d.errorResponse(), 2U);
-  d.evaluate(now, fleet(3));
-  EXPECT_TRUE(d.list().empty());
+TEST(OutlierDetector, ReportsOfUnknownRunnersAreCountedAndDropped) {
+  OutlierDetector detector;
+  const TimePoint now{100s};
+  detector.evaluate(now, fleet(3));
+  detector.report(now, "a", {{"nobody", 0, 4}});
+  detector.report(now, "b", {{"nobody", 0, 4}, {"r1", 1, 0}});
+  EXPECT_EQ(detector.unknownRunnerReports(), 2U);
+  detector.evaluate(now, fleet(3));
+  EXPECT_TRUE(detector.ejections().empty());
 }
-TEST(Outliers, TheVersionChangesWithTheListOnly) {
-  OutlierDetector d;
-  TimePoint now{100s};
-  const auto rs = fleet(10);
-  d.evaluate(now, rs);
-  const auto before = d.version();
-  d.evaluate(now + 1s, rs);
-  EXPECT_EQ(d.version(), before);
-  for (const char* n : {"a", "b", "c"})
-    d.told(now + 1s, n, {{"r1", 0, 4}});
-  d.evaluate(now + 1s, rs);
-  EXPECT_NE(d.version(), before);
-  EXPECT_TRUE(aside(d, "r1"));
-  d.noOp(7);
-  EXPECT_TRUE(d.list().empty());
-  EXPECT_NE(d.version(), before);
+TEST(OutlierDetector, TheVersionChangesWithTheEjectionsOnly) {
+  OutlierDetector detector;
+  const TimePoint now{100s};
+  const auto runners = fleet(10);
+  detector.evaluate(now, runners);
+  const auto before = detector.version();
+  detector.evaluate(now + 1s, runners);
+  EXPECT_EQ(detector.version(), before);
+  for (const char* proxy : {"a", "b", "c"})
+    detector.report(now + 1s, proxy, {{"r1", 0, 4}});
+  detector.evaluate(now + 1s, runners);
+  EXPECT_NE(detector.version(), before);
+  EXPECT_TRUE(isEjected(detector, "r1"));
+  detector.startTerm(7);
+  EXPECT_TRUE(detector.ejections().empty());
+  EXPECT_NE(detector.version(), before);
 }
 TEST(RunnerObserver, JudgesByWhatIsUsualForThePromptsSize) {
   RunnerObserver w;
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -12,7 +12,7 @@
 #include <fstream>
 #include <unordered_set>
 
-#include "core.hpp"
+#include "controller_node.hpp"
 #include "simulated_disk.hpp"
 
 using namespace zinccleat;
@@ -761,7 +761,7 @@
   settings.dataDir = freshDir();
   Storage held(settings.dataDir);
   ASSERT_TRUE(held.lock());
-  const auto locked = Core(settings).start();
+  const auto locked = ControllerNode(settings).start();
   ASSERT_FALSE(locked);
   EXPECT_EQ(locked.error().message, settings.dataDir + ": another process uses this folder");
   EXPECT_EQ(filesIn(settings.dataDir), 1);
@@ -769,7 +769,7 @@
 
   settings.dataDir = freshDir();
   std::ofstream(settings.dataDir + "/page-000000000001") << "zcpage2 and so on";
-  const auto older = Core(settings).start();
+  const auto older = ControllerNode(settings).start();
   ASSERT_FALSE(older);
   EXPECT_NE(older.error().message.find("page-000000000001 is in an older format"), std::string::npos);
   EXPECT_TRUE(std::filesystem::exists(settings.dataDir + "/page-000000000001"));
