--- a/libs/controller/src/agent_request_handler.hpp
+++ b/libs/controller/src/agent_request_handler.hpp
@@ -17,8 +17,10 @@
   int reportingProxies = 0;   ///< proxies of the fleet that reported their load lately
 };
 
+/// Answers the requests of access machines; see the file's comment.
 class AgentRequestHandler {
  public:
+  /// @param context must outlive this; its settings bound the quota.
   explicit AgentRequestHandler(const ControllerContext& context);
   /// This controller has become the leader: what was learned in an earlier term is dropped.
   void startTerm(TimePoint now);
@@ -29,12 +31,14 @@
   /// A lease is granted by a leader with a valid lease of its own; every answer tells how far the log is committed.
   transport::LeaseResponse onLeaseRequest(TimePoint now, const std::string& agent,
                                           const transport::LeaseRequest& request);
+  /// Tokens for requests that wait right now; granted by a leader with a valid lease.
   transport::QuotaTokenResponse onQuotaTokenRequest(TimePoint now, const transport::QuotaTokenRequest& request);
 
   /// Requests a second of all proxies that reported lately.
   double requestsPerS(TimePoint now) const;
   /// @param zone a zone or region.
   ZoneDrainProgress drainProgressOf(const std::string& zone, TimePoint now) const;
+  /// For reports.
   const OutlierDetector& outliers() const { return outliers_; }
 
  private:
--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -44,7 +44,6 @@
       session.link->end();
     session = Session{};
     session.link = link;
-    log::debug("agent_session_opened", {{"peer", agent}, {"index", state.lastApplied}});
   }
   context_.view.add(consensus::addressOf(agent) + "/access");
   context_.view.merge(state.view);
@@ -152,9 +151,11 @@
 void AgentSessions::closeSilentSessions(TimePoint now) {
   std::erase_if(sessions_, [now](const auto& entry) {
     const auto& [agent, session] = entry;
-    if (session.link->open() && now - session.link->heard() < kSessionTimeout)
+    const bool open = session.link->open();
+    if (open && now - session.link->heard() < kSessionTimeout)
       return false;
-    log::debug("agent_session_closed", {{"peer", agent}, {"index", session.lastApplied}});
+    if (open)
+      log::debug("agent_session_timed_out", {{"peer", agent}, {"index", session.lastApplied}});
     session.link->end();
     return true;
   });
--- a/libs/controller/src/agent_sessions.hpp
+++ b/libs/controller/src/agent_sessions.hpp
@@ -9,11 +9,15 @@
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
 namespace zinccleat::controller {
+/// The sessions of all agents linked to this controller; see the file's comment.
 class AgentSessions {
  public:
+  /// @param context must outlive this.
   explicit AgentSessions(ControllerContext& context) : context_(context) {}
   /// Answers with the cluster's status. A new link replaces the agent's earlier one.
   void onAgentState(const transport::PeerLinkPtr& link, const std::string& agent, const transport::AgentState& state);
+  /// The agent wants every entry after those that it has applied, or all of them anew. Only a leader sends them; every
+  /// controller answers with the status of the cluster.
   void onFollowLog(const transport::PeerLinkPtr& link, const std::string& agent, const transport::FollowLog& request);
   /// Sends all agents who leads, who votes and how far the log is committed.
   void broadcastStatus();
@@ -26,6 +30,7 @@
   /// Sends all agents the body of a large write, ahead of its entry.
   void sendBodyAhead(const transport::LogEntry& entry);
 
+  /// Agents with a session.
   std::size_t count() const { return sessions_.size(); }
   /// Bytes sent that agents have not read yet.
   std::size_t backlogBytes() const;
--- a/libs/controller/src/api_handlers.hpp
+++ b/libs/controller/src/api_handlers.hpp
@@ -16,14 +16,19 @@
 /// runner unknown and write it again, but the response names a `heartbeatUri`: a runner whose joins get no further from
 /// here would be kept here, alive and unknown. A 503 sends it to a controller that can write.
 ApiResponse handleHeartbeat(const ApiCall& call);
+/// A runner leaves for good: its id is never accepted again. Acknowledged once committed.
 ApiResponse handleDetach(const ApiCall& call);
+/// Replaces the configuration if the base version named by the caller is the one in force. Acknowledged once committed.
 ApiResponse handleReplaceConfiguration(const ApiCall& call);
+/// The configuration in force; a linearizable read.
 ApiResponse handleRetrieveConfiguration(const ApiCall& call);
 /// Begins, changes or ends the drain of a zone or region. Answered by the leader, which alone knows how busy the fleet
 /// is; the others redirect to it.
 ApiResponse handleSetZoneDrain(const ApiCall& call);
+/// The drains in force and how far they have come. Answered by the leader; the others redirect to it.
 ApiResponse handleListZoneDrains(const ApiCall& call);
 /// Prefix hints of the partner site. Answered by the leader; the others redirect to it.
 ApiResponse handleExchangeHints(const ApiCall& call);
+/// This controller's own view; answered without contact too.
 ApiResponse handleStatus(const ApiCall& call);
 }  // namespace zinccleat::controller
--- a/libs/controller/src/control_api.hpp
+++ b/libs/controller/src/control_api.hpp
@@ -14,8 +14,10 @@
 
 #include "controller_services.hpp"
 namespace zinccleat::controller {
+/// HTTP statuses by their standard names.
 using HttpStatus = boost::beast::http::status;
 
+/// What the control API needs of an HTTP request.
 struct ApiRequest {
   std::string method;
   std::string target;  ///< path and query
@@ -23,6 +25,7 @@
   std::string baseVersion;  ///< the header X-Base-Version
   std::string hintSeal;     ///< the header X-Hint-Seal
 };
+/// What the control API puts into an HTTP response.
 struct ApiResponse {
   HttpStatus status = HttpStatus::ok;
   std::string body = "{}";  ///< JSON, except for prefix hints
--- a/libs/controller/src/controller_context.hpp
+++ b/libs/controller/src/controller_context.hpp
@@ -12,6 +12,7 @@
 
 /// Each member has one writer, named beside it; all other components only read.
 struct ControllerContext {
+  /// @param given the settings as they were read at the start.
   explicit ControllerContext(config::Settings given);
   config::Settings settings;                                   ///< written by `ControllerNode`
   std::unique_ptr<consensus::RaftNode> raft;                   ///< set once, by `ControllerNode::start`
@@ -20,6 +21,7 @@
   transport::PartialView view;     ///< of the other machines; written by whoever receives a message
   std::int64_t seedsDeclined = 0;  ///< starts that found nobody to join in the settings; written at startup
 
+  /// Whether this controller leads; it may hold no lease yet.
   bool isLeader() const { return raft->role() == consensus::Role::leader; }
   /// Whether another controller leads, as far as is known here.
   bool knowsOtherLeader() const { return !raft->leader().empty() && raft->leader() != raft->self(); }
--- a/libs/controller/src/controller_node.hpp
+++ b/libs/controller/src/controller_node.hpp
@@ -21,8 +21,10 @@
 #include "runner_liveness.hpp"
 #include "status_report.hpp"
 namespace zinccleat::controller {
+/// The controller; see the file's comment.
 class ControllerNode final : public ControllerServices {
  public:
+  /// Does nothing until `start`.
   explicit ControllerNode(config::Settings settings);
   ~ControllerNode() override;
   /// Recovers the disk, joins the other controllers and starts the timers. Blocks while the disk can't be read.
@@ -34,6 +36,7 @@
   /// Ends in good order; see `GracefulShutdown`.
   void shutDown(const std::function<void()>& done);
 
+  // ControllerServices, for the control API: see there.
   const config::Settings& settings() const override { return context_.settings; }
   const state_machine::ReplicatedState& replica() const override { return context_.replica; }
   bool inContact() const override { return contact_.inContact(); }
--- a/libs/controller/src/controller_services.hpp
+++ b/libs/controller/src/controller_services.hpp
@@ -8,6 +8,7 @@
 class ControllerServices {
  public:
   virtual ~ControllerServices() = default;
+  /// The settings in force.
   virtual const config::Settings& settings() const = 0;
   /// This controller's replica: everything in it is committed, but it may be old.
   virtual const state_machine::ReplicatedState& replica() const = 0;
@@ -17,6 +18,7 @@
   virtual bool awaitContact(Duration timeout) = 0;
   /// False: heartbeats received here do not reach the leader.
   virtual bool heartbeatsReachLeader() const = 0;
+  /// A runner has sent a heartbeat to this controller.
   virtual void recordHeartbeat(const std::string& runner) = 0;
   /// Parks the calling fiber until its own write is committed and applied here.
   /// @return the write's outcome by the replica, or `ErrorCode::unavailable`.
@@ -30,7 +32,9 @@
   virtual std::optional<std::string> leaderControlAddress() const = 0;
   /// Requests a second of the whole fleet; known to the leader only.
   virtual double requestsPerS() const = 0;
+  /// The body of the Status call.
   virtual std::string statusJson() const = 0;
+  /// The body of the Closures.List call; complete on the leader only.
   virtual std::string zoneDrainsJson() const = 0;
   /// Takes in the partner site's prefix hints. @return our own hints, sealed.
   virtual Result<std::string> exchangeHints(std::string_view body, std::string_view seal) = 0;
--- a/libs/controller/src/graceful_shutdown.hpp
+++ b/libs/controller/src/graceful_shutdown.hpp
@@ -7,11 +7,13 @@
 /// Owns the state of the shutdown; changed on the event-loop thread.
 class GracefulShutdown {
  public:
+  /// @param context must outlive the event loop's run.
   explicit GracefulShutdown(ControllerContext& context) : context_(context) {}
   /// Begins the shutdown; a second call does nothing. The raft node then has actions to carry out.
   /// @param done is called on the event loop, once the process may end.
   /// @return whether this call began it.
   bool begin(const std::function<void()>& done);
+  /// Whether `begin` was called: runners are then sent to other controllers.
   bool inProgress() const { return inProgress_; }
 
  private:
--- a/libs/controller/src/heartbeat_forwarder.hpp
+++ b/libs/controller/src/heartbeat_forwarder.hpp
@@ -14,10 +14,12 @@
 /// Owned and changed by `RunnerLiveness`.
 class HeartbeatForwarder {
  public:
+  /// What is sent to the leader at once; numbers rise by one and are never used again.
   struct Batch {
     std::int64_t number = 0;
     std::vector<HeartbeatRecord> heartbeats;
   };
+  /// A runner has sent a heartbeat to this controller.
   void record(const std::string& runner, TimePoint now);
   /// All heartbeats that no leader has acknowledged yet; none if there are none. The caller sends it at `now`.
   std::optional<Batch> nextBatch(TimePoint now);
--- a/libs/controller/src/json_object.hpp
+++ b/libs/controller/src/json_object.hpp
@@ -14,10 +14,12 @@
   }
   JsonObject& text(std::string_view name, std::string_view value) { return raw(name, config::quoteJson(value)); }
   JsonObject& flag(std::string_view name, bool value) { return raw(name, value ? "true" : "false"); }
+  /// Adds a number as `std::to_string` writes it.
   template <class Number>
   JsonObject& number(std::string_view name, Number value) {
     return raw(name, std::to_string(value));
   }
+  /// The object as text.
   std::string json() const { return "{" + text_ + "}"; }
 
  private:
--- a/libs/controller/src/lease_reads.hpp
+++ b/libs/controller/src/lease_reads.hpp
@@ -8,6 +8,7 @@
 #include "controller_context.hpp"
 #include "runtime/event_loop.hpp"
 namespace zinccleat::controller {
+/// Reads that wait for their read index; see the file's comment.
 class LeaseReads {
  public:
   using SendRequest = std::function<void(const consensus::MemberId& leader, std::int64_t requestId)>;
--- a/libs/controller/src/majority_contact.hpp
+++ b/libs/controller/src/majority_contact.hpp
@@ -3,8 +3,10 @@
 #pragma once
 #include "controller_context.hpp"
 namespace zinccleat::controller {
+/// Answers from the raft node; has no state of its own.
 class MajorityContact {
  public:
+  /// @param context must outlive this.
   explicit MajorityContact(const ControllerContext& context) : context_(context) {}
   /// Whether a majority has been heard within the lease: by the leader itself, by the others through their leader.
   bool inContact() const;
--- a/libs/controller/src/message_dispatcher.hpp
+++ b/libs/controller/src/message_dispatcher.hpp
@@ -10,8 +10,10 @@
 #include "raft_driver.hpp"
 #include "runner_liveness.hpp"
 namespace zinccleat::controller {
+/// Dispatches by the type of the message; see the file's comment.
 class MessageDispatcher {
  public:
+  /// Where messages go.
   struct Components {
     PeerLinks& peers;
     RaftDriver& driver;
@@ -21,6 +23,7 @@
     AgentRequestHandler& requests;
     PartnerHints& hints;
   };
+  /// @param context must outlive this, like all components.
   MessageDispatcher(ControllerContext& context, Components components) : context_(context), components_(components) {}
   /// A message that names no sender, or can't be decoded, ends its link.
   void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
--- a/libs/controller/src/operation_ids.hpp
+++ b/libs/controller/src/operation_ids.hpp
@@ -7,11 +7,13 @@
 
 #include "runtime/common.hpp"
 namespace zinccleat::controller {
+/// Draws ids for writes; see the file's comment.
 class OperationIds {
  public:
   /// @param member the id that this machine keeps over its restarts.
   /// @param incarnation drawn at random at each start; all 64 bits count.
   OperationIds(const std::string& member, std::uint64_t incarnation) : prefix_(member + "/" + hex(incarnation) + ".") {}
+  /// A new id.
   std::string next() { return prefix_ + std::to_string(++count_); }
 
  private:
--- a/libs/controller/src/outlier_detector.cpp
+++ b/libs/controller/src/outlier_detector.cpp
@@ -52,7 +52,7 @@
     }
     case Health::probation:
       stats.healthUntil = now + kProbationTime;
-      return log::debug("runner_probation_started", {{"runner", runner}, {"duration_ms", Duration(kProbationTime)}});
+      return;
     case Health::healthy:
       return log::debug("runner_readmitted", {{"runner", runner}});
   }
--- a/libs/controller/src/outlier_detector.hpp
+++ b/libs/controller/src/outlier_detector.hpp
@@ -11,6 +11,7 @@
 #include "state_machine/replicated_state.hpp"
 #include "transport/lease_records.hpp"
 namespace zinccleat::controller {
+/// Judges runners by the reports of proxies; see the file's comment.
 class OutlierDetector {
  public:
   /// Adds what a proxy has seen since its last report. Reports about unknown runners are counted and dropped.
--- a/libs/controller/src/partner_hints.hpp
+++ b/libs/controller/src/partner_hints.hpp
@@ -8,8 +8,10 @@
 #include "hints/hints.hpp"
 #include "transport/access_messages.hpp"
 namespace zinccleat::controller {
+/// The exchange of hints with the one partner site; see the file's comment.
 class PartnerHints {
  public:
+  /// @param context must outlive this.
   explicit PartnerHints(const ControllerContext& context) : context_(context) {}
   /// Starts to send hints every two seconds; does nothing without a partner site in the settings.
   /// @return an error if the settings' secret is none.
--- a/libs/controller/src/peer_links.hpp
+++ b/libs/controller/src/peer_links.hpp
@@ -5,6 +5,7 @@
 #include "controller_context.hpp"
 #include "transport/peer_link.hpp"
 namespace zinccleat::controller {
+/// Sends messages to the other controllers; see the file's comment.
 class PeerLinks {
  public:
   /// @param onMessage is called for each message that comes on a link dialled from here.
@@ -16,10 +17,12 @@
   void recordMessage(const consensus::MemberId& member, const transport::PeerLinkPtr& link) {
     inboundLinks_[member] = link;
   }
+  /// Sends one message, on the link that the member uses or else on a dialled one.
   template <class Message>
   void send(const consensus::MemberId& to, const Message& message) {
     sendEnvelope(to, transport::pack(message, context_.raft->self()));
   }
+  /// The same for a message of the consensus.
   void send(const consensus::MemberId& to, const consensus::ConsensusMessage& message);
   /// Sends to all voters but this member.
   void sendToVoters(const consensus::ConsensusMessage& message);
--- a/libs/controller/src/pending_writes.hpp
+++ b/libs/controller/src/pending_writes.hpp
@@ -7,6 +7,7 @@
 #include "controller_context.hpp"
 #include "runtime/event_loop.hpp"
 namespace zinccleat::controller {
+/// Writes whose outcome is awaited; see the file's comment.
 class PendingWrites {
  public:
   /// The ways on which a write leaves this controller.
@@ -15,12 +16,14 @@
     std::function<void(const consensus::MemberId& leader, const transport::LogEntry&)> forwardToLeader;
     std::function<void(const transport::LogEntry&)> sendBodyAhead;
   };
+  /// @param context must outlive this.
   PendingWrites(const ControllerContext& context, Submitters submitters)
       : context_(context), submitters_(std::move(submitters)) {}
   /// Parks the calling fiber until its own write is applied here.
   /// @return the write's outcome by the replica (see `ReplicatedState::outcomeOf`), or `ErrorCode::unavailable` if it
   /// was not applied within `timeout`; it may still be applied later.
   Result<std::int32_t> write(const transport::LogEntry& entry, Duration timeout);
+  /// The replica has applied the write with this id.
   void onApplied(const std::string& operationId);
   /// The replica was restored from a snapshot, which may hold the outcome of any of them.
   void onSnapshotRestored();
--- a/libs/controller/src/quota_allocator.hpp
+++ b/libs/controller/src/quota_allocator.hpp
@@ -11,6 +11,7 @@
 #include "config/configuration.hpp"
 #include "transport/lease_records.hpp"
 namespace zinccleat::controller {
+/// The token buckets of all tenants; see the file's comment.
 class QuotaAllocator {
  public:
   /// What a window may hold beyond the quota before the quota counts as broken.
@@ -22,6 +23,7 @@
   /// Seconds of its demand that an access machine may keep in its local reserve, to bridge a change of the leader.
   static constexpr double kReserveSeconds = 1.6;
 
+  /// To be called before the first `allocate`.
   void setBounds(Bounds bounds) { bounds_ = bounds; }
   /// A leader's term begins: buckets start almost empty, since the tokens that the previous leader granted are not
   /// known here and must not be granted again.
--- a/libs/controller/src/raft_driver.hpp
+++ b/libs/controller/src/raft_driver.hpp
@@ -13,6 +13,7 @@
 #include "role_changes.hpp"
 #include "storage_thread.hpp"
 namespace zinccleat::controller {
+/// Connects the raft node to the rest of the controller; see the file's comment.
 class RaftDriver {
  public:
   /// The components that the raft node's actions reach.
@@ -23,6 +24,7 @@
     LeaseReads& reads;
     RoleChanges& roles;
   };
+  /// @param context must outlive this, like all components.
   RaftDriver(ControllerContext& context, Components components) : context_(context), components_(components) {}
   /// Takes over a storage that has been recovered. To be called once, before `run`.
   void startStorage(storage::Storage storage);
--- a/libs/controller/src/role_changes.cpp
+++ b/libs/controller/src/role_changes.cpp
@@ -11,11 +11,14 @@
   const bool leads = context_.isLeader();
   if (std::exchange(isLeader_, leads) == leads)
     return;
-  log::debug(leads ? "leadership_gained" : "leadership_lost", {{"term", context_.raft->term()}});
-  if (leads)
+  const auto term = context_.raft->term();
+  if (leads) {
+    log::debug("leadership_gained", {{"term", term}});
     observers_.requests.startTerm(Clock::now());
-  else
+  } else {
+    log::debug("leadership_lost", {{"term", term}});
     observers_.agents.stopFeeding();
+  }
 }
 void RoleChanges::updateLeader() {
   const auto leader = context_.raft->leader();
--- a/libs/controller/src/role_changes.hpp
+++ b/libs/controller/src/role_changes.hpp
@@ -10,6 +10,7 @@
 #include "pending_writes.hpp"
 #include "runner_liveness.hpp"
 namespace zinccleat::controller {
+/// Notifies the other components of changes; see the file's comment.
 class RoleChanges {
  public:
   /// The components that are notified.
@@ -19,6 +20,7 @@
     RunnerLiveness& runners;
     PendingWrites& writes;
   };
+  /// @param context must outlive this, like all observers.
   RoleChanges(const ControllerContext& context, Observers observers) : context_(context), observers_(observers) {}
   /// Compares the raft node's role and leader with the last known ones and notifies the components of what has changed.
   void update();
--- a/libs/controller/src/runner_liveness.hpp
+++ b/libs/controller/src/runner_liveness.hpp
@@ -10,14 +10,18 @@
 #include "runner_monitor.hpp"
 #include "transport/access_messages.hpp"
 namespace zinccleat::controller {
+/// Heartbeats of runners, received and forwarded; see the file's comment.
 class RunnerLiveness {
  public:
+  /// @param context must outlive this, like the links.
   RunnerLiveness(ControllerContext& context, PeerLinks& peers);
   /// A runner's heartbeat has come to this controller.
   void recordHeartbeat(const std::string& runner, TimePoint now);
   /// A follower has forwarded heartbeats. They are acknowledged by a leader with a valid lease only.
   void onHeartbeatBatch(const transport::PeerLinkPtr& link, const transport::HeartbeatBatch& batch, TimePoint now);
+  /// The leader has acknowledged a batch; the response of anyone else is dropped.
   void onHeartbeatBatchResponse(const consensus::MemberId& from, const transport::HeartbeatBatchResponse& response);
+  /// Batches go to the new leader from now on.
   void onLeaderChanged() { forwarder_.onLeaderChanged(); }
   /// Sends the leader what it has not acknowledged yet. To be called every half second.
   void forwardHeartbeats(TimePoint now);
--- a/libs/controller/src/storage_thread.hpp
+++ b/libs/controller/src/storage_thread.hpp
@@ -9,6 +9,7 @@
 #include "storage/storage.hpp"
 
 namespace zinccleat::controller {
+/// A storage and the thread that uses it; see the file's comment.
 class StorageThread {
  public:
   using OnAppended = std::function<void(const Result<void>&)>;
