--- /dev/null
+++ b/libs/controller/src/control_server.cpp
@@ -0,0 +1,93 @@
+#include "control_server.hpp"
+
+#include "api_responses.hpp"
+#include "control_api.hpp"
+#include "proxy/http.hpp"
+
+namespace zinccleat::controller {
+namespace {
+constexpr std::size_t kMaxBodyBytes = 16U << 20;
+constexpr auto kWriteTimeout = 5s;
+constexpr std::string_view kJson = "application/json";
+
+using HttpRequest = proxy::RequestParser::value_type;
+
+std::string headerOf(const HttpRequest& request, const char* name) {
+  const auto value = request[name];
+  return {value.data(), value.size()};
+}
+ApiRequest apiRequestOf(const HttpRequest& request) {
+  return {std::string(request.method_string()), std::string(request.target()), request.body(),
+          headerOf(request, "X-Base-Version"), headerOf(request, "X-Hint-Seal")};
+}
+/// The answer to a request that could not be read; the connection ends with it.
+void refuse(runtime::Connection& connection, int status) {
+  runtime::SocketError ignored;
+  const auto body = proxy::jsonError(proxy::reasonOf(status));
+  connection.write(asio::buffer(proxy::plainAnswer(status, "", kJson, body, false)), ignored);
+}
+/// @return whether the response was written completely.
+bool writeResponse(runtime::Connection& connection, const ApiResponse& response, bool keepAlive) {
+  runtime::SocketError ec;
+  const auto status = static_cast<int>(response.status);
+  connection.setDeadline(Clock::now() + kWriteTimeout);
+  connection.write(asio::buffer(proxy::plainAnswer(status, response.headers, kJson, response.body, keepAlive)), ec);
+  connection.clearDeadline();
+  return !ec;
+}
+}  // namespace
+
+ControlServer::ControlServer(ControllerServices& services, std::string address)
+    : services_(services), address_(std::move(address)) {}
+
+Result<void> ControlServer::start() {
+  const auto endpoint = runtime::parseEndpoint(address_);
+  if (!endpoint)
+    return makeError(endpoint.error().code, "controlPort: " + endpoint.error().message, endpoint.error().subcode);
+  auto listener = transport::openListener(*endpoint, [this](tcp::socket socket) {
+    auto shared = std::make_shared<tcp::socket>(std::move(socket));
+    runtime::EventLoop::get().spawn([this, shared] { serve(std::move(*shared)); });
+  });
+  if (!listener)
+    return tl::unexpected(listener.error());
+  listener_ = std::move(*listener);
+  return {};
+}
+void ControlServer::serve(tcp::socket socket) {
+  runtime::Connection connection(std::move(socket));
+  runtime::tune(connection.socket());
+  proxy::Buffer buffer;
+  proxy::ReadLimits limits;
+  limits.body = kMaxBodyBytes;
+  for (;;) {
+    {
+      const proxy::IdleScope idle(idleConnections_, connection);
+      if (!proxy::awaitRequest(connection, buffer, limits.idle))
+        return;
+    }
+    proxy::RequestParser parser;
+    const auto read = proxy::readRequest(connection, buffer, parser, limits);
+    if (read.end == proxy::ReadEnd::closed)
+      return;
+    if (read.end == proxy::ReadEnd::errorResponse)
+      return refuse(connection, read.status);
+    ++inFlight_;
+    const bool staysOpen = answerOn(connection, parser);
+    --inFlight_;
+    if (!staysOpen)
+      return;
+  }
+}
+bool ControlServer::answerOn(runtime::Connection& connection, const proxy::RequestParser& parser) {
+  const auto response = accepting_ ? answerApiRequest(services_, apiRequestOf(parser.get()), "http://" + address_)
+                                   : errorResponse(HttpStatus::service_unavailable, "shutting down");
+  const bool keepAlive = parser.get().keep_alive() && accepting_;
+  return writeResponse(connection, response, keepAlive) && keepAlive;
+}
+void ControlServer::stopAccepting() {
+  accepting_ = false;
+  if (listener_)
+    listener_->close();
+  idleConnections_.limit(Duration(0));
+}
+}  // namespace zinccleat::controller
--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -1,48 +1,31 @@
 #include "controller/controller.hpp"
 
-#include "call_server.hpp"
-#include "core.hpp"
-#include "runtime/lifecycle.hpp"
-#include "runtime/log_ring.hpp"
-#include "transport/listener.hpp"
+#include "config/run_daemon.hpp"
+#include "control_server.hpp"
+#include "controller_node.hpp"
 
 namespace zinccleat::controller {
-int runController(const config::Settings& s) {
+namespace {
+Result<void> startController(ControllerNode& node, ControlServer& server) {
+  if (auto started = node.start(); !started)
+    return started;
+  return server.start();
+}
+}  // namespace
+
+int runController(const config::Settings& settings) {
   runtime::EventLoop loop;
-  Core core(s);
-  if (auto r = core.start(); !r) {
-    log::info("controller: " + r.error().message);
-    return 1;
-  }
-  auto ep = runtime::parseEndpoint(s.controlAddress);
-  if (!ep) {
-    log::info("controller: controlPort: " + ep.error().message);
-    return 1;
-  }
-  CallServer calls(core, "http://" + s.controlAddress);
-  auto listener = transport::openListener(*ep, [&calls](tcp::socket sock) {
-    auto held = std::make_shared<tcp::socket>(std::move(sock));
-    runtime::EventLoop::get().spawn([&calls, held] { calls.serve(std::move(*held)); });
-  });
-  if (!listener) {
-    log::info("controller: " + listener.error().message);
-    return 1;
-  }
-  // Once the others can do without this machine: what was taken is answered, and nothing more is taken.
-  const auto endCalls = [&](bool timeIsUp) {
-    listener->close();
-    calls.stopTakingCalls();
-    if (timeIsUp || calls.inFlight() == 0)
+  ControllerNode node(settings);
+  ControlServer server(node, settings.controlAddress);
+  // Once the others can go on without this member: what was accepted is answered, and nothing more is accepted.
+  const auto endRequests = [&](bool deadlinePassed) {
+    server.stopAccepting();
+    if (deadlinePassed || server.inFlight() == 0)
       loop.stop();
   };
-  runtime::watchLifecycle(config::settingsPath(), {[&] { core.leave(endCalls); },
-                                                   [&] {
-                                                     if (auto n = config::loadSettings(config::settingsPath()))
-                                                       core.reread(*n);
-                                                     else
-                                                       log::error(n.error().message);
-                                                   }});
-  loop.run();
-  return 0;
+  return config::runDaemon(loop, "controller",
+                           {.start = [&] { return startController(node, server); },
+                            .shutDown = [&] { node.shutDown(endRequests); },
+                            .reloadSettings = [&](const config::Settings& changed) { node.reloadSettings(changed); }});
 }
 }  // namespace zinccleat::controller
--- /dev/null
+++ b/libs/controller/src/graceful_shutdown.hpp
@@ -0,0 +1,24 @@
+/// @file
+/// The orderly end of a controller: it hands over the leadership, asks the others to go on without it and ends once
+/// they can, or in time before the platform would kill it.
+#pragma once
+#include "controller_context.hpp"
+namespace zinccleat::controller {
+/// Owns the state of the shutdown; changed on the event-loop thread.
+class GracefulShutdown {
+ public:
+  /// @param context must outlive the event loop's run.
+  explicit GracefulShutdown(ControllerContext& context) : context_(context) {}
+  /// Begins the shutdown; a second call does nothing. The raft node then has actions to carry out.
+  /// @param mayEnd is called on the event loop, again and again, once the others can go on without this member or the
+  ///   deadline has passed; with `true` for the latter: nothing more may be waited for.
+  /// @return whether this call began it.
+  bool begin(const std::function<void(bool deadlinePassed)>& mayEnd);
+  /// Whether `begin` was called: runners are then sent to other controllers.
+  bool inProgress() const { return inProgress_; }
+
+ private:
+  ControllerContext& context_;
+  bool inProgress_ = false;
+};
+}  // namespace zinccleat::controller
--- a/libs/simulation/src/control_calls.cpp
+++ b/libs/simulation/src/control_calls.cpp
@@ -22,7 +22,7 @@
 operations::Call statusCall() {
   return {"GET", "/v1/Status", "", {}};
 }
-bool isAcknowledged(const Result<operations::Called>& answer) {
+bool isAcknowledged(const Result<operations::CallResponse>& answer) {
   return answer && answer->status == kOk;
 }
 std::optional<std::size_t> findLeader(const LocalFleet& fleet) {
--- a/libs/simulation/src/control_calls.hpp
+++ b/libs/simulation/src/control_calls.hpp
@@ -25,7 +25,7 @@
 operations::Call statusCall();
 
 /// Whether the call was answered with 200.
-bool isAcknowledged(const Result<operations::Called>& answer);
+bool isAcknowledged(const Result<operations::CallResponse>& answer);
 /// Asks the controllers in turn for the one that leads and has its lease.
 /// @return its index in `LocalFleet::core`. Runs on a fiber.
 std::optional<std::size_t> findLeader(const LocalFleet& fleet);
--- a/libs/simulation/src/trial_operators.cpp
+++ b/libs/simulation/src/trial_operators.cpp
@@ -22,7 +22,7 @@
 std::int64_t nowMicroseconds() {
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
 }
-bool isClear(const operations::Called& answer) {
+bool isClear(const operations::CallResponse& answer) {
   return answer.status == kOk || answer.status == kInvalid || answer.status == kOtherVersion;
 }
 }  // namespace
--- a/tests/call_server_test.cpp
+++ b/tests/control_server_test.cpp
@@ -1,12 +1,14 @@
-// Calls of runners and operators on connections, around SIGTERM.
-#include "call_server.hpp"
+/// @file
+/// Calls of runners and operators on connections, around SIGTERM.
+#include "control_server.hpp"
 
-#include "standin_core.hpp"
+#include "fake_controller.hpp"
 #include "standins.hpp"
 #include "transport/listener.hpp"
 
 using namespace zinccleat;
 using namespace zinccleat::controller;
+using namespace zinccleat::controller_testing;
 using namespace zinccleat::proxy;
 using namespace zinccleat::runtime;
 using namespace zinccleat::transport;
@@ -15,21 +17,21 @@
 
 namespace {
 /// Its writes take until the test lets them go on.
-struct SlowCore final : StandInCore {
+struct SlowController final : FakeController {
   Waiter writing;  // woken when a write has come
   Waiter mayWrite;
   Result<std::int32_t> write(LogEntry entry, Duration within) override {
     writing.wake();
     mayWrite.wait();
-    return StandInCore::write(std::move(entry), within);
+    return FakeController::write(std::move(entry), within);
   }
 };
 struct TestServer {
-  SlowCore core;
-  CallServer calls{core, kStandInUri};
+  SlowController core;
+  ControlServer control{core, "10.0.0.4:8080"};
   Listener listener = *openListener({asio::ip::make_address("127.0.0.1"), 0}, [this](tcp::socket socket) {
-    auto held = std::make_shared<tcp::socket>(std::move(socket));
-    EventLoop::get().spawn([this, held] { calls.serve(std::move(*held)); });
+    auto shared = std::make_shared<tcp::socket>(std::move(socket));
+    EventLoop::get().spawn([this, shared] { control.serve(std::move(*shared)); });
   });
   std::unique_ptr<Connection> dial() const {
     auto connection = std::make_unique<Connection>();
@@ -54,7 +56,7 @@
 }
 }  // namespace
 
-TEST(CallServer, ACallInFlightIsAnsweredAfterNoMoreAreTaken) {
+TEST(ControlServer, ACallInFlightIsAnsweredAfterNoMoreAreTaken) {
   withServer([](TestServer& server) {
     auto caller = server.dial();
     auto idle = server.dial();
@@ -64,19 +66,19 @@
     EXPECT_EQ(hear(*idle, idleBuffer).status, 200);
     say(*caller, kDetachCall);
     server.core.writing.wait();
-    server.calls.stopTakingCalls();
+    server.control.stopAccepting();
     EXPECT_EQ(hear(*idle, idleBuffer).status, 0) << "an idle connection is closed";
-    EXPECT_EQ(server.calls.inFlight(), 1);
+    EXPECT_EQ(server.control.inFlight(), 1);
     server.core.mayWrite.wake();
     const auto answer = hear(*caller, buffer);
     EXPECT_EQ(answer.status, 200);
     EXPECT_EQ(answer.heads.at("Connection"), "close");
-    EXPECT_EQ(server.calls.inFlight(), 0);
+    EXPECT_EQ(server.control.inFlight(), 0);
   });
 }
-TEST(CallServer, ACallThatArrivesLateIsSentOnAndNothingIsWritten) {
+TEST(ControlServer, ACallThatArrivesLateIsSentOnAndNothingIsWritten) {
   withServer([](TestServer& server) {
-    server.calls.stopTakingCalls();
+    server.control.stopAccepting();
     auto caller = server.dial();
     Buffer buffer;
     say(*caller, kDetachCall);
@@ -87,7 +89,7 @@
     EXPECT_TRUE(server.core.written.empty());
   });
 }
-TEST(CallServer, ServesOneCallAfterAnother) {
+TEST(ControlServer, ServesOneCallAfterAnother) {
   withServer([](TestServer& server) {
     auto caller = server.dial();
     Buffer buffer;
--- /dev/null
+++ b/tests/fake_controller.hpp
@@ -0,0 +1,73 @@
+/// @file
+/// A controller for tests of the control API: its surroundings are set by the test.
+#pragma once
+#include <gtest/gtest.h>
+
+#include "control_api.hpp"
+#include "operation_ids.hpp"
+
+namespace zinccleat::controller_testing {
+using namespace zinccleat::config;
+using namespace zinccleat::controller;
+using namespace zinccleat::state_machine;
+using namespace zinccleat::transport;
+inline const std::string kUri = "http://10.0.0.4:8080";
+
+/// A controller whose surroundings the test sets. Its waits take no time; they are added up.
+struct FakeController : ControllerServices {
+  Settings configuredSettings;
+  ReplicatedState ownReplica;
+  bool hasContact = true, reachesLeader = true, commits = true;
+  std::optional<std::string> leader;
+  std::int64_t lastIndex = 0;
+  std::vector<std::string> heartbeats, written;
+  Duration waited{0};
+  OperationIds ids{"10.0.0.4#7", 1};
+
+  const Settings& settings() const override { return configuredSettings; }
+  const ReplicatedState& replica() const override { return ownReplica; }
+  bool inContact() const override { return hasContact; }
+  bool awaitContact(Duration timeout) override {
+    if (!hasContact)
+      waited += timeout;
+    return hasContact;
+  }
+  bool heartbeatsReachLeader() const override { return reachesLeader; }
+  void recordHeartbeat(const std::string& runner) override { heartbeats.push_back(runner); }
+  Result<std::int32_t> write(LogEntry entry, Duration timeout) override {
+    written.push_back(entry.operationId);
+    if (!commits) {
+      waited += timeout;
+      return makeError(ErrorCode::unavailable, "no outcome yet");
+    }
+    entry.index = ++lastIndex;
+    ownReplica.apply(entry);
+    return *ownReplica.outcomeOf(entry.operationId);
+  }
+  Result<void> awaitReadIndex(Duration timeout) override {
+    if (commits)
+      return {};
+    waited += timeout;
+    return makeError(ErrorCode::unavailable, "no fresh lease");
+  }
+  std::string nextOperationId() override { return ids.next(); }
+  std::optional<std::string> leaderControlAddress() const override { return leader; }
+  double requestsPerS() const override { return 0; }
+  std::string statusJson() const override { return "{}"; }
+  std::string zoneDrainsJson() const override { return "{}"; }
+  Result<std::string> exchangeHints(std::string_view, std::string_view) override {
+    return makeError(ErrorCode::notFound, "no partner site");
+  }
+
+  ApiResponse post(const std::string& target, const std::string& body, const std::string& base = "0") {
+    return answerApiRequest(*this, {"POST", target, body, base, ""}, kUri);
+  }
+  ApiResponse get(const std::string& target) { return answerApiRequest(*this, {"GET", target, "", "", ""}, kUri); }
+  ApiResponse heartbeat(const std::string& id, int sequence, const std::string& state = "in_service") {
+    return post("/v1/Instances.Heartbeat/" + id,
+                R"({"targetService":"s","address":"10.0.1.1:80","zone":"z","capacity":4,)"
+                R"("state":")" +
+                    state + R"(","sequence":)" + std::to_string(sequence) + "}");
+  }
+};
+}  // namespace zinccleat::controller_testing
--- a/tests/nested_json_test.cpp
+++ b/tests/nested_json_test.cpp
@@ -4,7 +4,7 @@
 #include "config/configuration.hpp"
 #include "config/control_requests.hpp"
 #include "config/settings.hpp"
-#include "operations/observe.hpp"
+#include "operations/json_path.hpp"
 #include "operations/runbook.hpp"
 #include "runtime/event_loop.hpp"
 #include "simulation/plan.hpp"
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -171,7 +171,7 @@
 TEST(ZoneDrain, IsReplicatedState) {
   using namespace zinccleat::state_machine;
   ReplicatedState state;
-  const auto apply = [&, index = 0](transport::LogEntry entry) mutable {
+  auto apply = [&, index = 0](transport::LogEntry entry) mutable {
     entry.index = ++index;
     return state.apply(entry);
   };
--- a/tests/posix_storage_test.cpp
+++ b/tests/posix_storage_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "core.hpp"
+#include "controller_node.hpp"
 #include "storage_fixtures.hpp"
 
 using namespace zinccleat;
@@ -78,7 +78,7 @@
   settings.dataDir = freshDir();
   Storage holder(settings.dataDir);
   ASSERT_TRUE(holder.lock());
-  const auto locked = Core(settings).start();
+  const auto locked = ControllerNode(settings).start();
   ASSERT_FALSE(locked);
   EXPECT_EQ(locked.error().message, settings.dataDir + ": another process uses this folder");
   EXPECT_EQ(filesIn(settings.dataDir), 1);
@@ -86,7 +86,7 @@
 
   settings.dataDir = freshDir();
   std::ofstream(settings.dataDir + "/page-000000000001") << "zcpage2 and so on";
-  const auto older = Core(settings).start();
+  const auto older = ControllerNode(settings).start();
   ASSERT_FALSE(older);
   EXPECT_NE(older.error().message.find("page-000000000001 is in an older format"), std::string::npos);
   EXPECT_TRUE(std::filesystem::exists(settings.dataDir + "/page-000000000001"));
