--- a/libs/controller/src/agent_sessions.hpp
+++ b/libs/controller/src/agent_sessions.hpp
@@ -5,6 +5,8 @@
 /// A session is soft state: an agent that loses its link opens another one and says where it stands. All sessions are
 /// changed here only, on the event-loop thread.
 #pragma once
+#include <tuple>
+
 #include "controller_context.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/peer_link.hpp"
@@ -51,7 +53,9 @@
   struct FrameKey {
     std::optional<std::int64_t> fromIndex;  ///< none: a snapshot
     std::string cachedDigest;
-    auto operator<=>(const FrameKey&) const = default;
+    bool operator<(const FrameKey& other) const {
+      return std::tie(fromIndex, cachedDigest) < std::tie(other.fromIndex, other.cachedDigest);
+    }
   };
   transport::ClusterStatus clusterStatus();
   template <class Message>
--- a/libs/controller/src/pending_writes.cpp
+++ b/libs/controller/src/pending_writes.cpp
@@ -39,7 +39,7 @@
     return submitters_.forwardToLeader(leader, entry);
   forwardWithBodyAhead(leader, entry);
 }
-void PendingWrites::forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry) {
+void PendingWrites::forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry) const {
   submitters_.sendBodyAhead(entry);
   auto withoutBody = entry;
   withoutBody.body.clear();
--- a/libs/controller/src/pending_writes.hpp
+++ b/libs/controller/src/pending_writes.hpp
@@ -37,7 +37,7 @@
   };
   void submit(const transport::LogEntry& entry, bool& bodySentAhead);
   /// The body goes to all controllers at once, and the entry without it to the leader.
-  void forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry);
+  void forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry) const;
   void forget(const std::string& operationId, const PendingWrite* write);
 
   const ControllerContext& context_;
