--- a/tests/control_api_test.cpp
+++ b/tests/control_api_test.cpp
@@ -1,8 +1,9 @@
 /// @file
 /// The calls of runners and operators to a controller that is partitioned, lags or can't write.
+#include "control_api.hpp"
+
 #include <gtest/gtest.h>
 
-#include "control_api.hpp"
 #include "operation_ids.hpp"
 
 using namespace zinccleat;
--- a/tests/controller_node_test.cpp
+++ b/tests/controller_node_test.cpp
@@ -1,12 +1,13 @@
 /// @file
 /// One controller with its real links, on loopback: receivers that do not read, invalid input, its first start.
+#include "controller_node.hpp"
+
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
 #include <filesystem>
 
 #include "control_api.hpp"
-#include "controller_node.hpp"
 #include "operations/observe.hpp"
 #include "operations/runbook.hpp"
 #include "simulation/plan.hpp"
