--- a/tests/control_api_test.cpp
+++ b/tests/control_api_test.cpp
@@ -1,5 +1,7 @@
 /// @file
 /// The calls of runners and operators to a controller that is partitioned, lags or can't write.
+#include "control_api.hpp"
+
 #include <gtest/gtest.h>
 
 #include "fake_controller.hpp"
