--- a/libs/config/include/config/json.hpp
+++ b/libs/config/include/config/json.hpp
@@ -67,6 +67,8 @@
 
  private:
   bool find(const JsonObject& object, std::string_view key, JsonElement& out, Presence presence);
+  template <class Value>
+  bool read(const JsonObject& object, std::string_view key, Value& out, std::string_view problem, Presence presence);
   std::optional<std::int64_t> readInteger(const JsonObject& object, std::string_view key, Presence presence);
   void duration(const JsonObject& object, std::string_view key, Duration& out, Duration unit);
 
--- a/libs/config/src/json.cpp
+++ b/libs/config/src/json.cpp
@@ -41,25 +41,34 @@
     fail("missing field", key);
   return false;
 }
-void JsonReader::text(const JsonObject& object, std::string_view key, std::string& out, Presence presence) {
+// Returns false if `out` was not set: the field is left out, or not of this type, which is an error.
+template <class Value>
+bool JsonReader::read(const JsonObject& object, std::string_view key, Value& out, std::string_view problem,
+                      Presence presence) {
   JsonElement element;
   if (!find(object, key, element, presence))
-    return;
+    return false;
+  if (element.get(out) == simdjson::SUCCESS)
+    return true;
+  fail(problem, key);
+  return false;
+}
+void JsonReader::text(const JsonObject& object, std::string_view key, std::string& out, Presence presence) {
   std::string_view value;
-  if (element.get(value))
-    fail("no text in", key);
-  else
+  if (read(object, key, value, "no text in", presence))
     out = std::string(value);
 }
 void JsonReader::number(const JsonObject& object, std::string_view key, double& out, Presence presence) {
-  JsonElement element;
-  if (find(object, key, element, presence) && element.get(out))
-    fail("no number in", key);
+  read(object, key, out, "no number in", presence);
 }
 void JsonReader::boolean(const JsonObject& object, std::string_view key, bool& out) {
-  JsonElement element;
-  if (find(object, key, element, Presence::optional) && element.get(out))
-    fail("no true or false in", key);
+  read(object, key, out, "no true or false in", Presence::optional);
+}
+bool JsonReader::object(const JsonObject& object, std::string_view key, JsonObject& out, Presence presence) {
+  return read(object, key, out, "no object in", presence);
+}
+bool JsonReader::array(const JsonObject& object, std::string_view key, JsonArray& out, Presence presence) {
+  return read(object, key, out, "no list in", presence);
 }
 std::optional<std::int64_t> JsonReader::readInteger(const JsonObject& object, std::string_view key, Presence presence) {
   JsonElement element;
@@ -88,22 +97,4 @@
 void JsonReader::seconds(const JsonObject& object, std::string_view key, Duration& out) {
   duration(object, key, out, 1s);
 }
-bool JsonReader::object(const JsonObject& object, std::string_view key, JsonObject& out, Presence presence) {
-  JsonElement element;
-  if (!find(object, key, element, presence))
-    return false;
-  if (!element.get(out))
-    return true;
-  fail("no object in", key);
-  return false;
-}
-bool JsonReader::array(const JsonObject& object, std::string_view key, JsonArray& out, Presence presence) {
-  JsonElement element;
-  if (!find(object, key, element, presence))
-    return false;
-  if (!element.get(out))
-    return true;
-  fail("no list in", key);
-  return false;
-}
 }  // namespace zinccleat::config
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,33 +1,45 @@
 #!/usr/bin/env bash
-# What a newcomer may mistype: one clear line, the same exit status for the same kind of error. Usage: command_line.sh PROGRAM
+# Mistyped command lines: one clear line, and the same exit status for the same kind of error.
+# Usage: command_line.sh PROGRAM
 set -uo pipefail
 program=$1
-bad=0
-want() {  # status, a word of the line, arguments
-  local status=$1 word=$2
+failed=0
+expect() {  # status, a part of the output, arguments
+  local expected_status=$1 expected_part=$2
   shift 2
-  local said got
-  said=$("$program" "$@" 2>&1)
-  got=$?
-  if [ $got -ne "$status" ] || [[ "$said" != *"$word"* ]]; then
-    echo "zinccleat $*: status $got, wanted $status; said: $said"
-    bad=1
+  local output status
+  output=$("$program" "$@" 2>&1)
+  status=$?
+  if [ $status -ne "$expected_status" ] || [[ "$output" != *"$expected_part"* ]]; then
+    echo "zinccleat $*: status $status, expected $expected_status with '$expected_part'; output: $output"
+    failed=1
   fi
 }
-want 0 SUBCOMMAND --help
-want 0 SUBCOMMAND trial --help
-want 0 frames --version
-want 2 "is for: runbook" trial --dry
-want 2 "no subcommand knows" status --foo
-want 2 "3 to 600" trial --seconds 1
-want 2 "unknown subcommand" nope
-want 2 "out of bounds 'nodes'" scale-run --set nodes=5000
-want 2 "unknown field 'tenents'" scale-run --set tenents=5
-want 2 "no name=value" scale-run --set nodes
-want 2 "cannot read" scale-run /nowhere.json
-want 2 "cannot read" proxy --settings=/nowhere.json
-want 2 "say which nodes" status
-want 2 "wants one FILE" runbook
-want 2 "unknown kind" check nonsense /dev/null
-want 1 "settings" check settings /dev/null
-exit $bad
+expect 0 SUBCOMMAND --help
+expect 0 SUBCOMMAND trial --help
+expect 0 SUBCOMMAND -h
+expect 0 frames --version
+expect 2 "is for: runbook" trial --dry
+expect 2 "is for: runbook" trial --nodry
+expect 2 "no subcommand knows" status --foo
+expect 2 "no subcommand knows the flag '--'" status --=x
+expect 2 "3 to 600" trial --seconds 1
+expect 2 "unknown subcommand" nope
+expect 2 "unknown subcommand ''"
+expect 2 "out of bounds 'nodes'" scale-run --set nodes=5000
+expect 2 "unknown field 'tenents'" scale-run --set tenents=5
+expect 2 "no name=value" scale-run --set nodes
+expect 2 "cannot read" scale-run /nowhere.json
+expect 2 "cannot read" proxy --settings=/nowhere.json
+expect 2 "say which nodes" status
+expect 2 "wants one FILE" runbook
+expect 2 "cannot read 'runbooks/nowhere.run'" runbook nowhere
+expect 2 "no name=value" runbook /dev/null --set core
+expect 2 "no step in it" runbook /dev/null
+expect 2 "wants KIND FILE" check settings
+expect 2 "unknown kind" check nonsense /dev/null
+expect 1 "cannot read" check nonsense /nowhere
+expect 1 "settings" check settings /dev/null
+expect 1 "configuration" check configuration /dev/null
+expect 1 "no step in it" check runbook /dev/null
+exit $failed
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -170,7 +170,8 @@
 TEST(ZoneDrain, IsReplicatedState) {
   using namespace zinccleat::state_machine;
   ReplicatedState state;
-  const auto apply = [&, index = 0](transport::LogEntry entry) mutable {
+  std::int64_t index = 0;
+  const auto apply = [&](transport::LogEntry entry) {
     entry.index = ++index;
     return state.apply(entry);
   };
