--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -186,19 +186,15 @@
   return kUsageError;
 }
 
-// Answers --help and --version, wherever they stand. Returns whether one was given.
-bool answeredHelp(const std::vector<std::string_view>& arguments) {
+// What --help or --version prints, wherever it stands; empty if neither is given.
+std::string helpText(const std::vector<std::string_view>& arguments) {
   for (const auto argument : arguments) {
-    if (argument == "--help" || argument == "-h") {
-      std::printf("%s\n", kUsage);
-      return true;
-    }
-    if (argument == "--version") {
-      std::printf("zinccleat %s\n", kVersion);
-      return true;
-    }
+    if (argument == "--help" || argument == "-h")
+      return kUsage;
+    if (argument == "--version")
+      return std::string("zinccleat ") + kVersion;
   }
-  return false;
+  return {};
 }
 
 // Ends the process without waiting for fibers: the fiber library would wait for those parked on connections that
@@ -211,8 +207,10 @@
 
 int main(int argc, char** argv) {
   const std::vector<std::string_view> given(argv + std::min(argc, 1), argv + argc);
-  if (answeredHelp(given))
+  if (const auto text = helpText(given); !text.empty()) {
+    std::printf("%s\n", text.c_str());
     return 0;
+  }
   if (const auto problem = firstFlagError(given); !problem.empty()) {
     std::fprintf(stderr, "zinccleat: %s\n", problem.c_str());
     return kUsageError;
