--- a/libs/hints/include/hints/hints.hpp
+++ b/libs/hints/include/hints/hints.hpp
@@ -1,5 +1,5 @@
-/// Prefix hints: two partner sites tell each other which long prompt prefixes their runners have cached, without
-/// telling whose prompts they came from. Pure; the present time is passed in.
+/// Prefix hints: two partner sites inform each other which long prompt prefixes their runners have cached, without
+/// disclosing whose prompts they came from. Pure; the present time is passed in.
 ///
 /// Privacy. A hint is a keyed digest (SipHash-2-4) of a prefix under a key that both sites derive from a shared secret
 /// and replace every `HintBounds::keyPeriod`. Whoever does not know the secret can neither test a guessed prefix
--- a/libs/hints/src/hints.cpp
+++ b/libs/hints/src/hints.cpp
@@ -109,7 +109,7 @@
   const auto rounded = (digests.size() + bounds_.padding - 1) / bounds_.padding * bounds_.padding;
   const auto wanted = std::max(rounded, bounds_.padding);
   while (digests.size() + padding_.size() < wanted) {
-    rng_ = hash64("fill", rng_);
+    rng_ = hash64("fill", rng_);  // the golden files hold numbers drawn in this way
     padding_.insert(static_cast<std::int64_t>(rng_));
   }
   while (!padding_.empty() && digests.size() + padding_.size() > wanted)
--- a/libs/runtime/include/runtime/lifecycle.hpp
+++ b/libs/runtime/include/runtime/lifecycle.hpp
@@ -1,10 +1,19 @@
-// What the platform tells a process by signals, and a settings file that changes silently.
+/// Requests to a process to stop or to reload its settings: by signals, and by changes of its settings file.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::runtime {
-struct Lifecycle {
-  std::function<void()> onTerm, onSettings;
+/// What a process is requested to do.
+enum class LifecycleEvent {
+  terminate,       ///< SIGTERM or SIGINT: shut down gracefully
+  reloadSettings,  ///< SIGHUP, or the settings file has changed
+  dumpLog,         ///< SIGUSR1: the log's ring buffer is written out
 };
-// Watches SIGTERM, SIGINT, SIGHUP, SIGUSR1 (writes the log ring out) and the file's change time.
-void watchLifecycle(const std::string& settingsPath, Lifecycle l);
+/// What the process does about it. `LifecycleEvent::dumpLog` needs no handler.
+struct LifecycleHandlers {
+  std::function<void()> onTerminate;
+  std::function<void()> onReloadSettings;
+};
+/// Calls the handlers on the event loop's thread until the loop stops. A handler may be called more than once.
+/// @param settingsPath the file whose change is looked for every two seconds; it need not exist.
+void watchLifecycle(const std::string& settingsPath, LifecycleHandlers handlers);
 }  // namespace zinccleat::runtime
--- /dev/null
+++ b/libs/runtime/src/connection.cpp
@@ -0,0 +1,126 @@
+#include "runtime/connection.hpp"
+
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <boost/asio/write.hpp>
+#include <charconv>
+#include <cstddef>
+
+#include "runtime/event_loop.hpp"
+
+namespace zinccleat::runtime {
+namespace {
+constexpr unsigned kUserTimeoutMs = 4000;  // after which unacknowledged data closes a connection
+}  // namespace
+
+Connection::Connection() : socket_(EventLoop::get().io()) {}
+Connection::Connection(tcp::socket socket) : socket_(std::move(socket)) {}
+Connection::~Connection() {
+  close();
+}
+void Connection::setDeadline(TimePoint deadline) {
+  deadline_ = deadline;
+  deadlineExceeded_ = false;
+  if (deadline != TimePoint::max())
+    EventLoop::get().watch(*this);
+  else if (is_linked())
+    unlink();
+}
+std::size_t Connection::read(asio::mutable_buffer buffer, SocketError& ec) {
+  std::size_t received = 0;
+  Waiter waiter;
+  socket_.async_read_some(buffer, [&](SocketError error, std::size_t bytes) {
+    ec = error;
+    received = bytes;
+    waiter.wake();
+  });
+  waiter.wait();
+  return received;
+}
+std::size_t Connection::write(asio::const_buffer buffer, SocketError& ec) {
+  // First without waiting: most writes fit the socket's buffer, and suspending a fiber costs a turn of the loop.
+  if (!nonBlocking_) {
+    socket_.non_blocking(true, ec);
+    nonBlocking_ = true;
+  }
+  auto written = socket_.send(asio::buffer(buffer), MSG_NOSIGNAL, ec);
+  if (ec == asio::error::would_block)
+    ec = {};
+  else if (ec)
+    return 0;
+  if (written >= buffer.size())
+    return written;
+  buffer += written;
+  Waiter waiter;
+  asio::async_write(socket_, asio::buffer(buffer), [&](SocketError error, std::size_t bytes) {
+    ec = error;
+    written += bytes;
+    waiter.wake();
+  });
+  waiter.wait();
+  return written;
+}
+void Connection::connect(const tcp::endpoint& endpoint, SocketError& ec) {
+  socket_.open(endpoint.protocol(), ec);
+  if (ec)
+    return;
+  tune(socket_);
+  Waiter waiter;
+  socket_.async_connect(endpoint, [&](SocketError error) {
+    ec = error;
+    waiter.wake();
+  });
+  waiter.wait();
+}
+void Connection::awaitReadable(SocketError& ec) {
+  Waiter waiter;
+  socket_.async_wait(tcp::socket::wait_read, [&](SocketError error) {
+    ec = error;
+    waiter.wake();
+  });
+  waiter.wait();
+}
+void Connection::close() {
+  SocketError ec;
+  if (is_linked())
+    unlink();
+  if (socket_.is_open())
+    socket_.close(ec);
+}
+void Connection::cancel() {
+  SocketError ec;
+  if (socket_.is_open())
+    socket_.cancel(ec);
+}
+
+void tune(tcp::socket& socket) {
+  SocketError ec;
+  socket.set_option(tcp::no_delay(true), ec);
+  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof kUserTimeoutMs);
+}
+
+namespace {
+/// Decimal digits only; leading zeros are allowed. Empty if the text is no port between 1 and 65535.
+std::optional<std::uint16_t> parsePort(std::string_view text) {
+  std::uint16_t port = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), port);
+  if (error != std::errc{} || end != text.data() + text.size() || port == 0)
+    return std::nullopt;
+  return port;
+}
+}  // namespace
+Result<tcp::endpoint> parseEndpoint(std::string_view text) {
+  const auto colon = text.rfind(':');
+  if (colon == std::string_view::npos)
+    return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(text) + "'");
+  SocketError ec;
+  const auto ip = asio::ip::make_address(std::string(text.substr(0, colon)), ec);
+  if (ec)
+    return makeError(ErrorCode::invalidArgument, "no IP number in address '" + std::string(text) + "'");
+  const auto port = parsePort(text.substr(colon + 1));
+  if (!port)
+    return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(text) + "'");
+  return tcp::endpoint(ip, *port);
+}
+}  // namespace zinccleat::runtime
--- a/libs/runtime/src/event_loop.cpp
+++ b/libs/runtime/src/event_loop.cpp
@@ -1,9 +1,5 @@
 #include "runtime/event_loop.hpp"
 
-#include <netinet/tcp.h>
-#include <sys/socket.h>
-
-#include <boost/asio/write.hpp>
 #include <boost/fiber/algo/algorithm.hpp>
 #include <boost/fiber/operations.hpp>
 #include <boost/fiber/type.hpp>
@@ -14,86 +10,77 @@
 namespace {
 constexpr auto kDeadlineCheckInterval = 20ms;
 constexpr std::size_t kFiberStackBytes = std::size_t{64} * 1024;
-constexpr unsigned kUserTimeoutMs = 4000;  // unacknowledged data gives a connection up
 EventLoop* g_loop = nullptr;
 
-// A first-in, first-out scheduler. Why one of our own: the io loop must know whether any fiber but itself and the
-// library's dispatcher can run, or it would spin or sleep wrongly.
+/// A first-in, first-out scheduler that counts the runnable fibers other than the library's dispatcher. The library's
+/// own scheduler does not expose it; without the count the event loop could not know whether to run fibers or to wait
+/// for input and output.
 class FifoScheduler final : public boost::fibers::algo::algorithm {
  public:
-  explicit FifoScheduler(int* ready) : ready_(ready) {}
-  void awakened(boost::fibers::context* c) noexcept override {
-    if (!c->is_context(boost::fibers::type::dispatcher_context))
-      ++*ready_;
-    c->ready_link(queue_);
+  /// @param runnable where the count is kept.
+  explicit FifoScheduler(int* runnable) : runnable_(runnable) {}
+  void awakened(boost::fibers::context* fiber) noexcept override {
+    if (!isDispatcher(*fiber))
+      ++*runnable_;
+    fiber->ready_link(queue_);
   }
   boost::fibers::context* pick_next() noexcept override {
     if (queue_.empty())
       return nullptr;
-    auto* c = &queue_.front();
+    auto* fiber = &queue_.front();
     queue_.pop_front();
-    if (!c->is_context(boost::fibers::type::dispatcher_context))
-      --*ready_;
-    return c;
+    if (!isDispatcher(*fiber))
+      --*runnable_;
+    return fiber;
   }
   bool has_ready_fibers() const noexcept override { return !queue_.empty(); }
   void suspend_until(const std::chrono::steady_clock::time_point&) noexcept override {}
   void notify() noexcept override {}
 
  private:
-  using Queue = boost::fibers::scheduler::ready_queue_type;
-  Queue queue_;
-  int* ready_;
+  static bool isDispatcher(const boost::fibers::context& fiber) {
+    return fiber.is_context(boost::fibers::type::dispatcher_context);
+  }
+  boost::fibers::scheduler::ready_queue_type queue_;
+  int* runnable_;
 };
 }  // namespace
 
-void Waiter::wait() {
-  if (!done_) {
-    ctx_ = boost::fibers::context::active();
-    ctx_->suspend();
-    ctx_ = nullptr;
-  }
-  done_ = false;
-}
-void Waiter::wake() {
-  if (done_)
-    return;
-  done_ = true;
-  if (ctx_)
-    boost::fibers::context::active()->schedule(ctx_);
-}
-
 struct EventLoop::Impl {
   asio::io_context io{1};
-  int ready = 0;
+  int runnable = 0;  // fibers
   bool stopped = false;
   boost::fibers::fixedsize_stack stacks{kFiberStackBytes};
-  boost::intrusive::list<Connection, boost::intrusive::constant_time_size<false>> watched;
-  asio::steady_timer sweep{io};
-  bool sweeping = false;
-  void arm() {
-    sweeping = true;
-    sweep.expires_after(kDeadlineCheckInterval);
-    sweep.async_wait([this](SocketError ec) {
-      sweeping = false;
+  boost::intrusive::list<Connection, boost::intrusive::constant_time_size<false>> withDeadline;
+  asio::steady_timer deadlineCheck{io};
+  bool deadlineCheckPending = false;
+
+  void scheduleDeadlineCheck() {
+    deadlineCheckPending = true;
+    deadlineCheck.expires_after(kDeadlineCheckInterval);
+    deadlineCheck.async_wait([this](SocketError ec) {
+      deadlineCheckPending = false;
       if (ec || stopped)
         return;
-      const auto now = Clock::now();
-      for (auto it = watched.begin(); it != watched.end();) {
-        auto& w = *it++;
-        if (w.deadline() <= now)
-          w.onDeadline();
-      }
-      if (!watched.empty())
-        arm();
+      checkDeadlines();
+      if (!withDeadline.empty())
+        scheduleDeadlineCheck();
     });
   }
+  void checkDeadlines() {
+    const auto now = Clock::now();
+    for (auto it = withDeadline.begin(); it != withDeadline.end();) {
+      auto& connection = *it++;  // advanced first: the connection may unlink itself
+      if (connection.deadline() <= now)
+        connection.onDeadline();
+    }
+  }
 };
 
 EventLoop::EventLoop() : impl_(std::make_unique<Impl>()) {
   g_loop = this;
   std::signal(SIGPIPE, SIG_IGN);
-  boost::fibers::use_scheduling_algorithm<FifoScheduler>(&impl_->ready);
+  boost::fibers::use_scheduling_algorithm<FifoScheduler>(&impl_->runnable);
 }
 EventLoop::~EventLoop() = default;
 EventLoop& EventLoop::get() {
@@ -109,171 +96,75 @@
 void EventLoop::run() {
   impl_->stopped = false;
   impl_->io.restart();
-  auto keep = asio::make_work_guard(impl_->io);
+  const auto keepRunning = asio::make_work_guard(impl_->io);
   while (!impl_->stopped) {
-    while (impl_->ready > 0)
+    while (impl_->runnable > 0)
       boost::this_fiber::yield();
     if (!impl_->stopped)
       impl_->io.run_one();
   }
 }
-void EventLoop::spawn(std::function<void()> f) {
-  boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg, impl_->stacks, std::move(f)).detach();
+void EventLoop::spawn(std::function<void()> body) {
+  boost::fibers::fiber(boost::fibers::launch::post, std::allocator_arg, impl_->stacks, std::move(body)).detach();
 }
-void EventLoop::sleepFor(Duration d) {
-  asio::steady_timer t(impl_->io, d);
-  Waiter w;
-  t.async_wait([&](SocketError) { w.wake(); });
-  w.wait();
+void EventLoop::sleepFor(Duration duration) {
+  asio::steady_timer timer(impl_->io, duration);
+  Waiter waiter;
+  timer.async_wait([&](SocketError) { waiter.wake(); });
+  waiter.wait();
 }
-bool EventLoop::waitFor(Waiter& w, Duration d) {
+bool EventLoop::waitFor(Waiter& waiter, Duration timeout) {
   bool timedOut = false;
-  bool fired = false;
-  asio::steady_timer t(impl_->io, d);
-  t.async_wait([&](SocketError ec) {
-    fired = true;
-    if (!ec)
-      timedOut = true;
-    w.wake();
+  bool handlerRan = false;
+  asio::steady_timer timer(impl_->io, timeout);
+  timer.async_wait([&](SocketError ec) {
+    handlerRan = true;
+    timedOut = !ec;
+    waiter.wake();
   });
-  w.wait();
-  if (!timedOut) {
-    // The handler refers to this frame, so it must have run before the frame goes.
-    t.cancel();
-    while (!fired) {
-      w.wait();
-    }
-    return true;
-  }
-  return false;
+  waiter.wait();
+  if (timedOut)
+    return false;
+  // The handler refers to this stack frame, so it must run before the frame goes.
+  timer.cancel();
+  while (!handlerRan)
+    waiter.wait();
+  return true;
+}
+void EventLoop::watch(Connection& connection) {
+  if (!connection.is_linked())
+    impl_->withDeadline.push_back(connection);
+  if (!impl_->deadlineCheckPending)
+    impl_->scheduleDeadlineCheck();
 }
-void EventLoop::callEvery(Duration d, std::function<void()> f) {
-  auto t = std::make_shared<asio::steady_timer>(impl_->io);
-  auto fn = std::make_shared<std::function<void()>>(std::move(f));
-  auto step = std::make_shared<std::function<void()>>();
-  std::weak_ptr<std::function<void()>> weak = step;
-  *step = [this, t, fn, d, step] {
-    if (impl_->stopped)
+
+namespace {
+/// A function called at an interval. Owned by its pending timer.
+class RepeatedCall : public std::enable_shared_from_this<RepeatedCall> {
+ public:
+  /// @param stopped whether the event loop was stopped; no further call is scheduled then.
+  RepeatedCall(asio::io_context& io, const bool& stopped, Duration interval, std::function<void()> function)
+      : timer_(io), stopped_(stopped), interval_(interval), function_(std::move(function)) {}
+  void schedule() {
+    if (stopped_)
       return;
-    t->expires_after(d);
-    t->async_wait([fn, step](SocketError ec) {
+    timer_.expires_after(interval_);
+    timer_.async_wait([self = shared_from_this()](SocketError ec) {
       if (ec)
         return;
-      (*fn)();
-      (*step)();
+      self->function_();
+      self->schedule();
     });
-  };
-  (*step)();
-}
-void EventLoop::watch(Connection& w) {
-  if (!w.is_linked())
-    impl_->watched.push_back(w);
-  if (!impl_->sweeping)
-    impl_->arm();
-}
-
-Connection::Connection() : socket_(EventLoop::get().io()) {}
-Connection::Connection(tcp::socket s) : socket_(std::move(s)) {}
-Connection::~Connection() {
-  close();
-}
-void Connection::setDeadline(TimePoint t) {
-  deadline_ = t;
-  deadlineExceeded_ = false;
-  if (t == TimePoint::max()) {
-    if (is_linked())
-      unlink();
-  } else {
-    EventLoop::get().watch(*this);
   }
-}
-std::size_t Connection::read(asio::mutable_buffer b, SocketError& ec) {
-  std::size_t got = 0;
-  Waiter w;
-  socket_.async_read_some(b, [&](SocketError e, std::size_t n) {
-    ec = e;
-    got = n;
-    w.wake();
-  });
-  w.wait();
-  return got;
-}
-std::size_t Connection::write(asio::const_buffer b, SocketError& ec) {
-  // Why straight first: most writes fit the socket's window, and a parked fiber costs a wake-up.
-  if (!unblocked_) {
-    socket_.non_blocking(true, ec);
-    unblocked_ = true;
-  }
-  auto written = socket_.send(asio::buffer(b), MSG_NOSIGNAL, ec);
-  if (ec == asio::error::would_block)
-    ec = {};
-  else if (ec)
-    return 0;
-  if (written >= b.size())
-    return written;
-  b += written;
-  Waiter w;
-  asio::async_write(socket_, asio::buffer(b), [&](SocketError e, std::size_t n) {
-    ec = e;
-    written += n;
-    w.wake();
-  });
-  w.wait();
-  return written;
-}
-void Connection::connect(const tcp::endpoint& ep, SocketError& ec) {
-  Waiter w;
-  socket_.open(ep.protocol(), ec);
-  if (ec)
-    return;
-  tune(socket_);
-  socket_.async_connect(ep, [&](SocketError e) {
-    ec = e;
-    w.wake();
-  });
-  w.wait();
-}
-void Connection::awaitReadable(SocketError& ec) {
-  Waiter w;
-  socket_.async_wait(tcp::socket::wait_read, [&](SocketError e) {
-    ec = e;
-    w.wake();
-  });
-  w.wait();
-}
-void Connection::close() {
-  SocketError ec;
-  if (is_linked())
-    unlink();
-  if (socket_.is_open())
-    socket_.close(ec);
-}
-void Connection::cancel() {
-  SocketError ec;
-  if (socket_.is_open())
-    socket_.cancel(ec);
-}
-void tune(tcp::socket& s) {
-  SocketError ec;
-  s.set_option(tcp::no_delay(true), ec);
-  ::setsockopt(s.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof kUserTimeoutMs);
-}
-Result<tcp::endpoint> parseEndpoint(std::string_view s) {
-  const auto c = s.rfind(':');
-  if (c == s.npos)
-    return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(s) + "'");
-  SocketError ec;
-  const auto ip = asio::ip::make_address(std::string(s.substr(0, c)), ec);
-  if (ec)
-    return makeError(ErrorCode::invalidArgument, "no IP number in address '" + std::string(s) + "'");
-  unsigned port = 0;
-  for (char ch : s.substr(c + 1)) {
-    if (ch < '0' || ch > '9' || port > 65535)
-      return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(s) + "'");
-    port = port * 10 + static_cast<unsigned>(ch - '0');
-  }
-  if (port == 0 || port > 65535)
-    return makeError(ErrorCode::invalidArgument, "no port in address '" + std::string(s) + "'");
-  return tcp::endpoint(ip, static_cast<unsigned short>(port));
+
+ private:
+  asio::steady_timer timer_;
+  const bool& stopped_;
+  Duration interval_;
+  std::function<void()> function_;
+};
+}  // namespace
+void EventLoop::callEvery(Duration interval, std::function<void()> function) {
+  std::make_shared<RepeatedCall>(impl_->io, impl_->stopped, interval, std::move(function))->schedule();
 }
 }  // namespace zinccleat::runtime
--- a/libs/runtime/src/lifecycle.cpp
+++ b/libs/runtime/src/lifecycle.cpp
@@ -9,40 +9,75 @@
 
 namespace zinccleat::runtime {
 namespace {
-std::int64_t changedAt(const std::string& path) {
-  struct stat st {};
-  if (::stat(path.c_str(), &st) != 0)
+constexpr auto kFileCheckInterval = 2000ms;
+
+LifecycleEvent eventOf(int signal) {
+  switch (signal) {
+    case SIGHUP:
+      return LifecycleEvent::reloadSettings;
+    case SIGUSR1:
+      return LifecycleEvent::dumpLog;
+    default:
+      return LifecycleEvent::terminate;
+  }
+}
+/// Differs after a change of the file, by its modification time and size; 0 if there is none.
+std::int64_t fingerprintOf(const std::string& path) {
+  struct stat status {};
+  if (::stat(path.c_str(), &status) != 0)
     return 0;
-  return st.st_mtim.tv_sec * 1000000000LL + st.st_mtim.tv_nsec + st.st_size;
+  const std::int64_t modifiedNs = status.st_mtim.tv_sec * std::int64_t{1'000'000'000} + status.st_mtim.tv_nsec;
+  return modifiedNs + status.st_size;
 }
-}  // namespace
-void watchLifecycle(const std::string& path, Lifecycle l) {
-  auto life = std::make_shared<Lifecycle>(std::move(l));
-  auto set = std::make_shared<asio::signal_set>(EventLoop::get().io(), SIGTERM, SIGINT);
-  set->add(SIGHUP);
-  set->add(SIGUSR1);
-  auto seen = std::make_shared<std::int64_t>(changedAt(path));
-  auto step = std::make_shared<std::function<void()>>();
-  *step = [set, life, step] {
-    set->async_wait([set, life, step](SocketError ec, int sig) {
+
+/// Owned by its pending wait for a signal and by the repeated check of the file.
+class LifecycleWatcher : public std::enable_shared_from_this<LifecycleWatcher> {
+ public:
+  LifecycleWatcher(std::string settingsPath, LifecycleHandlers handlers)
+      : settingsPath_(std::move(settingsPath)),
+        fingerprint_(fingerprintOf(settingsPath_)),
+        handlers_(std::move(handlers)),
+        signals_(EventLoop::get().io(), SIGTERM, SIGINT, SIGHUP) {
+    signals_.add(SIGUSR1);
+  }
+  void start() {
+    awaitSignal();
+    EventLoop::get().callEvery(kFileCheckInterval, [self = shared_from_this()] { self->checkFile(); });
+  }
+
+ private:
+  void awaitSignal() {
+    signals_.async_wait([self = shared_from_this()](SocketError ec, int signal) {
       if (ec)
         return;
-      if (sig == SIGHUP)
-        life->onSettings();
-      else if (sig == SIGUSR1)
-        log::dump();
-      else
-        life->onTerm();
-      (*step)();
+      self->handle(eventOf(signal));
+      self->awaitSignal();
     });
-  };
-  (*step)();
-  EventLoop::get().callEvery(2000ms, [path, seen, life] {
-    const auto at = changedAt(path);
-    if (at == *seen)
-      return;
-    *seen = at;
-    life->onSettings();
-  });
+  }
+  void checkFile() {
+    const auto fingerprint = fingerprintOf(settingsPath_);
+    if (std::exchange(fingerprint_, fingerprint) != fingerprint)
+      handle(LifecycleEvent::reloadSettings);
+  }
+  void handle(LifecycleEvent event) {
+    switch (event) {
+      case LifecycleEvent::terminate:
+        return handlers_.onTerminate();
+      case LifecycleEvent::reloadSettings:
+        return handlers_.onReloadSettings();
+      case LifecycleEvent::dumpLog:
+        return log::dump();
+    }
+  }
+
+  std::string settingsPath_;
+  std::int64_t fingerprint_;
+  LifecycleHandlers handlers_;
+  asio::signal_set signals_;
+};
+}  // namespace
+
+void watchLifecycle(const std::string& settingsPath, LifecycleHandlers handlers) {
+  std::make_shared<LifecycleWatcher>(settingsPath, std::move(handlers))->start();
 }
 }  // namespace zinccleat::runtime
--- a/libs/runtime/src/log_ring.cpp
+++ b/libs/runtime/src/log_ring.cpp
@@ -26,8 +26,7 @@
   return instance;
 }
 
-// Made at the first line that is written: setting up the logging library costs start-up time that a calm process never
-// owes.
+// Made when the first line is written, because setting up the logging library would slow down every start.
 log4cxx::LoggerPtr makeSink() {
   auto layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("%m%n"));
   auto appender = std::make_shared<log4cxx::ConsoleAppender>(layout, LOG4CXX_STR("System.err"));
@@ -76,7 +75,7 @@
   }
   return line;
 }
-void keep(std::string line) {
+void appendToRing(std::string line) {
   auto& ring = ringBuffer();
   ring.lines.push_back(std::move(line));
   if (ring.lines.size() > kMaxLines)
@@ -94,10 +93,10 @@
   ringBuffer().verbose = on;
 }
 void debug(std::string_view event, Fields fields) {
-  keep(formatLine({}, event, fields));
+  appendToRing(formatLine({}, event, fields));
 }
 void error(std::string_view event, Fields fields) {
-  keep(formatLine("error", event, fields));
+  appendToRing(formatLine("error", event, fields));
   auto& ring = ringBuffer();
   const auto now = Clock::now();
   if (ring.lastDump != TimePoint{} && now - ring.lastDump < kMinDumpInterval)
--- a/libs/transport/include/transport/frame_codec.hpp
+++ b/libs/transport/include/transport/frame_codec.hpp
@@ -15,13 +15,13 @@
 ///     length (4)   bytes that follow
 ///     format (1)   3
 ///     last (1)     1 in the last fragment of a frame, else 0
-///     part         the next bytes of the whole frame, its own head included
+///     part         the next bytes of the complete frame, its own head included
 ///
 /// The fragments of one frame arrive in order; complete frames may stand between them.
 #pragma once
 #include "transport/envelope.hpp"
 namespace zinccleat::transport {
-/// Payload of one fragment. Frames up to this size are never cut.
+/// Payload of one fragment. Frames up to this size are never split.
 constexpr std::size_t kFragmentBytes = std::size_t{16} * 1024;
 
 /// Encodes a message as one complete frame and counts it as sent.
--- /dev/null
+++ b/tests/runtime_test.cpp
@@ -0,0 +1,91 @@
+/// The event loop's fibers, and the parsing of endpoints.
+#include <gtest/gtest.h>
+
+#include "runtime/event_loop.hpp"
+
+using namespace zinccleat;
+using namespace zinccleat::runtime;
+namespace {
+/// Runs a test's body on a fiber of the process's event loop.
+void onFiber(const std::function<void()>& body) {
+  bool finished = false;
+  EventLoop::get().spawn([&] {
+    body();
+    finished = true;
+    EventLoop::get().stop();
+  });
+  EventLoop::get().run();
+  EXPECT_TRUE(finished);
+}
+}  // namespace
+
+TEST(Waiter, ReturnsAtOnceIfItWasWokenBefore) {
+  onFiber([] {
+    Waiter waiter;
+    waiter.wake();
+    EXPECT_TRUE(waiter.woken());
+    waiter.wait();
+    EXPECT_FALSE(waiter.woken()) << "usable again";
+  });
+}
+TEST(EventLoop, WaitForTellsWhetherTheWaiterWasWokenInTime) {
+  onFiber([] {
+    Waiter neverWoken;
+    EXPECT_FALSE(EventLoop::get().waitFor(neverWoken, 5ms));
+
+    Waiter woken;
+    EventLoop::get().spawn([&] { woken.wake(); });
+    const auto started = Clock::now();
+    EXPECT_TRUE(EventLoop::get().waitFor(woken, 60s));
+    EXPECT_LT(Clock::now() - started, 30s);
+  });
+}
+TEST(EventLoop, CallsAtAnIntervalUntilItIsStopped) {
+  int calls = 0;
+  EventLoop::get().spawn([&] {
+    EventLoop::get().callEvery(1ms, [&] {
+      if (++calls == 3)
+        EventLoop::get().stop();
+    });
+  });
+  EventLoop::get().run();
+  EXPECT_EQ(calls, 3);
+
+  onFiber([] { EventLoop::get().sleepFor(20ms); });
+  EXPECT_EQ(calls, 3) << "stopped for good";
+}
+TEST(Connection, ADeadlineEndsTheOperationUnderWay) {
+  onFiber([] {
+    tcp::acceptor silent(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
+    Connection connection;
+    SocketError ec;
+    connection.connect(silent.local_endpoint(), ec);
+    ASSERT_FALSE(ec);
+
+    connection.setDeadline(Clock::now() + 30ms);
+    char byte = 0;
+    EXPECT_EQ(connection.read(asio::buffer(&byte, 1), ec), 0U);
+
+    EXPECT_TRUE(ec);
+    EXPECT_TRUE(connection.deadlineExceeded());
+  });
+}
+
+TEST(ParseEndpoint, ReadsAddressAndPort) {
+  const auto endpoint = parseEndpoint("127.0.0.1:8405");
+  ASSERT_TRUE(endpoint);
+  EXPECT_EQ(endpoint->address().to_string(), "127.0.0.1");
+  EXPECT_EQ(endpoint->port(), 8405);
+  EXPECT_EQ(parseEndpoint("127.0.0.1:65535")->port(), 65535);
+  EXPECT_EQ(parseEndpoint("127.0.0.1:0080")->port(), 80);
+}
+class ParseEndpointRejects : public testing::TestWithParam<const char*> {};
+TEST_P(ParseEndpointRejects, AnythingElse) {
+  const auto endpoint = parseEndpoint(GetParam());
+  ASSERT_FALSE(endpoint);
+  EXPECT_EQ(endpoint.error().code, ErrorCode::invalidArgument);
+}
+INSTANTIATE_TEST_SUITE_P(Texts, ParseEndpointRejects,
+                         testing::Values("", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:65536",
+                                         "127.0.0.1:99999999999", "127.0.0.1:-1", "127.0.0.1:+1", "127.0.0.1:80x",
+                                         "127.0.0.1: 80", "localhost:80", ":80"));
