--- a/libs/runtime/src/event_loop.cpp
+++ b/libs/runtime/src/event_loop.cpp
@@ -10,7 +10,7 @@
 namespace {
 constexpr auto kDeadlineCheckInterval = 20ms;
 constexpr std::size_t kFiberStackBytes = std::size_t{64} * 1024;
-EventLoop* g_loop = nullptr;
+EventLoop* currentLoop = nullptr;
 
 /// A first-in, first-out scheduler that counts the runnable fibers other than the library's dispatcher. The library's
 /// own scheduler does not expose it; without the count the event loop could not know whether to run fibers or to wait
@@ -78,13 +78,13 @@
 };
 
 EventLoop::EventLoop() : impl_(std::make_unique<Impl>()) {
-  g_loop = this;
+  currentLoop = this;
   std::signal(SIGPIPE, SIG_IGN);
   boost::fibers::use_scheduling_algorithm<FifoScheduler>(&impl_->runnable);
 }
 EventLoop::~EventLoop() = default;
 EventLoop& EventLoop::get() {
-  return *g_loop;
+  return *currentLoop;
 }
 asio::io_context& EventLoop::io() {
   return impl_->io;
--- a/libs/runtime/src/lifecycle.cpp
+++ b/libs/runtime/src/lifecycle.cpp
@@ -59,7 +59,7 @@
     if (std::exchange(fingerprint_, fingerprint) != fingerprint)
       handle(LifecycleEvent::reloadSettings);
   }
-  void handle(LifecycleEvent event) {
+  void handle(LifecycleEvent event) const {
     switch (event) {
       case LifecycleEvent::terminate:
         return handlers_.onTerminate();
--- a/libs/runtime/src/log_ring.cpp
+++ b/libs/runtime/src/log_ring.cpp
@@ -47,10 +47,10 @@
 }
 void appendQuoted(std::string& line, std::string_view value) {
   line += '"';
-  for (const char c : value) {
-    if (c == '"' || c == '\\')
+  for (const char character : value) {
+    if (character == '"' || character == '\\')
       line += '\\';
-    line += c == '\n' || c == '\r' ? ' ' : c;
+    line += character == '\n' || character == '\r' ? ' ' : character;
   }
   line += '"';
 }
