--- a/libs/hints/src/hints.cpp
+++ b/libs/hints/src/hints.cpp
@@ -25,7 +25,7 @@
   if (!isHex || length != secret.size() || hex.size() != 2 * secret.size())
     return makeError(ErrorCode::invalidArgument, "a partner's secret is not 32 bytes in hex");
   HintKey key;
-  key.secret_.assign(secret.begin(), secret.end());
+  key.secret_.assign(reinterpret_cast<const char*>(secret.data()), secret.size());
   return key;
 }
 std::int64_t HintKey::digest(std::uint64_t promptPrefix, std::int64_t epoch) const {
@@ -109,7 +109,7 @@
   const auto rounded = (digests.size() + bounds_.padding - 1) / bounds_.padding * bounds_.padding;
   const auto wanted = std::max(rounded, bounds_.padding);
   while (digests.size() + padding_.size() < wanted) {
-    rng_ = hash64("fill", rng_);
+    rng_ = hash64("fill", rng_);  // the golden files hold numbers drawn in this way
     padding_.insert(static_cast<std::int64_t>(rng_));
   }
   while (!padding_.empty() && digests.size() + padding_.size() > wanted)
