--- a/libs/balancing/include/balancing/runner_observer.hpp
+++ b/libs/balancing/include/balancing/runner_observer.hpp
@@ -1,34 +1,57 @@
-// What one access node sees of the runners that it sends to: attempts that went well, failed, or took far longer than
-// the same work takes elsewhere. Few samples a runner, so they are told to the leader, which weighs all nodes' words
-// (controller/outliers). Judged against peers, never against a figure from the configuration. Pure.
+/// @file
+/// Outlier detection, the proxy's part: counts successes and failures of attempts at each runner, and responses that
+/// are much slower than the same work is at its peers.
+///
+/// One proxy sees too few attempts to eject a runner by itself. It reports its counts to the leader, which evaluates
+/// the reports of all proxies (controller/outliers, docs/notes-outliers.md). Latencies are judged against the service's
+/// own latency histogram, never against a configured figure. Pure. Not thread safe.
 #pragma once
+#include <array>
+
 #include "transport/lease_records.hpp"
 namespace zinccleat::balancing {
+
 class RunnerObserver {
  public:
-  // The answer to a prompt of so many tokens (0: none) began after `took`. True: no slower than peers are.
-  // blamed: it was counted as slow while it was waited for.
-  bool began(const std::string& runner, const std::string& service, std::int64_t tokens, Duration took,
-             bool blamed = false);
-  void failed(const std::string& runner) { seen_[runner].bad += 1; }
-  void slow(const std::string& runner) { seen_[runner].bad += slowWeight; }
-  // Of a slow answer, beside one that failed: a queue explains some of it.
-  static constexpr double slowWeight = 0.5;
-  // Beyond this a runner that still says nothing is counted as slow. Max: too few answers seen to tell.
-  Duration patience(const std::string& service, std::int64_t tokens) const;
-  // Since the last call: runner, attempts that went well, that did not; at most `most` of them, the worst first.
-  std::vector<transport::RunnerAttempts> report(std::size_t most);
+  /// Weight of a slow response, where a failure has 1: a queue at the runner explains some of them.
+  static constexpr double kSlowWeight = 0.5;
+
+  /// Records that a runner has begun to respond.
+  /// @param promptTokens  length of the prompt; 0 for a request without one
+  /// @param latency       from the attempt's start to the response's first byte
+  /// @param countedSlow   `recordSlow` was called for this attempt already
+  /// @return whether the response was not slow.
+  bool recordResponse(const std::string& runner, const std::string& service, std::int64_t promptTokens,
+                      Duration latency, bool countedSlow = false);
+  /// Records that an attempt failed.
+  void recordFailure(const std::string& runner) { attempts_[runner].failed += 1; }
+  /// Records that an attempt has had no response for longer than `slowThreshold`.
+  void recordSlow(const std::string& runner) { attempts_[runner].failed += kSlowWeight; }
+  /// The latency from which a response is slow; `Duration::max()` while too few responses are known.
+  Duration slowThreshold(const std::string& service, std::int64_t promptTokens) const;
+  /// The counts since the last call, of at most `maxRunners` runners: those with most failures, in descending order.
+  std::vector<transport::RunnerAttempts> takeReport(std::size_t maxRunners);
 
  private:
-  struct Seen {
-    double good = 0, bad = 0;
+  struct AttemptCounts {
+    double succeeded = 0;
+    double failed = 0;
   };
-  struct Usual {  // time to the first byte, by the prompt's size in powers of two
-    double ms[24] = {}, spread[24] = {};
-    int count[24] = {};
+  /// Usual latency of prompts of similar length: exponentially weighted mean and mean deviation.
+  struct LatencyBucket {
+    double meanMs = 0;
+    double deviationMs = 0;
+    int samples = 0;
+
+    Duration slowThreshold() const;
+    void add(double latencyMs);
   };
-  static int bucketOf(std::int64_t tokens);
-  std::unordered_map<std::string, Seen> seen_;
-  std::unordered_map<std::string, Usual> usual_;
+  /// Buckets by prompt length in powers of two.
+  static constexpr std::size_t kBuckets = 24;
+  using LatencyHistogram = std::array<LatencyBucket, kBuckets>;
+  static std::size_t bucketIndex(std::int64_t promptTokens);
+
+  std::unordered_map<std::string, AttemptCounts> attempts_;      ///< by runner
+  std::unordered_map<std::string, LatencyHistogram> latencies_;  ///< by service
 };
 }  // namespace zinccleat::balancing
--- a/libs/balancing/include/balancing/runner_pool.hpp
+++ b/libs/balancing/include/balancing/runner_pool.hpp
@@ -1,4 +1,10 @@
-// The runners as one access node sees them, and which of them a request goes to. Pure.
+/// @file
+/// The runners that a proxy knows, with their load and health, and the choice of the runner that a request goes to.
+///
+/// Requests without a prompt go to the least loaded runner. Requests to a service that caches prompt prefixes go by
+/// rendezvous hashing with bounded load: all proxies rank the runners of a shared prefix alike without talking to each
+/// other, and a request leaves the prefix's preferred runner only if that runner's backlog costs more than computing
+/// the prefix again elsewhere would. Pure: the time is passed in. Not thread safe.
 #pragma once
 #include <random>
 #include <set>
@@ -8,84 +14,112 @@
 #include "transport/lease_records.hpp"
 namespace zinccleat::balancing {
 
-// One runner, as this node knows it.
-struct RunnerSlot {
-  std::string id, service, address, zone;
-  int capacity = 0;  // requests at once
-  bool draining = false, present = true;
-  int drainPercent = 0;         // percent of new work that keeps away: its place is being closed
-  bool migrateStreams = false;  // live streams that may be resumed go on elsewhere
-  // This node's own attempts there.
+/// One runner, as this proxy knows it.
+struct RunnerEndpoint {
+  std::string id;  ///< of the runner's process
+  std::string service;
+  std::string address;  ///< IP:port
+  std::string zone;
+  int capacity = 0;  ///< Requests that it can work on at once, as registered.
+  bool draining = false;
+  bool present = true;          ///< In the endpoint list. Others only await the end of their attempts.
+  int drainPercent = 0;         ///< Percent of new requests to keep away: its zone is being drained.
+  bool migrateStreams = false;  ///< Live streams that can be resumed are to move elsewhere.
+
+  // This proxy's own attempts.
   int inFlight = 0;
-  int unread = 0;                 // of those, the ones whose prompt is still being read
-  std::int64_t unreadTokens = 0;  // of those prompts
-  // The runner's load as it last reported it, and what of it were this node's own attempts then.
-  int reportedRunning = 0, reportedWaiting = 0, reportedSlots = 0;
-  int inFlightAtReport = 0, unreadAtReport = 0;
+  int prefilling = 0;              ///< of those, the ones whose runner has not begun to respond
+  std::int64_t prefillTokens = 0;  ///< of the prompts of those
+
+  // The load that the runner last reported, and this proxy's own part of it at that time.
+  int reportedRunning = 0;
+  int reportedWaiting = 0;
+  int reportedSlots = 0;
+  int inFlightAtReport = 0;
+  int prefillingAtReport = 0;
   TimePoint reportedAt{};
-  // After a failure it is left alone for a while, longer each time.
-  int failures = 0;
+
+  // Exponential backoff after failures.
+  int consecutiveFailures = 0;
   TimePoint backoffUntil{};
-  double ejected = 0;  // as all nodes together see it: 1 left alone, less: tried by few
+  double ejected = 0;  ///< By outlier detection. 1: gets no requests; below 1: is probed by a few; 0: healthy.
 };
-// What is asked of a choice.
+
+/// What a request needs of a runner.
 struct RunnerQuery {
   std::string_view service;
-  std::string_view zone;       // this node's own
-  std::uint64_t affinity = 0;  // of the prompt's shared parts; 0: none
-  bool engine = false;         // the service's runners keep parts of prompts
-  bool idempotent = false;     // only such requests try a runner that was ejected
-  std::int64_t promptTokens = 0, sharedTokens = 0;
-  std::vector<int> excluded;  // runners that have had the request
+  std::string_view zone;        ///< this proxy's own
+  std::uint64_t affinity = 0;   ///< hash of the prompt's shared prefix; 0: none
+  bool hasPrefixCache = false;  ///< the service's runners cache prompt prefixes
+  bool idempotent = false;      ///< only such requests probe an ejected runner
+  std::int64_t promptTokens = 0;
+  std::int64_t sharedTokens = 0;
+  std::vector<int> excluded;  ///< runners that have been tried
 };
+
 class RunnerPool {
  public:
-  explicit RunnerPool(std::uint64_t seed) : rng_(seed) {}
-  // The whole list of runners, as the core numbers it. A place in the pool is used again only once nothing of this
-  // node's is in flight there.
-  void follow(const std::vector<state_machine::Runner>& runners);
-  // How far a zone is being closed.
+  /// How far a zone is drained.
   struct ZoneDrainLevel {
-    int share = 0;  // percent of new work that keeps away
+    int drainPercent = 0;  ///< percent of new requests to keep away
     bool migrateStreams = false;
   };
+
+  explicit RunnerPool(std::uint64_t seed) : rng_(seed) {}
+
+  /// Sets the complete endpoint list. A runner keeps its index; the index of one that has left is reused once no
+  /// attempt of this proxy is in flight there.
+  void setRunners(const std::vector<state_machine::Runner>& runners);
   void setZoneDrains(std::map<std::string, ZoneDrainLevel> zones);
-  void regions(std::map<std::string, std::string> zoneToRegion) { regions_ = std::move(zoneToRegion); }
-  // What the leader tells of ill runners (runner, how far); those not named are well.
-  void setEjected(const std::vector<transport::RunnerEjection>& runners);
+  void setRegions(std::map<std::string, std::string> zoneToRegion) { regions_ = std::move(zoneToRegion); }
+  /// Sets the complete list of ejected runners; all others are healthy.
+  void setEjected(const std::vector<transport::RunnerEjection>& ejections);
 
-  // The place of the runner that a request should go to; -1: none. Never a draining one or one it has been to.
+  /// The index of the runner to send a request to, or -1 if there is none. Never a draining or an excluded one. One in
+  /// backoff or ejected only if there is no other.
   int choose(const RunnerQuery& query, TimePoint now);
-  RunnerSlot& at(int i) { return runners_[static_cast<std::size_t>(i)]; }
-  std::size_t size() const { return runners_.size(); }
-  int inFlightIn(const std::set<std::string>& zones) const;
-  // Requests there by its slots, from its report while that is fresh and from this node's own attempts.
-  double load(int i, TimePoint now) const;
+  RunnerEndpoint& at(int index) { return endpoints_[static_cast<std::size_t>(index)]; }
+  const RunnerEndpoint& at(int index) const { return endpoints_[static_cast<std::size_t>(index)]; }
+  std::size_t size() const { return endpoints_.size(); }
+  /// This proxy's attempts in flight at runners of these zones.
+  int inFlightInZones(const std::set<std::string>& zones) const;
+  /// Requests at the runner as a fraction of its slots: from its report while that is fresh, and from this proxy's own
+  /// attempts.
+  double load(int index, TimePoint now) const;
 
-  // An attempt's course: each begin is followed by one promptRead and one end.
-  void attemptBegan(int i, std::int64_t promptTokens);
-  void promptRead(int i, std::int64_t promptTokens);  // its first event came, or it never will
-  void attemptEnded(int i) { --at(i).inFlight; }
-  // A report of its load: "running,waiting,slots". One that can't be read is left out.
-  void loadReported(int i, std::string_view load, TimePoint now);
-  void recordSuccess(int i) { at(i).failures = 0, at(i).backoffUntil = {}; }
-  void recordFailure(int i, TimePoint now);
+  /// The course of an attempt: each start is followed by one `prefillEnded` and one `attemptEnded`.
+  void attemptStarted(int index, std::int64_t promptTokens);
+  /// The runner has begun to respond, or never will.
+  void prefillEnded(int index, std::int64_t promptTokens);
+  void attemptEnded(int index) { --at(index).inFlight; }
+  /// Takes a runner's report of its load: "running,waiting,slots". One that cannot be read is ignored.
+  void updateLoad(int index, std::string_view report, TimePoint now);
+  void recordSuccess(int index);
+  void recordFailure(int index, TimePoint now);
 
  private:
-  std::vector<RunnerSlot> runners_;
-  std::unordered_map<std::string, int> byId_;
-  int chooseEngine(const RunnerQuery& query, const std::vector<int>& good, TimePoint now);
-  int choosePlain(const RunnerQuery& query, const std::vector<int>& good, TimePoint now);
-  bool sameRegion(std::string_view a, std::string_view b) const;
+  /// The runners of a service, by whether they should get a request.
+  struct Candidates {
+    std::vector<int> available;
+    std::vector<int> zoneDraining;  ///< better than none
+    std::vector<int> unhealthy;     ///< only if there is nothing else
+  };
+  int indexFor(const std::string& runnerId);
+  void applyZoneDrains();
+  Candidates candidatesFor(const RunnerQuery& query, TimePoint now);
+  bool isUnhealthy(const RunnerEndpoint& endpoint, const RunnerQuery& query, TimePoint now);
+  int preferredRunner(const RunnerQuery& query, const std::vector<int>& candidates) const;
+  int chooseByPrefixAffinity(const RunnerQuery& query, const std::vector<int>& candidates, TimePoint now);
+  int chooseLeastLoaded(const RunnerQuery& query, const std::vector<int>& candidates, TimePoint now);
+  double affinityCost(int index, bool isPreferred, const RunnerQuery& query, TimePoint now) const;
+  double distanceLoad(int index, const RunnerQuery& query) const;
+  bool sameRegion(std::string_view zone, std::string_view otherZone) const;
+
+  std::vector<RunnerEndpoint> endpoints_;
+  std::unordered_map<std::string, int> indexById_;
   std::map<std::string, ZoneDrainLevel> zoneDrains_;
-  std::map<std::string, std::string> regions_;
+  std::map<std::string, std::string> regions_;  ///< by zone
   std::mt19937_64 rng_;
-  double meanPrompt_ = 1000;
-};
-// What a request says of its prompt: ID:TOKENS,ID:TOKENS,... ; the last part is the request's own.
-struct PromptParts {
-  std::uint64_t affinity = 0;  // of all parts but the last; 0 if there are none
-  std::int64_t shared = 0, all = 0;
+  double meanPromptTokens_ = 1000;
 };
-PromptParts promptOf(std::string_view parts);
 }  // namespace zinccleat::balancing
--- /dev/null
+++ b/libs/balancing/src/partner_circuit_breaker.cpp
@@ -0,0 +1,29 @@
+#include "balancing/partner_circuit_breaker.hpp"
+
+namespace zinccleat::balancing {
+namespace {
+constexpr double kForwardedRatio = 0.25;
+constexpr double kInitialAllowance = 2;  // forwarded before the ratio counts
+constexpr double kHistorySize = 400;     // requests after which the counts are halved
+constexpr auto kBaseBackoff = 500ms;
+constexpr int kMaxDoublings = 6;
+}  // namespace
+
+bool PartnerCircuitBreaker::allows(TimePoint now) {
+  if (qualifiedRequests_ > kHistorySize) {
+    qualifiedRequests_ /= 2;
+    forwardedRequests_ /= 2;
+  }
+  ++qualifiedRequests_;
+  const bool open = now < openUntil_;
+  if (open || forwardedRequests_ + 1 > qualifiedRequests_ * kForwardedRatio + kInitialAllowance)
+    return false;
+  ++forwardedRequests_;
+  return true;
+}
+
+void PartnerCircuitBreaker::recordFailure(TimePoint now) {
+  consecutiveFailures_ = std::min(consecutiveFailures_ + 1, kMaxDoublings);
+  openUntil_ = now + kBaseBackoff * (1 << consecutiveFailures_);
+}
+}  // namespace zinccleat::balancing
--- a/libs/balancing/src/runner_observer.cpp
+++ b/libs/balancing/src/runner_observer.cpp
@@ -5,55 +5,66 @@
 
 namespace zinccleat::balancing {
 namespace {
-constexpr int kFew = 6;           // answers before anything is called usual
-constexpr double kFarSlower = 3;  // times the usual, and
-constexpr double kSpreads = 5;  // so many times beyond what it usually differs by: short prompts queue behind long ones
-constexpr double kGrain = 40;   // ms below which nothing counts as slow
-constexpr double kWeight = 0.06;  // of a new answer in the usual
+constexpr int kMinSamples = 6;             // fewer responses are no evidence
+constexpr double kSlowFactor = 3;          // slow is over this many times the mean, and
+constexpr double kSlowDeviations = 5;      // over this many deviations above it: short prompts queue behind long ones
+constexpr double kMinSlowMs = 40;          // nothing this close to the mean is slow
+constexpr double kSmoothing = 0.06;        // weight of a new sample
+constexpr double kInitialSmoothing = 0.3;  // weight of each of the first samples
 }  // namespace
-int RunnerObserver::bucketOf(std::int64_t tokens) {
-  return std::min(23, static_cast<int>(std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(0, tokens)))));
-}
-Duration RunnerObserver::patience(const std::string& service, std::int64_t tokens) const {
-  const auto it = usual_.find(service);
-  const int b = bucketOf(tokens);
-  if (it == usual_.end() || it->second.count[b] < kFew)
+
+Duration RunnerObserver::LatencyBucket::slowThreshold() const {
+  if (samples < kMinSamples)
     return Duration::max();
-  const auto& u = it->second;
-  return Duration(static_cast<std::int64_t>(std::max(u.ms[b] * kFarSlower + kGrain, u.ms[b] + kSpreads * u.spread[b])));
+  const double threshold = std::max(meanMs * kSlowFactor + kMinSlowMs, meanMs + kSlowDeviations * deviationMs);
+  return Duration(static_cast<std::int64_t>(threshold));
 }
-bool RunnerObserver::began(const std::string& runner, const std::string& service, std::int64_t tokens, Duration took,
-                           bool blamed) {
-  const bool slow = took > patience(service, tokens);
-  auto& u = usual_[service];
-  const int b = bucketOf(tokens);
-  const auto ms = static_cast<double>(took.count());
-  // Why bounded: one runner that hangs must not make hanging usual.
-  if (u.count[b]++ == 0) {
-    u.ms[b] = ms;
-  } else {
-    const double off = std::min(ms, u.ms[b] * kFarSlower + kGrain) - u.ms[b];
-    const double w = u.count[b] < kFew ? 0.3 : kWeight;
-    u.ms[b] += off * w;
-    u.spread[b] += (std::abs(off) - u.spread[b]) * w;
+
+void RunnerObserver::LatencyBucket::add(double latencyMs) {
+  if (samples++ == 0) {
+    meanMs = latencyMs;
+    return;
   }
-  if (blamed)
+  // Bounded, so that one runner that hangs does not make hanging usual.
+  const double difference = std::min(latencyMs, meanMs * kSlowFactor + kMinSlowMs) - meanMs;
+  const double weight = samples < kMinSamples ? kInitialSmoothing : kSmoothing;
+  meanMs += difference * weight;
+  deviationMs += (std::abs(difference) - deviationMs) * weight;
+}
+
+std::size_t RunnerObserver::bucketIndex(std::int64_t promptTokens) {
+  const auto width = std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(0, promptTokens)));
+  return std::min(kBuckets - 1, static_cast<std::size_t>(width));
+}
+
+Duration RunnerObserver::slowThreshold(const std::string& service, std::int64_t promptTokens) const {
+  const auto it = latencies_.find(service);
+  return it == latencies_.end() ? Duration::max() : it->second[bucketIndex(promptTokens)].slowThreshold();
+}
+
+bool RunnerObserver::recordResponse(const std::string& runner, const std::string& service, std::int64_t promptTokens,
+                                    Duration latency, bool countedSlow) {
+  auto& bucket = latencies_[service][bucketIndex(promptTokens)];
+  const bool slow = latency > bucket.slowThreshold();
+  bucket.add(static_cast<double>(latency.count()));
+  if (countedSlow)
     return !slow;
-  auto& s = seen_[runner];
   if (slow)
-    s.bad += slowWeight;
+    recordSlow(runner);
   else
-    s.good += 1;
+    attempts_[runner].succeeded += 1;
   return !slow;
 }
-std::vector<transport::RunnerAttempts> RunnerObserver::report(std::size_t most) {
-  std::vector<transport::RunnerAttempts> out;
-  for (auto& [id, s] : seen_)
-    out.push_back({id, s.good, s.bad});
-  seen_.clear();
-  std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.failed > b.failed; });
-  if (out.size() > most)
-    out.resize(most);
-  return out;
+
+std::vector<transport::RunnerAttempts> RunnerObserver::takeReport(std::size_t maxRunners) {
+  std::vector<transport::RunnerAttempts> report;
+  for (const auto& [runner, counts] : attempts_)
+    report.push_back({runner, counts.succeeded, counts.failed});
+  attempts_.clear();
+  std::sort(report.begin(), report.end(),
+            [](const auto& left, const auto& right) { return left.failed > right.failed; });
+  if (report.size() > maxRunners)
+    report.resize(maxRunners);
+  return report;
 }
 }  // namespace zinccleat::balancing
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -1,230 +1,292 @@
 #include "balancing/runner_pool.hpp"
 
+#include <array>
 #include <charconv>
 
 namespace zinccleat::balancing {
 namespace {
-constexpr auto kReportLife = 1500ms;    // older news of a load counts for nothing
-constexpr double kReadAgain = 4;        // how much dearer a part read again is than the same prompt waiting
-constexpr int kTryOneIn = 12;           // requests that may go to a runner that was ill not long ago
-constexpr double kOtherZone = 700;      // in tokens
-constexpr double kOtherRegion = 30000;  // in tokens: far away, so only when the near ones are clearly busy
+constexpr auto kLoadReportLifetime = 1500ms;
+constexpr auto kBaseBackoff = 300ms;
+constexpr int kMaxBackoffDoublings = 4;
+constexpr int kProbeOneIn = 12;  // idempotent requests that may probe a runner that was ejected not long ago
+constexpr double kPromptSmoothing = 0.02;
+constexpr std::uint64_t kPercent = 100;
+constexpr int kAffinityShift = 8;  // the bits of the affinity that decide on zone drains
+
+// Costs of the choice by prefix affinity, in prompt tokens that wait to be computed.
+constexpr double kRecomputedTokenCost = 4;  // of a prefix token that has to be computed again
+constexpr double kLoadCost = 2000;          // of a full runner: a growing batch slows all its streams
+constexpr double kNearlyFull = 0.9;         // load from which new requests have to wait for a slot
+constexpr double kNearlyFullCost = 5000;
+constexpr double kOverloadCost = 50000;
+constexpr double kOtherZoneCost = 700;
+constexpr double kOtherRegionCost = 30000;  // so far away that all near runners must be busy
+constexpr std::uint64_t kTieBreakTokens = 100;
+
+// Costs of the choice by load, as fractions of a runner's slots. The own zone is left only once it is busy.
+constexpr double kOtherZoneLoad = 0.3;
+constexpr double kOtherRegionLoad = 1.0;
+constexpr std::uint64_t kTieBreakSteps = 100;
+constexpr double kTieBreakLoad = 1e-4;
+
+struct LoadReport {
+  int running = 0;
+  int waiting = 0;
+  int slots = 0;
+};
+// Reads three numbers; spaces may precede and a comma may follow each.
+std::optional<LoadReport> parseLoadReport(std::string_view text) {
+  std::array<int, 3> numbers{};
+  for (int& number : numbers) {
+    text.remove_prefix(std::min(text.find_first_not_of(' '), text.size()));
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+    if (error != std::errc{})
+      return std::nullopt;
+    text.remove_prefix(static_cast<std::size_t>(end - text.data()));
+    if (text.starts_with(','))
+      text.remove_prefix(1);
+  }
+  return LoadReport{numbers[0], numbers[1], numbers[2]};
+}
+
+bool contains(const std::vector<int>& list, int value) {
+  return std::find(list.begin(), list.end(), value) != list.end();
+}
 }  // namespace
-void RunnerPool::follow(const std::vector<state_machine::Runner>& runners) {
-  for (auto& d : runners_)
-    d.present = false;
-  for (auto& r : runners) {
-    const auto it = byId_.find(r.id);
-    int i = 0;
-    if (it == byId_.end()) {
-      // A place nobody uses any more serves again.
-      for (; i < static_cast<int>(runners_.size()); ++i)
-        if (!runners_[i].present && runners_[i].inFlight == 0 && !byId_.contains(runners_[i].id))
-          break;
-      if (i == static_cast<int>(runners_.size()))
-        runners_.emplace_back();
-      runners_[i] = RunnerSlot{};
-      runners_[i].id = r.id;
-      byId_[r.id] = i;
-    } else {
-      i = it->second;
-    }
-    auto& d = runners_[i];
-    d.service = r.service;
-    d.address = r.address;
-    d.zone = r.zone;
-    d.capacity = static_cast<int>(r.capacity);
-    d.draining = r.runnerState() == state_machine::RunnerState::draining;
-    d.present = true;
+
+void RunnerPool::setRunners(const std::vector<state_machine::Runner>& runners) {
+  for (auto& endpoint : endpoints_)
+    endpoint.present = false;
+  for (const auto& runner : runners) {
+    auto& endpoint = at(indexFor(runner.id));
+    endpoint.service = runner.service;
+    endpoint.address = runner.address;
+    endpoint.zone = runner.zone;
+    endpoint.capacity = static_cast<int>(runner.capacity);
+    endpoint.draining = runner.runnerState() == state_machine::RunnerState::draining;
+    endpoint.present = true;
   }
-  setZoneDrains(std::move(zoneDrains_));
-  for (auto it = byId_.begin(); it != byId_.end();)
-    if (!runners_[it->second].present)
-      it = byId_.erase(it);
-    else
-      ++it;
+  applyZoneDrains();
+  std::erase_if(indexById_, [this](const auto& entry) { return !at(entry.second).present; });
 }
+
+int RunnerPool::indexFor(const std::string& runnerId) {
+  if (const auto it = indexById_.find(runnerId); it != indexById_.end())
+    return it->second;
+  auto endpoint = std::find_if(endpoints_.begin(), endpoints_.end(), [this](const RunnerEndpoint& candidate) {
+    return !candidate.present && candidate.inFlight == 0 && !indexById_.contains(candidate.id);
+  });
+  if (endpoint == endpoints_.end())
+    endpoint = endpoints_.emplace(endpoints_.end());
+  *endpoint = RunnerEndpoint{};
+  endpoint->id = runnerId;
+  const auto index = static_cast<int>(endpoint - endpoints_.begin());
+  indexById_[runnerId] = index;
+  return index;
+}
+
 void RunnerPool::setZoneDrains(std::map<std::string, ZoneDrainLevel> zones) {
   zoneDrains_ = std::move(zones);
-  for (auto& d : runners_) {
-    const auto it = zoneDrains_.find(d.zone);
-    d.drainPercent = it == zoneDrains_.end() ? 0 : it->second.share;
-    d.migrateStreams = it != zoneDrains_.end() && it->second.migrateStreams;
-  }
+  applyZoneDrains();
 }
-int RunnerPool::inFlightIn(const std::set<std::string>& zones) const {
-  int n = 0;
-  for (auto& d : runners_)
-    if (zones.contains(d.zone))
-      n += d.inFlight;
-  return n;
-}
-void RunnerPool::loadReported(int i, std::string_view load, TimePoint now) {
-  int v[3] = {0, 0, 0};
-  const char* p = load.data();
-  const char* e = p + load.size();
-  for (int& k : v) {
-    while (p < e && *p == ' ')
-      ++p;
-    const auto r = std::from_chars(p, e, k);
-    if (r.ec != std::errc{})
-      return;
-    p = r.ptr;
-    if (p < e && *p == ',')
-      ++p;
+
+void RunnerPool::applyZoneDrains() {
+  for (auto& endpoint : endpoints_) {
+    const auto it = zoneDrains_.find(endpoint.zone);
+    const auto level = it == zoneDrains_.end() ? ZoneDrainLevel{} : it->second;
+    endpoint.drainPercent = level.drainPercent;
+    endpoint.migrateStreams = level.migrateStreams;
   }
-  auto& d = at(i);
-  d.reportedRunning = v[0];
-  d.reportedWaiting = v[1];
-  d.reportedSlots = v[2];
-  d.inFlightAtReport = d.inFlight;
-  d.unreadAtReport = d.unread;
-  d.reportedAt = now;
-}
-double RunnerPool::load(int i, TimePoint now) const {
-  const auto& d = runners_[static_cast<std::size_t>(i)];
-  const double slots = std::max(1, d.reportedSlots > 0 ? d.reportedSlots : d.capacity);
-  double n = d.inFlight;
-  if (now - d.reportedAt < kReportLife)
-    n = std::max<double>(d.inFlight, d.reportedRunning + d.reportedWaiting + (d.inFlight - d.inFlightAtReport));
-  return n / slots;
-}
-void RunnerPool::recordFailure(int i, TimePoint now) {
-  auto& d = at(i);
-  d.failures = std::min(d.failures + 1, 4);
-  d.backoffUntil = now + 300ms * (1 << d.failures);
-}
-void RunnerPool::attemptBegan(int i, std::int64_t tokens) {
-  auto& d = at(i);
-  ++d.inFlight;
-  ++d.unread;
-  d.unreadTokens += tokens;
-  if (tokens > 0)
-    meanPrompt_ = meanPrompt_ * 0.98 + static_cast<double>(tokens) * 0.02;
-}
-void RunnerPool::promptRead(int i, std::int64_t tokens) {
-  auto& d = at(i);
-  --d.unread;
-  d.unreadTokens -= tokens;
-}
-void RunnerPool::setEjected(const std::vector<transport::RunnerEjection>& runners) {
-  for (auto& d : runners_)
-    d.ejected = 0;
-  for (auto& g : runners)
-    if (const auto it = byId_.find(g.runner); it != byId_.end())
-      runners_[static_cast<std::size_t>(it->second)].ejected = g.level;
 }
+
+void RunnerPool::setEjected(const std::vector<transport::RunnerEjection>& ejections) {
+  for (auto& endpoint : endpoints_)
+    endpoint.ejected = 0;
+  for (const auto& ejection : ejections)
+    if (const auto it = indexById_.find(ejection.runner); it != indexById_.end())
+      at(it->second).ejected = ejection.level;
+}
+
+int RunnerPool::inFlightInZones(const std::set<std::string>& zones) const {
+  int count = 0;
+  for (const auto& endpoint : endpoints_)
+    if (zones.contains(endpoint.zone))
+      count += endpoint.inFlight;
+  return count;
+}
+
+void RunnerPool::updateLoad(int index, std::string_view report, TimePoint now) {
+  const auto reported = parseLoadReport(report);
+  if (!reported)
+    return;
+  auto& endpoint = at(index);
+  endpoint.reportedRunning = reported->running;
+  endpoint.reportedWaiting = reported->waiting;
+  endpoint.reportedSlots = reported->slots;
+  endpoint.inFlightAtReport = endpoint.inFlight;
+  endpoint.prefillingAtReport = endpoint.prefilling;
+  endpoint.reportedAt = now;
+}
+
+double RunnerPool::load(int index, TimePoint now) const {
+  const auto& endpoint = at(index);
+  const double slots = std::max(1, endpoint.reportedSlots > 0 ? endpoint.reportedSlots : endpoint.capacity);
+  if (now - endpoint.reportedAt >= kLoadReportLifetime)
+    return endpoint.inFlight / slots;
+  const int startedSinceReport = endpoint.inFlight - endpoint.inFlightAtReport;
+  const int estimated = endpoint.reportedRunning + endpoint.reportedWaiting + startedSinceReport;
+  return std::max(endpoint.inFlight, estimated) / slots;
+}
+
+void RunnerPool::recordSuccess(int index) {
+  auto& endpoint = at(index);
+  endpoint.consecutiveFailures = 0;
+  endpoint.backoffUntil = {};
+}
+
+void RunnerPool::recordFailure(int index, TimePoint now) {
+  auto& endpoint = at(index);
+  endpoint.consecutiveFailures = std::min(endpoint.consecutiveFailures + 1, kMaxBackoffDoublings);
+  endpoint.backoffUntil = now + kBaseBackoff * (1 << endpoint.consecutiveFailures);
+}
+
+void RunnerPool::attemptStarted(int index, std::int64_t promptTokens) {
+  auto& endpoint = at(index);
+  ++endpoint.inFlight;
+  ++endpoint.prefilling;
+  endpoint.prefillTokens += promptTokens;
+  if (promptTokens > 0)
+    meanPromptTokens_ =
+        meanPromptTokens_ * (1 - kPromptSmoothing) + static_cast<double>(promptTokens) * kPromptSmoothing;
+}
+
+void RunnerPool::prefillEnded(int index, std::int64_t promptTokens) {
+  auto& endpoint = at(index);
+  --endpoint.prefilling;
+  endpoint.prefillTokens -= promptTokens;
+}
+
 int RunnerPool::choose(const RunnerQuery& query, TimePoint now) {
-  std::vector<int> good;
-  std::vector<int> shunned;
-  std::vector<int> closing;
-  // Why by part: all nodes move the same parts at the same step, so each is read anew once, at one place.
-  const auto turn = static_cast<int>((query.affinity ? query.affinity >> 8 : rng_()) % 100);
-  for (int i = 0; i < static_cast<int>(runners_.size()); ++i) {
-    auto& d = runners_[i];
-    if (!d.present || d.draining || d.service != query.service)
+  const auto candidates = candidatesFor(query, now);
+  // A zone that is being drained still serves rather than nobody.
+  const auto& usable = candidates.available.empty() ? candidates.zoneDraining : candidates.available;
+  if (!usable.empty())
+    return query.hasPrefixCache ? chooseByPrefixAffinity(query, usable, now) : chooseLeastLoaded(query, usable, now);
+  if (candidates.unhealthy.empty())
+    return -1;
+  // An unhealthy runner may answer all the same, which is better than a certain rejection.
+  return candidates.unhealthy[rng_() % candidates.unhealthy.size()];
+}
+
+RunnerPool::Candidates RunnerPool::candidatesFor(const RunnerQuery& query, TimePoint now) {
+  Candidates candidates;
+  // By affinity, so that all proxies move the same prefixes at the same step of a zone drain, and each prefix is
+  // computed anew once and at one runner.
+  const auto percentile = static_cast<int>((query.affinity ? query.affinity >> kAffinityShift : rng_()) % kPercent);
+  for (int index = 0; index < static_cast<int>(endpoints_.size()); ++index) {
+    const auto& endpoint = at(index);
+    if (!endpoint.present || endpoint.draining || endpoint.service != query.service)
       continue;
-    if (std::find(query.excluded.begin(), query.excluded.end(), i) != query.excluded.end())
+    if (contains(query.excluded, index))
       continue;
-    // Why one at a time after a fault: a runner that is still ill should cost one request, not many.
-    if (d.backoffUntil > now || (d.failures > 0 && d.inFlight > 0))
-      shunned.push_back(i);
-    // Why so few, and only what may be repeated: whoever returns from an illness is not proven well yet.
-    else if (d.ejected >= 1 || (d.ejected > 0 && (!query.idempotent || d.inFlight > 0 || rng_() % kTryOneIn)))
-      shunned.push_back(i);
-    else if (turn < d.drainPercent)
-      closing.push_back(i);
+    if (isUnhealthy(endpoint, query, now))
+      candidates.unhealthy.push_back(index);
+    else if (percentile < endpoint.drainPercent)
+      candidates.zoneDraining.push_back(index);
     else
-      good.push_back(i);
-  }
-  // A place that is closing still serves rather than nobody.
-  if (good.empty())
-    good = std::move(closing);
-  if (good.empty()) {
-    // Why one that is shunned all the same: a guess is worth more than nothing.
-    if (shunned.empty())
-      return -1;
-    return shunned[rng_() % shunned.size()];
+      candidates.available.push_back(index);
   }
-  return query.engine ? chooseEngine(query, good, now) : choosePlain(query, good, now);
-}
-// Every node ranks the runners of a shared part alike, so the part is read at one place without a word between
-// them. Leaving that place is charged what reading the part again costs, so it happens only when the place has
-// clearly more prompts to read first.
-int RunnerPool::chooseEngine(const RunnerQuery& query, const std::vector<int>& good, TimePoint now) {
-  int home = -1;
-  std::uint64_t top = 0;
-  // A part's home is sought in the client's own region while that has a runner.
-  const bool near =
-      std::any_of(good.begin(), good.end(), [&](int i) { return sameRegion(runners_[i].zone, query.zone); });
-  if (query.affinity)
-    for (int i : good) {
-      if (near && !sameRegion(runners_[i].zone, query.zone))
-        continue;
-      const auto r = hash64(runners_[i].id, query.affinity);
-      if (home < 0 || r > top)
-        home = i, top = r;
+  return candidates;
+}
+
+// Draws a random number for each runner that may be probed.
+bool RunnerPool::isUnhealthy(const RunnerEndpoint& endpoint, const RunnerQuery& query, TimePoint now) {
+  // After a failure one request at a time: a runner that still fails should cost one of them, not many.
+  const bool backingOff = endpoint.backoffUntil > now || (endpoint.consecutiveFailures > 0 && endpoint.inFlight > 0);
+  if (backingOff || endpoint.ejected >= 1)
+    return true;
+  if (endpoint.ejected <= 0)
+    return false;
+  const bool mayProbe = query.idempotent && endpoint.inFlight == 0;
+  return !mayProbe || rng_() % kProbeOneIn != 0;
+}
+
+// Rendezvous hashing: the highest hash of runner and prefix wins, within the proxy's own region if that has a runner.
+int RunnerPool::preferredRunner(const RunnerQuery& query, const std::vector<int>& candidates) const {
+  if (!query.affinity)
+    return -1;
+  const bool inRegion =
+      std::any_of(candidates.begin(), candidates.end(), [&](int i) { return sameRegion(at(i).zone, query.zone); });
+  int preferred = -1;
+  std::uint64_t highest = 0;
+  for (int index : candidates) {
+    if (inRegion && !sameRegion(at(index).zone, query.zone))
+      continue;
+    const auto rank = hash64(at(index).id, query.affinity);
+    if (preferred < 0 || rank > highest) {
+      preferred = index;
+      highest = rank;
     }
-  int best = -1;
-  double least = 0;
-  for (int i : good) {
-    const auto& d = runners_[i];
-    auto cost = static_cast<double>(d.unreadTokens);
-    if (now - d.reportedAt < kReportLife)
-      cost += std::max(0, d.reportedWaiting - d.unreadAtReport) * meanPrompt_;
-    const double full = load(i, now);
-    // A batch that fills up slows all its streams; one that is full makes them wait for a place.
-    cost += full * 2000;
-    if (full > 0.9)
-      cost += 50000 * (full - 0.9) + 5000;
-    if (i != home)
-      cost += static_cast<double>(query.sharedTokens) * kReadAgain;
-    // Bytes between zones count for little beside a part read again, but for something.
-    if (d.zone != query.zone)
-      cost += sameRegion(d.zone, query.zone) ? kOtherZone : kOtherRegion;
-    cost += static_cast<double>(rng_() % 100);
-    if (best < 0 || cost < least)
-      best = i, least = cost;
   }
-  return best;
+  return preferred;
 }
-bool RunnerPool::sameRegion(std::string_view a, std::string_view b) const {
-  const auto x = regions_.find(std::string(a));
-  const auto y = regions_.find(std::string(b));
-  // Zones that nobody has named are taken as near: a guess must not shut a runner out.
-  return x == regions_.end() || y == regions_.end() || x->second == y->second;
+
+double RunnerPool::affinityCost(int index, bool isPreferred, const RunnerQuery& query, TimePoint now) const {
+  const auto& endpoint = at(index);
+  auto cost = static_cast<double>(endpoint.prefillTokens);
+  if (now - endpoint.reportedAt < kLoadReportLifetime)
+    cost += std::max(0, endpoint.reportedWaiting - endpoint.prefillingAtReport) * meanPromptTokens_;
+  const double fraction = load(index, now);
+  cost += fraction * kLoadCost;
+  if (fraction > kNearlyFull)
+    cost += kOverloadCost * (fraction - kNearlyFull) + kNearlyFullCost;
+  if (!isPreferred)
+    cost += static_cast<double>(query.sharedTokens) * kRecomputedTokenCost;
+  if (endpoint.zone != query.zone)
+    cost += sameRegion(endpoint.zone, query.zone) ? kOtherZoneCost : kOtherRegionCost;
+  return cost;
 }
-int RunnerPool::choosePlain(const RunnerQuery& query, const std::vector<int>& good, TimePoint now) {
+
+int RunnerPool::chooseByPrefixAffinity(const RunnerQuery& query, const std::vector<int>& candidates, TimePoint now) {
+  const int preferred = preferredRunner(query, candidates);
   int best = -1;
-  double least = 0;
-  for (int i : good) {
-    double cost = load(i, now) + static_cast<double>(rng_() % 100) * 1e-4;
-    // Why stay at home while it has room: the other zone is no faster then.
-    if (runners_[i].zone != query.zone)
-      cost += sameRegion(runners_[i].zone, query.zone) ? 0.3 : 1.0;
-    if (best < 0 || cost < least)
-      best = i, least = cost;
+  double lowestCost = 0;
+  for (int index : candidates) {
+    const double cost =
+        affinityCost(index, index == preferred, query, now) + static_cast<double>(rng_() % kTieBreakTokens);
+    if (best < 0 || cost < lowestCost) {
+      best = index;
+      lowestCost = cost;
+    }
   }
   return best;
 }
-PromptParts promptOf(std::string_view p) {
-  PromptParts out;
-  const auto lastComma = p.rfind(',');
-  if (lastComma != p.npos)
-    out.affinity = hash64(p.substr(0, lastComma)) | 1;
-  while (!p.empty()) {
-    const auto c = std::min(p.find(','), p.size());
-    const auto part = p.substr(0, c);
-    const bool last = c == p.size();
-    if (const auto colon = part.find(':'); colon != part.npos) {
-      std::int64_t n = 0;
-      std::from_chars(part.data() + colon + 1, part.data() + part.size(), n);
-      out.all += n;
-      if (!last)
-        out.shared += n;
+
+double RunnerPool::distanceLoad(int index, const RunnerQuery& query) const {
+  const auto& zone = at(index).zone;
+  if (zone == query.zone)
+    return 0;
+  return sameRegion(zone, query.zone) ? kOtherZoneLoad : kOtherRegionLoad;
+}
+
+int RunnerPool::chooseLeastLoaded(const RunnerQuery& query, const std::vector<int>& candidates, TimePoint now) {
+  int best = -1;
+  double lowestCost = 0;
+  for (int index : candidates) {
+    const double tieBreak = static_cast<double>(rng_() % kTieBreakSteps) * kTieBreakLoad;
+    const double cost = load(index, now) + tieBreak + distanceLoad(index, query);
+    if (best < 0 || cost < lowestCost) {
+      best = index;
+      lowestCost = cost;
     }
-    p.remove_prefix(std::min(p.size(), c + 1));
   }
-  return out;
+  return best;
+}
+
+bool RunnerPool::sameRegion(std::string_view zone, std::string_view otherZone) const {
+  const auto region = regions_.find(std::string(zone));
+  const auto otherRegion = regions_.find(std::string(otherZone));
+  // Zones without a known region count as near: a wrong guess must not shut a runner out.
+  return region == regions_.end() || otherRegion == regions_.end() || region->second == otherRegion->second;
 }
 }  // namespace zinccleat::balancing
--- a/libs/controller/src/call_server.cpp
+++ b/libs/controller/src/call_server.cpp
@@ -32,12 +32,12 @@
     }
     proxy::RequestParser parser;
     const auto read = proxy::readRequest(connection, buffer, parser, limits);
-    if (read.end == proxy::ReadEnd::closed)
+    if (read.outcome == proxy::ReadOutcome::closed)
       return;
-    if (read.end == proxy::ReadEnd::errorResponse) {
+    if (read.outcome == proxy::ReadOutcome::rejected) {
       runtime::SocketError ec;
-      connection.write(asio::buffer(proxy::plainAnswer(read.status, "", kJson,
-                                                       proxy::jsonError(proxy::reasonOf(read.status)), false)),
+      connection.write(asio::buffer(proxy::plainResponse(read.status, "", kJson,
+                                                         proxy::jsonError(proxy::reasonPhrase(read.status)), false)),
                        ec);
       return;
     }
@@ -53,7 +53,7 @@
   const bool keep = keepAlive && takesCalls_;
   runtime::SocketError ec;
   connection.setDeadline(Clock::now() + kWriteStall);
-  connection.write(asio::buffer(proxy::plainAnswer(response.status, response.heads, kJson, response.body, keep)), ec);
+  connection.write(asio::buffer(proxy::plainResponse(response.status, response.heads, kJson, response.body, keep)), ec);
   connection.clearDeadline();
   return !ec && keep;
 }
--- a/libs/proxy/include/proxy/connection_pool.hpp
+++ b/libs/proxy/include/proxy/connection_pool.hpp
@@ -1,29 +1,37 @@
-// Clean connections to runners, kept for use again. A connection with anything unasked on it is never used again.
+/// @file
+/// Idle connections to runners, kept for reuse. One on which the runner has sent unsolicited bytes, or that it has
+/// closed, is never reused.
 #pragma once
 #include "runtime/event_loop.hpp"
 namespace zinccleat::proxy {
+
 class ConnectionPool {
  public:
-  // An idle connection to this runner (its instance id) that is open and quiet; nullptr: there is none.
-  // idempotent: what goes out on it may be sent again. What may not goes only on one used a moment ago: a runner may
-  // forget a connection that sits idle, sooner than it says and without a word, and resets what comes next.
-  std::unique_ptr<runtime::Connection> take(const std::string& id, TimePoint now, bool idempotent);
-  // Keeps a connection whose last answer was read whole, with nothing after it, until then.
-  void give(const std::string& id, std::unique_ptr<runtime::Connection> connection, TimePoint until, TimePoint now);
-  // A connection taken from here turned out to be forgotten: what can't be repeated trusts idle ones less from now on.
-  void forgotten() { safeIdle_ = std::max(kLeastSafeIdle, safeIdle_ / 2); }
-  // The runner can't be reached: its connections are closed.
-  void drop(const std::string& id);
-  // Closes what has been idle for too long; called now and then.
-  void sweep(TimePoint now);
+  /// An idle connection to a runner, the one used last; nullptr if there is none.
+  /// @param idempotent  whether the request may be sent again. One that may not gets only a connection that was used a
+  ///                    moment ago: a runner may drop the state of an idle connection sooner than it announced, and
+  ///                    then resets it with the next request.
+  std::unique_ptr<runtime::Connection> acquire(const std::string& runnerId, TimePoint now, bool idempotent);
+  /// Keeps a connection whose last response was read completely, with nothing after it.
+  /// @param expiresAt  when it is closed if it has not been reused
+  void release(const std::string& runnerId, std::unique_ptr<runtime::Connection> connection, TimePoint expiresAt,
+               TimePoint now);
+  /// A connection from this pool had been dropped by its runner: from now on requests that may not be repeated reuse
+  /// connections only for half as long.
+  void recordStaleConnection() { maxIdleUnrepeatable_ = std::max(kMinIdleUnrepeatable, maxIdleUnrepeatable_ / 2); }
+  /// Closes the connections of a runner that cannot be reached.
+  void closeAll(const std::string& runnerId);
+  /// Closes the connections that have expired; to be called periodically.
+  void closeExpired(TimePoint now);
 
  private:
-  static constexpr Duration kLeastSafeIdle{200};
-  struct Idle {
+  static constexpr Duration kMinIdleUnrepeatable{200};
+  struct IdleConnection {
     std::unique_ptr<runtime::Connection> connection;
-    TimePoint until, since;
+    TimePoint expiresAt;
+    TimePoint idleSince;
   };
-  Duration safeIdle_{1600};  // how long idle one may have been for what can't be repeated
-  std::unordered_map<std::string, std::vector<Idle>> idle_;
+  Duration maxIdleUnrepeatable_{1600};
+  std::unordered_map<std::string, std::vector<IdleConnection>> idle_;  ///< by runner, the one used last at the end
 };
 }  // namespace zinccleat::proxy
--- a/libs/proxy/include/proxy/idle_connections.hpp
+++ b/libs/proxy/include/proxy/idle_connections.hpp
@@ -1,12 +1,12 @@
+/// @file
 /// Clients' connections that are open and on which no request has begun.
 #pragma once
 #include "runtime/event_loop.hpp"
 namespace zinccleat::proxy {
 class IdleConnections {
  public:
-  /// Closes those that have been idle for `longest`, and the others once they have. One on which bytes have come is
-  /// left to be read.
-  void limit(Duration longest);
+  /// Closes each connection once it has been idle for `maxIdle`. One on which bytes have arrived is still read.
+  void limit(Duration maxIdle);
   std::size_t size() const { return idleSince_.size(); }
 
  private:
--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -1,134 +1,204 @@
 #include "admission_check.hpp"
 
-#include "heads.hpp"
+#include "balancing/prompt_prefix.hpp"
+#include "headers.hpp"
 
 namespace zinccleat::proxy {
 namespace {
-// When a client that finds this process about to end should try again, which other nodes can serve at once.
+// A client of a process that is about to exit should retry soon: other nodes can serve it at once.
 constexpr Duration kRetryElsewhere{100};
-constexpr std::uint64_t kRetrySpreadMs = 200;
+constexpr std::uint64_t kRetryElsewhereSpreadMs = 200;
+constexpr std::int64_t kOverloadRetryMs = 400;
+constexpr std::uint64_t kOverloadRetrySpreadMs = 900;
+constexpr std::uint64_t kDrawSteps = 1000;
+constexpr Duration kMinQuotaWait{15};
+constexpr Duration kMaxQuotaWait{150};
+constexpr Duration kMaxQuotaWaitResponsive{250};
+constexpr Duration kTokenResponseTimeout{100};
+using Rejected = std::optional<Rejection>;
 
-std::string_view bearerKey(const http::fields& f) {
-  auto v = field(f, "Authorization");
-  constexpr std::string_view scheme = "bearer ";
-  if (v.size() <= scheme.size() || !sameText(v.substr(0, scheme.size()), scheme))
+std::string_view bearerKey(const http::fields& fields) {
+  constexpr std::string_view kScheme = "bearer ";
+  auto value = headerValue(fields, "Authorization");
+  if (value.size() <= kScheme.size() || !equalsIgnoreCase(value.substr(0, kScheme.size()), kScheme))
     return {};
-  v.remove_prefix(scheme.size());
-  while (!v.empty() && v.front() == ' ')
-    v.remove_prefix(1);
-  while (!v.empty() && v.back() == ' ')
-    v.remove_suffix(1);
-  return v;
+  value.remove_prefix(kScheme.size());
+  while (!value.empty() && value.front() == ' ')
+    value.remove_prefix(1);
+  while (!value.empty() && value.back() == ' ')
+    value.remove_suffix(1);
+  return value;
 }
 
-// A token of the quota: from the stash, or drawn in one short round trip. A request that finds the purse empty is
-// turned away as soon as that is known, unless a token will be there in time.
-bool takeQuotaToken(Exchange& x, const std::string& tenant) {
-  auto& context = x.context;
-  auto& quota = context.quota;
-  if (quota.take(tenant, Exchange::now())) {
-    if (quota.low(tenant, Exchange::now()))
-      context.drawGrants();
-    return true;
+Rejected checkServing(const Exchange& exchange) {
+  auto& context = exchange.context;
+  // A process that is about to exit could not answer what it accepts now.
+  if (!context.shutdown.acceptsRequests(exchange.arrivedAt)) {
+    const auto spread = Duration(static_cast<std::int64_t>(context.rng() % kRetryElsewhereSpreadMs));
+    return Rejection{503, kRetryElsewhere + spread, "shutting down"};
+  }
+  // Without a valid lease the configuration may be older than the revocation of a key.
+  if (!context.hasLease(exchange.arrivedAt))
+    return Rejection{503, context.retryAfterLease(exchange.arrivedAt), "no fresh lease"};
+  return std::nullopt;
+}
+
+Rejected findRoute(Exchange& exchange) {
+  const auto& configuration = *exchange.configuration;
+  const std::string_view target(exchange.request.target().data(), exchange.request.target().size());
+  const int index = configuration.find(headerValue(exchange.request, "Host"), target);
+  if (index < 0)
+    return Rejection{404, Duration(0), "no route"};
+  exchange.route = &configuration.routes[static_cast<std::size_t>(index)];
+  exchange.precedence = exchange.route->precedence;
+  return std::nullopt;
+}
+
+Rejected authenticate(Exchange& exchange) {
+  const auto& configuration = *exchange.configuration;
+  if (configuration.subscribers.empty() || exchange.route->keyless)
+    return std::nullopt;
+  const int index = configuration.findSubscriber(bearerKey(exchange.request));
+  if (index < 0)
+    return Rejection{401, Duration(0), "key not known"};
+  exchange.subscriber = &configuration.subscribers[static_cast<std::size_t>(index)];
+  exchange.tenant = exchange.subscriber->label;
+  if (exchange.subscriber->precedence >= 0)
+    exchange.precedence = exchange.subscriber->precedence;
+  return std::nullopt;
+}
+
+// One of the route's services, at random by their weights.
+const config::Service& selectService(Exchange& exchange) {
+  const auto& route = *exchange.route;
+  std::uint64_t draw = route.totalWeight > 1 ? exchange.context.rng() % route.totalWeight : 0;
+  std::size_t target = 0;
+  while (target + 1 < route.targets.size() && draw >= route.targets[target].weight)
+    draw -= route.targets[target++].weight;
+  return exchange.configuration->services[static_cast<std::size_t>(route.targets[target].service)];
+}
+
+Rejected checkOverload(Exchange& exchange) {
+  auto& context = exchange.context;
+  const double draw = static_cast<double>(context.rng() % kDrawSteps) / kDrawSteps;
+  if (context.admission.admits(*exchange.service, exchange.precedence, draw, exchange.arrivedAt))
+    return std::nullopt;
+  const auto spread = static_cast<std::int64_t>(context.rng() % kOverloadRetrySpreadMs);
+  return Rejection{503, Duration(kOverloadRetryMs + spread), "overloaded"};
+}
+
+// A request that waits for quota tokens, as long as it is in scope.
+class QuotaWait {
+ public:
+  QuotaWait(ProxyContext& context, const std::string& tenant) : context_(context) {
+    context_.quotaWaiters.push_back({&tenant, &waiter_});
+  }
+  ~QuotaWait() {
+    std::erase_if(context_.quotaWaiters, [this](const auto& waiting) { return waiting.waiter == &waiter_; });
   }
-  // Why not long: a refusal must come well inside the aim, so that the client's next try still can. While draws are
-  // answered one that is merely late is awaited longer: the answer leaves time for the work, another try would not.
-  const auto latencyTarget = x.route->latencyTarget;
-  const auto end =
-      x.arrived + (quota.answering(x.arrived) ? std::clamp(latencyTarget * 9 / 20, Duration(15), Duration(250))
-                                              : std::clamp(latencyTarget / 5, Duration(15), Duration(150)));
-  runtime::Waiter waiter;
-  context.quotaWaits.push_back({&tenant, &waiter});
-  bool has = false;
-  while (!has && Exchange::now() < end) {
-    quota.wait(tenant);
-    context.askTokens();
-    const auto left = toDuration(end - Exchange::now()) + Duration(1);
-    const bool told = runtime::EventLoop::get().waitFor(waiter, std::max(Duration(1), std::min(Duration(100), left)));
-    has = quota.retake(tenant, Exchange::now());
-    if (has || !told)
+  QuotaWait(const QuotaWait&) = delete;
+  QuotaWait& operator=(const QuotaWait&) = delete;
+
+  // False: the time was up before tokens were granted.
+  bool waitFor(Duration timeout) { return runtime::EventLoop::get().waitFor(waiter_, timeout); }
+
+ private:
+  ProxyContext& context_;
+  runtime::Waiter waiter_;
+};
+
+// A rejection must come well within the latency target, so that the client's next attempt can still meet it. While the
+// leader answers, a late answer is worth a longer wait: it leaves time for the work, another attempt would not.
+TimePoint quotaDeadline(const Exchange& exchange) {
+  const auto target = exchange.route->latencyTarget;
+  const bool responsive = exchange.context.quota.leaderResponsive(exchange.arrivedAt);
+  return exchange.arrivedAt + (responsive ? std::clamp(target * 9 / 20, kMinQuotaWait, kMaxQuotaWaitResponsive)
+                                          : std::clamp(target / 5, kMinQuotaWait, kMaxQuotaWait));
+}
+
+bool waitForQuotaToken(Exchange& exchange, const std::string& tenant) {
+  auto& context = exchange.context;
+  auto& quota = context.quota;
+  const auto deadline = quotaDeadline(exchange);
+  QuotaWait wait(context, tenant);
+  while (Exchange::now() < deadline) {
+    quota.requestToken(tenant);
+    context.requestQuotaTokens();
+    const auto timeLeft = toDuration(deadline - Exchange::now()) + Duration(1);
+    const bool granted = wait.waitFor(std::clamp(timeLeft, Duration(1), kTokenResponseTimeout));
+    if (quota.retryAcquire(tenant, Exchange::now()))
+      return true;
+    if (!granted)
       continue;
-    const auto again = quota.until(tenant);
-    if (Exchange::now() + again >= end)
+    // The leader has none: wait for its next token if that comes in time.
+    const auto nextToken = quota.nextTokenIn(tenant);
+    if (Exchange::now() + nextToken >= deadline)
       break;
-    (void)runtime::EventLoop::get().waitFor(waiter, again);
-    has = quota.retake(tenant, Exchange::now());
+    (void)wait.waitFor(nextToken);
+    if (quota.retryAcquire(tenant, Exchange::now()))
+      return true;
   }
-  if (!has)
-    quota.unwait(tenant);
-  std::erase_if(context.quotaWaits, [&](auto& t) { return t.waiter == &waiter; });
-  return has;
+  quota.cancelTokenRequest(tenant);
+  return false;
 }
-// One of the route's services, drawn by their shares.
-const config::Service& drawService(Exchange& x) {
-  const auto& route = *x.route;
-  std::uint64_t draw = route.totalWeight > 1 ? x.context.rng() % route.totalWeight : 0;
-  std::size_t i = 0;
-  while (i + 1 < route.targets.size() && draw >= route.targets[i].weight)
-    draw -= route.targets[i++].weight;
-  return x.configuration->services[static_cast<std::size_t>(route.targets[i].service)];
+
+Rejected checkQuota(Exchange& exchange) {
+  if (!exchange.subscriber || exchange.subscriber->ratePerS <= 0)
+    return std::nullopt;
+  auto& quota = exchange.context.quota;
+  const auto& tenant = exchange.subscriber->label;
+  if (quota.tryAcquire(tenant, Exchange::now())) {
+    if (quota.shouldRefill(tenant, Exchange::now()))
+      exchange.context.requestReserveRefill();
+    return std::nullopt;
+  }
+  if (waitForQuotaToken(exchange, tenant))
+    return std::nullopt;
+  return Rejection{429, quota.retryAfter(tenant, Exchange::now()), "over quota"};
 }
-void describe(Exchange& x, const config::Service& service) {
-  auto& query = x.query;
+
+void setDeadline(Exchange& exchange) {
+  const auto expiry = exchange.route->expiry;
+  const auto requestedMs = parseNumber(headerValue(exchange.request, "X-Deadline-Ms"), expiry.count());
+  exchange.deadline = exchange.arrivedAt + std::min(Duration(requestedMs), expiry);
+}
+
+void prepareRunnerQuery(Exchange& exchange, const config::Service& service) {
+  auto& query = exchange.query;
   query.service = service.label;
-  query.zone = x.context.zone;
-  query.engine = service.engine;
-  query.idempotent = x.route->idempotent();
+  query.zone = exchange.context.zone;
+  query.hasPrefixCache = service.engine;
+  query.idempotent = exchange.route->idempotent();
   if (!service.engine)
     return;
-  const auto parts = balancing::promptOf(field(x.request, "X-Prompt-Prefix"));
-  if (x.route->sessionAffinity) {
-    query.affinity = parts.affinity;
-    query.sharedTokens = parts.shared;
+  const auto prefix = balancing::parsePromptPrefix(headerValue(exchange.request, "X-Prompt-Prefix"));
+  if (exchange.route->sessionAffinity) {
+    query.affinity = prefix.affinity;
+    query.sharedTokens = prefix.sharedTokens;
   }
-  const auto tokens = field(x.request, "X-Token-Count");
-  query.promptTokens = std::max(parts.all, wholeNumber(tokens.substr(0, tokens.find(',')), 0));
+  const auto tokenCounts = headerValue(exchange.request, "X-Token-Count");
+  query.promptTokens = std::max(prefix.totalTokens, parseNumber(tokenCounts.substr(0, tokenCounts.find(',')), 0));
 }
 }  // namespace
 
-std::optional<Refusal> admit(Exchange& x) {
-  auto& context = x.context;
-  x.attemptId = std::string(field(x.request, "X-Attempt-Id"));
-
-  // Why a refusal: a process that is about to end could not answer what it takes on now.
-  if (!context.shutdown.takesRequests(x.arrived))
-    return Refusal{503, kRetryElsewhere + Duration(static_cast<std::int64_t>(context.rng() % kRetrySpreadMs)),
-                   "shutting down"};
-
-  // Why before all else: without a fresh lease this copy may be older than a key that was taken away.
-  if (!context.hasLease(x.arrived))
-    return Refusal{503, context.retryAfterLease(x.arrived), "no fresh lease"};
-
-  const std::string_view target(x.request.target().data(), x.request.target().size());
-  const int routeIndex = x.configuration->find(field(x.request, "Host"), target);
-  if (routeIndex < 0)
-    return Refusal{404, Duration(0), "no route"};
-  x.route = &x.configuration->routes[static_cast<std::size_t>(routeIndex)];
-  x.precedence = x.route->precedence;
-
-  const config::Subscriber* subscriber = nullptr;
-  if (!x.configuration->subscribers.empty() && !x.route->keyless) {
-    const int index = x.configuration->findSubscriber(bearerKey(x.request));
-    if (index < 0)
-      return Refusal{401, Duration(0), "key not known"};
-    subscriber = &x.configuration->subscribers[static_cast<std::size_t>(index)];
-    x.tenant = subscriber->label;
-    if (subscriber->precedence >= 0)
-      x.precedence = subscriber->precedence;
-  }
-  const auto& service = drawService(x);
-  x.service = &service.label;
-  // Why before the quota: what is turned away here must not cost a token.
-  const double draw = static_cast<double>(context.rng() % 1000) / 1000;
-  if (!context.admission.allows(service.label, x.precedence, draw, x.arrived))
-    return Refusal{503, Duration(400 + static_cast<std::int64_t>(context.rng() % 900)), "overloaded"};
-  if (subscriber && subscriber->ratePerS > 0 && !takeQuotaToken(x, subscriber->label))
-    return Refusal{429, context.quota.hint(subscriber->label, Exchange::now()), "over quota"};
-
-  const auto asked = wholeNumber(field(x.request, "X-Deadline-Ms"), x.route->expiry.count());
-  x.deadline = x.arrived + std::min(Duration(asked), x.route->expiry);
-  context.budget.earn(service.label, x.arrived);
-  describe(x, service);
+std::optional<Rejection> admit(Exchange& exchange) {
+  exchange.attemptId = std::string(headerValue(exchange.request, "X-Attempt-Id"));
+  if (auto rejection = checkServing(exchange))
+    return rejection;
+  if (auto rejection = findRoute(exchange))
+    return rejection;
+  if (auto rejection = authenticate(exchange))
+    return rejection;
+  const auto& service = selectService(exchange);
+  exchange.service = &service.label;
+  // Before the quota: a request that is shed must not cost a token.
+  if (auto rejection = checkOverload(exchange))
+    return rejection;
+  if (auto rejection = checkQuota(exchange))
+    return rejection;
+  setDeadline(exchange);
+  exchange.context.retryBudget.recordRequest(service.label, exchange.arrivedAt);
+  prepareRunnerQuery(exchange, service);
   return std::nullopt;
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/admission_check.hpp
+++ b/libs/proxy/src/admission_check.hpp
@@ -1,14 +1,16 @@
-// Whether a request is taken at all: lease, route, key, overload and quota, in the order that costs least.
+/// @file
+/// Whether a request is accepted: shutdown, lease, route, key, overload and quota, the cheapest check first.
 #pragma once
 #include "exchange.hpp"
 namespace zinccleat::proxy {
-// Why a request is turned away: nothing of it has run.
-struct Refusal {
-  int status = 503;
-  Duration retryAfter{0};  // zero: none is named
-  std::string_view why;
+/// Why a request was rejected. Nothing of it has run.
+struct Rejection {
+  int status = 503;         ///< HTTP status
+  Duration retryAfter{0};   ///< zero: the response names no time
+  std::string_view reason;  ///< for the response's body
 };
-// Fills in route, service, tenant, rank and deadline, and what is asked of a runner; or says why not.
-// May wait for a short part of the route's aim where the tenant's quota is being drawn.
-std::optional<Refusal> admit(Exchange& x);
+/// Fills in the route, service, tenant, precedence and deadline of the request and the query for its runner.
+/// May wait for a part of the route's latency target while the leader is asked for a quota token.
+/// @return the reason if the request is rejected.
+std::optional<Rejection> admit(Exchange& exchange);
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/client_watch.cpp
+++ b/libs/proxy/src/client_watch.cpp
@@ -3,7 +3,7 @@
 #include <sys/socket.h>
 
 namespace zinccleat::proxy {
-bool hasLeft(runtime::Connection& client) {
+bool hasDisconnected(runtime::Connection& client) {
   char next = 0;
   const auto count = ::recv(client.socket().native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT);
   const bool isOpen = count > 0 || (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
@@ -11,16 +11,16 @@
 }
 ClientWatch::ClientWatch(runtime::Connection& client) : client_(client) {
   client.socket().async_wait(tcp::socket::wait_read, [state = state_, &client](runtime::SocketError ec) {
-    if (ec || state->over || !hasLeft(client))
+    if (ec || state->stopped || !hasDisconnected(client))
       return;
-    state->gone = true;
-    // Why shut and not only cancelled: whoever is about to read from it again must not park there.
+    state->disconnected = true;
+    // Closed and not only cancelled: a fiber that is about to read from it must not wait there again.
     if (state->upstream)
       state->upstream->close();
   });
 }
 ClientWatch::~ClientWatch() {
-  state_->over = true;
+  state_->stopped = true;
   state_->upstream = nullptr;
   client_.cancel();
 }
--- a/libs/proxy/src/connection_pool.cpp
+++ b/libs/proxy/src/connection_pool.cpp
@@ -4,43 +4,43 @@
 
 namespace zinccleat::proxy {
 namespace {
-// Quiet and open: neither closed by the far end nor holding bytes that nobody asked for.
+// Open, and without bytes that nobody asked for.
 bool isClean(runtime::Connection& connection) {
-  char c = 0;
-  const auto n = ::recv(connection.socket().native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
-  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  char next = 0;
+  const auto count = ::recv(connection.socket().native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT);
+  return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 }  // namespace
 
-std::unique_ptr<runtime::Connection> ConnectionPool::take(const std::string& id, TimePoint now, bool idempotent) {
-  const auto it = idle_.find(id);
+std::unique_ptr<runtime::Connection> ConnectionPool::acquire(const std::string& runnerId, TimePoint now,
+                                                             bool idempotent) {
+  const auto it = idle_.find(runnerId);
   if (it == idle_.end())
     return nullptr;
   auto& idle = it->second;
   while (!idle.empty()) {
-    if (!idempotent && now - idle.back().since > safeIdle_)
-      return nullptr;                      // all others sat longer
-    auto newest = std::move(idle.back());  // the one used last: the others may age and go
+    if (!idempotent && now - idle.back().idleSince > maxIdleUnrepeatable_)
+      return nullptr;  // all others have been idle for longer
+    auto newest = std::move(idle.back());
     idle.pop_back();
-    if (newest.until > now && isClean(*newest.connection))
+    if (newest.expiresAt > now && isClean(*newest.connection))
       return std::move(newest.connection);
   }
   return nullptr;
 }
-void ConnectionPool::give(const std::string& id, std::unique_ptr<runtime::Connection> connection, TimePoint until,
-                          TimePoint now) {
-  idle_[id].push_back({std::move(connection), until, now});
+
+void ConnectionPool::release(const std::string& runnerId, std::unique_ptr<runtime::Connection> connection,
+                             TimePoint expiresAt, TimePoint now) {
+  idle_[runnerId].push_back({std::move(connection), expiresAt, now});
 }
-void ConnectionPool::drop(const std::string& id) {
-  idle_.erase(id);
+
+void ConnectionPool::closeAll(const std::string& runnerId) {
+  idle_.erase(runnerId);
 }
-void ConnectionPool::sweep(TimePoint now) {
-  for (auto it = idle_.begin(); it != idle_.end();) {
-    std::erase_if(it->second, [&](const Idle& x) { return x.until <= now; });
-    if (it->second.empty())
-      it = idle_.erase(it);
-    else
-      ++it;
-  }
+
+void ConnectionPool::closeExpired(TimePoint now) {
+  for (auto& [runnerId, connections] : idle_)
+    std::erase_if(connections, [&](const IdleConnection& idle) { return idle.expiresAt <= now; });
+  std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/exchange.cpp
+++ b/libs/proxy/src/exchange.cpp
@@ -1,18 +1,23 @@
 #include "exchange.hpp"
 
+#include <array>
+#include <charconv>
 #include <cstdio>
 
 namespace zinccleat::proxy {
 namespace {
-constexpr auto kWriteStall = 10s;  // a client that takes nothing for so long is given up
+constexpr auto kClientWriteTimeout = 10s;
+constexpr double kMsPerS = 1000;
+constexpr std::size_t kChunkFraming = 32;  // bytes around a chunk, at most
+constexpr int kHexBase = 16;
 
-std::string retryAfterHead(Duration d) {
-  char b[48];
-  std::snprintf(b, sizeof b, "Retry-After: %.3f\r\n", static_cast<double>(d.count()) / 1000.0);
-  return b;
+std::string retryAfterHeader(Duration duration) {
+  std::array<char, 48> header{};
+  std::snprintf(header.data(), header.size(), "Retry-After: %.3f\r\n", static_cast<double>(duration.count()) / kMsPerS);
+  return header.data();
 }
-// Whether the end of an attempt speaks against its runner.
-bool speaksAgainstRunner(AttemptOutcome outcome, bool staleConnection) {
+// Whether this end of an attempt is a failure of the runner.
+bool isRunnerFailure(AttemptOutcome outcome, bool staleConnection) {
   if (outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::interrupted)
     return !staleConnection;
   return outcome == AttemptOutcome::failed || outcome == AttemptOutcome::deadlineExceeded;
@@ -21,55 +26,61 @@
 
 bool Exchange::writeToClient(std::string_view bytes) {
   runtime::SocketError ec;
-  client.setDeadline(now() + kWriteStall);
+  client.setDeadline(now() + kClientWriteTimeout);
   client.write(asio::buffer(bytes), ec);
   client.clearDeadline();
   return !ec;
 }
+
 bool Exchange::writeChunk(std::string_view bytes) {
-  char size[24];
-  const int n = std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
-  std::string s;
-  s.reserve(bytes.size() + 32);
-  s.append(size, static_cast<std::size_t>(n));
-  s += bytes;
-  s += "\r\n";
-  return writeToClient(s);
+  std::array<char, 2 * sizeof(std::size_t)> digits{};
+  const auto size = std::to_chars(digits.data(), digits.data() + digits.size(), bytes.size(), kHexBase);
+  std::string chunk;
+  chunk.reserve(bytes.size() + kChunkFraming);
+  chunk.append(digits.data(), size.ptr);
+  chunk += "\r\n";
+  chunk += bytes;
+  chunk += "\r\n";
+  return writeToClient(chunk);
 }
-bool Exchange::answer(int status, Duration retryAfter, std::string_view why) {
-  std::string heads;
+
+bool Exchange::respond(int status, Duration retryAfter, std::string_view reason) {
+  std::string headers;
   if (!attemptId.empty())
-    heads += "X-Attempt-Id: " + attemptId + "\r\n";
+    headers += "X-Attempt-Id: " + attemptId + "\r\n";
   if (retryAfter > Duration(0))
-    heads += retryAfterHead(retryAfter);
-  ++context.refused;
-  const auto body = jsonError(why.empty() ? reasonOf(status) : why);
-  return writeToClient(plainAnswer(status, heads, "application/json", body, staysOpen())) && keepAlive;
+    headers += retryAfterHeader(retryAfter);
+  ++context.rejected;
+  const auto body = jsonError(reason.empty() ? reasonPhrase(status) : reason);
+  return writeToClient(plainResponse(status, headers, "application/json", body, keepsConnection())) && keepAlive;
 }
-void Exchange::attemptBegins(int runnerIndex) {
+
+void Exchange::beginAttempt(int runnerIndex) {
   ++context.attempts;
-  context.runners.attemptBegan(runnerIndex, query.promptTokens);
+  context.runners.attemptStarted(runnerIndex, query.promptTokens);
   runner = runnerIndex;
-  unreadTokens = query.promptTokens;
-  unanswered = {runnerIndex, service, unreadTokens, now(), false};
-  context.unanswered.insert(&unanswered);
+  prefillTokens = query.promptTokens;
+  pendingAttempt = {runnerIndex, service, prefillTokens, now(), false};
+  context.pendingAttempts.insert(&pendingAttempt);
 }
-void Exchange::promptRead(bool began) {
-  if (unreadTokens < 0)
+
+void Exchange::endPrefill(bool responded) {
+  if (prefillTokens < 0)
     return;
-  context.runners.promptRead(runner, unreadTokens);
-  context.unanswered.erase(&unanswered);
-  if (began)
-    (void)context.observer.began(context.runners.at(runner).id, *service, unreadTokens,
-                                 toDuration(now() - unanswered.since), unanswered.countedSlow);
-  unreadTokens = -1;
+  context.runners.prefillEnded(runner, prefillTokens);
+  context.pendingAttempts.erase(&pendingAttempt);
+  if (responded)
+    (void)context.observer.recordResponse(context.runners.at(runner).id, *service, prefillTokens,
+                                          toDuration(now() - pendingAttempt.startedAt), pendingAttempt.countedSlow);
+  prefillTokens = -1;
   if (route->latencyTarget > Duration(0))
-    context.admission.first(*service, now() - arrived > route->latencyTarget, now());
+    context.admission.recordResponse(*service, now() - arrivedAt > route->latencyTarget, now());
 }
-void Exchange::attemptEnds(AttemptOutcome outcome) {
-  promptRead(false);
-  if (speaksAgainstRunner(outcome, staleConnection))
-    context.observer.failed(context.runners.at(runner).id);
+
+void Exchange::endAttempt(AttemptOutcome outcome) {
+  endPrefill(false);
+  if (isRunnerFailure(outcome, staleConnection))
+    context.observer.recordFailure(context.runners.at(runner).id);
   context.runners.attemptEnded(runner);
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/exchange.hpp
+++ b/libs/proxy/src/exchange.hpp
@@ -1,67 +1,75 @@
-// One request on its way: what is known of it, and the client's end of it. Shared by the steps that handle it.
+/// @file
+/// One request and its response: the state that the steps of handling it share, and the client's side of it.
 #pragma once
 #include "client_watch.hpp"
-#include "events.hpp"
+#include "event_scanner.hpp"
 #include "proxy/proxy.hpp"
 #include "retry.hpp"
 namespace zinccleat::proxy {
-// A runner's own failure, kept to be passed on unchanged if no other runner does better.
-struct KeptFailure {
-  std::string head, body;
+/// A runner's own error response, forwarded unchanged if no other runner does better.
+struct RunnerFailure {
+  std::string header;
+  std::string body;
 };
 
 struct Exchange {
-  Exchange(ProxyContext& c, runtime::Connection& clientConnection, RequestParser& parser)
-      : context(c), client(clientConnection), request(parser.get()) {}
+  Exchange(ProxyContext& proxyContext, runtime::Connection& clientConnection, RequestParser& parser)
+      : context(proxyContext), client(clientConnection), request(parser.get()) {}
 
   ProxyContext& context;
   runtime::Connection& client;
   RequestParser::value_type& request;
-  const TimePoint arrived = Clock::now();
-  // Requests under way keep the configuration that they began with.
+  const TimePoint arrivedAt = Clock::now();
+  /// A request keeps the configuration that was in force when it arrived.
   const std::shared_ptr<const config::Configuration> configuration = context.configuration;
 
   // Set on admission.
   std::string attemptId;
   const config::Route* route = nullptr;
-  const std::string* service = nullptr;  // its label
-  std::string tenant;
-  int precedence = -1;
+  const config::Subscriber* subscriber = nullptr;  ///< null on a route without keys
+  const std::string* service = nullptr;            ///< label
+  std::string tenant;                              ///< label of the subscriber
+  int precedence = -1;                             ///< -1: none
   TimePoint deadline;
   balancing::RunnerQuery query;
 
   // The client's side.
-  std::optional<ClientWatch> watch;  // from admission on
+  std::optional<ClientWatch> watch;  ///< from admission on
   bool keepAlive = request.keep_alive();
-  bool answerStarted = false;
-  EventScan events;
-  KeptFailure failure;
+  bool responseStarted = false;  ///< the client has the header of a stream's response
+  EventScanner events;
+  RunnerFailure failure;
 
-  // The attempt under way.
-  int runner = -1;                 // its place in the runner pool; -1: none, or a partner site's node
-  std::int64_t unreadTokens = -1;  // of the prompt, while the runner has not begun to answer; -1: it has
-  UnansweredAttempt unanswered{};
-  bool staleConnection = false;  // it ended on a connection that the runner had forgotten: not the runner's fault
-  bool lastRunner = false;       // no further runner is allowed after this one
-  bool movePaid = false;         // the budget has paid for the next runner already
-  runtime::Connection* partnerPending = nullptr;  // to a partner that has not begun to answer: it is given little time
+  // The attempt in progress.
+  int runner = -1;                  ///< index in the runner pool; -1: none, or a node of the partner site
+  std::int64_t prefillTokens = -1;  ///< of the prompt, until the runner begins to respond; then -1
+  PendingAttempt pendingAttempt{};
+  bool staleConnection = false;    ///< it failed on a connection that the runner had dropped: not the runner's fault
+  bool isLastAttempt = false;      ///< no other runner is allowed after this one
+  bool nextAttemptIsPaid = false;  ///< the retry budget has been charged for the next runner already
+  runtime::Connection* pendingPartner = nullptr;  ///< to a partner node that has not begun to respond
 
   static TimePoint now() { return Clock::now(); }
-  // Whether the client's connection stays open after this answer, as things stand when its head is written.
-  bool staysOpen() { return keepAlive = keepAlive && !context.shutdown.begun() && !context.zoneDraining; }
-  std::string_view connectionHead() { return staysOpen() ? "" : "Connection: close\r\n"; }
+  /// Decides whether the client's connection stays open after the response whose header is written now.
+  bool keepsConnection() { return keepAlive = keepAlive && !context.shutdown.begun() && !context.zoneDraining; }
+  std::string_view connectionHeader() { return keepsConnection() ? "" : "Connection: close\r\n"; }
 
-  // Writes to the client. False: it is gone, or has taken nothing for too long.
+  /// Writes to the client.
+  /// @return false if it has disconnected, or read nothing for too long.
   bool writeToClient(std::string_view bytes);
+  /// Writes one chunk of a chunked response.
   bool writeChunk(std::string_view bytes);
-  // An answer of our own. retryAfter: zero for none. True: the connection may carry another request.
-  bool answer(int status, Duration retryAfter = Duration(0), std::string_view why = {});
+  /// Answers the request without a runner.
+  /// @param retryAfter  zero: the response names no time
+  /// @param reason      empty: the standard phrase of the status
+  /// @return whether the connection may carry another request.
+  bool respond(int status, Duration retryAfter = Duration(0), std::string_view reason = {});
 
-  // An attempt begins at this runner, whose answer is awaited from now on.
-  void attemptBegins(int runnerIndex);
-  // The runner has begun to answer, or never will (began false): its prompt no longer waits there.
-  void promptRead(bool began);
-  // The attempt is over: what its end says about the runner is noted.
-  void attemptEnds(AttemptOutcome outcome);
+  /// An attempt at this runner begins.
+  void beginAttempt(int runnerIndex);
+  /// The runner has begun to respond, or (`responded` false) never will. Only the first call of an attempt counts.
+  void endPrefill(bool responded);
+  /// The attempt has ended; what that says about the runner is recorded.
+  void endAttempt(AttemptOutcome outcome);
 };
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/graceful_shutdown.cpp
+++ b/libs/proxy/src/graceful_shutdown.cpp
@@ -4,12 +4,12 @@
 bool GracefulShutdown::begin(TimePoint now, Duration grace) {
   if (std::exchange(begun_, true))
     return false;
-  // Why a tenth earlier: the process must end by itself before it is killed.
+  // A tenth earlier: the process must exit by itself before it is killed.
   exiting_ = now + grace * 9 / 10;
-  // Why half at most: with little grace the requests taken last need time to end, and LOST counts none at which a
-  // runner still works in the second half.
+  // Half at most: with a short grace period the requests accepted last need time to end, and the rule LOST counts none
+  // that a runner still works on in the second half.
   notAccepting_ = now + std::min(kNoticeTime, grace / 2);
-  draining_ = std::min(notAccepting_ + (kLastRequestTaken - kNoticeTime), exiting_);
+  draining_ = std::min(notAccepting_ + (kLastRequestAccepted - kNoticeTime), exiting_);
   return true;
 }
 ShutdownPhase GracefulShutdown::phase(TimePoint now) const {
--- a/libs/proxy/src/http.cpp
+++ b/libs/proxy/src/http.cpp
@@ -1,94 +1,115 @@
 #include "proxy/http.hpp"
 
-#include <cstddef>
-
 #include "config/control_requests.hpp"
 
 namespace zinccleat::proxy {
 namespace {
-constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
+constexpr int kBadRequest = 400;
+constexpr int kRequestTimeout = 408;
+constexpr int kPayloadTooLarge = 413;
+constexpr int kHeaderTooLarge = 431;
+constexpr std::size_t kTypicalHeaderBytes = 160;
 
 int statusOf(const runtime::SocketError& ec) {
   if (ec == http::error::header_limit)
-    return 431;
+    return kHeaderTooLarge;
   if (ec == http::error::body_limit)
-    return 413;
-  return 400;
+    return kPayloadTooLarge;
+  return kBadRequest;
+}
+
+// Whether the client sent something that is no HTTP, rather than only ended its connection.
+bool isProtocolError(const runtime::SocketError& ec) {
+  const bool fromParser = ec.category() == make_error_code(http::error::bad_line_ending).category();
+  return fromParser && ec != http::error::end_of_stream && ec != http::error::partial_message;
 }
-bool protocolFault(const runtime::SocketError& ec) {
-  return ec.category() == make_error_code(http::error::bad_line_ending).category();
+
+void readHeader(runtime::Connection& connection, Buffer& buffer, RequestParser& parser, runtime::SocketError& ec) {
+  pump(connection, buffer, parser, true, ec);
+  // With a last coding that is not chunked the body has no known end: what follows must not be read as a request.
+  if (!ec && !parser.chunked() && parser.get().count(http::field::transfer_encoding))
+    ec = http::error::bad_transfer_encoding;
+}
+
+void readBody(runtime::Connection& connection, Buffer& buffer, RequestParser& parser, runtime::SocketError& ec) {
+  // A client that sends `Expect: 100-continue` waits for this before it sends the body.
+  if (parser.get().count(http::field::expect))
+    connection.write(asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ec);
+  if (!ec)
+    pump(connection, buffer, parser, false, ec);
 }
 }  // namespace
 
-bool awaitRequest(runtime::Connection& w, Buffer& buf, Duration idle) {
-  if (buf.size() > 0)
+bool awaitRequest(runtime::Connection& connection, Buffer& buffer, Duration idle) {
+  if (buffer.size() > 0)
     return true;
   runtime::SocketError ec;
-  w.setDeadline(Clock::now() + idle);
-  auto n = w.read(buf.prepare(kReadBytes), ec);
-  w.clearDeadline();
-  // Why once more: bytes may have come in the very turn in which the wait was cancelled.
-  runtime::SocketError unknown;
-  if (ec == asio::error::operation_aborted && w.socket().available(unknown) > 0) {
+  connection.setDeadline(Clock::now() + idle);
+  auto received = connection.read(buffer.prepare(kReadBytes), ec);
+  connection.clearDeadline();
+  // Bytes may have arrived in the same turn of the event loop in which the deadline cancelled the read.
+  runtime::SocketError ignored;
+  if (ec == asio::error::operation_aborted && connection.socket().available(ignored) > 0) {
     ec = {};
-    n = w.read(buf.prepare(kReadBytes), ec);
+    received = connection.read(buffer.prepare(kReadBytes), ec);
   }
-  if (ec || n == 0)
+  if (ec || received == 0)
     return false;
-  buf.commit(n);
+  buffer.commit(received);
   return true;
 }
-ReadResult readRequest(runtime::Connection& w, Buffer& buf, RequestParser& p, const ReadLimits& l) {
+
+ReadResult readRequest(runtime::Connection& connection, Buffer& buffer, RequestParser& parser,
+                       const ReadLimits& limits) {
+  parser.header_limit(static_cast<std::uint32_t>(limits.header));
+  parser.body_limit(limits.body);
+  parser.eager(true);
+  if (!awaitRequest(connection, buffer, limits.idle))
+    return {ReadOutcome::closed, 0};
+
   runtime::SocketError ec;
-  p.header_limit(static_cast<std::uint32_t>(l.header));
-  p.body_limit(l.body);
-  p.eager(true);
-  if (!awaitRequest(w, buf, l.idle))
-    return {ReadEnd::closed, 0};
-  const auto began = Clock::now();
-  w.setDeadline(began + l.headerTime);
-  pump(w, buf, p, true, ec);
-  // A coding that is not chunked leaves open where the body ends: what follows must not be read as a request.
-  if (!ec && !p.chunked() && p.get().count(http::field::transfer_encoding))
-    ec = http::error::bad_transfer_encoding;
-  if (!ec && !p.is_done()) {
-    w.setDeadline(Clock::now() + l.bodyTime);
-    // Why answered at once: a caller that asks first would wait for ever.
-    if (p.get().count(http::field::expect))
-      w.write(asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ec);
-    if (!ec)
-      pump(w, buf, p, false, ec);
+  connection.setDeadline(Clock::now() + limits.headerTime);
+  readHeader(connection, buffer, parser, ec);
+  if (!ec && !parser.is_done()) {
+    connection.setDeadline(Clock::now() + limits.bodyTime);
+    readBody(connection, buffer, parser, ec);
   }
-  const bool late = w.deadlineExceeded();
-  w.clearDeadline();
+  const bool timedOut = connection.deadlineExceeded();
+  connection.clearDeadline();
   if (!ec)
-    return {ReadEnd::whole, 0};
-  if (late)
-    return {ReadEnd::errorResponse, 408};
-  if (protocolFault(ec) && ec != http::error::end_of_stream && ec != http::error::partial_message)
-    return {ReadEnd::errorResponse, statusOf(ec)};
-  return {ReadEnd::closed, 0};
+    return {ReadOutcome::complete, 0};
+  if (timedOut)
+    return {ReadOutcome::rejected, kRequestTimeout};
+  if (isProtocolError(ec))
+    return {ReadOutcome::rejected, statusOf(ec)};
+  return {ReadOutcome::closed, 0};
 }
 
-std::string_view reasonOf(int s) {
-  return http::obsolete_reason(static_cast<http::status>(s));
+std::string_view reasonPhrase(int status) {
+  return http::obsolete_reason(static_cast<http::status>(status));
 }
-std::string plainAnswer(int status, std::string_view heads, std::string_view type, std::string_view body, bool keep) {
-  std::string a;
-  a.reserve(160 + heads.size() + body.size());
-  a += "HTTP/1.1 " + std::to_string(status) + " ";
-  a += reasonOf(status);
-  a += "\r\n";
-  a += heads;
-  if (!body.empty())
-    (a += "Content-Type: ") += type, a += "\r\n";
-  a += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  if (!keep)
-    a += "Connection: close\r\n";
-  a += "\r\n";
-  a += body;
-  return a;
+
+std::string plainResponse(int status, std::string_view extraHeaders, std::string_view contentType,
+                          std::string_view body, bool keepAlive) {
+  std::string response;
+  response.reserve(kTypicalHeaderBytes + extraHeaders.size() + body.size());
+  response += "HTTP/1.1 " + std::to_string(status) + " ";
+  response += reasonPhrase(status);
+  response += "\r\n";
+  response += extraHeaders;
+  if (!body.empty()) {
+    response += "Content-Type: ";
+    response += contentType;
+    response += "\r\n";
+  }
+  response += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+  if (!keepAlive)
+    response += "Connection: close\r\n";
+  response += "\r\n";
+  response += body;
+  return response;
 }
+
 std::string jsonError(std::string_view text) {
   return "{\"error\":" + config::quoteJson(text) + "}";
 }
--- a/libs/proxy/src/idle_connections.cpp
+++ b/libs/proxy/src/idle_connections.cpp
@@ -1,8 +1,8 @@
 #include "proxy/idle_connections.hpp"
 
 namespace zinccleat::proxy {
-void IdleConnections::limit(Duration longest) {
+void IdleConnections::limit(Duration maxIdle) {
   for (auto& [connection, since] : idleSince_)
-    connection->setDeadline(std::min(connection->deadline(), since + longest));
+    connection->setDeadline(std::min(connection->deadline(), since + maxIdle));
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/partner_attempt.cpp
+++ b/libs/proxy/src/partner_attempt.cpp
@@ -1,74 +1,85 @@
 #include "partner_attempt.hpp"
 
-#include <cstddef>
-
-#include "heads.hpp"
+#include "headers.hpp"
 #include "stream_relay.hpp"
 
 namespace zinccleat::proxy {
 namespace {
-constexpr std::size_t kReadBytes = std::size_t{4} * 1024;
-constexpr std::uint64_t kMostAnswerBytes = 64U << 20;
-constexpr Duration kLeastPatience{20}, kMostPatience{400};
+constexpr std::size_t kPartnerReadBytes = std::size_t{4} * 1024;
+constexpr int kTimeoutFraction = 5;  // of the latency target
+constexpr Duration kMinTimeout{20};
+constexpr Duration kMaxTimeout{400};
+constexpr unsigned kServiceUnavailable = 503;
 }  // namespace
 
-AttemptOutcome attemptOnPartner(Exchange& x, const std::string& address) {
+AttemptOutcome PartnerAttempt::run(const std::string& address) {
+  if (!connect(address))
+    return AttemptOutcome::notSent;
+  const AttachedConnection attached(*exchange_.watch, connection_);
+  exchange_.pendingPartner = &connection_;
+  sendRequest();
+  prepare(response_);
+  if (!ec_)
+    pump(connection_, buffer_, response_, true, ec_);
+  if (ec_ || exchange_.watch->disconnected())
+    return brokenOff();
+  if (const auto outcome = checkHeader())
+    return *outcome;
+  // The client gets the header with the first bytes of the body: a node that has only begun must not bind it.
+  if (!awaitBody())
+    return brokenOff();
+  const auto outcome = relayStream(exchange_, connection_, buffer_, response_);
+  return outcome == AttemptOutcome::interrupted ? brokenOff() : outcome;
+}
+
+bool PartnerAttempt::connect(const std::string& address) {
   const auto endpoint = runtime::parseEndpoint(address);
   if (!endpoint)
-    return AttemptOutcome::notSent;
-  runtime::Connection there;
-  runtime::SocketError ec;
-  there.setDeadline(
-      std::min(x.deadline, Exchange::now() + std::clamp(x.route->latencyTarget / 5, kLeastPatience, kMostPatience)));
-  there.connect(*endpoint, ec);
-  if (ec)
-    return AttemptOutcome::notSent;
-  Outbound o;
-  o.toPartner = true;
-  o.left = toDuration(x.deadline - Exchange::now());
-  o.hideKey = false;
-  auto out = outboundHead(x.request, o, x.request.body().size());
-  out += x.request.body();
-  const AttachedConnection attached(*x.watch, there);
-  x.partnerPending = &there;
-  struct ForgetPending {
-    Exchange& x;
-    ~ForgetPending() { x.partnerPending = nullptr; }
-  } const forgetPending{x};
-  there.write(asio::buffer(out), ec);
-  Buffer buffer;
-  AnswerParser answer;
-  answer.eager(true);
-  answer.body_limit(kMostAnswerBytes);
-  if (!ec)
-    pump(there, buffer, answer, true, ec);
-  if (x.watch->gone())
-    return AttemptOutcome::clientGone;
-  if (ec)
-    return AttemptOutcome::interrupted;
-  const auto& head = answer.get();
-  // Whatever is no whole success is left there: this site answers for itself.
-  if (head.result_int() / 100 == 4 || head.result_int() == 503)
+    return false;
+  const auto timeout = std::clamp(exchange_.route->latencyTarget / kTimeoutFraction, kMinTimeout, kMaxTimeout);
+  connection_.setDeadline(std::min(exchange_.deadline, Exchange::now() + timeout));
+  connection_.connect(*endpoint, ec_);
+  return !ec_;
+}
+
+void PartnerAttempt::sendRequest() {
+  ForwardingOptions options;
+  options.toPartner = true;
+  options.timeLeft = toDuration(exchange_.deadline - Exchange::now());
+  options.removeAuthorization = false;
+  const auto& body = exchange_.request.body();
+  auto message = forwardedRequestHeader(exchange_.request, options, body.size());
+  message += body;
+  connection_.write(asio::buffer(message), ec_);
+}
+
+std::optional<AttemptOutcome> PartnerAttempt::checkHeader() {
+  const auto& header = response_.get();
+  const auto status = header.result_int();
+  if (isClientError(status) || status == kServiceUnavailable)
     return AttemptOutcome::notExecuted;
-  if (head.result_int() / 100 != 2 || field(head, "X-Attempt-Id") != x.attemptId ||
-      field(head, "X-Server-Seal").empty() || head.count(http::field::content_encoding) > 0)
+  if (!isSuccess(status) || !belongsTo(header, exchange_.attemptId) || !isSealed(header))
     return AttemptOutcome::interrupted;
-  // Why the first bytes before the head goes on: one that only says that it begins must not hold the client.
-  while (answer.get().body().empty() && !answer.is_done()) {
-    if (buffer.size() == 0) {
-      const auto n = there.read(buffer.prepare(kReadBytes), ec);
-      if (x.watch->gone())
-        return AttemptOutcome::clientGone;
-      if (ec)
-        return AttemptOutcome::interrupted;
-      buffer.commit(n);
+  return std::nullopt;
+}
+
+bool PartnerAttempt::awaitBody() {
+  while (response_.get().body().empty() && !response_.is_done()) {
+    if (buffer_.size() == 0) {
+      const auto received = connection_.read(buffer_.prepare(kPartnerReadBytes), ec_);
+      if (ec_ || exchange_.watch->disconnected())
+        return false;
+      buffer_.commit(received);
     }
-    const auto n = answer.put(buffer.data(), ec);
-    buffer.consume(n);
-    if (ec && ec != http::error::need_more)
-      return AttemptOutcome::interrupted;
+    const auto parsed = response_.put(buffer_.data(), ec_);
+    buffer_.consume(parsed);
+    if (ec_ && ec_ != http::error::need_more)
+      return false;
   }
-  const auto outcome = relayStream(x, there, buffer, answer);
-  return outcome == AttemptOutcome::interrupted && x.watch->gone() ? AttemptOutcome::clientGone : outcome;
+  return true;
+}
+
+AttemptOutcome PartnerAttempt::brokenOff() const {
+  return exchange_.watch->disconnected() ? AttemptOutcome::clientDisconnected : AttemptOutcome::interrupted;
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/proxy_context.cpp
+++ b/libs/proxy/src/proxy_context.cpp
@@ -3,30 +3,37 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::uint64_t kRetrySpreadMs = 120;
-constexpr Duration kRetryAfterStart{150};  // the least, while the first lease is awaited
-constexpr Duration kFirstLeaseAfter{800};  // from the start, until the core has a leader after a loss of all
+constexpr Duration kMinRetryAfterStart{150};
+constexpr Duration kFirstLeaseAfter{800};  // from the start, until a leader is elected after a restart of all members
 constexpr Duration kRetryWithoutLease{500};
 }  // namespace
 
-void ProxyContext::countSlow(TimePoint now) {
-  for (auto* a : unanswered) {
-    if (!a->countedSlow && now - a->since > observer.patience(*a->service, a->promptTokens)) {
-      a->countedSlow = true;
-      observer.slow(runners.at(a->runner).id);
-    }
+void ProxyContext::recordSlowAttempts(TimePoint now) {
+  for (auto* attempt : pendingAttempts) {
+    if (attempt->countedSlow)
+      continue;
+    if (now - attempt->startedAt <= observer.slowThreshold(*attempt->service, attempt->promptTokens))
+      continue;
+    attempt->countedSlow = true;
+    observer.recordSlow(runners.at(attempt->runner).id);
   }
 }
+
 Duration ProxyContext::retryAfterLease(TimePoint now) {
   const auto spread = Duration(rng() % kRetrySpreadMs);
-  // Why not sooner: a client has few tries, and one that meets a second refusal is lost. A process that has just
-  // started has its first lease as soon as the core has a leader, which after a loss of all takes this long.
+  // A client makes few attempts, so a second rejection must be unlikely. A process that has just started gets its first
+  // lease as soon as there is a leader.
   if (leaseEnds == TimePoint{})
-    return std::max(kRetryAfterStart, kFirstLeaseAfter - toDuration(now - startedAt)) + spread;
+    return std::max(kMinRetryAfterStart, kFirstLeaseAfter - toDuration(now - startedAt)) + spread;
   return kRetryWithoutLease + spread;
 }
-void ProxyContext::wakeQuotaWaits(const std::vector<transport::QuotaGrant>& grants) {
-  for (auto& wait : quotaWaits)
-    if (std::any_of(grants.begin(), grants.end(), [&](auto& g) { return g.tenant == *wait.tenant; }))
-      wait.waiter->wake();
+
+void ProxyContext::wakeQuotaWaiters(const std::vector<transport::QuotaGrant>& grants) {
+  for (auto& waiting : quotaWaiters) {
+    const bool granted =
+        std::any_of(grants.begin(), grants.end(), [&](const auto& grant) { return grant.tenant == *waiting.tenant; });
+    if (granted)
+      waiting.waiter->wake();
+  }
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/request_handler.cpp
+++ b/libs/proxy/src/request_handler.cpp
@@ -1,133 +1,158 @@
 #include "request_handler.hpp"
 
 #include "admission_check.hpp"
-#include "heads.hpp"
+#include "headers.hpp"
 #include "partner_attempt.hpp"
 #include "retry.hpp"
 #include "runner_attempt.hpp"
 
 namespace zinccleat::proxy {
 namespace {
-constexpr int kConnectTries = 3;  // beyond the route's attempts: a runner that can't be reached has been sent nothing
+constexpr int kExtraConnectAttempts = 3;  // beyond the route's attempts: an unreachable runner has been sent nothing
+constexpr std::int64_t kNoRunnerRetryMs = 100;
+constexpr std::uint64_t kNoRunnerRetrySpreadMs = 200;
 
-// A long opening that a partner site holds and this one does not: that node's address, or empty.
-// Only what may be repeated, so that a stale hint or a partner that fails costs a moment and never an answer: the
-// request then goes on here. A runner there counts among those of the try, so one must be left for this site.
-std::string partnerFor(Exchange& x, const RetryInput& state) {
-  auto& context = x.context;
-  if (!context.lookupPartner || state.runnersAllowed < 2 || state.kind != RequestKind::resumableStream ||
-      x.query.sharedTokens < balancing::PartnerTrust::kLongTokens)
+RetryState initialState(const Exchange& exchange) {
+  RetryState state;
+  state.kind = kindOf(*exchange.route);
+  // The partner site keeps the other attempts for itself: what it forwards gets one runner here.
+  const bool fromPartner = !headerValue(exchange.request, kPartnerSiteHeader).empty();
+  state.runnersAllowed = fromPartner ? 1 : exchange.route->maxAttempts;
+  return state;
+}
+
+// The address of a partner node that caches a long prompt prefix which this site does not cache; empty: none.
+// Only for idempotent requests: a stale hint or a failing partner then costs a moment and never the response, because
+// the request continues here. The partner's runner counts as one of the request's, so one must be left for this site.
+std::string findPartner(Exchange& exchange, const RetryState& state) {
+  auto& context = exchange.context;
+  const bool qualifies = context.lookupPartner && state.runnersAllowed >= 2 &&
+                         state.kind == RequestKind::resumableStream &&
+                         exchange.query.sharedTokens >= balancing::PartnerCircuitBreaker::kMinSharedTokens;
+  if (!qualifies)
     return {};
-  auto address = context.lookupPartner(x.query.affinity, x.tenant);
+  auto address = context.lookupPartner(exchange.query.affinity, exchange.tenant);
   if (address.empty() || !context.partner.allows(Exchange::now()))
     return {};
   return address;
 }
-void tryPartner(Exchange& x, const std::string& address, RetryInput& state) {
-  auto& context = x.context;
-  ++context.toPartner;
-  state.outcome = attemptOnPartner(x, address);
-  if (state.outcome == AttemptOutcome::completed) {
-    context.partner.answered();
+
+void recordPartnerOutcome(ProxyContext& context, AttemptOutcome outcome) {
+  if (outcome == AttemptOutcome::completed) {
+    context.partner.recordSuccess();
     ++context.fromPartner;
-    return;
+  } else if (outcome != AttemptOutcome::clientDisconnected) {
+    context.partner.recordFailure(Exchange::now());
   }
-  if (state.outcome == AttemptOutcome::clientGone)
-    return;
-  context.partner.recordFailure(Exchange::now());
-  if (mayHaveRun(state.outcome)) {
+}
+
+RetryDecision attemptPartnerSite(Exchange& exchange, RetryState& state) {
+  const auto address = findPartner(exchange, state);
+  if (address.empty())
+    return RetryDecision::nextRunner;
+  ++exchange.context.toPartner;
+  state.outcome = PartnerAttempt(exchange).run(address);
+  recordPartnerOutcome(exchange.context, state.outcome);
+  if (state.outcome != AttemptOutcome::completed && mayHaveRun(state.outcome)) {
     state.mayHaveRun = true;
     --state.runnersAllowed;
   }
+  state.responseStarted = exchange.responseStarted;
+  state.resumePointKnown = exchange.events.isResumable();
+  return decide(state);
 }
-// A runner for the next attempt that is paid for; -1: there is none, or no lease, or no budget.
-int nextRunner(Exchange& x, const RetryInput& state) {
-  // Why asked before every attempt: the lease may have ended while an earlier one failed.
-  if (!x.context.hasLease(Exchange::now()))
+
+// The runner for the next attempt, paid for; -1 if there is no runner, no lease or no retry budget.
+int selectRunner(Exchange& exchange, const RetryState& state) {
+  auto& context = exchange.context;
+  // Checked before each attempt: the lease may have ended during the last one.
+  if (!context.hasLease(Exchange::now()))
     return -1;
-  const int runner = x.context.runners.choose(x.query, Exchange::now());
+  const int runner = context.runners.choose(exchange.query, Exchange::now());
   if (runner < 0)
     return -1;
-  const bool further = state.runnersUsed > 0;
-  if (further && !std::exchange(x.movePaid, false) && !x.context.budget.spend(*x.service, Exchange::now()))
-    return -1;
-  return runner;
+  const bool isRetry = state.runnersUsed > 0;
+  const bool isFree = !isRetry || std::exchange(exchange.nextAttemptIsPaid, false);
+  return isFree || context.retryBudget.tryWithdraw(*exchange.service, Exchange::now()) ? runner : -1;
 }
-void tryRunner(Exchange& x, int runner, RetryInput& state) {
-  x.lastRunner = state.runnersUsed + 1 >= state.runnersAllowed;
-  x.query.excluded.push_back(runner);
-  x.attemptBegins(runner);
-  state.outcome = attemptOnRunner(x);
-  x.attemptEnds(state.outcome);
+
+void attemptRunner(Exchange& exchange, int runner, RetryState& state) {
+  exchange.isLastAttempt = state.runnersUsed + 1 >= state.runnersAllowed;
+  exchange.query.excluded.push_back(runner);
+  exchange.beginAttempt(runner);
+  state.outcome = RunnerAttempt(exchange).run();
+  exchange.endAttempt(state.outcome);
   if (state.outcome != AttemptOutcome::notSent)
     ++state.runnersUsed;
   state.mayHaveRun = state.mayHaveRun || mayHaveRun(state.outcome);
-  state.answerStarted = x.answerStarted;
-  state.resumePointKnown = x.events.resumable();
+  state.responseStarted = exchange.responseStarted;
+  state.resumePointKnown = exchange.events.isResumable();
 }
-bool relayFailure(Exchange& x) {
-  auto s = std::move(x.failure.head);
-  s += "Content-Length: " + std::to_string(x.failure.body.size()) + "\r\n";
-  s += x.connectionHead();
-  s += "\r\n";
-  s += x.failure.body;
-  return x.writeToClient(s) && x.keepAlive;
+
+RetryDecision attemptNextRunner(Exchange& exchange, RetryState& state, int earlierAttempts) {
+  if (Exchange::now() >= exchange.deadline)
+    state.outcome = AttemptOutcome::deadlineExceeded;
+  const bool mayAttempt = state.outcome != AttemptOutcome::deadlineExceeded &&
+                          earlierAttempts < state.runnersAllowed + kExtraConnectAttempts;
+  const int runner = mayAttempt ? selectRunner(exchange, state) : -1;
+  if (runner < 0)
+    return conclude(state);
+  attemptRunner(exchange, runner, state);
+  return decide(state);
 }
-}  // namespace
 
-bool handleRequest(ProxyContext& context, runtime::Connection& client, RequestParser& parser) {
-  Exchange x(context, client, parser);
-  if (const auto refusal = admit(x))
-    return x.answer(refusal->status, refusal->retryAfter, refusal->why);
-  x.watch.emplace(client);
+bool forwardFailure(Exchange& exchange) {
+  auto response = std::move(exchange.failure.header);
+  response += "Content-Length: " + std::to_string(exchange.failure.body.size()) + "\r\n";
+  response += exchange.connectionHeader();
+  response += "\r\n";
+  response += exchange.failure.body;
+  return exchange.writeToClient(response) && exchange.keepAlive;
+}
 
-  RetryInput state;
-  state.kind = kindOf(*x.route);
-  // A partner site keeps more attempts for itself; a try that came from there has one runner here.
-  state.runnersAllowed = field(x.request, kFromPartner).empty() ? x.route->maxAttempts : 1;
+// Nothing has run: the client may come back, at a random time so that not all do at once.
+bool respondUnavailable(Exchange& exchange) {
+  const auto spread = static_cast<std::int64_t>(exchange.context.rng() % kNoRunnerRetrySpreadMs);
+  return exchange.respond(503, Duration(kNoRunnerRetryMs + spread), "no runner is free");
+}
 
-  auto decision = RetryDecision::tryAnother;
-  if (const auto partner = partnerFor(x, state); !partner.empty()) {
-    tryPartner(x, partner, state);
-    state.answerStarted = x.answerStarted;
-    state.resumePointKnown = x.events.resumable();
-    decision = decide(state);
-  }
-  for (int tries = 0; decision == RetryDecision::tryAnother; ++tries) {
-    if (x.watch->gone())
+bool finish(Exchange& exchange, const RetryState& state, RetryDecision decision) {
+  switch (decision) {
+    case RetryDecision::finished:
+      ++exchange.context.served;
+      return exchange.keepAlive;
+    case RetryDecision::nextRunner:  // not a final decision
+    case RetryDecision::closeConnection:
+      // A response that has begun and not ended must not look complete.
+      if (exchange.responseStarted && state.outcome != AttemptOutcome::clientDisconnected)
+        ++exchange.context.truncatedResponses;
       return false;
-    if (Exchange::now() >= x.deadline)
-      state.outcome = AttemptOutcome::deadlineExceeded;
-    const bool mayTry =
-        state.outcome != AttemptOutcome::deadlineExceeded && tries < state.runnersAllowed + kConnectTries;
-    const int runner = mayTry ? nextRunner(x, state) : -1;
-    if (runner < 0) {
-      decision = conclude(state);
+    case RetryDecision::forwardFailure:
+      return forwardFailure(exchange);
+    case RetryDecision::respondBadGateway:
+      return exchange.respond(502, Duration(0), "the runner's answer was lost");
+    case RetryDecision::respondTimeout:
+      return exchange.respond(504, Duration(0), "time is up");
+    case RetryDecision::respondUnavailable:
       break;
-    }
-    tryRunner(x, runner, state);
-    decision = decide(state);
   }
+  return respondUnavailable(exchange);
+}
+}  // namespace
 
-  switch (decision) {
-    case RetryDecision::finished:
-      ++context.served;
-      return x.keepAlive;
-    case RetryDecision::tryAnother:  // the loop does not end with it
-    case RetryDecision::close:
-      // An answer begun and not ended must not look whole.
-      context.cutAnswers += x.answerStarted && state.outcome != AttemptOutcome::clientGone;
+bool handleRequest(ProxyContext& context, runtime::Connection& client, RequestParser& parser) {
+  Exchange exchange(context, client, parser);
+  if (const auto rejection = admit(exchange))
+    return exchange.respond(rejection->status, rejection->retryAfter, rejection->reason);
+  exchange.watch.emplace(client);
+
+  auto state = initialState(exchange);
+  auto decision = attemptPartnerSite(exchange, state);
+  for (int attempts = 0; decision == RetryDecision::nextRunner; ++attempts) {
+    if (exchange.watch->disconnected())
       return false;
-    case RetryDecision::relayFailure:
-      return relayFailure(x);
-    case RetryDecision::answerBadGateway:
-      return x.answer(502, Duration(0), "the runner's answer was lost");
-    case RetryDecision::answerTimeout:
-      return x.answer(504, Duration(0), "time is up");
-    case RetryDecision::answerUnavailable:
-      break;
+    decision = attemptNextRunner(exchange, state, attempts);
   }
-  // Nothing has run: say when to come back, spread so that all do not come at once.
-  return x.answer(503, Duration(100 + static_cast<std::int64_t>(context.rng() % 200)), "no runner is free");
+  return finish(exchange, state, decision);
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/request_handler.hpp
+++ b/libs/proxy/src/request_handler.hpp
@@ -1,7 +1,9 @@
-// One request, from its head to its answer.
+/// @file
+/// One request, from its admission to its response.
 #pragma once
 #include "proxy/proxy.hpp"
 namespace zinccleat::proxy {
-// Takes a request that was read whole. True: the client's connection may carry another.
+/// Handles a request that was read completely.
+/// @return whether the client's connection may carry another.
 bool handleRequest(ProxyContext& context, runtime::Connection& client, RequestParser& parser);
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/retry.cpp
+++ b/libs/proxy/src/retry.cpp
@@ -6,41 +6,41 @@
     return route.streamResume ? RequestKind::resumableStream : RequestKind::stream;
   return route.type == config::RouteType::safe ? RequestKind::safe : RequestKind::unsafe;
 }
-RetryDecision decide(const RetryInput& in) {
-  switch (in.outcome) {
+
+RetryDecision decide(const RetryState& state) {
+  switch (state.outcome) {
     case AttemptOutcome::completed:
-      return RetryDecision::finished;
-    case AttemptOutcome::clientGone:
-      return RetryDecision::close;
+    case AttemptOutcome::clientDisconnected:
     case AttemptOutcome::deadlineExceeded:
-      return conclude(in);
+      return conclude(state);
     case AttemptOutcome::notSent:
     case AttemptOutcome::notExecuted:
     case AttemptOutcome::interrupted:
-    case AttemptOutcome::movedAway:
+    case AttemptOutcome::migrated:
     case AttemptOutcome::failed:
       break;
   }
-  if (in.runnersUsed >= in.runnersAllowed)
-    return conclude(in);
-  if (in.mayHaveRun && !idempotent(in.kind))
-    return conclude(in);
-  // Whoever went on would begin anew, or bring again what the client has.
-  if (in.answerStarted && (in.kind != RequestKind::resumableStream || !in.resumePointKnown))
-    return conclude(in);
-  return RetryDecision::tryAnother;
+  if (state.runnersUsed >= state.runnersAllowed)
+    return conclude(state);
+  if (state.mayHaveRun && !idempotent(state.kind))
+    return conclude(state);
+  // Another runner would begin the response anew, or repeat events that the client has.
+  if (state.responseStarted && (state.kind != RequestKind::resumableStream || !state.resumePointKnown))
+    return conclude(state);
+  return RetryDecision::nextRunner;
 }
-RetryDecision conclude(const RetryInput& in) {
-  if (in.outcome == AttemptOutcome::completed)
+
+RetryDecision conclude(const RetryState& state) {
+  if (state.outcome == AttemptOutcome::completed)
     return RetryDecision::finished;
-  if (in.outcome == AttemptOutcome::clientGone || in.answerStarted)
-    return RetryDecision::close;
-  if (in.outcome == AttemptOutcome::failed)
-    return RetryDecision::relayFailure;
-  if (in.outcome == AttemptOutcome::deadlineExceeded)
-    return RetryDecision::answerTimeout;
-  if (in.mayHaveRun)
-    return RetryDecision::answerBadGateway;
-  return RetryDecision::answerUnavailable;
+  if (state.outcome == AttemptOutcome::clientDisconnected || state.responseStarted)
+    return RetryDecision::closeConnection;
+  if (state.outcome == AttemptOutcome::failed)
+    return RetryDecision::forwardFailure;
+  if (state.outcome == AttemptOutcome::deadlineExceeded)
+    return RetryDecision::respondTimeout;
+  if (state.mayHaveRun)
+    return RetryDecision::respondBadGateway;
+  return RetryDecision::respondUnavailable;
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/runner_attempt.cpp
+++ b/libs/proxy/src/runner_attempt.cpp
@@ -1,71 +1,46 @@
 #include "runner_attempt.hpp"
 
-#include "heads.hpp"
+#include "headers.hpp"
 #include "stream_relay.hpp"
 
 namespace zinccleat::proxy {
 namespace {
 constexpr auto kConnectTimeout = 300ms;
-constexpr auto kIdleRunner = 20s;       // a pooled connection's life where the runner names no time itself
-constexpr auto kIdleMargin = 700ms;     // the far end must not close what we just began to use
-constexpr auto kDeadlineMargin = 50ms;  // for a runner's own answer that the time is up
-constexpr int kMostSurplus = 2;         // answers to others' requests read past before ours
-constexpr int kMostInterim = 16;        // interim answers (1xx) read past before the final one
-constexpr std::uint64_t kMostAnswerBytes = 64U << 20;
-
-class RunnerAttempt {
- public:
-  explicit RunnerAttempt(Exchange& exchange)
-      : x_(exchange),
-        index_(exchange.runner),
-        id_(exchange.context.runners.at(index_).id),
-        address_(exchange.context.runners.at(index_).address) {}
-  AttemptOutcome run();
-
- private:
-  bool connect();
-  std::optional<AttemptOutcome> send();
-  void readHead();
-  AttemptOutcome lost();
-  AttemptOutcome relay();
-  AttemptOutcome relayWhole(bool notExecuted);
-  void keepConnection();
-  void fault() { x_.context.runners.recordFailure(index_, Exchange::now()); }
-
-  Exchange& x_;
-  const int index_;
-  const std::string id_, address_;
-  std::unique_ptr<runtime::Connection> connection_;
-  bool reused_ = false;
-  bool sentInPart_ = false;
-  Buffer buffer_;
-  std::optional<AnswerParser> answer_;
-  runtime::SocketError ec_;
-};
+constexpr auto kDeadlineMargin = 50ms;  // for the runner's own response that the deadline has passed
+constexpr unsigned kNoContent = 204;
+constexpr unsigned kMisdirectedRequest = 421;
+}  // namespace
+
+RunnerAttempt::RunnerAttempt(Exchange& exchange)
+    : exchange_(exchange),
+      runner_(exchange.runner),
+      runnerId_(exchange.context.runners.at(runner_).id),
+      address_(exchange.context.runners.at(runner_).address) {}
 
 AttemptOutcome RunnerAttempt::run() {
-  x_.staleConnection = false;
+  exchange_.staleConnection = false;
   if (!connect())
     return AttemptOutcome::notSent;
-  if (x_.watch->gone())
-    return AttemptOutcome::clientGone;
-  // Why asked again: the lease may have ended while the connection came up.
-  if (!x_.context.hasLease(Exchange::now())) {
-    x_.staleConnection = true;
+  if (clientDisconnected())
+    return AttemptOutcome::clientDisconnected;
+  // The lease may have ended while the connection was established.
+  if (!exchange_.context.hasLease(Exchange::now())) {
+    exchange_.staleConnection = true;
     return AttemptOutcome::notSent;
   }
-  const AttachedConnection attached(*x_.watch, *connection_);
-  connection_->setDeadline(x_.deadline + kDeadlineMargin);
-  if (const auto ended = send())
-    return *ended;
-  readHead();
-  if (ec_ || field(answer_->get(), "X-Attempt-Id") != x_.attemptId)
-    return lost();
-  return relay();
+  const AttachedConnection attached(*exchange_.watch, *connection_);
+  connection_->setDeadline(exchange_.deadline + kDeadlineMargin);
+  if (const auto outcome = sendRequest())
+    return *outcome;
+  ec_ = readFinalHeader(*connection_, buffer_, response_, exchange_.request.method(), exchange_.attemptId);
+  if (ec_ || !belongsTo(response_->get(), exchange_.attemptId))
+    return responseLost();
+  return relayResponse();
 }
-// A pooled connection, or a new one. False: the runner can't be reached, and has been sent nothing.
+
 bool RunnerAttempt::connect() {
-  connection_ = x_.context.connections.take(id_, Exchange::now(), x_.query.idempotent);
+  auto& pool = exchange_.context.connections;
+  connection_ = pool.acquire(runnerId_, Exchange::now(), exchange_.query.idempotent);
   reused_ = connection_ != nullptr;
   if (reused_)
     return true;
@@ -73,177 +48,157 @@
   if (!endpoint)
     return false;
   connection_ = std::make_unique<runtime::Connection>();
-  connection_->setDeadline(std::min(x_.deadline, Exchange::now() + kConnectTimeout));
+  connection_->setDeadline(std::min(exchange_.deadline, Exchange::now() + kConnectTimeout));
   connection_->connect(*endpoint, ec_);
   if (ec_) {
-    fault();
-    x_.context.connections.drop(id_);
+    recordFailure();
+    pool.closeAll(runnerId_);
     return false;
   }
   connection_->clearDeadline();
   return true;
 }
-// Writes the whole request. A value: the attempt has ended with that.
-std::optional<AttemptOutcome> RunnerAttempt::send() {
-  Outbound o;
-  o.expectedInstance = id_;
-  o.subscriber = x_.tenant;
-  o.left = toDuration(x_.deadline - Exchange::now());
-  o.precedence = x_.precedence;
-  o.hideKey = !x_.configuration->subscribers.empty();
-  if (x_.answerStarted)
-    o.lastEventId = x_.events.lastId();
-  auto out = outboundHead(x_.request, o, x_.request.body().size());
-  out += x_.request.body();
-  const auto written = connection_->write(asio::buffer(out), ec_);
+
+std::optional<AttemptOutcome> RunnerAttempt::sendRequest() {
+  ForwardingOptions options;
+  options.expectedInstance = runnerId_;
+  options.subscriber = exchange_.tenant;
+  options.timeLeft = toDuration(exchange_.deadline - Exchange::now());
+  options.precedence = exchange_.precedence;
+  options.removeAuthorization = !exchange_.configuration->subscribers.empty();
+  if (exchange_.responseStarted)
+    options.lastEventId = exchange_.events.lastEventId();
+  const auto& body = exchange_.request.body();
+  auto message = forwardedRequestHeader(exchange_.request, options, body.size());
+  message += body;
+  const auto bytesWritten = connection_->write(asio::buffer(message), ec_);
   if (!ec_)
     return std::nullopt;
-  if (x_.watch->gone())
-    return AttemptOutcome::clientGone;
+  if (clientDisconnected())
+    return AttemptOutcome::clientDisconnected;
   if (connection_->deadlineExceeded()) {
-    fault();
+    recordFailure();
     return AttemptOutcome::deadlineExceeded;
   }
-  if (written == 0) {
-    // The one case in which a connection that was open has certainly carried nothing.
-    x_.staleConnection = reused_;
-    if (reused_)
-      x_.context.connections.forgotten();
-    else
-      fault();
-    return AttemptOutcome::notSent;
-  }
-  // A part has left: only an answer that is here already can say what became of it.
-  sentInPart_ = true;
+  if (bytesWritten == 0)
+    return nothingSent();
+  // A part was sent: only a response that is here already can say what became of it.
+  partiallySent_ = true;
   return std::nullopt;
 }
-// The head of the final answer to this very request, or an error in ec_, or another's answer.
-void RunnerAttempt::readHead() {
-  int surplus = 0;
-  int interim = 0;
-  for (;;) {
-    answer_.emplace();
-    answer_->eager(true);
-    answer_->body_limit(kMostAnswerBytes);
-    if (x_.request.method() == http::verb::head)
-      answer_->skip(true);
-    pump(*connection_, buffer_, *answer_, true, ec_);
-    if (ec_)
-      return;
-    if (answer_->get().result_int() / 100 == 1) {
-      if (++interim <= kMostInterim)
-        continue;
-      ec_ = http::error::bad_status;
-      return;
-    }
-    if (field(answer_->get(), "X-Attempt-Id") == x_.attemptId || surplus++ >= kMostSurplus)
-      return;
-    // A surplus answer to somebody else's request stands in the place of ours: it is read and belongs to nobody.
-    pump(*connection_, buffer_, *answer_, false, ec_);
-    if (ec_)
-      return;
-  }
+
+// The one case in which an open connection has certainly carried nothing.
+AttemptOutcome RunnerAttempt::nothingSent() {
+  exchange_.staleConnection = reused_;
+  if (reused_)
+    exchange_.context.connections.recordStaleConnection();
+  else
+    recordFailure();
+  return AttemptOutcome::notSent;
 }
-// Sent, and no whole answer: what that says of the runner and of its connection.
-AttemptOutcome RunnerAttempt::lost() {
-  if (x_.watch->gone())
-    return AttemptOutcome::clientGone;
-  if (connection_->deadlineExceeded() || Exchange::now() >= x_.deadline)
+
+AttemptOutcome RunnerAttempt::responseLost() {
+  if (clientDisconnected())
+    return AttemptOutcome::clientDisconnected;
+  if (connection_->deadlineExceeded() || Exchange::now() >= exchange_.deadline)
     return AttemptOutcome::deadlineExceeded;
-  // Why not its fault: a runner may forget a connection that sat idle, and resets what comes on it.
-  x_.staleConnection = reused_ && ec_ == asio::error::connection_reset && !answer_->got_some();
-  if (x_.staleConnection)
-    x_.context.connections.forgotten();
+  // Not the runner's fault: it may have dropped a connection that was idle, and then resets it.
+  exchange_.staleConnection = reused_ && ec_ == asio::error::connection_reset && !response_->got_some();
+  if (exchange_.staleConnection)
+    exchange_.context.connections.recordStaleConnection();
   else
-    fault();
+    recordFailure();
   return AttemptOutcome::interrupted;
 }
-AttemptOutcome RunnerAttempt::relay() {
-  const auto& head = answer_->get();
-  x_.context.runners.loadReported(index_, field(head, "X-Instance-Load"), Exchange::now());
-  const int status = static_cast<int>(head.result_int());
-  const bool success = status / 100 == 2;
-  const bool notExecuted = head.count("X-Not-Executed") > 0 || status == 421;
-  // A success that says not executed contradicts itself: it is no answer, and no promise either.
-  if (success && (notExecuted || field(head, "X-Server-Seal").empty() || head.count(http::field::content_encoding) > 0))
-    return lost();
-  const bool hasBody = status != 204 && x_.request.method() != http::verb::head;
-  if (!success || !hasBody || x_.route->type != config::RouteType::stream)
-    return relayWhole(notExecuted);
-
-  const auto outcome = relayStream(x_, *connection_, buffer_, *answer_);
+
+AttemptOutcome RunnerAttempt::relayResponse() {
+  const auto& header = response_->get();
+  exchange_.context.runners.updateLoad(runner_, headerValue(header, "X-Instance-Load"), Exchange::now());
+  const bool success = isSuccess(header.result_int());
+  const bool notExecuted = isNotExecuted(header);
+  // A success that says "not executed" contradicts itself: neither of the two can be relied on.
+  if (success && (notExecuted || !isSealed(header)))
+    return responseLost();
+  const bool hasBody = header.result_int() != kNoContent && exchange_.request.method() != http::verb::head;
+  if (success && hasBody && exchange_.route->type == config::RouteType::stream)
+    return relayEvents();
+  return relayComplete(notExecuted);
+}
+
+AttemptOutcome RunnerAttempt::relayEvents() {
+  const auto outcome = relayStream(exchange_, *connection_, buffer_, *response_);
   if (outcome == AttemptOutcome::interrupted)
-    return lost();
-  if (outcome == AttemptOutcome::movedAway)
-    ++x_.context.migratedStreams;
+    return responseLost();
+  if (outcome == AttemptOutcome::migrated)
+    ++exchange_.context.migratedStreams;
   if (outcome != AttemptOutcome::completed)
     return outcome;
-  x_.context.runners.recordSuccess(index_);
-  x_.promptRead(true);
-  keepConnection();
+  exchange_.context.runners.recordSuccess(runner_);
+  exchange_.endPrefill(true);
+  releaseConnection();
   return AttemptOutcome::completed;
 }
-// An answer that is passed on, or judged, only once all of it is here.
-AttemptOutcome RunnerAttempt::relayWhole(bool notExecuted) {
-  pump(*connection_, buffer_, *answer_, false, ec_);
-  if (ec_ && x_.watch->gone())
-    return AttemptOutcome::clientGone;
-  // What a whole head says of not executed holds, whatever becomes of the rest.
+
+AttemptOutcome RunnerAttempt::relayComplete(bool notExecuted) {
+  pump(*connection_, buffer_, *response_, false, ec_);
+  if (ec_ && clientDisconnected())
+    return AttemptOutcome::clientDisconnected;
+  // "Not executed" in a complete header is valid whatever becomes of the body.
   if (ec_ && !notExecuted)
-    return lost();
-  const int status = static_cast<int>(answer_->get().result_int());
-  if (status / 100 == 5 && !notExecuted)
-    fault();
-  else
-    x_.context.runners.recordSuccess(index_);
-  if (status / 100 != 5 && !notExecuted)
-    x_.promptRead(true);
-  auto head = inboundHead(answer_->get());
-  auto body = std::move(answer_->get().body());
-  keepConnection();
+    return responseLost();
+  const auto status = response_->get().result_int();
+  recordResult(status, notExecuted);
+  auto header = forwardedResponseHeader(response_->get());
+  auto body = std::move(response_->get().body());
+  releaseConnection();
 
   if (notExecuted) {
-    if (status == 421)
-      fault();
+    if (status == kMisdirectedRequest)
+      recordFailure();
     return AttemptOutcome::notExecuted;
   }
-  if (status / 100 != 2) {
-    // Why changed: those four promise what this runner does not say.
-    if (status == 408 || status == 421 || status == 429 || status == 503)
-      return AttemptOutcome::interrupted;
-    x_.failure = {std::move(head), std::move(body)};
-    return AttemptOutcome::failed;
-  }
-  if (x_.answerStarted)
+  if (!isSuccess(status))
+    return keepFailure(status, std::move(header), std::move(body));
+  if (exchange_.responseStarted)
     return AttemptOutcome::interrupted;
-  head += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  head += x_.connectionHead();
-  head += "\r\n";
-  if (x_.request.method() != http::verb::head)
-    head += body;
-  x_.watch->attach(nullptr);
-  return x_.writeToClient(head) ? AttemptOutcome::completed : AttemptOutcome::clientGone;
+  return sendToClient(std::move(header), body);
 }
-// Back to the pool, if nothing of this request can reach another on it.
-void RunnerAttempt::keepConnection() {
-  if (ec_ || sentInPart_ || !answer_->keep_alive() || buffer_.size() > 0)
-    return;
-  constexpr std::string_view parameter = "timeout=";
-  auto until = Exchange::now() + kIdleRunner;
-  const auto keepAlive = field(answer_->get(), "Keep-Alive");
-  if (const auto at = keepAlive.find(parameter); at != keepAlive.npos) {
-    auto seconds = keepAlive.substr(at + parameter.size());
-    seconds = seconds.substr(0, seconds.find_first_not_of("0123456789"));
-    until = Exchange::now() + Duration(wholeNumber(seconds, 1) * 1000) - kIdleMargin;
-  }
-  connection_->clearDeadline();
-  // Why detached: the client may still leave while its answer is written, and then this connection is another's.
-  x_.watch->attach(nullptr);
-  x_.context.connections.give(id_, std::move(connection_), until, Exchange::now());
+
+void RunnerAttempt::recordResult(unsigned status, bool notExecuted) {
+  const bool failed = isServerError(status) && !notExecuted;
+  if (failed)
+    recordFailure();
+  else
+    exchange_.context.runners.recordSuccess(runner_);
+  if (!failed && !notExecuted)
+    exchange_.endPrefill(true);
 }
-}  // namespace
 
-AttemptOutcome attemptOnRunner(Exchange& exchange) {
-  return RunnerAttempt(exchange).run();
+AttemptOutcome RunnerAttempt::keepFailure(unsigned status, std::string header, std::string body) {
+  // Such a status would promise to the client what this runner does not say.
+  if (promisesNotRun(status))
+    return AttemptOutcome::interrupted;
+  exchange_.failure = {std::move(header), std::move(body)};
+  return AttemptOutcome::failed;
+}
+
+AttemptOutcome RunnerAttempt::sendToClient(std::string header, const std::string& body) {
+  header += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+  header += exchange_.connectionHeader();
+  header += "\r\n";
+  if (exchange_.request.method() != http::verb::head)
+    header += body;
+  exchange_.watch->attach(nullptr);
+  return exchange_.writeToClient(header) ? AttemptOutcome::completed : AttemptOutcome::clientDisconnected;
+}
+
+void RunnerAttempt::releaseConnection() {
+  if (ec_ || partiallySent_ || !response_->keep_alive() || buffer_.size() > 0)
+    return;
+  const auto now = Exchange::now();
+  connection_->clearDeadline();
+  // Detached: the client may disconnect while its response is written, when another request may have the connection.
+  exchange_.watch->attach(nullptr);
+  exchange_.context.connections.release(runnerId_, std::move(connection_), reusableUntil(response_->get(), now), now);
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/stream_relay.cpp
+++ b/libs/proxy/src/stream_relay.cpp
@@ -1,85 +1,126 @@
 #include "stream_relay.hpp"
 
-#include <cstddef>
-
-#include "heads.hpp"
+#include "headers.hpp"
 
 namespace zinccleat::proxy {
 namespace {
-constexpr std::size_t kReadBytes = std::size_t{4} * 1024;
+constexpr std::size_t kStreamReadBytes = std::size_t{4} * 1024;
 constexpr auto kDeadlineMargin = 50ms;
 
-// Whether a live stream would find a runner elsewhere: one that nobody can take up stays where it is.
-bool canMove(Exchange& x) {
-  const int there = x.context.runners.choose(x.query, Exchange::now());
-  return there >= 0 && !x.context.runners.at(there).migrateStreams && x.context.runners.at(there).failures == 0;
+// Whether another runner would take over a live stream; one that would not leaves it where it is.
+bool hasMigrationTarget(Exchange& exchange) {
+  auto& runners = exchange.context.runners;
+  const int target = runners.choose(exchange.query, Exchange::now());
+  return target >= 0 && !runners.at(target).migrateStreams && runners.at(target).consecutiveFailures == 0;
 }
-// A live session leaves a place that closes between two whole events, if the budget has a further attempt for it.
-bool movesAway(Exchange& x) {
-  if (x.runner < 0 || !x.context.runners.at(x.runner).migrateStreams || x.lastRunner)
+
+// Whether a live stream leaves its zone, which is drained, now that it is between two complete events. Charges the
+// retry budget if so.
+bool shouldMigrate(Exchange& exchange) {
+  auto& context = exchange.context;
+  if (exchange.runner < 0 || !context.runners.at(exchange.runner).migrateStreams || exchange.isLastAttempt)
     return false;
-  return !x.events.lastId().empty() && x.events.resumable() && canMove(x) &&
-         x.context.budget.spend(*x.service, Exchange::now());
+  return !exchange.events.lastEventId().empty() && exchange.events.isResumable() && hasMigrationTarget(exchange) &&
+         context.retryBudget.tryWithdraw(*exchange.service, Exchange::now());
 }
-}  // namespace
 
-AttemptOutcome relayStream(Exchange& x, runtime::Connection& upstream, Buffer& buffer, AnswerParser& answer) {
-  if (!x.answerStarted) {
-    auto head = inboundHead(answer.get());
-    head += "Transfer-Encoding: chunked\r\n";
-    head += x.connectionHead();
-    head += "\r\n";
-    x.answerStarted = true;
-    if (!x.writeToClient(head))
-      return AttemptOutcome::clientGone;
-  }
-  const bool wholeEvents = x.route->streamResume;  // only whole ones go on where another runner may take the stream up
-  for (;;) {
-    auto& body = answer.get().body();
-    if (!body.empty()) {
-      x.promptRead(true);
-      if (x.partnerPending)
-        std::exchange(x.partnerPending, nullptr)->setDeadline(x.deadline + kDeadlineMargin);
-      const auto pass = wholeEvents ? x.events.feed(body) : std::string_view(body);
-      if (!pass.empty() && !x.writeChunk(pass))
-        return AttemptOutcome::clientGone;
-      body.clear();
-    }
-    if (answer.is_done())
-      break;
-    if (wholeEvents && movesAway(x)) {
-      x.movePaid = true;
-      x.events.dropRest();
-      return AttemptOutcome::movedAway;
-    }
-    runtime::SocketError ec;
-    if (buffer.size() > 0) {
-      const auto n = answer.put(buffer.data(), ec);
-      buffer.consume(n);
-      if (ec && ec != http::error::need_more) {
-        x.events.dropRest();
+class StreamRelay {
+ public:
+  StreamRelay(Exchange& exchange, runtime::Connection& upstream, Buffer& buffer, ResponseParser& response)
+      : exchange_(exchange), upstream_(upstream), buffer_(buffer), response_(response) {}
+
+  AttemptOutcome run() {
+    if (!beginResponse())
+      return AttemptOutcome::clientDisconnected;
+    for (;;) {
+      if (!forwardReceived())
+        return AttemptOutcome::clientDisconnected;
+      if (response_.is_done())
+        return finish();
+      if (completeEventsOnly_ && shouldMigrate(exchange_)) {
+        exchange_.nextAttemptIsPaid = true;
+        exchange_.events.discardPartialEvent();
+        return AttemptOutcome::migrated;
+      }
+      if (!receive()) {
+        // Another runner continues after the last complete event.
+        exchange_.events.discardPartialEvent();
         return AttemptOutcome::interrupted;
       }
-      if (n > 0)
-        continue;
     }
-    ec = {};
-    const auto n = upstream.read(buffer.prepare(kReadBytes), ec);
-    if (ec) {
-      if (ec == asio::error::eof && !answer.chunked() && !answer.content_length()) {
-        answer.put_eof(ec);
-        if (!ec)
-          continue;
-      }
-      // What of an event had come is dropped: whoever goes on begins after the last whole one.
-      x.events.dropRest();
-      return AttemptOutcome::interrupted;
+  }
+
+ private:
+  // False: the client has disconnected.
+  bool beginResponse() {
+    if (exchange_.responseStarted)
+      return true;
+    auto header = forwardedResponseHeader(response_.get());
+    header += "Transfer-Encoding: chunked\r\n";
+    header += exchange_.connectionHeader();
+    header += "\r\n";
+    exchange_.responseStarted = true;
+    return exchange_.writeToClient(header);
+  }
+
+  // Forwards what the parser has found. False: the client has disconnected.
+  bool forwardReceived() {
+    auto& body = response_.get().body();
+    if (body.empty())
+      return true;
+    exchange_.endPrefill(true);
+    if (exchange_.pendingPartner)
+      std::exchange(exchange_.pendingPartner, nullptr)->setDeadline(exchange_.deadline + kDeadlineMargin);
+    const auto bytes = completeEventsOnly_ ? exchange_.events.feed(body) : std::string_view(body);
+    if (!bytes.empty() && !exchange_.writeChunk(bytes))
+      return false;
+    body.clear();
+    return true;
+  }
+
+  // Parses what is in the buffer, or else reads more into it. False: the stream is broken.
+  bool receive() {
+    runtime::SocketError ec;
+    if (buffer_.size() > 0) {
+      const auto parsed = response_.put(buffer_.data(), ec);
+      buffer_.consume(parsed);
+      if (ec && ec != http::error::need_more)
+        return false;
+      if (parsed > 0)
+        return true;
+      ec = {};
+    }
+    const auto received = upstream_.read(buffer_.prepare(kStreamReadBytes), ec);
+    if (!ec) {
+      buffer_.commit(received);
+      return true;
     }
-    buffer.commit(n);
+    // Without a length the stream ends with its connection.
+    if (ec != asio::error::eof || response_.chunked() || response_.content_length())
+      return false;
+    response_.put_eof(ec);
+    return !ec;
   }
-  if (wholeEvents && !x.events.rest().empty() && !x.writeChunk(x.events.rest()))
-    return AttemptOutcome::clientGone;
-  x.watch->attach(nullptr);
-  return x.writeToClient("0\r\n\r\n") ? AttemptOutcome::completed : AttemptOutcome::clientGone;
+
+  AttemptOutcome finish() {
+    const auto& rest = exchange_.events.partialEvent();
+    if (completeEventsOnly_ && !rest.empty() && !exchange_.writeChunk(rest))
+      return AttemptOutcome::clientDisconnected;
+    exchange_.watch->attach(nullptr);
+    return exchange_.writeToClient("0\r\n\r\n") ? AttemptOutcome::completed : AttemptOutcome::clientDisconnected;
+  }
+
+  Exchange& exchange_;
+  runtime::Connection& upstream_;
+  Buffer& buffer_;
+  ResponseParser& response_;
+  // Where another runner may continue the stream, the client gets complete events only.
+  const bool completeEventsOnly_ = exchange_.route->streamResume;
+};
+}  // namespace
+
+AttemptOutcome relayStream(Exchange& exchange, runtime::Connection& upstream, Buffer& buffer,
+                           ResponseParser& response) {
+  return StreamRelay(exchange, upstream, buffer, response).run();
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy_daemon/src/proxy_daemon.cpp
+++ b/libs/proxy_daemon/src/proxy_daemon.cpp
@@ -32,7 +32,7 @@
     context_.zone = s.zone;
     context_.rng.seed(randomSeed());
     context_.runners = balancing::RunnerPool(randomSeed());
-    context_.runners.regions(s.zones);
+    context_.runners.setRegions(s.zones);
     // Why a margin: an answer is under way while the lease ends, and the far clocks are not ours.
     leaseSpan_ = s.timers.revokedFail ? std::max(Duration(500), s.timers.revoke - Duration(1500)) : Duration(60000);
     // Of the descriptors 200 are not ours; a request may need one on either side.
@@ -40,13 +40,13 @@
       context_.maxClients = std::max(64, (s.fdLimit - 260) / 2);
     if (s.memoryMb > 0)
       context_.maxBodyBytes = static_cast<std::size_t>(s.memoryMb) * 1024 * 1024 / 4;
-    context_.drawGrants = [this] { renewLease(); };
-    context_.askTokens = [this] { ask(); };
+    context_.requestReserveRefill = [this] { renewLease(); };
+    context_.requestQuotaTokens = [this] { ask(); };
     if (s.partner && !s.partner->access.empty())
       context_.lookupPartner = [this](std::uint64_t opening, const std::string& tenant) {
         return lookupPartner(opening, tenant);
       };
-    context_.budget = balancing::Budget(s.timers.retryRatio * 0.75, s.timers.retryWindow / 4);
+    context_.retryBudget = balancing::RetryBudget(s.timers.retryRatio * 0.75, s.timers.retryWindow / 4);
     slackShare_ = static_cast<double>(randomSeed() % 10007) / 10007;
   }
   Result<void> start() {
@@ -73,7 +73,7 @@
           renewLease();
         });
     auto accessListener =
-        transport::openListener(*access, [this](tcp::socket sock) { proxy::takeClient(context_, std::move(sock)); });
+        transport::openListener(*access, [this](tcp::socket sock) { proxy::acceptClient(context_, std::move(sock)); });
     if (!accessListener)
       return tl::unexpected(accessListener.error());
     accessListener_ = std::move(*accessListener);
@@ -89,7 +89,7 @@
       if (!context_.hasLease(Clock::now()))
         renewLease();
     });
-    runtime::EventLoop::get().callEvery(1000ms, [this] { context_.connections.sweep(Clock::now()); });
+    runtime::EventLoop::get().callEvery(1000ms, [this] { context_.connections.closeExpired(Clock::now()); });
     return {};
   }
   void leave() {
@@ -100,9 +100,9 @@
 
  private:
   void advanceShutdown(TimePoint now) {
-    if (!context_.shutdown.takesRequests(now)) {
+    if (!context_.shutdown.acceptsRequests(now)) {
       accessListener_->close();
-      context_.idleConnections.limit(proxy::kIdleWhileLeaving);
+      context_.idleConnections.limit(proxy::kIdleTimeoutWhileDraining);
     }
     if (context_.shutdown.mayExit(now, context_.clients, context_.inFlight))
       runtime::EventLoop::get().stop();
@@ -113,11 +113,11 @@
     const auto now = Clock::now();
     transport::LeaseRequest requestId;
     requestId.requestId = ++leaseQuestion_;
-    requestId.demand = context_.quota.demand(now);
-    requestId.holds = context_.quota.holds(now);
+    requestId.demand = context_.quota.steadyDemand(now);
+    requestId.holds = context_.quota.reserveHoldings(now);
     requestId.load = load(now);
-    context_.countSlow(now);
-    requestId.attempts = context_.observer.report(kMostReported);
+    context_.recordSlowAttempts(now);
+    requestId.attempts = context_.observer.takeReport(kMostReported);
     requestId.outliersVersion = ejectionsVersion_;
     renewals_[requestId.requestId] = now;
     while (renewals_.size() > kQuestionsRemembered)
@@ -133,7 +133,7 @@
       if (!agentLink_->up())
         return;
       transport::QuotaTokenRequest draw;
-      draw.waiting = context_.quota.unasked();
+      draw.waiting = context_.quota.takeTokenRequests();
       if (draw.waiting.empty())
         return;
       draw.requestId = ++drawQuestion_;
@@ -221,10 +221,10 @@
     }
     // Why only the newest: what a later question told of the stash did not know of these tokens yet.
     if (answer.requestId == leaseQuestion_)
-      context_.quota.drawn(answer.grants, it->second);
+      context_.quota.refillReserve(answer.grants, it->second);
     if (answer.accessMachines > 0)
-      context_.budget.share(settings_.timers.retrySlack * 0.5 / static_cast<double>(answer.accessMachines),
-                            slackShare_);
+      context_.retryBudget.setReserve(settings_.timers.retrySlack * 0.5 / static_cast<double>(answer.accessMachines),
+                                      slackShare_);
     if (answer.outliersVersion != 0 && answer.outliersVersion != ejectionsVersion_) {
       ejectionsVersion_ = answer.outliersVersion;
       ejections_ = answer.outliers;
@@ -237,8 +237,8 @@
     // An answer that comes twice, or to an earlier life, is none.
     if (!draws_.erase(drawn.requestId) || !drawn.granted)
       return;
-    context_.quota.loose(drawn.grants, Clock::now());
-    context_.wakeQuotaWaits(drawn.grants);
+    context_.quota.addImmediateTokens(drawn.grants, Clock::now());
+    context_.wakeQuotaWaiters(drawn.grants);
   }
   void onPrefixLookup(transport::PrefixLookupResponse answer) {
     const auto it = partnerQueries_.find(answer.requestId);
@@ -266,7 +266,7 @@
   }
   void adopt(state_machine::ReplicatedState::Change c) {
     if (c.runners)
-      context_.runners.follow(state_.state().runners), context_.runners.setEjected(ejections_);
+      context_.runners.setRunners(state_.state().runners), context_.runners.setEjected(ejections_);
     if (c.zoneDrains)
       adoptZoneDrains();
     if (!c.configuration || state_.state().configuration.empty())
@@ -290,7 +290,7 @@
     for (auto& c : state_.state().zoneDrains)
       for (auto& z : zonesOf(c.zone)) {
         auto& x = zones[z];
-        x.share = std::max(x.share, static_cast<int>(c.drainPercent));
+        x.drainPercent = std::max(x.drainPercent, static_cast<int>(c.drainPercent));
         x.migrateStreams = x.migrateStreams || c.notAccepting;
       }
     const auto mine = zones.find(settings_.zone);
@@ -301,7 +301,7 @@
   std::vector<transport::ZoneLoad> load(TimePoint now) {
     std::vector<transport::ZoneLoad> out;
     const double s = std::max(0.05, std::chrono::duration<double>(now - loadAt_).count());
-    const auto all = context_.served + context_.refused;
+    const auto all = context_.served + context_.rejected;
     if (now - loadAt_ > 900ms) {
       perS_ = static_cast<double>(all - loadCount_) / s;
       loadAt_ = now;
@@ -310,7 +310,7 @@
     out.push_back({"", perS_, 0});
     for (auto& c : state_.state().zoneDrains) {
       const auto zones = zonesOf(c.zone);
-      out.push_back({c.zone, static_cast<double>(context_.runners.inFlightIn(zones)),
+      out.push_back({c.zone, static_cast<double>(context_.runners.inFlightInZones(zones)),
                      zones.contains(settings_.zone) ? context_.inFlight * 1.0 : 0.0});
     }
     return out;
@@ -321,17 +321,17 @@
     for (;;) {
       proxy::RequestParser p;
       const auto r = proxy::readRequest(w, buf, p, {});
-      if (r.end != proxy::ReadEnd::whole)
+      if (r.outcome != proxy::ReadOutcome::complete)
         return;
       const bool known = p.get().target() == "/v1/readiness";
       const bool ready = context_.hasLease(Clock::now()) && !context_.shutdown.begun() && !context_.zoneDraining;
       const bool keep = p.get().keep_alive();
       runtime::SocketError ec;
-      w.write(asio::buffer(proxy::plainAnswer(!known  ? 404
-                                              : ready ? 200
-                                                      : 503,
-                                              "", "application/json", ready ? "{\"ready\":true}" : "{\"ready\":false}",
-                                              keep)),
+      w.write(asio::buffer(proxy::plainResponse(!known  ? 404
+                                                : ready ? 200
+                                                        : 503,
+                                                "", "application/json",
+                                                ready ? "{\"ready\":true}" : "{\"ready\":false}", keep)),
               ec);
       if (ec || !keep)
         return;
--- a/libs/simulation/src/hollow_node.cpp
+++ b/libs/simulation/src/hollow_node.cpp
@@ -45,8 +45,8 @@
     const auto now = Clock::now();
     transport::LeaseRequest requestId;
     requestId.requestId = ++question_;
-    requestId.demand = reserve_.demand(now);
-    requestId.holds = reserve_.holds(now);
+    requestId.demand = reserve_.steadyDemand(now);
+    requestId.holds = reserve_.reserveHoldings(now);
     requestId.load = {{"", 20, 0}};
     requestId.outliersVersion = outliersKnown_;
     // What a node with its share of traffic has seen of runners since the last one.
@@ -65,7 +65,7 @@
 void HollowNode::restart() {
   queue_ = consensus::EntryQueue{};
   copy_ = state_machine::ReplicatedState{};
-  reserve_ = balancing::QuotaGrants{};
+  reserve_ = balancing::QuotaTokenBuckets{};
   leaseEnds_ = {};
   newest_ = 0;
   following_ = false;
@@ -89,11 +89,11 @@
 }
 void HollowNode::request(const std::string& tenant) {
   const auto now = Clock::now();
-  if (reserve_.take(tenant, now)) {
+  if (reserve_.tryAcquire(tenant, now)) {
     ++granted;
     return;
   }
-  reserve_.wait(tenant);
+  reserve_.requestToken(tenant);
   ++waiting_[tenant];
   if (std::exchange(asking_, true))
     return;
@@ -104,7 +104,7 @@
       return;
     transport::QuotaTokenRequest draw;
     draw.requestId = ++draw_;
-    draw.waiting = reserve_.unasked();
+    draw.waiting = reserve_.takeTokenRequests();
     drawnAt_ = Clock::now();
     if (!draw.waiting.empty())
       s->send(transport::pack(draw, self_));
@@ -166,18 +166,18 @@
   if (queue_.applied() >= answer.commitIndex)
     leaseEnds_ = it->second + 3500ms;
   if (answer.requestId == question_)
-    reserve_.drawn(answer.grants, it->second);
+    reserve_.refillReserve(answer.grants, it->second);
   outliersKnown_ = answer.outliersVersion;
   asked_.erase(it);
 }
 void HollowNode::onDrawn(const transport::QuotaTokenResponse& drawn) {
   const auto now = Clock::now();
   drawMs.push_back(std::chrono::duration<double, std::milli>(now - drawnAt_).count());
-  reserve_.loose(drawn.grants, now);
+  reserve_.addImmediateTokens(drawn.grants, now);
   for (auto& grant : drawn.grants) {
     auto& waiting = waiting_[grant.tenant];
     for (; waiting > 0; --waiting)
-      ++(reserve_.retake(grant.tenant, now) ? granted : refused);
+      ++(reserve_.retryAcquire(grant.tenant, now) ? granted : refused);
   }
 }
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/hollow_node.hpp
+++ b/libs/simulation/src/hollow_node.hpp
@@ -2,7 +2,7 @@
 #pragma once
 #include <random>
 
-#include "balancing/quota.hpp"
+#include "balancing/quota_token_buckets.hpp"
 #include "consensus/entry_queue.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
@@ -37,7 +37,7 @@
   std::map<std::string, std::unique_ptr<transport::Dialer>> links_;
   consensus::EntryQueue queue_;
   state_machine::ReplicatedState copy_;
-  balancing::QuotaGrants reserve_;
+  balancing::QuotaTokenBuckets reserve_;
   std::map<std::int64_t, TimePoint> asked_;
   TimePoint leaseEnds_{}, followed_{}, drawnAt_{};
   std::int64_t question_ = 0, draw_ = 0, term_ = 0, newest_ = 0, outliersKnown_ = 0;
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -86,7 +86,7 @@
   runtime::SocketError ec;
   while (r.up && !ec) {
     proxy::RequestParser p;
-    if (proxy::readRequest(c, buf, p, {}).end != proxy::ReadEnd::whole)
+    if (proxy::readRequest(c, buf, p, {}).outcome != proxy::ReadOutcome::complete)
       return;
     auto& q = p.get();
     const std::string id(q["X-Attempt-Id"]);
--- a/tests/balancing_test.cpp
+++ b/tests/balancing_test.cpp
@@ -1,11 +1,12 @@
-// Quota, budget and runner choice.
+// Quota token buckets, retry budget, runner choice and load shedding.
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "balancing/admission.hpp"
-#include "balancing/budget.hpp"
-#include "balancing/quota.hpp"
+#include "balancing/admission_control.hpp"
+#include "balancing/prompt_prefix.hpp"
+#include "balancing/quota_token_buckets.hpp"
+#include "balancing/retry_budget.hpp"
 #include "balancing/runner_pool.hpp"
 #include "quota.hpp"
 
@@ -23,14 +24,14 @@
       std::to_string(rate) + ",\"burstSize\":" + std::to_string(burst) + "}]}");
   return *c;
 }
-Runner dock(const std::string& id, const std::string& zone, RunnerState st = RunnerState::inService) {
-  return Runner{id, "s", id + ":1", zone, 48, 1, static_cast<std::int32_t>(st)};
+Runner runnerIn(const std::string& id, const std::string& zone, RunnerState state = RunnerState::inService) {
+  return Runner{id, "s", id + ":1", zone, 48, 1, static_cast<std::int32_t>(state)};
 }
 }  // namespace
 
-// Nodes that restart, a leader that changes, demand far above the limit: no window holds more than it may. Few nodes
-// with steady tenants (holders) and many that send rarely (loose tokens); answers that come late; nodes cut off.
-TEST(Quota, NoWindowHoldsMoreThanItMay) {
+// Nodes that restart, a leader that changes, demand far above the limit: no window exceeds its limit. Few nodes with
+// steady tenants (local reserves) and many that send rarely (immediate tokens); late responses; partitioned nodes.
+TEST(Quota, NoWindowExceedsItsLimit) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 rng(seed);
     const std::size_t count = seed % 3 == 0 ? 70 : 6;
@@ -38,71 +39,71 @@
     const double burst = rate * (0.5 + static_cast<double>(rng() % 3) * 0.5);
     auto cfg = tenants(rate, burst);
     TimePoint now{100s};
-    auto desk = std::make_unique<QuotaAllocator>();
-    desk->bounds({0.1, 20, 5});
-    desk->noOp(now);
+    auto allocator = std::make_unique<QuotaAllocator>();
+    allocator->bounds({0.1, 20, 5});
+    allocator->noOp(now);
     struct Node {
-      QuotaGrants reserve;
+      QuotaTokenBuckets reserve;
       int waiting = 0;
-      TimePoint cutUntil{};
+      TimePoint partitionedUntil{};
     };
-    struct Late {
+    struct DelayedGrant {
       std::size_t node;
-      TimePoint asked, due;
+      TimePoint requestedAt, due;
       std::vector<QuotaGrant> grants;
-      bool loose;
+      bool immediate;
     };
     std::vector<Node> nodes(count);
-    std::vector<Late> flying;
-    std::vector<TimePoint> newest(count);
+    std::vector<DelayedGrant> delayed;
+    std::vector<TimePoint> newestRequest(count);
     std::deque<TimePoint> ran;
-    int lastChange = 0;
+    int lastLeaderChange = 0;
     for (int ms = 0; ms < 40000; ms += 10, now += 10ms) {
       const auto pick = static_cast<std::size_t>(rng() % nodes.size());
       if (rng() % 400 == 0) {
         nodes[pick] = Node{};
-        std::erase_if(flying, [&](auto& f) { return f.node == pick; });
+        std::erase_if(delayed, [&](auto& f) { return f.node == pick; });
       }
       if (rng() % 700 == 0)
-        nodes[pick].cutUntil = now + Duration(500 + rng() % 6000);
-      if (rng() % 1500 == 0 && ms - lastChange > 6000) {
-        lastChange = ms;
-        desk = std::make_unique<QuotaAllocator>();
-        desk->bounds({0.1, 20, 5});
-        desk->noOp(now);
+        nodes[pick].partitionedUntil = now + Duration(500 + rng() % 6000);
+      if (rng() % 1500 == 0 && ms - lastLeaderChange > 6000) {
+        lastLeaderChange = ms;
+        allocator = std::make_unique<QuotaAllocator>();
+        allocator->bounds({0.1, 20, 5});
+        allocator->noOp(now);
       }
-      for (auto& f : flying)
+      for (auto& f : delayed)
         if (f.due <= now) {
           auto& n = nodes[f.node];
-          if (f.loose) {
-            n.reserve.loose(f.grants, now);
-            while (n.waiting > 0 && n.reserve.retake("t", now))
+          if (f.immediate) {
+            n.reserve.addImmediateTokens(f.grants, now);
+            while (n.waiting > 0 && n.reserve.retryAcquire("t", now))
               --n.waiting, ran.push_back(now);
-          } else if (newest[f.node] == f.asked) {
-            n.reserve.drawn(f.grants, f.asked);
+          } else if (newestRequest[f.node] == f.requestedAt) {
+            n.reserve.refillReserve(f.grants, f.requestedAt);
           }
         }
-      std::erase_if(flying, [&](auto& f) { return f.due <= now; });
+      std::erase_if(delayed, [&](auto& f) { return f.due <= now; });
       for (std::size_t i = 0; i < nodes.size(); ++i) {
         auto& n = nodes[i];
         const int wants = count > 20 ? rng() % 12 == 0 : static_cast<int>(rng() % 3);
         for (int k = 0; k < wants; ++k) {
-          if (n.reserve.take("t", now))
+          if (n.reserve.tryAcquire("t", now))
             ran.push_back(now);
           else if (n.waiting < 20)
-            ++n.waiting, n.reserve.wait("t");
+            ++n.waiting, n.reserve.requestToken("t");
         }
-        if (n.cutUntil > now)
+        if (n.partitionedUntil > now)
           continue;
         const auto name = "n" + std::to_string(i);
         const Duration delay(rng() % 50 == 0 ? 900 : rng() % 12);
-        if (const auto w = n.reserve.unasked(); !w.empty())
-          flying.push_back({i, now, now + delay, desk->draw(now, name, w, {}, cfg.get()), true});
-        if ((ms + static_cast<int>(i) * 10) % 400 == 0 || n.reserve.low("t", now)) {
-          newest[i] = now;
-          const auto holds = n.reserve.holds(now);
-          flying.push_back(
-              {i, now, now + delay, desk->draw(now, name, n.reserve.demand(now), holds, cfg.get()), false});
+        if (const auto w = n.reserve.takeTokenRequests(); !w.empty())
+          delayed.push_back({i, now, now + delay, allocator->draw(now, name, w, {}, cfg.get()), true});
+        if ((ms + static_cast<int>(i) * 10) % 400 == 0 || n.reserve.shouldRefill("t", now)) {
+          newestRequest[i] = now;
+          const auto holds = n.reserve.reserveHoldings(now);
+          delayed.push_back(
+              {i, now, now + delay, allocator->draw(now, name, n.reserve.steadyDemand(now), holds, cfg.get()), false});
         }
       }
       while (!ran.empty() && now - ran.front() > 5s)
@@ -111,17 +112,16 @@
     }
   }
 }
-// A tenant's requests spread over few nodes or many: a token waited for costs one draw, none is wasted where it
-// expires.
-TEST(Quota, WhatLiesBelowTheLimitIsAllowed) {
+// A tenant's requests spread over few nodes or many: a token costs one round trip, none is lost by expiry.
+TEST(Quota, DemandBelowTheLimitIsAllowed) {
   for (const std::size_t count : {9U, 70U, 330U}) {
     std::mt19937_64 rng(3);
     auto cfg = tenants(32, 32);
-    QuotaAllocator desk;
-    desk.bounds({0.1, 20, 5});
+    QuotaAllocator allocator;
+    allocator.bounds({0.1, 20, 5});
     TimePoint now{100s};
-    desk.noOp(now);
-    std::vector<QuotaGrants> nodes(count);
+    allocator.noOp(now);
+    std::vector<QuotaTokenBuckets> nodes(count);
     int asked = 0;
     int refused = 0;
     for (int ms = 0; ms < 40000; ms += 10, now += 10ms) {
@@ -131,46 +131,47 @@
         auto& n = nodes[i];
         for (int k = 0; k < 3; ++k) {
           ++asked;
-          bool ok = n.take("t", now);
+          bool ok = n.tryAcquire("t", now);
           if (!ok) {
-            n.wait("t");
-            n.loose(desk.draw(now, "n" + std::to_string(i), n.unasked(), {}, cfg.get()), now);
-            ok = n.retake("t", now);
+            n.requestToken("t");
+            n.addImmediateTokens(allocator.draw(now, "n" + std::to_string(i), n.takeTokenRequests(), {}, cfg.get()),
+                                 now);
+            ok = n.retryAcquire("t", now);
           }
           refused += !ok;
         }
       }
       if (ms % 400 == 0)
         for (std::size_t i = 0; i < nodes.size(); ++i)
-          nodes[i].drawn(desk.draw(now, "n" + std::to_string(i), nodes[i].demand(now), nodes[i].holds(now), cfg.get()),
-                         now);
+          nodes[i].refillReserve(allocator.draw(now, "n" + std::to_string(i), nodes[i].steadyDemand(now),
+                                                nodes[i].reserveHoldings(now), cfg.get()),
+                                 now);
     }
     EXPECT_GT(asked, 500);
     EXPECT_LE(refused * 1000, asked) << refused << " of " << asked << " on " << count << " nodes";
   }
 }
-TEST(Quota, AStashEndsByItself) {
-  QuotaGrants s;
+TEST(Quota, TokensExpire) {
+  QuotaTokenBuckets buckets;
   TimePoint now{100s};
-  s.drawn({{"t", 5, 0.1}}, now);
-  EXPECT_TRUE(s.take("t", now + 1s));
-  EXPECT_FALSE(s.take("t", now + QuotaGrants::life + 1ms));
-  s.loose({{"t", 2, 0.1}}, now);
-  EXPECT_TRUE(s.retake("t", now + 10ms));
-  EXPECT_FALSE(s.retake("t", now + QuotaGrants::immediateTokenLifetime + 1ms));
+  buckets.refillReserve({{"t", 5, 0.1}}, now);
+  EXPECT_TRUE(buckets.tryAcquire("t", now + 1s));
+  EXPECT_FALSE(buckets.tryAcquire("t", now + QuotaTokenBuckets::kReserveLifetime + 1ms));
+  buckets.addImmediateTokens({{"t", 2, 0.1}}, now);
+  EXPECT_TRUE(buckets.retryAcquire("t", now + 10ms));
+  EXPECT_FALSE(buckets.retryAcquire("t", now + QuotaTokenBuckets::kImmediateTokenLifetime + 1ms));
 }
-// What a node says of tenants is bounded by those that send to it steadily, however many are configured or came by
-// once.
-TEST(Quota, OnlySteadyTenantsAreToldOf) {
-  QuotaGrants s;
+// A node reports only tenants that send to it steadily, however many are configured or sent a single request.
+TEST(Quota, OnlySteadyTenantsAreReported) {
+  QuotaTokenBuckets buckets;
   TimePoint now{100s};
   for (int ms = 0; ms < 20000; ms += 10, now += 10ms) {
     if (ms % 100 == 0)
-      s.take("steady", now);
+      buckets.tryAcquire("steady", now);
     if (ms % 50 == 0)
-      s.take("rare" + std::to_string(ms / 50 % 200), now);
+      buckets.tryAcquire("rare" + std::to_string(ms / 50 % 200), now);
     if (ms % 400 == 0) {
-      const auto d = s.demand(now);
+      const auto d = buckets.steadyDemand(now);
       EXPECT_LE(d.size(), 1U);
       if (ms > 4000) {
         ASSERT_EQ(d.size(), 1U);
@@ -180,182 +181,184 @@
     }
   }
   for (int i = 0; i < 200; ++i, now += 400ms)
-    (void)s.demand(now);
-  EXPECT_EQ(s.size(), 0U) << "and forgets who stays away";
+    (void)buckets.steadyDemand(now);
+  EXPECT_EQ(buckets.size(), 0U) << "tenants without requests are forgotten";
 }
-TEST(Budget, FurtherAttemptsStayInsideTheShare) {
+TEST(RetryBudget, RetriesStayWithinTheRatio) {
   std::mt19937_64 rng(9);
-  Budget b(0.15, 2500ms);
-  b.share(10, 0.5);
-  std::deque<std::pair<int, bool>> window;  // ms, whether it was a further attempt
+  RetryBudget budget(0.15, 2500ms);
+  budget.setReserve(10, 0.5);
+  std::deque<std::pair<int, bool>> window;  // time in 10 ms, whether it was a retry
   TimePoint now{100s};
   for (int t = 0; t < 100000; ++t, now += 10ms) {
     if (rng() % 10 == 0)
-      b.earn("s", now), window.emplace_back(t, false);
-    while (rng() % 5 == 0 && b.spend("s", now))
+      budget.recordRequest("s", now), window.emplace_back(t, false);
+    while (rng() % 5 == 0 && budget.tryWithdraw("s", now))
       window.emplace_back(t, true);
     while (!window.empty() && window.front().first < t - 1000)
       window.pop_front();
     double firsts = 0;
-    double again = 0;
-    for (auto& [at, more] : window)
-      (more ? again : firsts) += 1;
-    ASSERT_LE(again, 0.2 * firsts + 12) << t;
+    double retries = 0;
+    for (auto& [at, isRetry] : window)
+      (isRetry ? retries : firsts) += 1;
+    ASSERT_LE(retries, 0.2 * firsts + 12) << t;
   }
 }
-// Quiet for long, then everything fails at once on all nodes: what they saved up must fit the window's slack.
-TEST(Budget, AllNodesTogetherStayInsideTheSlack) {
+// No traffic for long, then everything fails at once on all nodes: their reserves must fit the window's slack.
+TEST(RetryBudget, AllNodesTogetherStayWithinTheSlack) {
   std::mt19937_64 rng(4);
   for (int nodes : {3, 6, 9, 20, 70, 330}) {
     const double slack = 50;
-    std::vector<Budget> b(static_cast<std::size_t>(nodes), Budget(0.15, 2500ms));
+    std::vector<RetryBudget> b(static_cast<std::size_t>(nodes), RetryBudget(0.15, 2500ms));
     for (auto& x : b)
-      x.share(slack * 0.5 / nodes, static_cast<double>(rng() % 1000) / 1000);
+      x.setReserve(slack * 0.5 / nodes, static_cast<double>(rng() % 1000) / 1000);
     TimePoint now{100s};
     // Much traffic once, then little: what was earned long ago must not be spent on the little.
     for (int i = 0; i < 500; ++i, now += 10ms)
       for (auto& x : b)
-        x.earn("s", now);
+        x.recordRequest("s", now);
     now += 20s;
     int firsts = 0;
-    int again = 0;
+    int retries = 0;
     for (int i = 0; i < 40; ++i, now += 100ms)
       for (auto& x : b) {
         if (nodes > 20 && rng() % 10)
           continue;
-        x.earn("s", now);
+        x.recordRequest("s", now);
         ++firsts;
-        while (x.spend("s", now))
-          ++again;
+        while (x.tryWithdraw("s", now))
+          ++retries;
       }
-    EXPECT_LE(again, 0.2 * firsts + slack) << nodes;
-    EXPECT_GT(again, 0) << nodes;
+    EXPECT_LE(retries, 0.2 * firsts + slack) << nodes;
+    EXPECT_GT(retries, 0) << nodes;
   }
 }
 // Steady traffic and a sudden end of it: the rule counts the requests of the window, or of the one before it.
-TEST(Budget, WhatWasEarnedBeforeIsNotSpentLongAfter) {
-  Budget b(0.15, 2500ms);
-  b.share(0.2, 0.9);
+TEST(RetryBudget, EarnedTokensExpire) {
+  RetryBudget budget(0.15, 2500ms);
+  budget.setReserve(0.2, 0.9);
   TimePoint now{100s};
   int firsts = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    b.earn("s", now), ++firsts;
-  int again = 0;
+    budget.recordRequest("s", now), ++firsts;
+  int retries = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    while (b.spend("s", now))
-      ++again;
-  EXPECT_GT(again, 10);
-  EXPECT_LE(again, 0.15 * firsts * 0.26);
+    while (budget.tryWithdraw("s", now))
+      ++retries;
+  EXPECT_GT(retries, 10);
+  EXPECT_LE(retries, 0.15 * firsts * 0.26);
 }
-TEST(RunnerPool, NodesAgreeOnTheRunnerOfASharedPart) {
+TEST(RunnerPool, NodesAgreeOnTheRunnerOfASharedPrefix) {
   std::vector<Runner> rs;
   rs.reserve(18);
   for (int i = 0; i < 18; ++i)
-    rs.push_back(dock("r" + std::to_string(i), "z" + std::to_string(i % 3)));
+    rs.push_back(runnerIn("r" + std::to_string(i), "z" + std::to_string(i % 3)));
   RunnerPool a(1);
   RunnerPool b(2);
-  a.follow(rs);
+  a.setRunners(rs);
   std::reverse(rs.begin(), rs.end());
-  b.follow(rs);
+  b.setRunners(rs);
   std::set<std::string> used;
   for (int part = 1; part < 60; ++part) {
-    RunnerQuery w;
-    w.service = "s", w.zone = "z0", w.engine = true, w.affinity = hash64(std::to_string(part)), w.sharedTokens = 5000;
-    const auto x = a.at(a.choose(w, TimePoint{100s})).id;
-    w.zone = "z2";
-    EXPECT_EQ(x, b.at(b.choose(w, TimePoint{100s})).id);
+    RunnerQuery query;
+    query.service = "s", query.zone = "z0", query.hasPrefixCache = true, query.affinity = hash64(std::to_string(part)),
+    query.sharedTokens = 5000;
+    const auto x = a.at(a.choose(query, TimePoint{100s})).id;
+    query.zone = "z2";
+    EXPECT_EQ(x, b.at(b.choose(query, TimePoint{100s})).id);
     used.insert(x);
   }
-  EXPECT_GT(used.size(), 12U) << "parts spread over the runners";
+  EXPECT_GT(used.size(), 12U) << "prefixes spread over the runners";
 }
-TEST(RunnerPool, APlaceWithMuchToReadIsLeft) {
-  RunnerPool d(1);
-  d.follow({dock("r1", "z"), dock("r2", "z")});
-  RunnerQuery w;
-  w.service = "s", w.zone = "z", w.engine = true, w.affinity = 77, w.sharedTokens = 1000, w.promptTokens = 3000;
-  const int home = d.choose(w, TimePoint{100s});
-  d.attemptBegan(home, 3000);
-  EXPECT_EQ(d.choose(w, TimePoint{100s}), home) << "one waiting prompt is no reason";
-  d.attemptBegan(home, 30000);
-  EXPECT_NE(d.choose(w, TimePoint{100s}), home);
-  d.promptRead(home, 30000);
-  EXPECT_EQ(d.choose(w, TimePoint{100s}), home) << "and it comes back";
+TEST(RunnerPool, ARunnerWithALargePrefillBacklogIsAvoided) {
+  RunnerPool pool(1);
+  pool.setRunners({runnerIn("r1", "z"), runnerIn("r2", "z")});
+  RunnerQuery query;
+  query.service = "s", query.zone = "z", query.hasPrefixCache = true, query.affinity = 77, query.sharedTokens = 1000,
+  query.promptTokens = 3000;
+  const int home = pool.choose(query, TimePoint{100s});
+  pool.attemptStarted(home, 3000);
+  EXPECT_EQ(pool.choose(query, TimePoint{100s}), home) << "one waiting prompt is no reason to leave";
+  pool.attemptStarted(home, 30000);
+  EXPECT_NE(pool.choose(query, TimePoint{100s}), home);
+  pool.prefillEnded(home, 30000);
+  EXPECT_EQ(pool.choose(query, TimePoint{100s}), home) << "and it comes back";
 }
-TEST(RunnerPool, DrainingOnesAreNeverChosenShunnedOnesOnlyAtNeed) {
-  RunnerPool d(1);
-  d.follow({dock("r1", "z", RunnerState::draining), dock("r2", "z"), dock("r3", "z")});
-  RunnerQuery w;
-  w.service = "s", w.zone = "z";
+TEST(RunnerPool, DrainingRunnersAreNeverChosenUnhealthyOnesOnlyAtNeed) {
+  RunnerPool pool(1);
+  pool.setRunners({runnerIn("r1", "z", RunnerState::draining), runnerIn("r2", "z"), runnerIn("r3", "z")});
+  RunnerQuery query;
+  query.service = "s", query.zone = "z";
   for (int i = 0; i < 50; ++i)
-    EXPECT_NE(d.at(d.choose(w, TimePoint{100s})).id, "r1");
+    EXPECT_NE(pool.at(pool.choose(query, TimePoint{100s})).id, "r1");
   int r2 = 0;
-  while (d.at(r2).id != "r2")
+  while (pool.at(r2).id != "r2")
     ++r2;
-  d.recordFailure(r2, TimePoint{100s});
+  pool.recordFailure(r2, TimePoint{100s});
   for (int i = 0; i < 20; ++i)
-    EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r3");
-  d.follow({dock("r2", "z")});
-  EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r2");
-  d.follow({});
-  EXPECT_EQ(d.choose(w, TimePoint{100s}), -1);
+    EXPECT_EQ(pool.at(pool.choose(query, TimePoint{100s})).id, "r3");
+  pool.setRunners({runnerIn("r2", "z")});
+  EXPECT_EQ(pool.at(pool.choose(query, TimePoint{100s})).id, "r2");
+  pool.setRunners({});
+  EXPECT_EQ(pool.choose(query, TimePoint{100s}), -1);
 }
-TEST(RunnerPool, AnotherRegionIsForNeedOnly) {
-  RunnerPool d(1);
-  d.regions({{"a1", "a"}, {"a2", "a"}, {"b1", "b"}});
-  d.follow({dock("r1", "a2"), dock("r2", "b1"), dock("r3", "b1")});
+TEST(RunnerPool, AnotherRegionIsChosenOnlyAtNeed) {
+  RunnerPool pool(1);
+  pool.setRegions({{"a1", "a"}, {"a2", "a"}, {"b1", "b"}});
+  pool.setRunners({runnerIn("r1", "a2"), runnerIn("r2", "b1"), runnerIn("r3", "b1")});
   for (bool engine : {false, true})
     for (int part = 1; part < 30; ++part) {
-      RunnerQuery w;
-      w.service = "s", w.zone = "a1", w.engine = engine, w.affinity = hash64(std::to_string(part)),
-      w.sharedTokens = 2000;
-      EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r1");
+      RunnerQuery query;
+      query.service = "s", query.zone = "a1", query.hasPrefixCache = engine,
+      query.affinity = hash64(std::to_string(part)), query.sharedTokens = 2000;
+      EXPECT_EQ(pool.at(pool.choose(query, TimePoint{100s})).id, "r1");
     }
-  d.follow({dock("r2", "b1")});
-  RunnerQuery w;
-  w.service = "s", w.zone = "a1", w.engine = true, w.affinity = 5, w.sharedTokens = 2000;
-  EXPECT_EQ(d.at(d.choose(w, TimePoint{100s})).id, "r2") << "far away is better than nowhere";
+  pool.setRunners({runnerIn("r2", "b1")});
+  RunnerQuery query;
+  query.service = "s", query.zone = "a1", query.hasPrefixCache = true, query.affinity = 5, query.sharedTokens = 2000;
+  EXPECT_EQ(pool.at(pool.choose(query, TimePoint{100s})).id, "r2") << "far away is better than nowhere";
 }
-TEST(RunnerPool, PromptPartsAreRead) {
-  const auto p = promptOf("5c1e07a2:800,91bd3f06:410,e4402b7d:250");
-  EXPECT_EQ(p.all, 1460);
-  EXPECT_EQ(p.shared, 1210);
-  EXPECT_EQ(p.affinity, promptOf("5c1e07a2:800,91bd3f06:410,ffff:9").affinity);
-  EXPECT_NE(p.affinity, promptOf("5c1e07a2:800,e4402b7d:250").affinity);
-  EXPECT_EQ(promptOf("").affinity, 0U);
-  EXPECT_EQ(promptOf("aa:5").shared, 0);
-  EXPECT_EQ(promptOf("nonsense,,:x").shared, 0);
+TEST(PromptPrefix, ParsesParts) {
+  const auto p = parsePromptPrefix("5c1e07a2:800,91bd3f06:410,e4402b7d:250");
+  EXPECT_EQ(p.totalTokens, 1460);
+  EXPECT_EQ(p.sharedTokens, 1210);
+  EXPECT_EQ(p.affinity, parsePromptPrefix("5c1e07a2:800,91bd3f06:410,ffff:9").affinity);
+  EXPECT_NE(p.affinity, parsePromptPrefix("5c1e07a2:800,e4402b7d:250").affinity);
+  EXPECT_EQ(parsePromptPrefix("").affinity, 0U);
+  EXPECT_EQ(parsePromptPrefix("aa:5").sharedTokens, 0);
+  EXPECT_EQ(parsePromptPrefix("nonsense,,:x").sharedTokens, 0);
 }
 
-TEST(AdmissionControl, CalmSeasDeclineNobodyStormyOnesTheLessUrgentFirst) {
-  AdmissionControl a;
+TEST(AdmissionControl, ShedsLessUrgentRequestsFirstAndNoneWithoutOverload) {
+  AdmissionControl admission;
   TimePoint now{100s};
   for (int i = 0; i < 400; ++i, now += 10ms) {
-    a.first("s", i % 3 == 0, now);
-    ASSERT_TRUE(a.allows("s", 4, 0.0, now)) << "a third late is no storm";
+    admission.recordResponse("s", i % 3 == 0, now);
+    ASSERT_TRUE(admission.admits("s", 4, 0.0, now)) << "a third late is no overload";
   }
   for (int i = 0; i < 400; ++i, now += 10ms)
-    a.first("s", true, now);
+    admission.recordResponse("s", true, now);
   int urgent = 0;
   int other = 0;
   for (int i = 0; i < 1000; ++i) {
-    urgent += a.allows("s", 0, i / 1000.0, now);
-    other += a.allows("s", 4, i / 1000.0, now);
+    urgent += admission.admits("s", 0, i / 1000.0, now);
+    other += admission.admits("s", 4, i / 1000.0, now);
   }
   EXPECT_LT(urgent, 1000);
   EXPECT_GT(urgent, other);
-  EXPECT_GE(other, 250) << "nobody is shut out";
-  EXPECT_TRUE(a.allows("another", 4, 0.0, now)) << "each service for itself";
+  EXPECT_GE(other, 250) << "some requests of each precedence are accepted";
+  EXPECT_TRUE(admission.admits("another", 4, 0.0, now)) << "each service is evaluated by itself";
   for (int i = 0; i < 2000; ++i, now += 10ms)
-    a.first("s", false, now);
-  EXPECT_DOUBLE_EQ(a.level("s"), 0);
+    admission.recordResponse("s", false, now);
+  EXPECT_DOUBLE_EQ(admission.shedLevel("s"), 0);
 }
-TEST(AdmissionControl, SilenceEndsAStorm) {
-  AdmissionControl a;
+TEST(AdmissionControl, SheddingEndsWithoutTraffic) {
+  AdmissionControl admission;
   TimePoint now{100s};
   for (int i = 0; i < 300; ++i, now += 10ms)
-    a.first("s", true, now);
-  EXPECT_GT(a.level("s"), 0);
+    admission.recordResponse("s", true, now);
+  EXPECT_GT(admission.shedLevel("s"), 0);
   for (int i = 0; i < 60; ++i, now += 1s)
-    (void)a.allows("s", 4, 0.5, now);
-  EXPECT_DOUBLE_EQ(a.level("s"), 0);
+    (void)admission.admits("s", 4, 0.5, now);
+  EXPECT_DOUBLE_EQ(admission.shedLevel("s"), 0);
 }
--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -1,8 +1,8 @@
 // HTTP as clients and runners may send it: heads and bodies parsed as the proxy parses them, in reads of any length,
 // heads copied to the other side, event streams scanned.
-#include "events.hpp"
+#include "event_scanner.hpp"
 #include "fuzz_target.hpp"
-#include "heads.hpp"
+#include "headers.hpp"
 #include "proxy/http.hpp"
 
 namespace {
@@ -46,10 +46,10 @@
 }
 // A head as it goes on: it must end once, hold no bare line ends, and parse as what it was, with its own framing.
 void checkOutboundHead(const RequestParser::value_type& request) {
-  Outbound outbound;
-  outbound.expectedInstance = "i-1";
-  outbound.left = Duration(500);
-  const auto head = outboundHead(request, outbound, request.body().size());
+  ForwardingOptions options;
+  options.expectedInstance = "i-1";
+  options.timeLeft = Duration(500);
+  const auto head = forwardedRequestHeader(request, options, request.body().size());
   fuzz::require(head.size() >= 4 && head.substr(head.size() - 4) == "\r\n\r\n");
   fuzz::require(count(head, "\r\n\r\n") == 1);
   fuzz::require(count(head, "\n") == count(head, "\r\n"));
@@ -83,7 +83,7 @@
   http::response_parser<http::string_body> parser;
   if (!parseInReads(parser, input, readLength))
     return;
-  const auto head = inboundHead(parser.get());
+  const auto head = forwardedResponseHeader(parser.get());
   fuzz::require(count(head, "\r\n\r\n") <= 1);
   fuzz::require(count(head, "\n") == count(head, "\r\n"));
 }
@@ -92,19 +92,19 @@
 // after.)
 void scanEvents(std::string_view input, std::size_t readLength) {
   constexpr std::string_view kEmptyLine = "\n\n";
-  EventScan scan;
+  EventScanner scan;
   std::string out;
   for (auto rest = input; !rest.empty();) {
     const auto read = rest.substr(0, readLength);
     rest.remove_prefix(read.size());
     out += scan.feed(read);
   }
-  fuzz::require(out + scan.rest() == input);
+  fuzz::require(out + scan.partialEvent() == input);
   out += scan.feed(kEmptyLine);
-  fuzz::require(out == std::string(input) + std::string(kEmptyLine) && scan.rest().empty());
-  EventScan atOnce;
+  fuzz::require(out == std::string(input) + std::string(kEmptyLine) && scan.partialEvent().empty());
+  EventScanner atOnce;
   fuzz::require(atOnce.feed(std::string(input) + std::string(kEmptyLine)) == out);
-  fuzz::require(atOnce.lastId() == scan.lastId());
+  fuzz::require(atOnce.lastEventId() == scan.lastEventId());
 }
 // The first byte says how long each read is.
 void readAnything(std::string_view input) {
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -17,11 +17,11 @@
   shutdown.begin(kTerminated, grace);
   return shutdown;
 }
-// Begun so long ago that requests are not taken any more.
+// Begun so long ago that requests are no longer accepted.
 void stopTakingRequests(ProxyContext& context) {
   context.shutdown.begin(Clock::now() - kNoticeTime, 8s);
 }
-// Whether the far end closes the connection before it says anything.
+// Whether the peer closes the connection before it sends anything.
 bool endsSilently(Connection& connection) {
   SocketError ec;
   char byte = 0;
@@ -36,7 +36,7 @@
   GracefulShutdown shutdown;
   EXPECT_FALSE(shutdown.begun());
   EXPECT_EQ(shutdown.phase(kTerminated), ShutdownPhase::serving);
-  EXPECT_TRUE(shutdown.takesRequests(kTerminated));
+  EXPECT_TRUE(shutdown.acceptsRequests(kTerminated));
   EXPECT_FALSE(shutdown.mayExit(kTerminated, 0, 0));
 }
 TEST(GracefulShutdown, PhasesFollowEachOther) {
@@ -49,15 +49,15 @@
   for (auto& [after, phase] : table)
     EXPECT_EQ(shutdown.phase(kTerminated + after), phase) << after.count() << " ms";
 }
-// The rule LOST forgives a cut only to requests that were sent no later than 3 s after SIGTERM and at which a runner
-// still worked in the second half of `graceS`.
-TEST(GracefulShutdown, TakesNothingThatLostWouldCount) {
+// The rule LOST forgives a cut response only for requests that were sent no later than 3 s after SIGTERM and at which a
+// runner still worked in the second half of `graceS`.
+TEST(GracefulShutdown, AcceptsNothingThatLostWouldCount) {
   for (Duration grace = 200ms; grace <= 60s; grace += 200ms) {
     const auto shutdown = begunWith(grace);
     for (Duration after = 0ms; after <= grace; after += 50ms) {
       const auto now = kTerminated + after;
       const bool lostWouldCount = after >= 3s || after >= grace / 2;
-      EXPECT_FALSE(lostWouldCount && shutdown.takesRequests(now)) << grace.count() << ", " << after.count();
+      EXPECT_FALSE(lostWouldCount && shutdown.acceptsRequests(now)) << grace.count() << ", " << after.count();
     }
     EXPECT_TRUE(shutdown.mayExit(kTerminated + grace * 9 / 10, 1, 1)) << "it ends before it is killed";
   }
@@ -67,7 +67,7 @@
   EXPECT_FALSE(shutdown.begin(kTerminated + 2s, 8s));
   EXPECT_EQ(shutdown.phase(kTerminated + kNoticeTime), ShutdownPhase::notAccepting);
 }
-TEST(GracefulShutdown, ExitsOnceNothingIsLeftToEnd) {
+TEST(GracefulShutdown, ExitsOnceNothingIsInFlight) {
   const auto shutdown = begunWith(8s);
   EXPECT_FALSE(shutdown.mayExit(kTerminated, 0, 0)) << "callers may still come";
   EXPECT_FALSE(shutdown.mayExit(kTerminated + 2600ms, 1, 0)) << "a request may be half read";
@@ -95,7 +95,7 @@
     EXPECT_EQ(runner->got.size(), 3U);
   });
 }
-TEST(GracefulShutdown, ARequestThatArrivesLateIsRefusedAndReachesNoRunner) {
+TEST(GracefulShutdown, ARequestThatArrivesLateIsRejectedAndReachesNoRunner) {
   for (const char* path : {"/once/x", "/safe/x", "/resume/x"})
     withProxy([path](TestProxy& h) {
       auto runner = h.runner("i-1", answers);
@@ -141,7 +141,7 @@
     EXPECT_EQ(hear(*used, buffer).status, 200);
     EXPECT_EQ(h.context.idleConnections.size(), 1U);
     stopTakingRequests(h.context);
-    h.context.idleConnections.limit(kIdleWhileLeaving);
+    h.context.idleConnections.limit(kIdleTimeoutWhileDraining);
     EXPECT_TRUE(endsSilently(*used));
     EXPECT_EQ(h.context.idleConnections.size(), 0U);
     EXPECT_EQ(h.context.clients, 0);
@@ -162,7 +162,7 @@
     EXPECT_EQ(runner->got.size(), 1U);
   });
 }
-TEST(GracefulShutdown, WhatIsInFlightEndsWhole) {
+TEST(GracefulShutdown, RequestsInFlightAreCompleted) {
   for (const char* path : {"/once/x", "/stream/x", "/resume/x"})
     withProxy([path](TestProxy& h) {
       h.runner("i-1", [&h](StandIn&, Connection& connection, const std::string& id, const std::string&) {
@@ -175,7 +175,7 @@
       });
       const auto answer = once(h, ask(path));
       EXPECT_EQ(answer.status, 200) << path;
-      EXPECT_TRUE(answer.wholeBody) << path;
+      EXPECT_TRUE(answer.bodyComplete) << path;
       EXPECT_EQ(answer.body, event(1) + event(2)) << path;
       EXPECT_EQ(h.context.inFlight, 0) << path;
     });
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -2,6 +2,7 @@
 /// never costs its response.
 #include "hints/hints.hpp"
 
+#include "balancing/prompt_prefix.hpp"
 #include "standins.hpp"
 #include "transport/avro.hpp"
 
@@ -159,8 +160,8 @@
   EXPECT_FALSE(HintKey::parse("short"));
   EXPECT_FALSE(HintKey::parse(std::string(64, 'z')));
 }
-TEST(PartnerTrust, AllowsAQuarterAndFewAfterFailures) {
-  PartnerTrust trust;
+TEST(PartnerCircuitBreaker, AllowsAQuarterAndFewAfterFailures) {
+  PartnerCircuitBreaker trust;
   TimePoint now = kStart;
   int allowed = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
@@ -208,13 +209,13 @@
     proxy->runner("i-0", [this](StandIn&, Connection& connection, const std::string& attempt,
                                 const std::string& request) { respond(connection, attempt, request); });
   }
-  std::string address() const { return "127.0.0.1:" + std::to_string(proxy->door->local_endpoint().port()); }
+  std::string address() const { return "127.0.0.1:" + std::to_string(proxy->listener->local_endpoint().port()); }
 
  private:
   void respond(Connection& connection, const std::string& attempt, const std::string& request) {
     if (request.find("/push/") != std::string::npos) {
       ++pushes;
-      return say(connection, whole(attempt, "pushed " + attempt));
+      return say(connection, completeResponse(attempt, "pushed " + attempt));
     }
     ++streams;
     markedRequests += request.find("X-Partner-Site") != std::string::npos;
@@ -261,7 +262,7 @@
     const auto prefixOf = [&](int i) { return name + std::to_string(i) + ":5000"; };
     for (int i = 0; i < count; ++i) {
       partner->cached.insert("X-Prompt-Prefix: " + prefixOf(i));
-      sendPrefix(partner->hints, promptOf(prefixOf(i) + ",x:100").affinity);
+      sendPrefix(partner->hints, parsePromptPrefix(prefixOf(i) + ",x:100").affinity);
     }
     exchange(here->hints, partner->hints, kStart, kEpoch, 3);
     Outcome outcome;
@@ -271,7 +272,7 @@
       const auto stream = once(*here->proxy, streamRequest(name + "a" + number, prefixOf(i) + ",own" + number +
                                                                                     ":100\r\nX-Token-Count: 5100,50"));
       outcome.meanMs += std::chrono::duration<double, std::milli>(Clock::now() - started).count() / count;
-      outcome.completeStreams += stream.status == 200 && stream.wholeBody && stream.body == allEvents();
+      outcome.completeStreams += stream.status == 200 && stream.bodyComplete && stream.body == allEvents();
       const auto push = name + "p" + number;
       outcome.completePushes += pushResponse(push) == "pushed " + push;
     }
@@ -319,7 +320,7 @@
     for (int i = 0; i < 8; ++i) {
       const auto attempt = "n" + std::to_string(i);
       complete +=
-          once(*sites.here->proxy, streamRequest(attempt, attempt + ":5000,o:1\r\nX-Token-Count: 5001,5")).wholeBody;
+          once(*sites.here->proxy, streamRequest(attempt, attempt + ":5000,o:1\r\nX-Token-Count: 5001,5")).bodyComplete;
     }
     EXPECT_EQ(complete, 8);
   });
@@ -384,7 +385,7 @@
       const auto response =
           once(*sites.here->proxy, streamRequest("k" + number, "k" + number + ":5000,o:1\r\nX-Token-Count: 5001,5"));
       EXPECT_EQ(response.status, 200);
-      EXPECT_TRUE(response.wholeBody);
+      EXPECT_TRUE(response.bodyComplete);
       // A cut stream is resumed behind what had arrived; this stand-in sends all its events again.
       const auto events = eventsIn(response.body);
       const bool resumed = fault == PartnerFault::cutsItsStreams && i < 4 && events != kStreamEvents;
--- a/tests/outlier_test.cpp
+++ b/tests/outlier_test.cpp
@@ -143,18 +143,18 @@
 TEST(RunnerObserver, JudgesByWhatIsUsualForThePromptsSize) {
   RunnerObserver w;
   for (int i = 0; i < 50; ++i) {
-    EXPECT_TRUE(w.began("r" + std::to_string(i % 5), "s", 600, 30ms));
-    EXPECT_TRUE(w.began("r" + std::to_string(i % 5), "s", 9000, 400ms));
+    EXPECT_TRUE(w.recordResponse("r" + std::to_string(i % 5), "s", 600, 30ms));
+    EXPECT_TRUE(w.recordResponse("r" + std::to_string(i % 5), "s", 9000, 400ms));
   }
-  (void)w.report(100);
-  EXPECT_FALSE(w.began("r1", "s", 600, 400ms));
-  EXPECT_TRUE(w.began("r2", "s", 9000, 500ms));
-  const auto response = w.report(100);
+  (void)w.takeReport(100);
+  EXPECT_FALSE(w.recordResponse("r1", "s", 600, 400ms));
+  EXPECT_TRUE(w.recordResponse("r2", "s", 9000, 500ms));
+  const auto response = w.takeReport(100);
   ASSERT_EQ(response.size(), 2U);
   EXPECT_EQ(response[0].runner, "r1") << "the worst first";
-  EXPECT_EQ(response[0].failed, RunnerObserver::slowWeight);
+  EXPECT_EQ(response[0].failed, RunnerObserver::kSlowWeight);
   EXPECT_EQ(response[1].succeeded, 1);
-  EXPECT_TRUE(w.report(100).empty()) << "only what is new";
+  EXPECT_TRUE(w.takeReport(100).empty()) << "only what is new";
 }
 // Short prompts wait behind long ones now and then; that is how things are, no illness.
 TEST(RunnerObserver, WhatQueuesNowAndThenIsUsual) {
@@ -163,24 +163,24 @@
   int slow = 0;
   for (int i = 0; i < 5000; ++i) {
     const auto took = Duration(20 + rng() % 20 + (rng() % 6 == 0 ? rng() % 250 : 0));
-    const bool fine = w.began("r", "s", 600, took);
+    const bool fine = w.recordResponse("r", "s", 600, took);
     if (i > 200)
       slow += !fine;
   }
   EXPECT_LT(slow, 4800 * 6 / 100);
-  EXPECT_FALSE(w.began("r", "s", 600, 900ms));
+  EXPECT_FALSE(w.recordResponse("r", "s", 600, 900ms));
 }
 TEST(RunnerObserver, HangingNeverBecomesUsual) {
   RunnerObserver w;
   for (int i = 0; i < 30; ++i)
-    w.began("good", "s", 600, 30ms);
+    w.recordResponse("good", "s", 600, 30ms);
   for (int i = 0; i < 8; ++i)
-    w.began("ill", "s", 600, 8000ms);
-  EXPECT_LT(w.patience("s", 600), 500ms);
+    w.recordResponse("ill", "s", 600, 8000ms);
+  EXPECT_LT(w.slowThreshold("s", 600), 500ms);
 }
 TEST(RunnerPool, OneSetAsideIsLeftAloneAndTriedByFewThatMayBeRepeated) {
   RunnerPool d(1);
-  d.follow(fleet(4));
+  d.setRunners(fleet(4));
   d.setEjected({{"r1", 1, 0}, {"r2", 0.5, 0}, {"unknown", 1, 0}});
   std::map<std::string, int> safe;
   std::map<std::string, int> once;
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -55,7 +55,7 @@
     EXPECT_TRUE(r->got.empty());
   });
 }
-TEST(Proxy, OneWireManyRequestsPipelinedAndChunked) {
+TEST(Proxy, ServesPipelinedAndChunkedRequestsOnOneConnection) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", answers);
     auto w = h.dial();
@@ -72,7 +72,7 @@
     EXPECT_EQ(r->connections, 1) << "the runner's connection is used again";
   });
 }
-TEST(Proxy, AtMostOnceNothingGoesToASecondRunnerAfterASend) {
+TEST(Proxy, AtMostOnceRequestsReachNoSecondRunnerAfterASend) {
   withProxy([](TestProxy& h) {
     const auto cut = [](StandIn&, Connection& w, const std::string&, const std::string&) { w.close(); };
     auto r1 = h.runner("i-1", cut);
@@ -86,14 +86,14 @@
     }
   });
 }
-TEST(Proxy, ASafeOneGoesAgainWithinItsAttempts) {
+TEST(Proxy, RetriesSafeRequestsWithinTheirAttempts) {
   withProxy([](TestProxy& h) {
     int n = 0;
     const auto act = [&n](StandIn&, Connection& w, const std::string& id, const std::string&) {
       if (n++ == 0)
         w.close();
       else
-        say(w, whole(id, "second"));
+        say(w, completeResponse(id, "second"));
     };
     h.runner("i-1", act);
     h.runner("i-2", act);
@@ -101,24 +101,24 @@
     EXPECT_EQ(n, 2);
   });
 }
-TEST(Proxy, NotExecutedMovesOnEvenForThoseThatRunOnce) {
+TEST(Proxy, RetriesNotExecutedRequestsEvenOfUnsafeRoutes) {
   withProxy([](TestProxy& h) {
     int n = 0;
     const auto act = [&n](StandIn&, Connection& w, const std::string& id, const std::string&) {
       if (n++ == 0)
-        say(w, whole(id, "no", 421));
+        say(w, completeResponse(id, "no", 421));
       else
-        say(w, whole(id, "ran"));
+        say(w, completeResponse(id, "ran"));
     };
     h.runner("i-1", act);
     h.runner("i-2", act);
     EXPECT_EQ(once(h, ask("/once/x")).body, "ran");
   });
 }
-TEST(Proxy, AllFullIsARefusalWithATimeToComeBack) {
+TEST(Proxy, RejectsWithRetryAfterWhenAllRunnersAreFull) {
   withProxy([](TestProxy& h) {
     const auto full = [](StandIn&, Connection& w, const std::string& id, const std::string&) {
-      say(w, whole(id, "full", 503, "X-Not-Executed: 1\r\n"));
+      say(w, completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n"));
     };
     h.runner("i-1", full);
     h.runner("i-2", full);
@@ -127,30 +127,31 @@
     EXPECT_TRUE(a.heads.count("Retry-After"));
   });
 }
-TEST(Proxy, A503ThatMayHaveRunIsNotPassedOnAsAPromise) {
+TEST(Proxy, A503ThatMayHaveRunIsNotForwarded) {
   withProxy([](TestProxy& h) {
-    h.runner("i-1",
-             [](StandIn&, Connection& w, const std::string& id, const std::string&) { say(w, whole(id, "?", 503)); });
+    h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
+      say(w, completeResponse(id, "?", 503));
+    });
     EXPECT_EQ(once(h, ask("/once/x")).status, 502);
   });
 }
-TEST(Proxy, AFailureOfTheRunnersOwnIsPassedOnUnchanged) {
+TEST(Proxy, ForwardsARunnersOwnFailureUnchanged) {
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
-      say(w, whole(id, "broke", 500));
+      say(w, completeResponse(id, "broke", 500));
     });
     const auto a = once(h, ask("/once/x"));
     EXPECT_EQ(a.status, 500);
     EXPECT_EQ(a.body, "broke");
   });
 }
-TEST(Proxy, ASurplusAnswerBelongsToNobody) {
+TEST(Proxy, DropsAResponseToAnotherAttempt) {
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn& me, Connection& w, const std::string& id, const std::string&) {
       if (me.got.size() == 1)
-        say(w, whole(id, "first"));
+        say(w, completeResponse(id, "first"));
       else
-        say(w, whole("a1", "late surplus") + whole(id, "mine"));
+        say(w, completeResponse("a1", "late surplus") + completeResponse(id, "mine"));
     });
     auto w = h.dial();
     Buffer b;
@@ -160,25 +161,27 @@
     EXPECT_EQ(hear(*w, b).body, "mine");
   });
 }
-TEST(Proxy, AWireWithUnaskedBytesIsNotUsedAgain) {
+TEST(Proxy, DoesNotReuseAConnectionWithUnsolicitedBytes) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
-      say(w, whole(id, "ok") + "stray");
+      say(w, completeResponse(id, "ok") + "stray");
     });
     EXPECT_EQ(once(h, ask("/once/x", "a1")).body, "ok");
     EXPECT_EQ(once(h, ask("/once/x", "a2")).body, "ok");
     EXPECT_EQ(r->connections, 2);
   });
 }
-TEST(Proxy, WhatIsNoAnswerOrHasNoSealOrEndsEarlyIsNoSuccess) {
+TEST(Proxy, InvalidUnsealedOrTruncatedResponsesAreNoSuccess) {
   const std::function<std::string(const std::string&)> table[] = {
       [](const std::string&) { return std::string("garbage garbage\r\n\r\n"); },
       [](const std::string& id) {
         return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nContent-Length: 2\r\n\r\nhi";
       },
-      [](const std::string& id) { return whole(id, "hi", 200, "Content-Encoding: gzip\r\n"); },
-      [](const std::string& id) { return whole(id, "0123456789").substr(0, whole(id, "0123456789").size() - 4); },
-      [](const std::string&) { return whole("another", "x"); }};
+      [](const std::string& id) { return completeResponse(id, "hi", 200, "Content-Encoding: gzip\r\n"); },
+      [](const std::string& id) {
+        return completeResponse(id, "0123456789").substr(0, completeResponse(id, "0123456789").size() - 4);
+      },
+      [](const std::string&) { return completeResponse("another", "x"); }};
   for (auto& t : table)
     withProxy([&](TestProxy& h) {
       h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
@@ -190,7 +193,7 @@
       EXPECT_NE(a.status, 503);
     });
 }
-TEST(Proxy, AStreamPassesAsItComesAndEndsWhenTheRunnerEnds) {
+TEST(Proxy, ForwardsAStreamAsItArrivesUntilTheRunnerEndsIt) {
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
       say(w, streamHead(id) + chunk(event(1)));
@@ -199,7 +202,7 @@
     });
     for (auto path : {"/stream/x", "/resume/x"}) {
       const auto a = once(h, ask(path));
-      EXPECT_TRUE(a.wholeBody);
+      EXPECT_TRUE(a.bodyComplete);
       EXPECT_TRUE(a.chunked);
       EXPECT_EQ(a.body, event(1) + event(2)) << path;
     }
@@ -213,10 +216,10 @@
     });
     const auto a = once(h, ask("/stream/x"));
     EXPECT_EQ(a.status, 200);
-    EXPECT_FALSE(a.wholeBody);
+    EXPECT_FALSE(a.bodyComplete);
   });
 }
-TEST(Proxy, ACutStreamIsTakenUpAfterItsLastWholeEvent) {
+TEST(Proxy, ResumesACutStreamAfterItsLastCompleteEvent) {
   withProxy([](TestProxy& h) {
     int n = 0;
     std::string second;
@@ -232,13 +235,13 @@
     h.runner("i-1", act);
     h.runner("i-2", act);
     const auto a = once(h, ask("/resume/x"));
-    EXPECT_TRUE(a.wholeBody);
+    EXPECT_TRUE(a.bodyComplete);
     EXPECT_EQ(a.body, event(1) + event(2) + event(3) + event(4)) << "nothing missing, nothing twice";
     EXPECT_EQ(a.heads.at("X-Server-Seal"), "seal-first");
     EXPECT_NE(second.find("Last-Event-Id: 2\n"), std::string::npos) << second;
   });
 }
-TEST(Proxy, AClientThatLeavesEndsTheRun) {
+TEST(Proxy, AClientThatDisconnectsEndsTheRun) {
   withProxy([](TestProxy& h) {
     bool ended = false;
     Waiter done;
@@ -266,7 +269,7 @@
     auto dead = h.runner("i-0", answers);
     auto r = h.runner("i-1", answers);
     dead->acc->close();
-    h.context.runners.follow(
+    h.context.runners.setRunners(
         {Runner{"i-0", "s", "127.0.0.1:1", "z", 4, 1, 0}, Runner{"i-1", "s", r->address(), "z", 4, 1, 0}});
     for (int i = 0; i < 6; ++i)
       EXPECT_EQ(once(h, ask("/once/x", "a" + std::to_string(i))).status, 200);
@@ -283,7 +286,7 @@
     EXPECT_EQ(once(h, ask("/once/x", "a1", "X-Deadline-Ms: 150\r\n")).status, 504);
   });
 }
-TEST(Proxy, BeyondTheMostANewWireIsClosedUnread) {
+TEST(Proxy, ClosesConnectionsBeyondTheLimitUnread) {
   withProxy([](TestProxy& h) {
     h.runner("i-1", answers);
     h.context.maxClients = 2;
@@ -303,7 +306,7 @@
     EXPECT_EQ(once(h, ask("/safe/x", "a2")).status, 200);
   });
 }
-TEST(Proxy, WithMuchInWorkNothingNewIsRead) {
+TEST(Proxy, ReadsNothingWhileBodiesExceedTheLimit) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", answers);
     h.context.bodyBytes = 2, h.context.maxBodyBytes = 1;
@@ -316,14 +319,14 @@
     EXPECT_EQ(hear(*w, b).status, 200);
   });
 }
-TEST(Events, WholeOnesAndTheLastId) {
-  EventScan s;
+TEST(EventScanner, FindsCompleteEventsAndTheLastId) {
+  EventScanner s;
   EXPECT_EQ(s.feed("id: 1\ndata: a\n"), "");
   EXPECT_EQ(s.feed("\nid: 2\nda"), "id: 1\ndata: a\n\n");
-  EXPECT_EQ(s.lastId(), "1");
+  EXPECT_EQ(s.lastEventId(), "1");
   EXPECT_EQ(s.feed("ta: id: 9\n\nid: 3\r\ndata: x\r\n\r"), "id: 2\ndata: id: 9\n\n");
-  EXPECT_EQ(s.lastId(), "2");
+  EXPECT_EQ(s.lastEventId(), "2");
   EXPECT_EQ(s.feed("\n"), "id: 3\r\ndata: x\r\n\r\n");
-  EXPECT_EQ(s.lastId(), "3");
-  EXPECT_TRUE(s.rest().empty());
+  EXPECT_EQ(s.lastEventId(), "3");
+  EXPECT_TRUE(s.partialEvent().empty());
 }
