--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -1,5 +1,5 @@
-// The rules about one request that docs/rules.md lists: what a runner is handed, when an answer is complete, how
-// long anybody waits. Against stand-ins for client and runner on loopback.
+// The rules about one request that docs/rules.md lists: what a runner is given, when a response is complete, how long
+// each side waits. Against stand-ins for client and runner on loopback.
 #include <sys/socket.h>
 
 #include "standins.hpp"
@@ -27,7 +27,7 @@
   connection.read(asio::buffer(&byte, 1), ec);
   connection.close();
 }
-// A close that sends a reset in the place of an end.
+// Closes a connection with a reset.
 void reset(Connection& connection) {
   const linger now{1, 0};
   ::setsockopt(connection.socket().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -38,7 +38,7 @@
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + attempt + "\r\nX-Server-Seal: seal-1\r\nConnection: close\r\n\r\n" +
          body;
 }
-// Four routes, as the proxy under test has them, that give up after so long.
+// Four routes with this expiry, otherwise as the proxy under test has them.
 void expireAfter(TestProxy& proxy, Duration expiry) {
   auto configuration = std::make_shared<Configuration>(*proxy.context.configuration);
   for (auto& route : configuration->routes)
@@ -48,7 +48,7 @@
 const char* const kPaths[] = {"/safe/x", "/once/x", "/stream/x", "/resume/x"};
 }  // namespace
 
-TEST(RequestRules, WhatARunnerPlansByIsTheClientsOwnOnEachAttempt) {
+TEST(RequestRules, SchedulingHeadersAreTheClientsOwnOnEachAttempt) {
   withProxy([](TestProxy& h) {
     const std::string heads =
         "X-Model: m-7\r\nX-Token-Count: 812,40\r\nX-Prompt-Prefix: a:600,b:200\r\nX-Expected-Version: 12\r\n";
@@ -57,7 +57,7 @@
       got.push_back(text);
       if (got.size() == 1)
         return w.close();
-      say(w, whole(id, "second"));
+      say(w, completeResponse(id, "second"));
     };
     h.runner("i-1", act);
     h.runner("i-2", act);
@@ -72,13 +72,13 @@
     }
   });
 }
-TEST(RequestRules, WeightVersionsPassOnInHeadsAndEvents) {
+TEST(RequestRules, WeightVersionsAreForwardedInHeadersAndEvents) {
   const std::string changed = "x-weight-versions: 8\n" + event(2);
   for (const char* path : kPaths)
     withProxy([&](TestProxy& h) {
       const bool stream = std::string_view(path) == "/stream/x" || std::string_view(path) == "/resume/x";
       h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
-        auto answer = stream ? streamHead(id) + chunk(event(1) + changed) + "0\r\n\r\n" : whole(id, "ok");
+        auto answer = stream ? streamHead(id) + chunk(event(1) + changed) + "0\r\n\r\n" : completeResponse(id, "ok");
         answer.insert(answer.find("\r\n") + 2, "X-Weight-Versions: 7\r\n");
         say(w, answer);
       });
@@ -106,7 +106,7 @@
     EXPECT_EQ(fieldOf(r->got[1], "X-Precedence"), "1") << "the subscriber's comes first";
   });
 }
-TEST(RequestRules, ARunnerIsHandedNoMoreTimeThanIsLeft) {
+TEST(RequestRules, ARunnerIsGivenNoMoreTimeThanIsLeft) {
   constexpr auto kFirstTakes = 60ms;
   const struct {
     std::string heads;
@@ -118,7 +118,7 @@
       const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string& text) {
         handed.push_back(std::stoll("0" + fieldOf(text, "X-Deadline-Ms")));
         if (handed.size() > 1)
-          return say(w, whole(id, "second"));
+          return say(w, completeResponse(id, "second"));
         EventLoop::get().sleepFor(kFirstTakes);
         w.close();
       };
@@ -126,10 +126,10 @@
       h.runner("i-2", act);
       EXPECT_EQ(once(h, ask("/safe/x", "a1", row.heads)).body, "second");
       ASSERT_EQ(handed.size(), 2U);
-      EXPECT_GT(handed[0], 0) << "each runner is told";
+      EXPECT_GT(handed[0], 0) << "each runner gets a deadline";
       EXPECT_LE(handed[0], row.most);
       EXPECT_GT(handed[1], 0);
-      EXPECT_LE(handed[1], row.most - kFirstTakes.count()) << "what the first attempt used is gone";
+      EXPECT_LE(handed[1], row.most - kFirstTakes.count()) << "less what the first attempt used";
     });
 }
 TEST(RequestRules, NoMoreRunnersThanTheRouteAllowsHoweverRichTheBudget) {
@@ -146,7 +146,7 @@
       EXPECT_EQ(ran, 2) << path << ": maxAttempts";
     });
 }
-TEST(RequestRules, ByItsRoutesExpiryEachRequestHasItsFinalAnswer) {
+TEST(RequestRules, EachRequestIsAnsweredByItsRoutesExpiry) {
   constexpr Duration kExpiry{120};
   for (const char* path : kPaths)
     for (bool begun : {false, true}) {
@@ -162,7 +162,7 @@
         const auto a = once(h, ask(path));
         EXPECT_LE(Clock::now() - from, kExpiry + kAnswerMargin) << path;
         EXPECT_EQ(a.status, begun && stream ? 200 : 504) << path;
-        EXPECT_EQ(a.wholeBody, !(begun && stream)) << path << ": a cut stream must not look complete";
+        EXPECT_EQ(a.bodyComplete, !(begun && stream)) << path << ": a cut stream must not look complete";
       });
     }
 }
@@ -186,19 +186,19 @@
       const auto a = once(h, ask(path));
       EXPECT_LE(Clock::now() - from, kExpiry + kAnswerMargin) << path;
       EXPECT_EQ(a.status, 200);
-      EXPECT_FALSE(a.wholeBody) << path;
+      EXPECT_FALSE(a.bodyComplete) << path;
       EventLoop::get().sleepFor(50ms);
       EXPECT_TRUE(cancelled) << path << ": the runner's work ends too";
     });
 }
-TEST(RequestRules, WhereNoConfigurationIsKnownNothingIsRefusedForGood) {
+TEST(RequestRules, WithoutAConfigurationNothingIsRejectedForGood) {
   withProxy([](TestProxy& h) {
     h.context.configuration = nullptr;
     for (const char* path : {"/safe/x", "/nowhere/x"})
       EXPECT_EQ(once(h, ask(path, "a1", "", "", "wrong")).status, 503) << path;
   });
 }
-TEST(RequestRules, AClientThatLeavesIsNoticedAtItsRunnerInTime) {
+TEST(RequestRules, ADisconnectedClientIsNoticedAtItsRunnerInTime) {
   for (const char* path : kPaths)
     withProxy([&](TestProxy& h) {
       Waiter arrived;
@@ -219,8 +219,8 @@
       EXPECT_LE(cancelledAt - left, kCancelMargin) << path;
     });
 }
-// A client may leave while its request waits unread because much is in work (`maxBodyBytes`).
-TEST(RequestRules, AClientThatLeftBeforeItsRequestWasReadReachesNoRunner) {
+// A client may disconnect while its request waits unread because of `maxBodyBytes`.
+TEST(RequestRules, AClientThatDisconnectedBeforeItsRequestWasReadReachesNoRunner) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", answers);
     EXPECT_EQ(once(h, ask("/safe/x", "a1")).status, 200);  // leaves a connection to the runner for the next request
@@ -236,7 +236,7 @@
     EXPECT_EQ(r->got.size(), 1U);
   });
 }
-TEST(RequestRules, AnAnswerWithoutALengthIsCompleteOnlyIfItsConnectionEnds) {
+TEST(RequestRules, AResponseWithoutALengthIsCompleteOnlyIfItsConnectionEnds) {
   const struct {
     const char* path;
     bool resets;
@@ -252,7 +252,7 @@
       int ran = 0;
       const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
         if (++ran > 1)
-          return say(w, whole(id, "second"));
+          return say(w, completeResponse(id, "second"));
         say(w, answerWithoutLength(id, "all of it"));
         EventLoop::get().sleepFor(20ms);
         row.resets ? reset(w) : w.close();
@@ -261,21 +261,21 @@
       h.runner("i-2", act);
       const auto a = once(h, ask(row.path));
       EXPECT_EQ(a.status, row.status) << row.path << row.resets;
-      EXPECT_EQ(a.wholeBody, row.complete) << row.path << row.resets;
+      EXPECT_EQ(a.bodyComplete, row.complete) << row.path << row.resets;
       if (row.body) {
         EXPECT_EQ(a.body, row.body) << row.path << row.resets;
       }
       EXPECT_EQ(ran, row.ran) << row.path << row.resets;
     });
 }
-TEST(RequestRules, AnswersOnDifferentConnectionsPassEachOther) {
+TEST(RequestRules, ResponsesOnDifferentConnectionsMayOvertakeEachOther) {
   withProxy([](TestProxy& h) {
     Waiter secondAnswered;
     h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
       if (id == "first") {
         EXPECT_TRUE(EventLoop::get().waitFor(secondAnswered, 3000ms));
       }
-      say(w, whole(id, "for " + id));
+      say(w, completeResponse(id, "for " + id));
     });
     auto first = h.dial();
     auto second = h.dial();
@@ -293,7 +293,7 @@
 // A runner that answers as soon as it has a request's head, and reads the body only afterwards.
 struct EarlyAnswerer {
   tcp::acceptor acceptor{EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
-  std::vector<std::string> bodies;  // what stood in the place of each body, as its length says
+  std::vector<std::string> bodies;  // the bytes in the position of each body, by its length
   std::size_t connections = 0;
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
   void acceptNext() {
@@ -301,8 +301,8 @@
       if (ec)
         return;
       ++connections;
-      auto held = std::make_shared<tcp::socket>(std::move(socket));
-      EventLoop::get().spawn([this, held] { serve(std::move(*held)); });
+      auto accepted = std::make_shared<tcp::socket>(std::move(socket));
+      EventLoop::get().spawn([this, accepted] { serve(std::move(*accepted)); });
       acceptNext();
     });
   }
@@ -314,7 +314,7 @@
       std::string head = bytes.substr(0, headSize);
       std::erase(head, '\r');
       const auto size = std::stoul("0" + fieldOf(head, "Content-Length"));
-      say(connection, whole(fieldOf(head, "X-Attempt-Id"), "early"));
+      say(connection, completeResponse(fieldOf(head, "X-Attempt-Id"), "early"));
       EventLoop::get().sleepFor(30ms);
       if (!readUntil(connection, bytes, [&] { return bytes.size() >= headSize + size; }))
         return;
@@ -345,7 +345,7 @@
       h.context.maxBodyBytes = std::size_t{64} << 20U;
       auto& runner = *new EarlyAnswerer;  // never freed: its fibers may outlive the test
       runner.acceptNext();
-      h.context.runners.follow({Runner{"i-1", "s", runner.address(), "z", 4, 1, 0}});
+      h.context.runners.setRunners({Runner{"i-1", "s", runner.address(), "z", 4, 1, 0}});
       const std::string first(size, 'a');
       const std::string second(size, 'b');
       EXPECT_EQ(once(h, ask("/safe/x", "a1", "", first)).body, "early");
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -1,6 +1,6 @@
-// What is sent again after a reset, a close or silence, and what is not: every kind of request, on a new and on a
-// reused connection, with each trouble at each byte position of request and answer. Runners and clients are stand-ins
-// on loopback. Expectations follow the protocol page, not the code: `expected` below is the table in words.
+// Which requests are retried after a reset, a close or a time-out, and which are not: every kind of request, on a new
+// and on a reused connection, with each fault at each byte position of request and response. Runners and clients are
+// stand-ins on loopback. Expectations follow the protocol page, not the code: `expected` below is the table in words.
 #include <sys/socket.h>
 
 #include <cstdlib>
@@ -16,41 +16,41 @@
 namespace {
 
 enum class CallKind { safe, unsafe, stream, resumable };
-enum class Trouble { reset, close, silence, garbage, notExecuted, otherId, extraBytes };
-// Where the trouble comes. The first five count the bytes of the request that the runner has read by then; the others
+enum class Fault { reset, close, silence, garbage, notExecuted, otherId, extraBytes };
+// Where the fault occurs. The first five count the bytes of the request that the runner has read by then; the others
 // those of its answer that it has sent.
 enum class Position {
   beforeConnect,
   nothingRead,
-  partOfHead,
-  wholeHead,
+  partOfHeader,
+  completeHeader,
   partOfBody,
-  wholeRequest,  // and no byte of the answer
+  completeRequest,  // and no byte of the answer
   inStatusLine,
-  inAnswerHead,
-  afterAnswerHead,
-  inAnswerBody,
+  inResponseHeader,
+  afterResponseHeader,
+  inResponseBody,
   allButLastByte,
 };
 constexpr CallKind kKinds[] = {CallKind::safe, CallKind::unsafe, CallKind::stream, CallKind::resumable};
-constexpr Trouble kTroubles[] = {Trouble::reset,       Trouble::close,   Trouble::silence,   Trouble::garbage,
-                                 Trouble::notExecuted, Trouble::otherId, Trouble::extraBytes};
-constexpr Position kPositions[] = {Position::beforeConnect, Position::nothingRead,   Position::partOfHead,
-                                   Position::wholeHead,     Position::partOfBody,    Position::wholeRequest,
-                                   Position::inStatusLine,  Position::inAnswerHead,  Position::afterAnswerHead,
-                                   Position::inAnswerBody,  Position::allButLastByte};
+constexpr Fault kFaults[] = {Fault::reset,       Fault::close,   Fault::silence,   Fault::garbage,
+                             Fault::notExecuted, Fault::otherId, Fault::extraBytes};
+constexpr Position kPositions[] = {Position::beforeConnect,  Position::nothingRead,      Position::partOfHeader,
+                                   Position::completeHeader, Position::partOfBody,       Position::completeRequest,
+                                   Position::inStatusLine,   Position::inResponseHeader, Position::afterResponseHeader,
+                                   Position::inResponseBody, Position::allButLastByte};
 const char* name(CallKind k) {
   constexpr const char* n[] = {"safe", "unsafe", "stream", "resumable stream"};
   return n[static_cast<int>(k)];
 }
-const char* name(Trouble t) {
+const char* name(Fault t) {
   constexpr const char* n[] = {"reset", "close", "silence", "garbage", "X-Not-Executed", "another id", "extra bytes"};
   return n[static_cast<int>(t)];
 }
 const char* name(Position p) {
-  constexpr const char* n[] = {"before connect", "nothing read",    "part of head",     "whole head",
-                               "part of body",   "whole request",   "in status line",   "in answer's head",
-                               "after its head", "in body / event", "all but last byte"};
+  constexpr const char* n[] = {"before connect", "nothing read",     "part of header",   "complete header",
+                               "part of body",   "complete request", "in status line",   "in answer's head",
+                               "after its head", "in body / event",  "all but last byte"};
   return n[static_cast<int>(p)];
 }
 const char* path(CallKind k) {
@@ -66,16 +66,16 @@
 
 constexpr int kEvents = 4;
 const std::string kBody = "0123456789";
-// The right answer to a request, from its first event on or after the one that it names.
-std::string rightAnswer(CallKind k, const std::string& id, int after = 0) {
+// The correct response to a request, from its first event on or after the one that it names.
+std::string correctResponse(CallKind k, const std::string& id, int after = 0) {
   if (!streams(k))
-    return whole(id, "body of " + id);
+    return completeResponse(id, "body of " + id);
   std::string s = streamHead(id);
   for (int i = after + 1; i <= kEvents; ++i)
     s += chunk(event(i));
   return s + "0\r\n\r\n";
 }
-std::string rightBody(CallKind k, const std::string& id) {
+std::string correctBody(CallKind k, const std::string& id) {
   if (!streams(k))
     return "body of " + id;
   std::string s;
@@ -83,17 +83,17 @@
     s += event(i);
   return s;
 }
-std::string answerPrefix(CallKind k, Position p, const std::string& id) {
-  const auto all = rightAnswer(k, id);
+std::string responsePrefix(CallKind k, Position p, const std::string& id) {
+  const auto all = correctResponse(k, id);
   const auto head = all.find("\r\n\r\n") + 4;
   switch (p) {
     case Position::inStatusLine:
       return all.substr(0, 7);
-    case Position::inAnswerHead:
+    case Position::inResponseHeader:
       return all.substr(0, head - 9);
-    case Position::afterAnswerHead:
+    case Position::afterResponseHeader:
       return all.substr(0, head);
-    case Position::inAnswerBody:  // a stream: in the middle of its second event, inside a chunk
+    case Position::inResponseBody:  // a stream: in the middle of its second event, inside a chunk
       return streams(k) ? all.substr(0, head + chunk(event(1)).size() + 9) : all.substr(0, head + 4);
     case Position::allButLastByte:
       return all.substr(0, all.size() - 1);
@@ -102,8 +102,8 @@
   }
 }
 
-// A runner that reads as much as it is told and then does what it is told. One script for all runners of a rig: the
-// first connection that bears a request plays it; all later requests are answered as they should be.
+// A runner that reads a given part of a request and then plays a fault. One script for all runners of a rig: the first
+// connection that carries a request plays it; all later requests are answered correctly.
 struct Rig {
   struct Seen {
     std::string runner, bytes;
@@ -111,25 +111,25 @@
   };
   TestProxy h;
   CallKind kind = CallKind::safe;
-  Trouble trouble = Trouble::reset;
-  Position position = Position::wholeRequest;
+  Fault fault = Fault::reset;
+  Position position = Position::completeRequest;
   bool played = false;
   int fibers = 0;
   std::vector<std::shared_ptr<Seen>> seen;  // one a request that began, in order
-  struct Door {
+  struct RunnerListener {
     std::string id;
     std::shared_ptr<tcp::acceptor> acceptor;
   };
-  std::vector<std::shared_ptr<Door>> doors;
+  std::vector<std::shared_ptr<RunnerListener>> listeners;
   std::vector<std::unique_ptr<Connection>> fillers;
 
   explicit Rig(int runners = 3) {
     for (int i = 0; i < runners; ++i) {
-      auto d = std::make_shared<Door>();
+      auto d = std::make_shared<RunnerListener>();
       d->id = "i-" + std::to_string(i);
       d->acceptor =
           std::make_shared<tcp::acceptor>(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-      doors.push_back(d);
+      listeners.push_back(d);
       accept(d);
     }
     follow();
@@ -137,23 +137,23 @@
   }
   void follow(const std::string& firstAddress = {}) {
     std::vector<Runner> rs;
-    for (auto& d : doors) {
+    for (auto& d : listeners) {
       auto address = "127.0.0.1:" + std::to_string(d->acceptor->local_endpoint().port());
-      if (!firstAddress.empty() && d == doors.front())
+      if (!firstAddress.empty() && d == listeners.front())
         address = firstAddress;
       rs.push_back(Runner{d->id, "s", address, "z", 4, 1, 0});
     }
-    h.context.runners.follow(rs);
+    h.context.runners.setRunners(rs);
   }
-  void accept(const std::shared_ptr<Door>& d) {
+  void accept(const std::shared_ptr<RunnerListener>& d) {
     d->acceptor->async_accept([this, d](SocketError ec, tcp::socket s) {
       if (ec)
         return;
-      auto held = std::make_shared<tcp::socket>(std::move(s));
+      auto accepted = std::make_shared<tcp::socket>(std::move(s));
       ++fibers;
-      EventLoop::get().spawn([this, d, held] {
+      EventLoop::get().spawn([this, d, accepted] {
         {
-          Connection w(std::move(*held));
+          Connection w(std::move(*accepted));
           tune(w.socket());
           while (serve(*d, w)) {
           }
@@ -183,7 +183,7 @@
     return request.substr(from, request.find("\r\n", from) - from);
   }
   // One request on a connection. False: the connection is over.
-  bool serve(Door& d, Connection& w) {
+  bool serve(RunnerListener& d, Connection& w) {
     SocketError ec;
     w.awaitReadable(ec);
     char c = 0;
@@ -193,16 +193,16 @@
     s->runner = d.id;
     seen.push_back(s);
     const bool mine = !std::exchange(played, true);
-    const auto readUpTo = mine ? position : Position::wholeRequest;
+    const auto readUpTo = mine ? position : Position::completeRequest;
     auto& got = s->bytes;
     const auto wanted = [&]() -> std::size_t {
       const auto head = got.find("\r\n\r\n");
       switch (readUpTo) {
         case Position::nothingRead:
           return 0;
-        case Position::partOfHead:
+        case Position::partOfHeader:
           return 25;
-        case Position::wholeHead:
+        case Position::completeHeader:
           return head == std::string::npos ? got.size() + 1 : head + 4;
         case Position::partOfBody:
           return head == std::string::npos ? got.size() + 1 : head + 4 + kBody.size() / 2;
@@ -213,54 +213,54 @@
       }
     };
     while (got.size() < wanted())
-      if (!readMore(w, got, readUpTo == Position::wholeRequest ? 4096 : 1))
+      if (!readMore(w, got, readUpTo == Position::completeRequest ? 4096 : 1))
         return false;
     const auto id = headOf(got, "X-Attempt-Id");
     const auto after = headOf(got, "Last-Event-Id");
     if (!mine) {
-      say(w, rightAnswer(kind, id, after.empty() ? 0 : std::stoi(after)));
+      say(w, correctResponse(kind, id, after.empty() ? 0 : std::stoi(after)));
       return true;
     }
     return play(w, *s, id.empty() ? "a1" : id);
   }
   bool play(Connection& w, Seen& s, const std::string& id) {
-    if (const auto prefix = answerPrefix(kind, position, id); !prefix.empty()) {
+    if (const auto prefix = responsePrefix(kind, position, id); !prefix.empty()) {
       say(w, prefix);
       // It arrives by itself: a reset would take back what the proxy has not read yet.
       EventLoop::get().sleepFor(2ms);
     }
-    switch (trouble) {
-      case Trouble::reset:
+    switch (fault) {
+      case Fault::reset:
         resetIt(w);
         return false;
-      case Trouble::close:
+      case Fault::close:
         w.close();
         return false;
-      case Trouble::silence: {
+      case Fault::silence: {
         std::string rest;
         while (readMore(w, rest, 4096)) {
         }
         return false;
       }
-      case Trouble::garbage:
+      case Fault::garbage:
         say(w, "\x16\x03\x01 nothing of this is an answer\r\n\r\n");
         w.close();
         return false;
-      case Trouble::notExecuted:
+      case Fault::notExecuted:
         s.notExecuted = true;
-        say(w, whole(id, "full", 503, "X-Not-Executed: 1\r\n"));
-        if (position == Position::wholeRequest)
+        say(w, completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n"));
+        if (position == Position::completeRequest)
           return true;
         // The rest is read, so that the close does not take the answer back.
         w.socket().shutdown(tcp::socket::shutdown_send, ignored_);
         for (std::string rest; readMore(w, rest, 4096);) {
         }
         return false;
-      case Trouble::otherId:
-        say(w, rightAnswer(kind, "of-another") + rightAnswer(kind, id));
+      case Fault::otherId:
+        say(w, correctResponse(kind, "of-another") + correctResponse(kind, id));
         return true;
-      case Trouble::extraBytes:
-        say(w, rightAnswer(kind, id) + rightAnswer(kind, "of-another"));
+      case Fault::extraBytes:
+        say(w, correctResponse(kind, id) + correctResponse(kind, "of-another"));
         return true;
     }
     return false;
@@ -268,8 +268,8 @@
   // Closes everything and waits until nothing refers to this rig.
   void end() {
     SocketError ec;
-    h.door->close(ec);
-    for (auto& d : doors)
+    h.listener->close(ec);
+    for (auto& d : listeners)
       d->acceptor->close(ec);
     fillers.clear();
     h.context.connections = ConnectionPool();
@@ -288,57 +288,57 @@
 struct Row {
   CallKind kind;
   bool reused;
-  Trouble trouble;
+  Fault fault;
   Position position;
 };
 std::string text(const Row& r) {
-  return std::string(name(r.kind)) + ", " + (r.reused ? "reused" : "new") + ", " + name(r.trouble) + ", " +
+  return std::string(name(r.kind)) + ", " + (r.reused ? "reused" : "new") + ", " + name(r.fault) + ", " +
          name(r.position);
 }
 // Rows that make sense: X-Not-Executed, another id and surplus bytes are answers, so they come at a position of the
-// request. Garbage that fills up a length announced before it can't be told from the answer that was due.
+// request. Garbage that fills up an announced length can't be distinguished from the response that was due.
 bool exists(const Row& r) {
   if (r.position == Position::beforeConnect)
-    return !r.reused && (r.trouble == Trouble::reset || r.trouble == Trouble::silence);
-  if (r.trouble == Trouble::notExecuted)
-    return r.position >= Position::partOfHead && r.position <= Position::wholeRequest;
-  if (r.trouble == Trouble::otherId || r.trouble == Trouble::extraBytes)
-    return r.position == Position::wholeRequest;
-  if (r.trouble == Trouble::garbage)
-    return streams(r.kind) ? r.position != Position::inAnswerBody : r.position <= Position::inAnswerHead;
+    return !r.reused && (r.fault == Fault::reset || r.fault == Fault::silence);
+  if (r.fault == Fault::notExecuted)
+    return r.position >= Position::partOfHeader && r.position <= Position::completeRequest;
+  if (r.fault == Fault::otherId || r.fault == Fault::extraBytes)
+    return r.position == Position::completeRequest;
+  if (r.fault == Fault::garbage)
+    return streams(r.kind) ? r.position != Position::inResponseBody : r.position <= Position::inResponseHeader;
   return true;
 }
 struct PlayResult {
-  int begun = 0;       // connections on which the runners saw a byte of this request
-  int ran = 0;         // of those, the ones whose runner did not say X-Not-Executed
-  int status = 0;      // what the client got; 0: a closed connection
-  bool whole = false;  // the answer came in full
+  int begun = 0;          // connections on which the runners saw a byte of this request
+  int ran = 0;            // of those, the ones whose runner did not say X-Not-Executed
+  int status = 0;         // what the client got; 0: a closed connection
+  bool complete = false;  // the client got the complete response
   std::string body;
 };
 // The table in words.
 PlayResult expected(const Row& r) {
-  PlayResult right{1, 1, 200, true, rightBody(r.kind, "a1")};
+  PlayResult right{1, 1, 200, true, correctBody(r.kind, "a1")};
   auto again = right;
   again.begun = 2, again.ran = 2;
   if (r.position == Position::beforeConnect)
     return right;  // nothing was sent: the next runner has it
-  if (r.trouble == Trouble::notExecuted) {
+  if (r.fault == Fault::notExecuted) {
     again.ran = 1;  // the first runner says so
     return again;
   }
-  if (r.trouble == Trouble::otherId || r.trouble == Trouble::extraBytes)
+  if (r.fault == Fault::otherId || r.fault == Fault::extraBytes)
     return right;  // those bytes belong to no request
-  const bool begun = r.kind == CallKind::stream && r.position >= Position::afterAnswerHead;
+  const bool begun = r.kind == CallKind::stream && r.position >= Position::afterResponseHeader;
   PlayResult cut{1, 1, 200, false, {}};  // a stream that had begun, and that no other runner may take up
-  if (r.position == Position::inAnswerBody)
+  if (r.position == Position::inResponseBody)
     cut.body = event(1) + "id: 2";
   if (r.position == Position::allButLastByte)
-    cut.body = rightBody(r.kind, "a1");
-  if (r.trouble == Trouble::silence) {
+    cut.body = correctBody(r.kind, "a1");
+  if (r.fault == Fault::silence) {
     // A runner's silence is no reason to end sooner, nor to run it elsewhere: the deadline ends it.
-    if (r.kind == CallKind::resumable && r.position >= Position::afterAnswerHead) {
-      cut.body = r.position == Position::inAnswerBody     ? event(1)
-                 : r.position == Position::allButLastByte ? rightBody(r.kind, "a1")
+    if (r.kind == CallKind::resumable && r.position >= Position::afterResponseHeader) {
+      cut.body = r.position == Position::inResponseBody   ? event(1)
+                 : r.position == Position::allButLastByte ? correctBody(r.kind, "a1")
                                                           : "";
       return cut;
     }
@@ -355,21 +355,21 @@
   auto rig = std::make_unique<Rig>();
   auto& h = rig->h;
   rig->kind = row.kind;
-  rig->trouble = row.trouble;
+  rig->fault = row.fault;
   rig->position = row.position;
   SocketError ec;
   if (row.reused) {
-    for (auto& d : rig->doors) {
+    for (auto& d : rig->listeners) {
       auto c = std::make_unique<Connection>();
       c->connect(d->acceptor->local_endpoint(), ec);
       EXPECT_FALSE(ec);
-      h.context.connections.give(d->id, std::move(c), Clock::now() + 20s, Clock::now());
+      h.context.connections.release(d->id, std::move(c), Clock::now() + 20s, Clock::now());
     }
   }
   std::optional<tcp::acceptor> deaf;
   if (row.position == Position::beforeConnect) {
     rig->played = true;
-    if (row.trouble == Trouble::reset) {
+    if (row.fault == Fault::reset) {
       rig->follow("127.0.0.1:1");  // refused
     } else {
       // A queue of connections that is full: the handshake gets no answer.
@@ -386,14 +386,14 @@
       }
       rig->follow("127.0.0.1:" + std::to_string(deaf->local_endpoint().port()));
     }
-    // The trouble must be met: the others are busy.
+    // The request must meet the fault: the other runners are busy.
     for (int i = 1; i < 3; ++i)
       for (int k = 0; k < 3; ++k)
-        h.context.runners.attemptBegan(i, 0);
+        h.context.runners.attemptStarted(i, 0);
   }
   auto client = h.dial();
   Buffer buf;
-  const bool waits = row.trouble == Trouble::silence && row.position != Position::beforeConnect;
+  const bool waits = row.fault == Fault::silence && row.position != Position::beforeConnect;
   say(*client, ask(path(row.kind), "a1", waits ? "X-Deadline-Ms: 40\r\n" : "", kBody));
   const auto a = hear(*client, buf);
   PlayResult out;
@@ -401,24 +401,24 @@
   for (auto& s : rig->seen)
     out.ran += !s->notExecuted;
   out.status = a.status;
-  out.whole = a.wholeBody;
+  out.complete = a.bodyComplete;
   if (a.status == 200)
     out.body = a.body;
   if (row.position != Position::beforeConnect) {
     EXPECT_TRUE(rig->played) << text(row);
   }
 
-  // Nothing of it reaches the next caller, on this connection or a new one, though runners' connections are used again.
+  // Nothing of it reaches the next client, on this connection or a new one, though runners' connections are reused.
   for (int i = 0; i < 6; ++i) {
     const auto id = "next-" + std::to_string(i);
-    if (i % 2 || !a.wholeBody) {
+    if (i % 2 || !a.bodyComplete) {
       const auto b = once(h, ask(path(row.kind), id, "", kBody));
-      EXPECT_EQ(b.body, rightBody(row.kind, id)) << text(row);
-      EXPECT_TRUE(b.wholeBody) << text(row);
+      EXPECT_EQ(b.body, correctBody(row.kind, id)) << text(row);
+      EXPECT_TRUE(b.bodyComplete) << text(row);
     } else {
       say(*client, ask(path(row.kind), id, "", kBody));
       const auto b = hear(*client, buf);
-      EXPECT_EQ(b.body, rightBody(row.kind, id)) << text(row);
+      EXPECT_EQ(b.body, correctBody(row.kind, id)) << text(row);
       EXPECT_EQ(b.heads.contains("X-Attempt-Id") ? b.heads.at("X-Attempt-Id") : "", id) << text(row);
     }
   }
@@ -429,13 +429,13 @@
 }
 }  // namespace
 
-TEST(Resend, EachKindConnectionTroubleAndBytePosition) {
+TEST(Retry, EachKindConnectionFaultAndBytePosition) {
   std::vector<Row> rows;
   for (auto kind : kKinds)
     for (bool reused : {false, true})
-      for (auto trouble : kTroubles)
+      for (auto fault : kFaults)
         for (auto position : kPositions)
-          if (const Row r{kind, reused, trouble, position}; exists(r))
+          if (const Row r{kind, reused, fault, position}; exists(r))
             rows.push_back(r);
   ASSERT_EQ(rows.size(), 360U);
   std::vector<PlayResult> results(rows.size());
@@ -459,7 +459,7 @@
     EXPECT_EQ(got.begun, want.begun) << text(rows[i]);
     EXPECT_EQ(got.ran, want.ran) << text(rows[i]);
     EXPECT_EQ(got.status, want.status) << text(rows[i]);
-    EXPECT_EQ(got.whole, want.whole) << text(rows[i]);
+    EXPECT_EQ(got.complete, want.complete) << text(rows[i]);
     if (want.status == 200) {
       EXPECT_EQ(got.body, want.body) << text(rows[i]);
     }
@@ -469,18 +469,18 @@
   }
   if (std::getenv("ZINCCLEAT_PRINT_TABLE")) {
     std::puts(
-        "| kind | connection | trouble | position | begun | may have run | client gets "
+        "| kind | connection | fault | position | begun | may have run | client gets "
         "|\n|---|---|---|---|---|---|---|");
     for (std::size_t i = 0; i < rows.size(); ++i)
       std::printf("| %s | %s | %s | %s | %d | %d | %d%s |\n", name(rows[i].kind), rows[i].reused ? "reused" : "new",
-                  name(rows[i].trouble), name(rows[i].position), results[i].begun, results[i].ran, results[i].status,
-                  results[i].whole ? "" : ", cut");
+                  name(rows[i].fault), name(rows[i].position), results[i].begun, results[i].ran, results[i].status,
+                  results[i].complete ? "" : ", cut");
   }
 }
 
 // The client, the deadline, the lease, the configuration or the process ends in the middle.
 
-TEST(Resend, AClientThatLeavesInTheMiddleEndsItEverywhere) {
+TEST(Retry, AClientThatDisconnectsEndsItEverywhere) {
   for (const char* where : {"/safe/x", "/once/x", "/stream/x", "/resume/x"})
     for (bool begun : {false, true})
       withProxy([&](TestProxy& h) {
@@ -514,7 +514,7 @@
         EXPECT_EQ(h.context.inFlight, 0);
       });
 }
-TEST(Resend, PastTheDeadlineNothingIsSentAgain) {
+TEST(Retry, NothingIsRetriedPastTheDeadline) {
   for (const char* where : {"/safe/x", "/resume/x", "/once/x"})
     withProxy([&](TestProxy& h) {
       int requests = 0;
@@ -529,7 +529,7 @@
       EXPECT_EQ(requests, 1) << where;
     });
 }
-TEST(Resend, ALeaseThatEndsInTheMiddleStopsFurtherAttempts) {
+TEST(Retry, ALeaseThatExpiresStopsRetries) {
   for (const char* where : {"/safe/x", "/once/x"})
     for (bool sent : {false, true})
       withProxy([&](TestProxy& h) {
@@ -539,7 +539,7 @@
           h.context.leaseEnds = Clock::now() - 1ms;
           if (sent)
             return w.close();
-          say(w, whole(id, "full", 503, "X-Not-Executed: 1\r\n"));
+          say(w, completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n"));
         };
         h.runner("i-1", act);
         h.runner("i-2", act);
@@ -547,7 +547,7 @@
         EXPECT_EQ(requests, 1) << where;
       });
 }
-TEST(Resend, AConfigurationThatChangesInTheMiddleLeavesARequestWithItsOwn) {
+TEST(Retry, ARequestKeepsItsConfiguration) {
   withProxy([](TestProxy& h) {
     const auto before = h.context.configuration;
     int requests = 0;
@@ -558,7 +558,7 @@
             *parseConfiguration(R"({"configVersion":8,"routeTable":[],"serviceTable":[{"label":"other"}]})");
         w.close();
       } else {
-        say(w, whole(id, "second"));
+        say(w, completeResponse(id, "second"));
       }
     };
     h.runner("i-1", act);
@@ -572,9 +572,9 @@
     EXPECT_EQ(requests, 1);
   });
 }
-// SIGTERM while a request is in work: it is served to its end, further attempts too, and its connection closes in
-// order, so that no client sends its next request into a connection that is about to go.
-TEST(Resend, AnOrderlyStopInTheMiddleServesToTheEndAndClosesInOrder) {
+// SIGTERM while a request is in flight: it is served to its end, retries included, and its connection is closed
+// gracefully, so that no client sends its next request on a connection that is about to end.
+TEST(Retry, AGracefulShutdownCompletesRequestsInFlight) {
   for (const char* where : {"/safe/x", "/resume/x", "/once/x"})
     withProxy([&](TestProxy& h) {
       const bool stream = std::string_view(where) == "/resume/x";
@@ -583,13 +583,13 @@
         h.context.shutdown.begin(Clock::now(), 8s);
         if (++requests == 1 && std::string_view(where) != "/once/x")
           return w.close();
-        say(w, rightAnswer(stream ? CallKind::resumable : CallKind::safe, id));
+        say(w, correctResponse(stream ? CallKind::resumable : CallKind::safe, id));
       };
       h.runner("i-1", act);
       h.runner("i-2", act);
       const auto a = once(h, ask(where));
       EXPECT_EQ(a.status, 200) << where;
-      EXPECT_TRUE(a.wholeBody) << where;
+      EXPECT_TRUE(a.bodyComplete) << where;
       ASSERT_TRUE(a.heads.count("Connection")) << where;
       EXPECT_EQ(a.heads.at("Connection"), "close") << where;
     });
@@ -597,13 +597,13 @@
 
 // Answers that contradict themselves, and answers of unusual form.
 
-TEST(Resend, ASuccessThatSaysNotExecutedIsNoAnswerAndIsNotRepeated) {
+TEST(Retry, ASuccessThatSaysNotExecutedIsNeitherForwardedNorRetried) {
   for (const char* where : {"/stream/x", "/once/x", "/resume/x", "/safe/x"})
     withProxy([&](TestProxy& h) {
       int requests = 0;
       const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
         ++requests;
-        say(w, whole(id, event(1), 200, "X-Not-Executed: 1\r\n"));
+        say(w, completeResponse(id, event(1), 200, "X-Not-Executed: 1\r\n"));
       };
       h.runner("i-1", act);
       h.runner("i-2", act);
@@ -615,7 +615,7 @@
       EXPECT_EQ(requests, again ? 2 : 1) << where;
     });
 }
-TEST(Resend, AnswersWithoutABodyBringNoBytesAfterTheirHead) {
+TEST(Retry, ResponsesWithoutABodyEndWithTheirHeader) {
   withProxy([](TestProxy& h) {
     h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string& text) {
       if (text.rfind("HEAD", 0) == 0)
@@ -623,7 +623,7 @@
       else if (id == "none")
         say(w, "HTTP/1.1 204 No Content\r\nX-Attempt-Id: none\r\nX-Server-Seal: s\r\n\r\n");
       else
-        say(w, rightAnswer(CallKind::stream, id));
+        say(w, correctResponse(CallKind::stream, id));
     });
     auto client = h.dial();
     Buffer buf;
@@ -641,10 +641,10 @@
     EXPECT_EQ(a.status, 204);
     a = hear(*client, buf);
     EXPECT_EQ(a.heads["X-Attempt-Id"], "after");
-    EXPECT_EQ(a.body, rightBody(CallKind::stream, "after"));
+    EXPECT_EQ(a.body, correctBody(CallKind::stream, "after"));
   });
 }
-TEST(Resend, AnInterimAnswerIsNotTheAnswer) {
+TEST(Retry, AnInterimResponseIsNotTheResponse) {
   withProxy([](TestProxy& h) {
     int requests = 0;
     h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
@@ -652,20 +652,20 @@
       std::string s;
       for (int i = 0; i < 4; ++i)
         s += "HTTP/1.1 102 Processing\r\nX-Attempt-Id: " + id + "\r\n\r\n";
-      say(w, s + whole(id, "final"));
+      say(w, s + completeResponse(id, "final"));
     });
     EXPECT_EQ(once(h, ask("/once/x")).body, "final");
     EXPECT_EQ(requests, 1);
   });
 }
-// The runner says that it did not run it, and breaks off after saying so.
-TEST(Resend, NotExecutedCountsFromItsHead) {
+// The runner says that it did not run the request, and then closes the connection.
+TEST(Retry, NotExecutedIsValidFromTheHeaderOn) {
   withProxy([](TestProxy& h) {
     int requests = 0;
     const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
       if (++requests > 1)
-        return say(w, whole(id, "ran"));
-      const auto full = whole(id, "full", 503, "X-Not-Executed: 1\r\n");
+        return say(w, completeResponse(id, "ran"));
+      const auto full = completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n");
       say(w, full.substr(0, full.size() - 2));
       w.close();
     };
@@ -675,8 +675,8 @@
     EXPECT_EQ(requests, 2);
   });
 }
-// An event without an id can't be named to another runner: whoever went on after the last id would bring it twice.
-TEST(Resend, AStreamIsNotTakenUpPastAnEventWithoutAnId) {
+// An event without an id can't be named to another runner: resuming after the last id would repeat it.
+TEST(Retry, AStreamIsNotResumedAfterAnEventWithoutAnId) {
   for (bool firstHasId : {true, false})
     withProxy([&](TestProxy& h) {
       int requests = 0;
@@ -689,12 +689,12 @@
       h.runner("i-2", act);
       const auto a = once(h, ask("/resume/x"));
       EXPECT_EQ(requests, 1);
-      EXPECT_FALSE(a.wholeBody);
+      EXPECT_FALSE(a.bodyComplete);
       EXPECT_EQ(a.body, (firstHasId ? event(1) : "") + "data: nameless\n\n");
     });
 }
-// Comments are no events: a stream that is kept alive by them is taken up as ever.
-TEST(Resend, AStreamIsTakenUpPastAComment) {
+// Comments are no events: a stream that is kept alive by them is resumed as any other.
+TEST(Retry, AStreamIsResumedAfterAComment) {
   withProxy([](TestProxy& h) {
     int requests = 0;
     const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
@@ -706,12 +706,12 @@
     h.runner("i-1", act);
     h.runner("i-2", act);
     const auto a = once(h, ask("/resume/x"));
-    EXPECT_TRUE(a.wholeBody);
+    EXPECT_TRUE(a.bodyComplete);
     EXPECT_EQ(a.body, event(1) + ": still here\n\n" + event(2));
   });
 }
-// A place that closes asks for live streams to be moved: one that nobody can take stays where it is.
-TEST(Resend, AStreamThatNobodyCanTakeIsNotMoved) {
+// A zone that is drained has its live streams migrated: one without a target stays where it is.
+TEST(Retry, AStreamWithoutATargetIsNotMigrated) {
   withProxy([](TestProxy& h) {
     h.saveUp(8, 12);
     h.runner("i-1", [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
@@ -723,11 +723,11 @@
       say(w, chunk(event(3)) + chunk(event(4)) + "0\r\n\r\n");
     });
     const auto a = once(h, ask("/resume/x"));
-    EXPECT_TRUE(a.wholeBody);
-    EXPECT_EQ(a.body, rightBody(CallKind::resumable, "a1"));
+    EXPECT_TRUE(a.bodyComplete);
+    EXPECT_EQ(a.body, correctBody(CallKind::resumable, "a1"));
   });
 }
-TEST(Resend, ARequestInACodingThatHasNoEndIsTurnedAway) {
+TEST(Retry, ARequestInACodingWithoutAnEndIsRejected) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", answers);
     EXPECT_EQ(once(h,
@@ -740,7 +740,7 @@
   });
 }
 
-// Bodies larger than the sockets' buffers: only a part of the request has left when the runner breaks off.
+// Bodies larger than the sockets' buffers: only a part of the request was sent when the runner closes.
 
 namespace {
 void takeLargeBodies(TestProxy& h) {
@@ -758,9 +758,9 @@
     acceptor->async_accept([this](SocketError ec, tcp::socket s) {
       if (ec)
         return;
-      auto held = std::make_shared<tcp::socket>(std::move(s));
-      EventLoop::get().spawn([this, held] {
-        Connection w(std::move(*held));
+      auto accepted = std::make_shared<tcp::socket>(std::move(s));
+      EventLoop::get().spawn([this, accepted] {
+        Connection w(std::move(*accepted));
         std::string got;
         if (Rig::readMore(w, got, 4096))
           act(w, ++begun, got);
@@ -788,7 +788,7 @@
   }
 }
 }  // namespace
-TEST(Resend, APartOfALargeBodyThatLeftMayHaveRun) {
+TEST(Retry, APartiallySentBodyMayHaveRun) {
   const std::string body(24U << 20, 'b');
   for (const char* where : {"/safe/x", "/once/x"})
     for (int how = 0; how < 3; ++how)
@@ -801,13 +801,13 @@
           if (n == 1 && how == 1)
             return w.close();
           if (n == 1) {
-            say(w, whole("a1", "full", 503, "X-Not-Executed: 1\r\n"));
+            say(w, completeResponse("a1", "full", 503, "X-Not-Executed: 1\r\n"));
             return Rig::resetIt(w);
           }
           readAll(w, got, body.size());
-          say(w, whole("a1", "ran"));
+          say(w, completeResponse("a1", "ran"));
         });
-        h.context.runners.follow(
+        h.context.runners.setRunners(
             {Runner{"i-1", "s", r.address(), "z", 4, 1, 0}, Runner{"i-2", "s", r.address(), "z", 4, 1, 0}});
         const auto a = once(h, ask(where, "a1", "", body));
         const bool safe = std::string_view(where) == "/safe/x";
@@ -824,7 +824,7 @@
       });
 }
 // Only a write that took no byte at all is certain not to have arrived.
-TEST(Resend, AWriteTellsHowManyBytesLeft) {
+TEST(Retry, AWriteReturnsHowManyBytesWereSent) {
   withProxy([](TestProxy&) {
     tcp::acceptor acceptor(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     Connection w;
@@ -845,7 +845,7 @@
   });
 }
 
-// A partner site's node is a runner of the try like any other.
+// A partner site's node counts as a runner of the request like any other.
 
 namespace {
 std::shared_ptr<const Configuration> partnerRoutes(int maxAttempts) {
@@ -856,7 +856,7 @@
 }
 const std::string kLongPrompt = "X-Model: m\r\nX-Token-Count: 9000,80\r\nX-Prompt-Prefix: aa:6000,bb:3000\r\n";
 }  // namespace
-TEST(Resend, WhatAPartnerSiteMayHaveRunIsNotPromisedAway) {
+TEST(Retry, WhatAPartnerSiteMayHaveRunIsNotReportedAsNotRun) {
   withProxy([](TestProxy& h) {
     h.context.configuration = partnerRoutes(2);
     int there = 0;
@@ -867,7 +867,7 @@
     EXPECT_EQ(a.status, 502) << "503 would promise that it has not run and never will";
   });
 }
-TEST(Resend, APartnerSiteCountsAmongTheRunnersOfATry) {
+TEST(Retry, APartnerSiteCountsAmongTheRunnersOfARequest) {
   for (int most : {1, 2, 3})
     withProxy([most](TestProxy& h) {
       h.context.configuration = partnerRoutes(most);
@@ -884,8 +884,8 @@
       EXPECT_EQ(all, most);
     });
 }
-// There one of its runners has it at most: this site's own come on top.
-TEST(Resend, ARequestFromAPartnerSiteGoesToOneRunner) {
+// At most one runner there gets the request: this site's own come on top.
+TEST(Retry, ARequestFromAPartnerSiteGoesToOneRunner) {
   withProxy([](TestProxy& h) {
     h.saveUp(8, 12);
     int all = 0;
@@ -899,17 +899,17 @@
   });
 }
 
-// A connection that rests in the pool when its runner closes it, or sends what nobody asked for, is not used again.
-TEST(Resend, ARestingConnectionThatIsNoLongerCleanIsNotUsed) {
+// A connection that is idle in the pool when its runner closes it, or sends unsolicited bytes, is not reused.
+TEST(Retry, AnIdleConnectionThatIsNoLongerCleanIsNotReused) {
   for (const char* where : {"/safe/x", "/once/x", "/stream/x", "/resume/x"}) {
     for (int how = 0; how < 3; ++how) {
       withProxy([&](TestProxy& h) {
         const auto kind = std::string_view(where) == "/safe/x" || std::string_view(where) == "/once/x"
                               ? CallKind::safe
                               : CallKind::stream;
-        Waiter troubled;
+        Waiter faulty;
         auto r = h.runner("i-1", [&](StandIn& me, Connection& w, const std::string& id, const std::string&) {
-          say(w, rightAnswer(kind, id));
+          say(w, correctResponse(kind, id));
           if (me.got.size() > 1)
             return;
           EventLoop::get().sleepFor(3ms);
@@ -918,15 +918,15 @@
           else if (how == 1)
             w.close();
           else
-            say(w, rightAnswer(kind, "late"));
-          troubled.wake();
+            say(w, correctResponse(kind, "late"));
+          faulty.wake();
         });
-        EXPECT_EQ(once(h, ask(where, "a1")).body, rightBody(kind, "a1"));
-        EXPECT_TRUE(EventLoop::get().waitFor(troubled, 3000ms));
+        EXPECT_EQ(once(h, ask(where, "a1")).body, correctBody(kind, "a1"));
+        EXPECT_TRUE(EventLoop::get().waitFor(faulty, 3000ms));
         EventLoop::get().sleepFor(2ms);
         const auto a = once(h, ask(where, "a2"));
         EXPECT_EQ(a.status, 200) << where << " " << how;
-        EXPECT_EQ(a.body, rightBody(kind, "a2")) << where << " " << how;
+        EXPECT_EQ(a.body, correctBody(kind, "a2")) << where << " " << how;
         EXPECT_EQ(r->got.size(), 2U) << "each was sent once";
         EXPECT_EQ(r->connections, 2);
       });
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -9,9 +9,10 @@
 namespace {
 constexpr RequestKind kKinds[] = {RequestKind::safe, RequestKind::unsafe, RequestKind::stream,
                                   RequestKind::resumableStream};
-constexpr AttemptOutcome kOutcomes[] = {
-    AttemptOutcome::completed, AttemptOutcome::notSent, AttemptOutcome::notExecuted, AttemptOutcome::interrupted,
-    AttemptOutcome::movedAway, AttemptOutcome::failed,  AttemptOutcome::clientGone,  AttemptOutcome::deadlineExceeded};
+constexpr AttemptOutcome kOutcomes[] = {AttemptOutcome::completed,          AttemptOutcome::notSent,
+                                        AttemptOutcome::notExecuted,        AttemptOutcome::interrupted,
+                                        AttemptOutcome::migrated,           AttemptOutcome::failed,
+                                        AttemptOutcome::clientDisconnected, AttemptOutcome::deadlineExceeded};
 template <class F>
 int forEachInput(F f) {
   int n = 0;
@@ -22,76 +23,76 @@
           for (bool resumable : {false, true})
             for (int used = 0; used <= 4; ++used)
               for (int allowed = 0; allowed <= 4; ++allowed) {
-                f(RetryInput{kind, outcome, ranBefore || mayHaveRun(outcome), started, resumable, used, allowed});
+                f(RetryState{kind, outcome, ranBefore || mayHaveRun(outcome), started, resumable, used, allowed});
                 ++n;
               }
   return n;
 }
-std::string text(const RetryInput& in) {
+std::string text(const RetryState& in) {
   return "kind " + std::to_string(static_cast<int>(in.kind)) + " outcome " +
          std::to_string(static_cast<int>(in.outcome)) + (in.mayHaveRun ? " ran" : "") +
-         (in.answerStarted ? " started" : "") + (in.resumePointKnown ? " resumable" : "") + " " +
+         (in.responseStarted ? " started" : "") + (in.resumePointKnown ? " resumable" : "") + " " +
          std::to_string(in.runnersUsed) + "/" + std::to_string(in.runnersAllowed);
 }
 // The rules of the pages, one by one, without the order in which the code asks them.
-bool mayTryAnother(const RetryInput& in) {
-  const bool over = in.outcome == AttemptOutcome::completed || in.outcome == AttemptOutcome::clientGone ||
+bool mayTryAnother(const RetryState& in) {
+  const bool over = in.outcome == AttemptOutcome::completed || in.outcome == AttemptOutcome::clientDisconnected ||
                     in.outcome == AttemptOutcome::deadlineExceeded;
   const bool atMostOnce = !idempotent(in.kind) && in.mayHaveRun;
   const bool runnersLeft = in.runnersUsed < in.runnersAllowed;
-  const bool canGoOn = !in.answerStarted || (in.kind == RequestKind::resumableStream && in.resumePointKnown);
+  const bool canGoOn = !in.responseStarted || (in.kind == RequestKind::resumableStream && in.resumePointKnown);
   return !over && !atMostOnce && runnersLeft && canGoOn;
 }
 }  // namespace
 
-TEST(RetryDecision, SendsAgainExactlyWhenAllRulesAllowIt) {
+TEST(RetryDecision, RetriesExactlyWhenAllRulesAllowIt) {
   const int n = forEachInput(
-      [](const RetryInput& in) { EXPECT_EQ(decide(in) == RetryDecision::tryAnother, mayTryAnother(in)) << text(in); });
+      [](const RetryState& in) { EXPECT_EQ(decide(in) == RetryDecision::nextRunner, mayTryAnother(in)) << text(in); });
   EXPECT_EQ(n, 4 * 8 * 2 * 2 * 2 * 5 * 5);
 }
 TEST(RetryDecision, NeverPromisesThatItHasNotRunWhenItMayHave) {
-  forEachInput([](const RetryInput& in) {
+  forEachInput([](const RetryState& in) {
     for (auto d : {decide(in), conclude(in)})
-      if (d == RetryDecision::answerUnavailable) {
+      if (d == RetryDecision::respondUnavailable) {
         EXPECT_FALSE(in.mayHaveRun) << text(in);
       }
   });
 }
-TEST(RetryDecision, NothingIsAnsweredTwiceNorToAClientThatLeft) {
-  forEachInput([](const RetryInput& in) {
+TEST(RetryDecision, NothingIsAnsweredTwiceNorToADisconnectedClient) {
+  forEachInput([](const RetryState& in) {
     for (auto d : {decide(in), conclude(in)}) {
       if (in.outcome == AttemptOutcome::completed) {
         EXPECT_EQ(d, RetryDecision::finished) << text(in);
       } else {
         EXPECT_NE(d, RetryDecision::finished) << text(in);
       }
-      if (in.outcome == AttemptOutcome::clientGone) {
-        EXPECT_EQ(d, RetryDecision::close) << text(in);
+      if (in.outcome == AttemptOutcome::clientDisconnected) {
+        EXPECT_EQ(d, RetryDecision::closeConnection) << text(in);
       }
-      // An answer that has begun is gone on with or cut, never followed by another.
-      if (in.answerStarted && in.outcome != AttemptOutcome::completed) {
-        EXPECT_TRUE(d == RetryDecision::close || d == RetryDecision::tryAnother) << text(in);
+      // A response that has begun is continued or cut off, never followed by another.
+      if (in.responseStarted && in.outcome != AttemptOutcome::completed) {
+        EXPECT_TRUE(d == RetryDecision::closeConnection || d == RetryDecision::nextRunner) << text(in);
       }
     }
-    EXPECT_NE(conclude(in), RetryDecision::tryAnother) << text(in);
+    EXPECT_NE(conclude(in), RetryDecision::nextRunner) << text(in);
   });
 }
 TEST(RetryDecision, TheAnswerNamesWhatHappened) {
-  forEachInput([](const RetryInput& in) {
-    if (in.answerStarted)
+  forEachInput([](const RetryState& in) {
+    if (in.responseStarted)
       return;
     const auto d = conclude(in);
     if (in.outcome == AttemptOutcome::failed) {
-      EXPECT_EQ(d, RetryDecision::relayFailure) << text(in);
+      EXPECT_EQ(d, RetryDecision::forwardFailure) << text(in);
     }
     if (in.outcome == AttemptOutcome::deadlineExceeded) {
-      EXPECT_EQ(d, RetryDecision::answerTimeout) << text(in);
+      EXPECT_EQ(d, RetryDecision::respondTimeout) << text(in);
     }
-    if (in.outcome == AttemptOutcome::interrupted || in.outcome == AttemptOutcome::movedAway) {
-      EXPECT_EQ(d, RetryDecision::answerBadGateway) << text(in);
+    if (in.outcome == AttemptOutcome::interrupted || in.outcome == AttemptOutcome::migrated) {
+      EXPECT_EQ(d, RetryDecision::respondBadGateway) << text(in);
     }
     if (in.outcome == AttemptOutcome::notSent || in.outcome == AttemptOutcome::notExecuted) {
-      EXPECT_EQ(d, in.mayHaveRun ? RetryDecision::answerBadGateway : RetryDecision::answerUnavailable) << text(in);
+      EXPECT_EQ(d, in.mayHaveRun ? RetryDecision::respondBadGateway : RetryDecision::respondUnavailable) << text(in);
     }
   });
 }
--- a/tests/scale_run_test.cpp
+++ b/tests/scale_run_test.cpp
@@ -41,7 +41,7 @@
         if (text.find("/once/") != std::string::npos) {
           ++match.pushRuns[id];
           EventLoop::get().sleepFor(2ms);
-          return say(w, whole(id, "pushed " + id));
+          return say(w, completeResponse(id, "pushed " + id));
         }
         ++match.streamStarts[id];
         const auto last = headOf(text, "Last-Event-Id");
@@ -64,7 +64,7 @@
       all.push_back(Runner{r->id, "s", r->address(), zone, 64, 1, 0});
     }
     for (auto* h : {&a, b.get()})
-      h->context.runners.follow(all);
+      h->context.runners.setRunners(all);
 
     int open = 0;
     int pushes = 0;
@@ -85,10 +85,10 @@
         const auto began = Clock::now();
         const auto r = once(h, ask(push ? "/once/x" : "/resume/x", id, "X-Deadline-Ms: 20000\r\n"));
         if (push) {
-          pushesFine += r.status == 200 && r.wholeBody && r.body == "pushed " + id;
+          pushesFine += r.status == 200 && r.bodyComplete && r.body == "pushed " + id;
           latestMs = std::max(latestMs, static_cast<int>(toDuration(Clock::now() - began).count()));
         } else {
-          streamsFine += r.status == 200 && r.wholeBody && r.body == wanted;
+          streamsFine += r.status == 200 && r.bodyComplete && r.body == wanted;
         }
         --open;
       });
@@ -119,7 +119,7 @@
     EXPECT_EQ(streamsFine, streams) << "every stream whole, nothing missing, nothing twice";
     EXPECT_EQ(match.atClosedAfter, 0) << "no new work at the place's runners once all keeps away";
     EXPECT_GT(a.context.migratedStreams + b->context.migratedStreams, 0U) << "live sessions were carried over";
-    EXPECT_EQ(a.context.runners.inFlightIn({"za"}) + b->context.runners.inFlightIn({"za"}), 0)
+    EXPECT_EQ(a.context.runners.inFlightInZones({"za"}) + b->context.runners.inFlightInZones({"za"}), 0)
         << "nothing is left there";
     static std::vector<std::shared_ptr<TestProxy>> kept;
     kept.push_back(b);
@@ -127,8 +127,9 @@
 }
 TEST(ScaleRun, WhenOnlyTheClosingPlaceIsLeftItServes) {
   withProxy([](TestProxy& h) {
-    h.runner("i-1",
-             [](StandIn&, Connection& w, const std::string& id, const std::string&) { say(w, whole(id, "ok")); });
+    h.runner("i-1", [](StandIn&, Connection& w, const std::string& id, const std::string&) {
+      say(w, completeResponse(id, "ok"));
+    });
     h.context.runners.setZoneDrains({{"z", {100, true}}});
     EXPECT_EQ(once(h, ask("/once/x")).status, 200);
   });
--- a/tests/standins.hpp
+++ b/tests/standins.hpp
@@ -1,8 +1,9 @@
-// Stand-ins for clients and runners on loopback, around the proxy's own code.
+/// @file
+/// Test doubles for clients and runners on loopback, around the proxy's own code.
 #pragma once
 #include <gtest/gtest.h>
 
-#include "events.hpp"
+#include "event_scanner.hpp"
 #include "proxy/proxy.hpp"
 
 namespace zinccleat::standin {
@@ -11,11 +12,11 @@
 using namespace zinccleat::proxy;
 using namespace zinccleat::runtime;
 using namespace zinccleat::state_machine;
-// A runner that does what a test tells it, one connection at a time.
+/// A runner that handles each request with the test's function.
 struct StandIn {
   std::string id, service = "s";
   std::shared_ptr<tcp::acceptor> acc;
-  std::vector<std::string> got;  // requests as they came, whole
+  std::vector<std::string> got;  // the requests received
   std::function<void(StandIn&, Connection&, const std::string&, const std::string&)>
       act;  // connection, attempt id, request
   int connections = 0;
@@ -25,8 +26,8 @@
   SocketError ec;
   w.write(asio::buffer(s), ec);
 }
-inline std::string whole(const std::string& attempt, const std::string& body, int status = 200,
-                         const std::string& more = {}) {
+inline std::string completeResponse(const std::string& attempt, const std::string& body, int status = 200,
+                                    const std::string& more = {}) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nX-Attempt-Id: " + attempt + "\r\nX-Server-Seal: seal-1\r\n" +
          more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -52,14 +53,14 @@
       if (ec)
         return;
       ++r->connections;
-      auto held = std::make_shared<tcp::socket>(std::move(s));
-      EventLoop::get().spawn([r, held] {
-        Connection w(std::move(*held));
+      auto accepted = std::make_shared<tcp::socket>(std::move(s));
+      EventLoop::get().spawn([r, accepted] {
+        Connection w(std::move(*accepted));
         tune(w.socket());
         Buffer buf;
         for (;;) {
           RequestParser p;
-          if (readRequest(w, buf, p, {}).end != ReadEnd::whole)
+          if (readRequest(w, buf, p, {}).outcome != ReadOutcome::complete)
             return;
           auto& q = p.get();
           std::string text = std::string(q.method_string()) + " " + std::string(q.target()) + "\n";
@@ -79,15 +80,15 @@
 }
 struct TestProxy {
   ProxyContext context;
-  // A budget with so much saved already, and room for no more than most.
+  /// Sets a retry budget with a filled reserve.
   void saveUp(double saved, double most) {
-    context.budget = Budget(0.15, Duration(2500));
-    context.budget.share(most, 0.5);
+    context.retryBudget = RetryBudget(0.15, Duration(2500));
+    context.retryBudget.setReserve(most, 0.5);
     for (double x = 0; x < saved; x += 0.15)
-      context.budget.earn("s", Clock::now() - 10s);
+      context.retryBudget.recordRequest("s", Clock::now() - 10s);
   }
   std::vector<std::shared_ptr<StandIn>> runners;
-  std::shared_ptr<tcp::acceptor> door;
+  std::shared_ptr<tcp::acceptor> listener;
   TestProxy() {
     context.configuration = *parseConfiguration(R"({"configVersion":7,"routeTable":[
       {"label":"safe","authority":"h.example","pathPrefix":"/safe/","routeType":"safe","expiryMs":20000,"targetLatencyMs":300,"targetService":"s","maxAttempts":2},
@@ -100,15 +101,15 @@
     context.leaseEnds = Clock::now() + 60s;
     context.zone = "z";
     saveUp(2, 12);
-    door =
+    listener =
         std::make_shared<tcp::acceptor>(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     take();
   }
   void take() {
-    door->async_accept([this](SocketError ec, tcp::socket s) {
+    listener->async_accept([this](SocketError ec, tcp::socket s) {
       if (ec)
         return;
-      takeClient(context, std::move(s));
+      acceptClient(context, std::move(s));
       take();
     });
   }
@@ -125,12 +126,12 @@
     std::vector<Runner> rs;
     for (auto& r : runners)
       rs.push_back(Runner{r->id, r->service, r->address(), "z", 4, 1, 0});
-    context.runners.follow(rs);
+    context.runners.setRunners(rs);
   }
   std::unique_ptr<Connection> dial() {
     auto w = std::make_unique<Connection>();
     SocketError ec;
-    w->connect(door->local_endpoint(), ec);
+    w->connect(listener->local_endpoint(), ec);
     EXPECT_FALSE(ec);
     return w;
   }
@@ -138,7 +139,7 @@
 struct Answer {
   int status = 0;
   std::string body;
-  bool wholeBody = false, chunked = false;
+  bool bodyComplete = false, chunked = false;
   std::map<std::string, std::string> heads;
 };
 inline Answer hear(Connection& w, Buffer& buf) {
@@ -156,7 +157,7 @@
     a.chunked = p.chunked();
   }
   a.body = p.get().body();
-  a.wholeBody = !ec && p.is_done();
+  a.bodyComplete = !ec && p.is_done();
   return a;
 }
 inline std::string ask(const std::string& path, const std::string& attempt = "a1", const std::string& more = {},
@@ -177,8 +178,8 @@
   EventLoop::get().spawn([&] {
     auto h = std::make_shared<TestProxy>();
     f(*h);
-    static std::vector<std::shared_ptr<TestProxy>> kept;  // its fibers may still refer to it
-    kept.push_back(h);
+    static std::vector<std::shared_ptr<TestProxy>> finished;  // its fibers may still refer to it
+    finished.push_back(h);
     ended = true;
     EventLoop::get().stop();
   });
@@ -186,6 +187,6 @@
   EXPECT_TRUE(ended);
 }
 const auto answers = [](StandIn&, Connection& w, const std::string& id, const std::string&) {
-  say(w, whole(id, "body of " + id));
+  say(w, completeResponse(id, "body of " + id));
 };
 }  // namespace zinccleat::standin
--- a/tests/illness_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -1,4 +1,4 @@
-// Runners that are ill while they say that they are well: the whole way from an answer to the choice, with stand-ins.
+// Runners that are unhealthy but report healthy: from a response to the choice of a runner, with stand-ins on loopback.
 #include <sys/socket.h>
 
 #include "outliers.hpp"
@@ -13,13 +13,13 @@
 using namespace zinccleat::state_machine;
 using namespace zinccleat::standin;
 namespace {
-// What the leader would make of this node's words, had another node seen the same.
-void exchange(TestProxy& h, OutlierDetector& desk, const std::vector<Runner>& runners, TimePoint now) {
-  const auto seen = h.context.observer.report(24);
-  desk.told(now, "node-a", seen);
-  desk.told(now, "node-b", seen);
-  desk.evaluate(now, runners);
-  h.context.runners.setEjected(desk.list());
+// Reports this node's counts to the leader's detector, as if another node had counted the same.
+void reportToLeader(TestProxy& h, OutlierDetector& detector, const std::vector<Runner>& runners, TimePoint now) {
+  const auto seen = h.context.observer.takeReport(24);
+  detector.told(now, "node-a", seen);
+  detector.told(now, "node-b", seen);
+  detector.evaluate(now, runners);
+  h.context.runners.setEjected(detector.list());
 }
 std::vector<Runner> known(const TestProxy& h) {
   std::vector<Runner> v;
@@ -27,7 +27,7 @@
     v.push_back(Runner{r->id, r->service, r->address(), "z", 4, 1, 0});
   return v;
 }
-int asked(const StandIn& r) {
+int requestsAt(const StandIn& r) {
   return static_cast<int>(r.got.size());
 }
 bool probed(const StandIn& r) {
@@ -35,65 +35,65 @@
 }
 }  // namespace
 
-TEST(Illness, ARunnerThatFailsAPartOfItsRequestsIsSetAsideAndItsHealthIsNotAsked) {
+TEST(UnhealthyRunners, ARunnerThatFailsSomeRequestsIsEjectedWithoutHealthChecks) {
   withProxy([](TestProxy& h) {
     int n = 0;
-    auto ill = h.runner("i-0", [&n](StandIn& r, Connection& w, const std::string& id, const std::string& text) {
+    auto unhealthy = h.runner("i-0", [&n](StandIn& r, Connection& w, const std::string& id, const std::string& text) {
       if (++n % 2)
-        say(w, whole(id, "failed", 500));
+        say(w, completeResponse(id, "failed", 500));
       else
         answers(r, w, id, text);
     });
     for (int i = 1; i < 5; ++i)
       h.runner("i-" + std::to_string(i), answers);
-    OutlierDetector desk;
+    OutlierDetector detector;
     const auto rs = known(h);
     TimePoint now = Clock::now();
-    desk.evaluate(now, rs);
+    detector.evaluate(now, rs);
     int served = 0;
     for (int i = 0; i < 120; ++i) {
-      h.context.runners.recordSuccess(0);  // as seen by nodes that have not met it yet
+      h.context.runners.recordSuccess(0);  // as at nodes that have not sent to it yet
       const auto a = once(h, ask("/open/" + std::to_string(i), "a" + std::to_string(i)));
       served += a.status == 200;
       if (i % 10 == 9)
-        exchange(h, desk, rs, now += 100ms);
+        reportToLeader(h, detector, rs, now += 100ms);
     }
-    const auto before = asked(*ill);
+    const auto before = requestsAt(*unhealthy);
     EXPECT_GT(before, 4);
-    ASSERT_FALSE(desk.list().empty());
-    EXPECT_EQ(desk.list()[0].runner, "i-0");
-    EXPECT_EQ(desk.list().size(), 1U);
+    ASSERT_FALSE(detector.list().empty());
+    EXPECT_EQ(detector.list()[0].runner, "i-0");
+    EXPECT_EQ(detector.list().size(), 1U);
     for (int i = 0; i < 40; ++i)
       EXPECT_EQ(once(h, ask("/open/x", "b" + std::to_string(i))).status, 200);
-    EXPECT_EQ(asked(*ill), before) << "left alone";
+    EXPECT_EQ(requestsAt(*unhealthy), before) << "an ejected runner gets no requests";
     for (auto& r : h.runners)
-      EXPECT_FALSE(probed(*r)) << "no health answer is believed, so none is asked for";
+      EXPECT_FALSE(probed(*r)) << "health checks are not relied on, so none is sent";
   });
 }
-TEST(Illness, ARunnerThatHangsIsToldOfWhileItIsWaitedFor) {
+TEST(UnhealthyRunners, ARunnerThatHangsIsReportedWhileItIsAwaited) {
   withProxy([](TestProxy& h) {
     auto hangs = h.runner("i-0", answers);
     auto well = h.runner("i-1", answers);
     for (int i = 0; i < 30; ++i)
       EXPECT_EQ(once(h, ask("/open/x", "a" + std::to_string(i))).status, 200);
-    (void)h.context.observer.report(24);
+    (void)h.context.observer.takeReport(24);
     for (auto& r : {hangs, well})
       r->act = [](StandIn&, Connection&, const std::string&, const std::string&) { EventLoop::get().sleepFor(300ms); };
     auto w = h.dial();
     say(*w, ask("/open/x", "waits"));
-    for (int i = 0; i < 200 && h.context.unanswered.empty(); ++i)
+    for (int i = 0; i < 200 && h.context.pendingAttempts.empty(); ++i)
       EventLoop::get().sleepFor(1ms);
-    ASSERT_EQ(h.context.unanswered.size(), 1U);
-    h.context.countSlow(Clock::now());
-    EXPECT_TRUE(h.context.observer.report(24).empty()) << "not at once";
-    h.context.countSlow(Clock::now() + 2s);
-    h.context.countSlow(Clock::now() + 4s);
-    const auto report = h.context.observer.report(24);
+    ASSERT_EQ(h.context.pendingAttempts.size(), 1U);
+    h.context.recordSlowAttempts(Clock::now());
+    EXPECT_TRUE(h.context.observer.takeReport(24).empty()) << "not at once";
+    h.context.recordSlowAttempts(Clock::now() + 2s);
+    h.context.recordSlowAttempts(Clock::now() + 4s);
+    const auto report = h.context.observer.takeReport(24);
     ASSERT_EQ(report.size(), 1U);
-    EXPECT_EQ(report[0].failed, RunnerObserver::slowWeight) << "once a request";
+    EXPECT_EQ(report[0].failed, RunnerObserver::kSlowWeight) << "counted once a request";
   });
 }
-TEST(Illness, ARunnerThatFlapsCostsNobodyAnAnswer) {
+TEST(UnhealthyRunners, AFlappingRunnerCostsNoResponse) {
   withProxy([](TestProxy& h) {
     auto flaps = h.runner("i-0", answers);
     h.runner("i-1", answers);
@@ -101,18 +101,18 @@
     for (int i = 0; i < 60; ++i) {
       if (i == 10)
         flaps->acc->close();  // down: connections are refused
-      h.context.connections.drop("i-0");
+      h.context.connections.closeAll("i-0");
       h.context.runners.recordSuccess(0);
       EXPECT_EQ(once(h, ask(i % 2 ? "/open/x" : "/once/x", "a" + std::to_string(i))).status, 200) << i;
     }
-    const auto report = h.context.observer.report(24);
+    const auto report = h.context.observer.takeReport(24);
     const auto it = std::find_if(report.begin(), report.end(), [](auto& g) { return g.runner == "i-0"; });
     ASSERT_NE(it, report.end());
     EXPECT_GT(it->failed, 3);
   });
 }
-// A new one takes its share, not the crowd: what it is given follows from what it has in work.
-TEST(Illness, AnEmptyRunnerThatJoinsIsNotRushed) {
+// A new runner gets requests by its load, not all of them.
+TEST(UnhealthyRunners, ANewRunnerIsNotOverloaded) {
   withProxy([](TestProxy& h) {
     for (int i = 0; i < 4; ++i)
       h.runner("i-" + std::to_string(i), answers);
@@ -122,65 +122,66 @@
       RunnerQuery w;
       w.service = "s", w.zone = "z";
       const int d = h.context.runners.choose(w, Clock::now());
-      h.context.runners.attemptBegan(d, 0);
+      h.context.runners.attemptStarted(d, 0);
     }
     h.runner("i-new", answers);
     for (int i = 0; i < 12; ++i) {
       RunnerQuery w;
       w.service = "s", w.zone = "z";
       const int d = h.context.runners.choose(w, Clock::now());
-      h.context.runners.attemptBegan(d, 0);
+      h.context.runners.attemptStarted(d, 0);
       ++by[h.context.runners.at(d).id];
     }
     EXPECT_GE(by["i-new"], 2);
     EXPECT_LE(by["i-new"], 5);
   });
 }
-// A runner forgets an idle connection without a word: the next request on it is reset. What may not be repeated must
-// not meet that; what may goes on elsewhere.
-TEST(Illness, AForgottenConnectionCostsNothingThatCantBeRepeated) {
+// A runner drops an idle connection without closing it: the next request on it is reset. A request that may not be
+// repeated must not meet that; an idempotent one is retried.
+TEST(UnhealthyRunners, AStaleConnectionCostsNoUnrepeatableRequest) {
   withProxy([](TestProxy& h) {
     h.runner("i-0", answers);
     EXPECT_EQ(once(h, ask("/once/x", "a1")).status, 200);
     const auto now = Clock::now();
-    EXPECT_EQ(h.context.connections.take("i-0", now + 3s, false), nullptr) << "idle for long: only a new one will do";
-    auto kept = h.context.connections.take("i-0", now, false);
+    EXPECT_EQ(h.context.connections.acquire("i-0", now + 3s, false), nullptr)
+        << "idle for long: only a new connection will do";
+    auto kept = h.context.connections.acquire("i-0", now, false);
     ASSERT_NE(kept, nullptr) << "used a moment ago";
-    h.context.connections.give("i-0", std::move(kept), now + 20s, now);
-    h.context.connections.forgotten();
-    EXPECT_EQ(h.context.connections.take("i-0", now + 1s, false), nullptr) << "and sooner once one was found forgotten";
-    EXPECT_NE(h.context.connections.take("i-0", now + 3s, true), nullptr);
+    h.context.connections.release("i-0", std::move(kept), now + 20s, now);
+    h.context.connections.recordStaleConnection();
+    EXPECT_EQ(h.context.connections.acquire("i-0", now + 1s, false), nullptr) << "sooner once one was found stale";
+    EXPECT_NE(h.context.connections.acquire("i-0", now + 3s, true), nullptr);
   });
 }
-TEST(Illness, AResetOnAReusedConnectionIsNotTheRunnersFault) {
+TEST(UnhealthyRunners, AResetOnAReusedConnectionIsNotTheRunnersFault) {
   withProxy([](TestProxy& h) {
     int n = 0;
     auto act = [&n](StandIn& r, Connection& w, const std::string& id, const std::string& text) {
       if (++n == 2) {
         const linger now{1, 0};
         ::setsockopt(w.socket().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
-        return w.close();  // as a connection that the far end has forgotten
+        return w.close();  // as a connection that the far end has dropped
       }
       answers(r, w, id, text);
     };
     auto r = h.runner("i-0", act);
     EXPECT_EQ(once(h, ask("/open/x", "a1")).status, 200);
     (void)once(h, ask("/open/x", "a2"));
-    for (auto& g : h.context.observer.report(24))
+    for (auto& g : h.context.observer.takeReport(24))
       EXPECT_EQ(g.failed, 0) << g.runner;
-    EXPECT_EQ(h.context.runners.at(0).failures, 0);
+    EXPECT_EQ(h.context.runners.at(0).consecutiveFailures, 0);
   });
 }
-// One tenant sends many times its usual: it is held at its limit, and the others are served as ever.
-TEST(Illness, OneTenantsFloodTakesOnlyItsOwnTokens) {
+// One tenant sends many times its usual rate: it is limited, and the others are served as before.
+TEST(UnhealthyRunners, OneTenantsFloodTakesOnlyItsOwnTokens) {
   std::mt19937_64 rng(8);
   auto cfg = *parseConfiguration(R"({"configVersion":1,"routeTable":[],"serviceTable":[],"subscribers":[
     {"label":"flood","accessKeys":["a"],"ratePerS":20,"burstSize":20},{"label":"other","accessKeys":["b"],"ratePerS":20,"burstSize":20}]})");
-  QuotaAllocator desk;
-  desk.bounds({0.1, 20, 5});
+  QuotaAllocator allocator;
+  allocator.bounds({0.1, 20, 5});
   TimePoint now{100s};
-  desk.noOp(now);
-  std::vector<QuotaGrants> nodes(70);
+  allocator.noOp(now);
+  std::vector<QuotaTokenBuckets> nodes(70);
   std::map<std::string, int> got;
   std::map<std::string, int> sent;
   for (int ms = 0; ms < 30000; ms += 5, now += 5ms)
@@ -191,11 +192,11 @@
       const auto i = rng() % nodes.size();
       auto& n = nodes[i];
       ++sent[who];
-      bool ok = n.take(who, now);
+      bool ok = n.tryAcquire(who, now);
       if (!ok) {
-        n.wait(who);
-        n.loose(desk.draw(now, {}, n.unasked(), {}, cfg.get()), now);
-        ok = n.retake(who, now);
+        n.requestToken(who);
+        n.addImmediateTokens(allocator.draw(now, {}, n.takeTokenRequests(), {}, cfg.get()), now);
+        ok = n.retryAcquire(who, now);
       }
       got[who] += ok;
     }
