--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -56,10 +56,10 @@
   RequestParser again;
   again.header_limit(64 * 1024);
   again.body_limit(kBodyLimit);
-  const auto whole = head + request.body();
+  const auto message = head + request.body();
   boost::system::error_code error;
   again.eager(true);
-  std::string_view rest = whole;
+  std::string_view rest = message;
   while (!rest.empty() && !again.is_done() && !error) {
     const auto used = again.put(asio::buffer(rest), error);
     rest.remove_prefix(used);
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -1,5 +1,5 @@
 // Which requests are retried after a reset, a close or a time-out, and which are not: every kind of request, on a new
-// and on a reused connection, with each fault at each byte position of request and response. Runners and clients are
+// and on a reused connection, with each failure at each byte position of request and response. Runners and clients are
 // stand-ins on loopback. Expectations follow the protocol page, not the code: `expected` below is the table in words.
 #include <sys/socket.h>
 
@@ -16,8 +16,8 @@
 namespace {
 
 enum class CallKind { safe, unsafe, stream, resumable };
-enum class Fault { reset, close, silence, garbage, notExecuted, otherId, extraBytes };
-// Where the fault occurs. The first five count the bytes of the request that the runner has read by then; the others
+enum class FailureMode { reset, close, silence, garbage, notExecuted, otherId, extraBytes };
+// Where the failure occurs. The first five count the bytes of the request that the runner has read by then; the others
 // those of its answer that it has sent.
 enum class Position {
   beforeConnect,
@@ -33,8 +33,9 @@
   allButLastByte,
 };
 constexpr CallKind kKinds[] = {CallKind::safe, CallKind::unsafe, CallKind::stream, CallKind::resumable};
-constexpr Fault kFaults[] = {Fault::reset,       Fault::close,   Fault::silence,   Fault::garbage,
-                             Fault::notExecuted, Fault::otherId, Fault::extraBytes};
+constexpr FailureMode kFailureModes[] = {FailureMode::reset,     FailureMode::close,       FailureMode::silence,
+                                         FailureMode::garbage,   FailureMode::notExecuted, FailureMode::otherId,
+                                         FailureMode::extraBytes};
 constexpr Position kPositions[] = {Position::beforeConnect,  Position::nothingRead,      Position::partOfHeader,
                                    Position::completeHeader, Position::partOfBody,       Position::completeRequest,
                                    Position::inStatusLine,   Position::inResponseHeader, Position::afterResponseHeader,
@@ -43,7 +44,7 @@
   constexpr const char* n[] = {"safe", "unsafe", "stream", "resumable stream"};
   return n[static_cast<int>(k)];
 }
-const char* name(Fault t) {
+const char* name(FailureMode t) {
   constexpr const char* n[] = {"reset", "close", "silence", "garbage", "X-Not-Executed", "another id", "extra bytes"};
   return n[static_cast<int>(t)];
 }
@@ -102,8 +103,8 @@
   }
 }
 
-// A runner that reads a given part of a request and then plays a fault. One script for all runners of a rig: the first
-// connection that carries a request plays it; all later requests are answered correctly.
+// A runner that reads a given part of a request and then plays a failure. One script for all runners of a rig: the
+// first connection that carries a request plays it; all later requests are answered correctly.
 struct Rig {
   struct Seen {
     std::string runner, bytes;
@@ -111,7 +112,7 @@
   };
   TestProxy h;
   CallKind kind = CallKind::safe;
-  Fault fault = Fault::reset;
+  FailureMode failureMode = FailureMode::reset;
   Position position = Position::completeRequest;
   bool played = false;
   int fibers = 0;
@@ -229,24 +230,24 @@
       // It arrives by itself: a reset would take back what the proxy has not read yet.
       EventLoop::get().sleepFor(2ms);
     }
-    switch (fault) {
-      case Fault::reset:
+    switch (failureMode) {
+      case FailureMode::reset:
         resetIt(w);
         return false;
-      case Fault::close:
+      case FailureMode::close:
         w.close();
         return false;
-      case Fault::silence: {
+      case FailureMode::silence: {
         std::string rest;
         while (readMore(w, rest, 4096)) {
         }
         return false;
       }
-      case Fault::garbage:
+      case FailureMode::garbage:
         say(w, "\x16\x03\x01 nothing of this is an answer\r\n\r\n");
         w.close();
         return false;
-      case Fault::notExecuted:
+      case FailureMode::notExecuted:
         s.notExecuted = true;
         say(w, completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n"));
         if (position == Position::completeRequest)
@@ -256,10 +257,10 @@
         for (std::string rest; readMore(w, rest, 4096);) {
         }
         return false;
-      case Fault::otherId:
+      case FailureMode::otherId:
         say(w, correctResponse(kind, "of-another") + correctResponse(kind, id));
         return true;
-      case Fault::extraBytes:
+      case FailureMode::extraBytes:
         say(w, correctResponse(kind, id) + correctResponse(kind, "of-another"));
         return true;
     }
@@ -288,23 +289,23 @@
 struct Row {
   CallKind kind;
   bool reused;
-  Fault fault;
+  FailureMode failureMode;
   Position position;
 };
 std::string text(const Row& r) {
-  return std::string(name(r.kind)) + ", " + (r.reused ? "reused" : "new") + ", " + name(r.fault) + ", " +
+  return std::string(name(r.kind)) + ", " + (r.reused ? "reused" : "new") + ", " + name(r.failureMode) + ", " +
          name(r.position);
 }
 // Rows that make sense: X-Not-Executed, another id and surplus bytes are answers, so they come at a position of the
 // request. Garbage that fills up an announced length can't be distinguished from the response that was due.
 bool exists(const Row& r) {
   if (r.position == Position::beforeConnect)
-    return !r.reused && (r.fault == Fault::reset || r.fault == Fault::silence);
-  if (r.fault == Fault::notExecuted)
+    return !r.reused && (r.failureMode == FailureMode::reset || r.failureMode == FailureMode::silence);
+  if (r.failureMode == FailureMode::notExecuted)
     return r.position >= Position::partOfHeader && r.position <= Position::completeRequest;
-  if (r.fault == Fault::otherId || r.fault == Fault::extraBytes)
+  if (r.failureMode == FailureMode::otherId || r.failureMode == FailureMode::extraBytes)
     return r.position == Position::completeRequest;
-  if (r.fault == Fault::garbage)
+  if (r.failureMode == FailureMode::garbage)
     return streams(r.kind) ? r.position != Position::inResponseBody : r.position <= Position::inResponseHeader;
   return true;
 }
@@ -322,11 +323,11 @@
   again.begun = 2, again.ran = 2;
   if (r.position == Position::beforeConnect)
     return right;  // nothing was sent: the next runner has it
-  if (r.fault == Fault::notExecuted) {
+  if (r.failureMode == FailureMode::notExecuted) {
     again.ran = 1;  // the first runner says so
     return again;
   }
-  if (r.fault == Fault::otherId || r.fault == Fault::extraBytes)
+  if (r.failureMode == FailureMode::otherId || r.failureMode == FailureMode::extraBytes)
     return right;  // those bytes belong to no request
   const bool begun = r.kind == CallKind::stream && r.position >= Position::afterResponseHeader;
   PlayResult cut{1, 1, 200, false, {}};  // a stream that had begun, and that no other runner may take up
@@ -334,7 +335,7 @@
     cut.body = event(1) + "id: 2";
   if (r.position == Position::allButLastByte)
     cut.body = correctBody(r.kind, "a1");
-  if (r.fault == Fault::silence) {
+  if (r.failureMode == FailureMode::silence) {
     // A runner's silence is no reason to end sooner, nor to run it elsewhere: the deadline ends it.
     if (r.kind == CallKind::resumable && r.position >= Position::afterResponseHeader) {
       cut.body = r.position == Position::inResponseBody   ? event(1)
@@ -355,7 +356,7 @@
   auto rig = std::make_unique<Rig>();
   auto& h = rig->h;
   rig->kind = row.kind;
-  rig->fault = row.fault;
+  rig->failureMode = row.failureMode;
   rig->position = row.position;
   SocketError ec;
   if (row.reused) {
@@ -369,7 +370,7 @@
   std::optional<tcp::acceptor> deaf;
   if (row.position == Position::beforeConnect) {
     rig->played = true;
-    if (row.fault == Fault::reset) {
+    if (row.failureMode == FailureMode::reset) {
       rig->follow("127.0.0.1:1");  // refused
     } else {
       // A queue of connections that is full: the handshake gets no answer.
@@ -386,14 +387,14 @@
       }
       rig->follow("127.0.0.1:" + std::to_string(deaf->local_endpoint().port()));
     }
-    // The request must meet the fault: the other runners are busy.
+    // The request must meet the failure: the other runners are busy.
     for (int i = 1; i < 3; ++i)
       for (int k = 0; k < 3; ++k)
         h.context.runners.attemptStarted(i, 0);
   }
   auto client = h.dial();
   Buffer buf;
-  const bool waits = row.fault == Fault::silence && row.position != Position::beforeConnect;
+  const bool waits = row.failureMode == FailureMode::silence && row.position != Position::beforeConnect;
   say(*client, ask(path(row.kind), "a1", waits ? "X-Deadline-Ms: 40\r\n" : "", kBody));
   const auto a = hear(*client, buf);
   PlayResult out;
@@ -429,13 +430,13 @@
 }
 }  // namespace
 
-TEST(Retry, EachKindConnectionFaultAndBytePosition) {
+TEST(Retry, EachKindConnectionFailureAndBytePosition) {
   std::vector<Row> rows;
   for (auto kind : kKinds)
     for (bool reused : {false, true})
-      for (auto fault : kFaults)
+      for (auto failureMode : kFailureModes)
         for (auto position : kPositions)
-          if (const Row r{kind, reused, fault, position}; exists(r))
+          if (const Row r{kind, reused, failureMode, position}; exists(r))
             rows.push_back(r);
   ASSERT_EQ(rows.size(), 360U);
   std::vector<PlayResult> results(rows.size());
@@ -469,12 +470,12 @@
   }
   if (std::getenv("ZINCCLEAT_PRINT_TABLE")) {
     std::puts(
-        "| kind | connection | fault | position | begun | may have run | client gets "
+        "| kind | connection | failureMode | position | begun | may have run | client gets "
         "|\n|---|---|---|---|---|---|---|");
     for (std::size_t i = 0; i < rows.size(); ++i)
       std::printf("| %s | %s | %s | %s | %d | %d | %d%s |\n", name(rows[i].kind), rows[i].reused ? "reused" : "new",
-                  name(rows[i].fault), name(rows[i].position), results[i].begun, results[i].ran, results[i].status,
-                  results[i].complete ? "" : ", cut");
+                  name(rows[i].failureMode), name(rows[i].position), results[i].begun, results[i].ran,
+                  results[i].status, results[i].complete ? "" : ", cut");
   }
 }
 
@@ -907,7 +908,7 @@
         const auto kind = std::string_view(where) == "/safe/x" || std::string_view(where) == "/once/x"
                               ? CallKind::safe
                               : CallKind::stream;
-        Waiter faulty;
+        Waiter unclean;
         auto r = h.runner("i-1", [&](StandIn& me, Connection& w, const std::string& id, const std::string&) {
           say(w, correctResponse(kind, id));
           if (me.got.size() > 1)
@@ -919,10 +920,10 @@
             w.close();
           else
             say(w, correctResponse(kind, "late"));
-          faulty.wake();
+          unclean.wake();
         });
         EXPECT_EQ(once(h, ask(where, "a1")).body, correctBody(kind, "a1"));
-        EXPECT_TRUE(EventLoop::get().waitFor(faulty, 3000ms));
+        EXPECT_TRUE(EventLoop::get().waitFor(unclean, 3000ms));
         EventLoop::get().sleepFor(2ms);
         const auto a = once(h, ask(where, "a2"));
         EXPECT_EQ(a.status, 200) << where << " " << how;
