--- a/tests/unhealthy_runners_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -153,7 +153,7 @@
     EXPECT_NE(h.context.connections.acquire("i-0", now + 3s, true), nullptr);
   });
 }
-TEST(UnhealthyRunners, AResetOnAReusedConnectionIsNotTheRunnersFault) {
+TEST(UnhealthyRunners, AResetOnAReusedConnectionIsNoRunnerFailure) {
   withProxy([](TestProxy& h) {
     int n = 0;
     auto act = [&n](StandIn& r, Connection& w, const std::string& id, const std::string& text) {
