--- a/libs/controller/src/control_server.cpp
+++ b/libs/controller/src/control_server.cpp
@@ -23,15 +23,15 @@
 /// The answer to a request that could not be read; the connection ends with it.
 void refuse(runtime::Connection& connection, int status) {
   runtime::SocketError ignored;
-  const auto body = proxy::jsonError(proxy::reasonOf(status));
-  connection.write(asio::buffer(proxy::plainAnswer(status, "", kJson, body, false)), ignored);
+  const auto body = proxy::jsonError(proxy::reasonPhrase(status));
+  connection.write(asio::buffer(proxy::plainResponse(status, "", kJson, body, false)), ignored);
 }
 /// @return whether the response was written completely.
 bool writeResponse(runtime::Connection& connection, const ApiResponse& response, bool keepAlive) {
   runtime::SocketError ec;
   const auto status = static_cast<int>(response.status);
   connection.setDeadline(Clock::now() + kWriteTimeout);
-  connection.write(asio::buffer(proxy::plainAnswer(status, response.headers, kJson, response.body, keepAlive)), ec);
+  connection.write(asio::buffer(proxy::plainResponse(status, response.headers, kJson, response.body, keepAlive)), ec);
   connection.clearDeadline();
   return !ec;
 }
@@ -67,9 +67,9 @@
     }
     proxy::RequestParser parser;
     const auto read = proxy::readRequest(connection, buffer, parser, limits);
-    if (read.end == proxy::ReadEnd::closed)
+    if (read.outcome == proxy::ReadOutcome::closed)
       return;
-    if (read.end == proxy::ReadEnd::errorResponse)
+    if (read.outcome == proxy::ReadOutcome::rejected)
       return refuse(connection, read.status);
     ++inFlight_;
     const bool staysOpen = answerOn(connection, parser);
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -32,9 +32,9 @@
   context_.zone = settings.zone;
   context_.rng.seed(randomSeed());
   context_.runners = balancing::RunnerPool(randomSeed());
-  context_.runners.regions(settings.zones);
-  context_.budget =
-      balancing::Budget(settings.timers.retryRatio * kRetryRatioPart, settings.timers.retryWindow / kRetryWindowParts);
+  context_.runners.setRegions(settings.zones);
+  context_.retryBudget =
+      balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioPart, settings.timers.retryWindow / kRetryWindowParts);
   applyLimits();
   connectCallbacks();
 }
@@ -50,8 +50,8 @@
     context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryPartForBodies;
 }
 void ProxyDaemon::connectCallbacks() {
-  context_.drawGrants = [this] { renewLease(); };
-  context_.askTokens = [this] { quotaTokens_.requestSoon(); };
+  context_.requestReserveRefill = [this] { renewLease(); };
+  context_.requestQuotaTokens = [this] { quotaTokens_.requestSoon(); };
   if (!settings_.partner || settings_.partner->access.empty())
     return;
   partnerLookup_.emplace(context_, agentLink_, settings_.partner->secret);
@@ -83,7 +83,7 @@
 }
 Result<void> ProxyDaemon::listenForClients(const tcp::endpoint& endpoint) {
   auto listener =
-      transport::openListener(endpoint, [this](tcp::socket socket) { proxy::takeClient(context_, std::move(socket)); });
+      transport::openListener(endpoint, [this](tcp::socket socket) { proxy::acceptClient(context_, std::move(socket)); });
   if (!listener)
     return tl::unexpected(listener.error());
   clientListener_ = std::move(*listener);
@@ -97,16 +97,16 @@
     if (!context_.hasLease(Clock::now()))
       renewLease();
   });
-  loop.callEvery(kConnectionSweepInterval, [this] { context_.connections.sweep(Clock::now()); });
+  loop.callEvery(kConnectionSweepInterval, [this] { context_.connections.closeExpired(Clock::now()); });
 }
 void ProxyDaemon::shutDown() {
   if (context_.shutdown.begin(Clock::now(), settings_.timers.grace))
     runtime::EventLoop::get().callEvery(kShutdownInterval, [this] { advanceShutdown(Clock::now()); });
 }
 void ProxyDaemon::advanceShutdown(TimePoint now) {
-  if (!context_.shutdown.takesRequests(now)) {
+  if (!context_.shutdown.acceptsRequests(now)) {
     clientListener_->close();
-    context_.idleConnections.limit(proxy::kIdleWhileLeaving);
+    context_.idleConnections.limit(proxy::kIdleTimeoutWhileDraining);
   }
   if (context_.shutdown.mayExit(now, context_.clients, context_.inFlight))
     runtime::EventLoop::get().stop();
@@ -194,9 +194,9 @@
     return;
   // Only from the newest: what a later request reported of the local reserve did not include these tokens yet.
   if (granted->newestRequest)
-    context_.quota.drawn(response.grants, granted->requestedAt);
+    context_.quota.refillReserve(response.grants, granted->requestedAt);
   if (response.accessMachines > 0)
-    context_.budget.share(settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines),
+    context_.retryBudget.setReserve(settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines),
                           retrySlackDraw_);
   adoption_.adoptEjections(response);
   useLease();
--- a/libs/proxy_daemon/src/node_report.cpp
+++ b/libs/proxy_daemon/src/node_report.cpp
@@ -18,16 +18,16 @@
 
 void NodeReport::fill(transport::LeaseRequest& request, TimePoint now,
                       const std::vector<state_machine::ZoneDrain>& drains) {
-  request.demand = context_.quota.demand(now);
-  request.holds = context_.quota.holds(now);
+  request.demand = context_.quota.steadyDemand(now);
+  request.holds = context_.quota.reserveHoldings(now);
   request.load = load(now, drains);
-  context_.countSlow(now);
-  request.attempts = context_.observer.report(kMaxReportedRunners);
+  context_.recordSlowAttempts(now);
+  request.attempts = context_.observer.takeReport(kMaxReportedRunners);
 }
 /// The load of the machine, and the progress of each drain.
 std::vector<transport::ZoneLoad> NodeReport::load(TimePoint now, const std::vector<state_machine::ZoneDrain>& drains) {
   std::vector<transport::ZoneLoad> loads;
-  loads.push_back({"", rate_.update(now, context_.served + context_.refused), 0});
+  loads.push_back({"", rate_.update(now, context_.served + context_.rejected), 0});
   for (const auto& drain : drains)
     loads.push_back(loadOf(drain));
   return loads;
@@ -35,6 +35,6 @@
 transport::ZoneLoad NodeReport::loadOf(const state_machine::ZoneDrain& drain) const {
   const auto zones = zonesNamed(zones_, drain.zone);
   const int ownRequests = zones.contains(context_.zone) ? context_.inFlight : 0;
-  return {drain.zone, static_cast<double>(context_.runners.inFlightIn(zones)), static_cast<double>(ownRequests)};
+  return {drain.zone, static_cast<double>(context_.runners.inFlightInZones(zones)), static_cast<double>(ownRequests)};
 }
 }  // namespace zinccleat::proxy_daemon
--- a/libs/proxy_daemon/src/quota_token_client.cpp
+++ b/libs/proxy_daemon/src/quota_token_client.cpp
@@ -15,7 +15,7 @@
   if (!agent_.connected())
     return;
   transport::QuotaTokenRequest request;
-  request.waiting = context_.quota.unasked();
+  request.waiting = context_.quota.takeTokenRequests();
   if (request.waiting.empty())
     return;
   request.requestId = pending_.start(Clock::now());
@@ -24,7 +24,7 @@
 void QuotaTokenClient::accept(const transport::QuotaTokenResponse& response) {
   if (!pending_.finish(response.requestId) || !response.granted)
     return;
-  context_.quota.loose(response.grants, Clock::now());
-  context_.wakeQuotaWaits(response.grants);
+  context_.quota.addImmediateTokens(response.grants, Clock::now());
+  context_.wakeQuotaWaiters(response.grants);
 }
 }  // namespace zinccleat::proxy_daemon
--- a/libs/proxy_daemon/src/readiness_server.cpp
+++ b/libs/proxy_daemon/src/readiness_server.cpp
@@ -19,14 +19,14 @@
   if (path != "/v1/readiness")
     status = 404;
   const std::string_view body = isReady ? "{\"ready\":true}" : "{\"ready\":false}";
-  return proxy::plainAnswer(status, "", "application/json", body, keepAlive);
+  return proxy::plainResponse(status, "", "application/json", body, keepAlive);
 }
 void ReadinessServer::serve(tcp::socket socket) const {
   runtime::Connection connection(std::move(socket));
   proxy::Buffer buffer;
   for (;;) {
     proxy::RequestParser parser;
-    if (proxy::readRequest(connection, buffer, parser, {}).end != proxy::ReadEnd::whole)
+    if (proxy::readRequest(connection, buffer, parser, {}).outcome != proxy::ReadOutcome::complete)
       return;
     const bool keepAlive = parser.get().keep_alive();
     const auto path = parser.get().target();
--- a/libs/proxy_daemon/src/state_adoption.cpp
+++ b/libs/proxy_daemon/src/state_adoption.cpp
@@ -18,7 +18,7 @@
   context_.runners.setEjected(ejections_);
 }
 void StateAdoption::adoptRunners(const state_machine::StateContents& state) {
-  context_.runners.follow(state.runners);
+  context_.runners.setRunners(state.runners);
   context_.runners.setEjected(ejections_);  // a runner that joins may be on the list already
 }
 void StateAdoption::adoptZoneDrains(const state_machine::StateContents& state) {
--- a/libs/simulation/src/hollow_node.cpp
+++ b/libs/simulation/src/hollow_node.cpp
@@ -24,7 +24,7 @@
 void HollowNode::restart() {
   queue_ = consensus::EntryQueue{};
   copy_ = state_machine::ReplicatedState{};
-  reserve_ = balancing::QuotaGrants{};
+  reserve_ = balancing::QuotaTokenBuckets{};
   leaseEnds_ = {};
   newestIndex_ = 0;
   following_ = false;
@@ -85,8 +85,8 @@
   const auto now = Clock::now();
   transport::LeaseRequest request;
   request.requestId = ++leaseRequestId_;
-  request.demand = reserve_.demand(now);
-  request.holds = reserve_.holds(now);
+  request.demand = reserve_.steadyDemand(now);
+  request.holds = reserve_.reserveHoldings(now);
   request.load = {{"", 20, 0}};
   request.outliersVersion = outliersVersion_;
   // What a node with its part of the traffic has seen of runners since its last request.
@@ -106,11 +106,11 @@
 // --- quota ---
 
 void HollowNode::request(const std::string& tenant) {
-  if (reserve_.take(tenant, Clock::now())) {
+  if (reserve_.tryAcquire(tenant, Clock::now())) {
     ++statistics_.granted;
     return;
   }
-  reserve_.wait(tenant);
+  reserve_.requestToken(tenant);
   ++waitingRequests_[tenant];
   // One token request for all requests of this turn of the loop.
   if (std::exchange(tokenRequestScheduled_, true))
@@ -126,7 +126,7 @@
     return;
   transport::QuotaTokenRequest request;
   request.requestId = ++tokenRequestId_;
-  request.waiting = reserve_.unasked();
+  request.waiting = reserve_.takeTokenRequests();
   tokensRequestedAt_ = Clock::now();
   if (!request.waiting.empty())
     link->send(transport::pack(request, self_));
@@ -135,11 +135,11 @@
   const auto now = Clock::now();
   const std::chrono::duration<double, std::milli> roundTrip = now - tokensRequestedAt_;
   statistics_.tokenRequestMs.push_back(roundTrip.count());
-  reserve_.loose(response.grants, now);
+  reserve_.addImmediateTokens(response.grants, now);
   for (const auto& grant : response.grants) {
     auto& waiting = waitingRequests_[grant.tenant];
     for (; waiting > 0; --waiting)
-      ++(reserve_.retake(grant.tenant, now) ? statistics_.granted : statistics_.refused);
+      ++(reserve_.retryAcquire(grant.tenant, now) ? statistics_.granted : statistics_.refused);
   }
 }
 
@@ -178,7 +178,7 @@
   if (queue_.applied() >= response.commitIndex)
     leaseEnds_ = it->second + kLeaseLength;
   if (response.requestId == leaseRequestId_)
-    reserve_.drawn(response.grants, it->second);
+    reserve_.refillReserve(response.grants, it->second);
   outliersVersion_ = response.outliersVersion;
   leaseRequestedAt_.erase(it);
 }
--- a/libs/simulation/src/hollow_node.hpp
+++ b/libs/simulation/src/hollow_node.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <random>
 
-#include "balancing/quota.hpp"
+#include "balancing/quota_token_buckets.hpp"
 #include "consensus/entry_queue.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
@@ -63,7 +63,7 @@
   std::map<std::string, std::unique_ptr<transport::Dialer>> links_;  // by the controller's address
   consensus::EntryQueue queue_;
   state_machine::ReplicatedState copy_;
-  balancing::QuotaGrants reserve_;
+  balancing::QuotaTokenBuckets reserve_;
   std::map<std::int64_t, TimePoint> leaseRequestedAt_;  // by request id
   TimePoint leaseEnds_{}, followedAt_{}, tokensRequestedAt_{};
   std::int64_t leaseRequestId_ = 0, tokenRequestId_ = 0;
--- a/libs/simulation/src/trial_runner.cpp
+++ b/libs/simulation/src/trial_runner.cpp
@@ -65,7 +65,7 @@
   runtime::SocketError ec;
   while (running_ && !ec) {
     proxy::RequestParser parser;
-    if (proxy::readRequest(connection, buffer, parser, {}).end != proxy::ReadEnd::whole)
+    if (proxy::readRequest(connection, buffer, parser, {}).outcome != proxy::ReadOutcome::complete)
       return;
     answer(parser.get(), connection, ec);
   }
--- a/tests/proxy_state_test.cpp
+++ b/tests/proxy_state_test.cpp
@@ -127,13 +127,13 @@
 TEST(NodeReport, ContainsTheLoadOfTheMachineAndOfEachDrain) {
   proxy::ProxyContext context;
   context.zone = "z1";
-  context.runners.follow({runnerIn("z1"), runnerIn("z3")});
+  context.runners.setRunners({runnerIn("z1"), runnerIn("z3")});
   context.runners.attemptBegan(0, 10);
   context.runners.attemptBegan(1, 10);
   context.runners.attemptBegan(1, 10);
   context.inFlight = 5;
   context.served = 300;
-  context.refused = 100;
+  context.rejected = 100;
   NodeReport report(context, kZones, kNow);
 
   transport::LeaseRequest request;
