--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <optional>
 #include <set>
+#include <tuple>
 #include <unordered_set>
 
 namespace zinccleat::simulation {
@@ -16,7 +17,9 @@
 struct SentConfiguration {
   std::int64_t version = 0;
   std::string body;
-  auto operator<=>(const SentConfiguration&) const = default;
+  bool operator<(const SentConfiguration& other) const {
+    return std::tie(version, body) < std::tie(other.version, other.body);
+  }
 };
 SentConfiguration sentIn(const OperatorCall& call) {
   return {call.version, call.body};
