--- a/tests/killed_trial.sh
+++ b/tests/killed_trial.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# A trial that is killed leaves no process behind. Usage: killed_trial.sh PROGRAM
+# A trial that is killed leaves no process behind.
+# Usage: killed_trial.sh PROGRAM
 # The trial's standard input is the writing end of a pipe, which its processes inherit: the reading end is at its end
-# once the last of them is gone.
+# once the last of them has ended.
 set -euo pipefail
 program=$1
-most_s=20
+timeout_s=20
 folder=$(mktemp -d)
 trial=
 cleanup() {
@@ -12,12 +13,12 @@
   rm -rf "$folder" "${fleet:-$folder}"
 }
 trap cleanup EXIT
-mkfifo "$folder/alive" "$folder/said"
-"$program" trial --seconds 60 0> "$folder/alive" > "$folder/said" 2>&1 &
+mkfifo "$folder/alive" "$folder/output"
+"$program" trial --seconds 60 0> "$folder/alive" > "$folder/output" 2>&1 &
 trial=$!
-exec 4< "$folder/alive" 5< "$folder/said"
+exec 4< "$folder/alive" 5< "$folder/output"
 fleet=
-while IFS= read -r -t "$most_s" line <&5; do
+while IFS= read -r -t "$timeout_s" line <&5; do
   echo "$line"
   case $line in *'; folder '*) fleet=${line##*; folder } ;; esac
   case $line in 'while it runs: '*) break ;; esac
@@ -29,8 +30,8 @@
 kill -9 "$trial"
 wait "$trial" 2> /dev/null || true
 trial=
-if ! timeout "$most_s" cat <&4; then
-  echo "processes of a killed trial are still there after $most_s s" >&2
+if ! timeout "$timeout_s" cat <&4; then
+  echo "processes of a killed trial are still there after $timeout_s s" >&2
   exit 1
 fi
 echo "the killed trial left no process"
--- a/tests/partner_sites.sh
+++ b/tests/partner_sites.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Two cores of one machine each, on loopback, tell each other hints; a stranger is declined. Usage: partner_sites.sh PROGRAM
+# Two fleets of one controller each, on loopback, exchange hints; a request with a wrong seal is declined.
+# Usage: partner_sites.sh PROGRAM
 set -euo pipefail
 program=$1
 dir=$(mktemp -d)
 pids=()
 finish() { kill -9 "${pids[@]}" 2>/dev/null || true; rm -rf "$dir"; }
 trap finish EXIT
-network=127.$((16 + $$ % 224)).6  # of its own, so that runs beside each other don't meet
+network=127.$((16 + $$ % 224)).6  # of its own, so that parallel runs share no address
 secret=$(printf 'ab%.0s' {1..32})
 site() {  # name ip partner's ip
   mkdir -p "$dir/$1"
@@ -27,7 +28,7 @@
   a=$(known $network.1 || true); b=$(known $network.2 || true)
   if [ "${a:-0}" -ge 64 ] && [ "${b:-0}" -ge 64 ]; then break; fi
 done
-[ "${a:-0}" -ge 64 ] && [ "${b:-0}" -ge 64 ] || { echo "the sites know nothing of each other: ${a:-} ${b:-}"; cat "$dir"/*.log; exit 1; }
+[ "${a:-0}" -ge 64 ] && [ "${b:-0}" -ge 64 ] || { echo "the sites have not exchanged their hints: ${a:-} ${b:-}"; cat "$dir"/*.log; exit 1; }
 answer=$(exec 3<>/dev/tcp/$network.1/8437; printf 'POST /v1/Hints.Exchange HTTP/1.1\r\nHost: x\r\nX-Hint-Seal: 00\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc' >&3; head -1 <&3)
-case "$answer" in *403*) ;; *) echo "a stranger was answered: $answer"; exit 1 ;; esac
-echo "both sites know of each other; a stranger is declined"
+case "$answer" in *403*) ;; *) echo "a request with a wrong seal was answered: $answer"; exit 1 ;; esac
+echo "both sites know each other's hints; a wrong seal is declined"
