--- a/libs/agent/src/core_links.cpp
+++ b/libs/agent/src/core_links.cpp
@@ -21,7 +21,8 @@
   return found != dialers_.end() && found->second->up();
 }
 transport::PeerLinkPtr CoreLinks::connectedLink(const std::string& address) const {
-  return isConnected(address) ? dialers_.at(address)->link() : nullptr;
+  const auto found = dialers_.find(address);
+  return found != dialers_.end() && found->second->up() ? found->second->link() : nullptr;
 }
 void CoreLinks::sendToAll(const std::function<transport::Envelope()>& makeMessage) {
   for (const auto& [address, dialer] : dialers_)
