--- a/libs/proxy_daemon/src/zone_drains.cpp
+++ b/libs/proxy_daemon/src/zone_drains.cpp
@@ -13,7 +13,7 @@
   for (const auto& drain : drains)
     for (const auto& zone : zonesNamed(zones, drain.zone)) {
       auto& level = levels[zone];
-      level.share = std::max(level.share, static_cast<int>(drain.drainPercent));
+      level.drainPercent = std::max(level.drainPercent, static_cast<int>(drain.drainPercent));
       level.migrateStreams = level.migrateStreams || drain.notAccepting;
     }
   return levels;
--- a/libs/runtime/src/fiber_stacks.cpp
+++ b/libs/runtime/src/fiber_stacks.cpp
@@ -8,7 +8,7 @@
 
 namespace zinccleat::runtime {
 namespace {
-std::size_t wholePages(std::size_t bytes) {
+std::size_t roundUpToPages(std::size_t bytes) {
   static const auto page = static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   return (bytes + page - 1) / page * page;
 }
@@ -25,8 +25,8 @@
 }  // namespace
 
 FiberStackPool::FiberStackPool(FiberStackSizes sizes) : sizes_(sizes) {
-  sizes_.stackBytes = wholePages(sizes_.stackBytes);
-  sizes_.guardBytes = wholePages(sizes_.guardBytes);
+  sizes_.stackBytes = roundUpToPages(sizes_.stackBytes);
+  sizes_.guardBytes = roundUpToPages(sizes_.guardBytes);
   kept_.reserve(sizes_.mostKept);  // deallocate() must not throw
 }
 FiberStackPool::~FiberStackPool() {
--- a/libs/simulation/src/scale_run.cpp
+++ b/libs/simulation/src/scale_run.cpp
@@ -16,7 +16,7 @@
 constexpr auto kPoll = 50ms;
 constexpr auto kFirstConfigurationTimeout = 15s;
 constexpr auto kLeasesTimeout = 30s;
-constexpr auto kSettleTime = 2000ms;  // until all runners have joined and the nodes' views are shuffled
+constexpr auto kStabilizationTime = 2000ms;  // until all runners have joined and the nodes' views are shuffled
 constexpr auto kConvergenceTimeout = 5s;
 constexpr std::size_t kAddressesPerSubnet = 250;
 
@@ -67,7 +67,7 @@
   runners_.start(plan_.runners);
   if (auto started = startNodes(); !started)
     return tl::unexpected(started.error());
-  runtime::EventLoop::get().sleepFor(kSettleTime);
+  runtime::EventLoop::get().sleepFor(kStabilizationTime);
 
   startMeasurement();
   const auto begin = Clock::now();
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -20,7 +20,7 @@
 constexpr auto kPoll = 50ms;
 constexpr int kLeaderPolls = 100;
 constexpr int kEndPolls = 120;
-constexpr auto kSettleTime = 1000ms;  // until the proxy has its lease and the runners are known
+constexpr auto kStabilizationTime = 1000ms;  // until the proxy has its lease and the runners are known
 constexpr auto kLeaderDownTime = 300ms;
 
 void printLine(const std::string& line) {
@@ -92,7 +92,7 @@
 void Trial::awaitReadiness() {
   for (int i = 0; i < kLeaderPolls && !findLeader(fleet_); ++i)
     runtime::EventLoop::get().sleepFor(kPoll);
-  runtime::EventLoop::get().sleepFor(kSettleTime);
+  runtime::EventLoop::get().sleepFor(kStabilizationTime);
 }
 void Trial::announce() const {
   printLine("a core of three, an agent and a proxy, " + std::to_string(kRunners) + " runners, " +
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -76,7 +76,7 @@
   if (!node.up && belongsToCluster(node))
     cluster.start(ip, presentSeeds(cluster), false);
 }
-void endAllTrouble(SimulatedCluster& cluster) {
+void endAllFaults(SimulatedCluster& cluster) {
   cluster.cutLinks.clear();
   cluster.lossRate = 0;
   for (auto& [ip, node] : cluster.nodes) {
@@ -104,8 +104,8 @@
   return text;
 }
 // Once the trouble ends, the cluster serves again and has lost nothing that was acknowledged.
-void expectSoundAfterTrouble(SimulatedCluster& cluster) {
-  endAllTrouble(cluster);
+void expectRecoveryAfterFaults(SimulatedCluster& cluster) {
+  endAllFaults(cluster);
   cluster.runFor(12000ms);
   const auto leader = cluster.leader();
   ASSERT_FALSE(leader.empty()) << "no leader (seed " << cluster.seed << ")\n" << describe(cluster);
@@ -217,7 +217,7 @@
     cluster.crash(old);
   cluster.nodes[old].incarnation = kNeverRestarts;
 }
-enum class Trouble {
+enum class FaultKind {
   crash,
   loseDisks,
   pause,
@@ -231,39 +231,39 @@
   replaceMachine,
   count
 };
-void causeTrouble(SimulatedCluster& cluster) {
+void injectFaults(SimulatedCluster& cluster) {
   const auto machines = presentMachines(cluster);
   const auto& ip = machines[cluster.draw(machines.size())];
   const bool healthy = isHealthy(cluster, machines);
   cluster.healthyDraws += healthy;
-  switch (static_cast<Trouble>(cluster.draw(static_cast<std::uint64_t>(Trouble::count)))) {
-    case Trouble::crash:
+  switch (static_cast<FaultKind>(cluster.draw(static_cast<std::uint64_t>(FaultKind::count)))) {
+    case FaultKind::crash:
       return crashForAWhile(cluster, ip);
-    case Trouble::loseDisks:  // only while all others are healthy, as the deployment promises
+    case FaultKind::loseDisks:  // only while all others are healthy, as the deployment promises
       if (healthy)
         loseDisks(cluster, machines, ip);
       return;
-    case Trouble::pause:
+    case FaultKind::pause:
       return pauseForAWhile(cluster, ip);
-    case Trouble::isolate:
+    case FaultKind::isolate:
       return isolateForAWhile(cluster, ip);
-    case Trouble::slowDisk:
+    case FaultKind::slowDisk:
       return slowDiskForAWhile(cluster, ip);
-    case Trouble::fullDisk:
+    case FaultKind::fullDisk:
       return fullDiskForAWhile(cluster, ip);
-    case Trouble::badNetwork:
+    case FaultKind::badNetwork:
       return badNetworkForAWhile(cluster);
-    case Trouble::transferLeadership:
+    case FaultKind::transferLeadership:
       return transferLeadership(cluster, cluster.nodes[ip]);
-    case Trouble::crashAll:
+    case FaultKind::crashAll:
       return crashAllForAWhile(cluster, machines);
-    case Trouble::restartGracefully:
+    case FaultKind::restartGracefully:
       return restartGracefully(cluster, ip);
-    case Trouble::replaceMachine:
+    case FaultKind::replaceMachine:
       if (healthy)
         replaceMachine(cluster, ip);
       return;
-    case Trouble::count:
+    case FaultKind::count:
       return;
   }
 }
@@ -283,10 +283,10 @@
       cluster.write(writers[cluster.draw(writers.size())], bytes);
       cluster.runFor(Duration(50 + cluster.draw(400)));
     }
-    causeTrouble(cluster);
+    injectFaults(cluster);
     cluster.runFor(Duration(200 + cluster.draw(2500)));
   }
-  expectSoundAfterTrouble(cluster);
+  expectRecoveryAfterFaults(cluster);
   return cluster.healthyDraws;
 }
 std::uint64_t numberFromEnvironment(const char* name, std::uint64_t otherwise) {
@@ -413,7 +413,7 @@
   EXPECT_EQ(voters.size(), 3U);
   EXPECT_EQ(std::count(voters.begin(), voters.end(), oldId), 0);
   EXPECT_EQ(std::count(voters.begin(), voters.end(), cluster.nodes[wiped].id), 1);
-  expectSoundAfterTrouble(cluster);
+  expectRecoveryAfterFaults(cluster);
 }
 TEST(Consensus, AMachineAtAnotherAddressReplacesALostOne) {
   SimulatedCluster cluster(4);
@@ -430,7 +430,7 @@
   const auto voters = cluster.nodes[leader].raft->voters();
   EXPECT_EQ(std::count(voters.begin(), voters.end(), cluster.nodes["10.9.0.9"].id), 1) << inLines(voters);
   EXPECT_EQ(voters.size(), 3U);
-  expectSoundAfterTrouble(cluster);
+  expectRecoveryAfterFaults(cluster);
 }
 // First one member is wiped and replaced, later another one, and then all others crash at the same moment.
 TEST(Consensus, AWipedMemberAndACrashOfAllOthersAtOnce) {
@@ -450,7 +450,7 @@
       cluster.runFor(9000ms);
       writeAtAnyOf(cluster, kSeeds, 12);
     }
-    expectSoundAfterTrouble(cluster);
+    expectRecoveryAfterFaults(cluster);
   }
 }
 // A snapshot may arrive late at a member whose log already reaches beyond it: that log may count for a commit.
@@ -495,7 +495,7 @@
   restartAllThatAreDown(cluster, machines);
   cluster.runFor(4000ms);
   ASSERT_FALSE(cluster.leader().empty()) << size << " machines, seed " << seed;
-  expectSoundAfterTrouble(cluster);
+  expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
 // Found on six machines of which two may be lost: only the three founders were members.
@@ -527,7 +527,7 @@
     const auto leader = cluster.leader();
     ASSERT_FALSE(leader.empty()) << "seed " << seed;
     EXPECT_FALSE(minority.contains(leader)) << "seed " << seed;
-    expectSoundAfterTrouble(cluster);
+    expectRecoveryAfterFaults(cluster);
   }
 }
 namespace {
@@ -582,7 +582,7 @@
     cluster.start(ip, kSeeds, false);
   cluster.runFor(300ms);
   const bool leads = !cluster.leader().empty();
-  expectSoundAfterTrouble(cluster);
+  expectRecoveryAfterFaults(cluster);
   return leads;
 }
 }  // namespace
@@ -629,7 +629,7 @@
   cluster.crash(leader);
   cluster.runFor(2500ms);
   ASSERT_FALSE(cluster.leader().empty()) << "seed " << seed;
-  expectSoundAfterTrouble(cluster);
+  expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
 // Found under load: while a disk was full its records piled up; each was then retried by itself and out of order, and
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -83,14 +83,14 @@
   const auto again = [](const std::string& text) -> Result<std::string> { return encodeConfig(decodeConfig(text)); };
   return {file, [config] { return encodeConfig(config); }, again, ""};
 }
-/// A snapshot that `held` restores; `encodeHeld` then writes it again.
-Case snapshotCase(const std::string& file, std::function<std::string()> encode, const ReplicatedState& held,
-                  const std::function<std::string(const ReplicatedState&)>& encodeHeld) {
-  const auto again = [held, encodeHeld](const std::string& bytes) -> Result<std::string> {
-    auto copy = held;
+/// A snapshot that `content` restores; `encodeContent` then writes it again.
+Case snapshotCase(const std::string& file, std::function<std::string()> encode, const ReplicatedState& content,
+                  const std::function<std::string(const ReplicatedState&)>& encodeContent) {
+  const auto again = [content, encodeContent](const std::string& bytes) -> Result<std::string> {
+    auto copy = content;
     if (auto restored = copy.restore(bytes); !restored)
       return tl::unexpected(restored.error());
-    return encodeHeld(copy);
+    return encodeContent(copy);
   };
   return {file, std::move(encode), again, ""};
 }
@@ -303,19 +303,19 @@
                      zoneDrainEntry(zoneDrain(4, true), false, "closure/4"),
                      zoneDrainEntry(zoneDrain(5, false), false, "closure/5")});
 }
-std::string snapshotFor(const ReplicatedState& copy, const std::string& held) {
-  return copy.snapshotFor(held.empty() ? held : digestOf(held));
+std::string snapshotFor(const ReplicatedState& copy, const std::string& content) {
+  return copy.snapshotFor(content.empty() ? content : digestOf(content));
 }
 std::vector<Case> snapshotCases() {
-  const auto wholeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
+  const auto completeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
   const auto forNobody = [](const ReplicatedState& copy) { return snapshotFor(copy, ""); };
   const auto forFirst = [](const ReplicatedState& copy) { return snapshotFor(copy, kFirstText); };
   const auto forSecond = [](const ReplicatedState& copy) { return snapshotFor(copy, kSecondText); };
   return {
       snapshotCase(
-          "snapshot_of_nothing.hex", [] { return ReplicatedState{}.snapshot(); }, {}, wholeOf),
+          "snapshot_of_nothing.hex", [] { return ReplicatedState{}.snapshot(); }, {}, completeOf),
       snapshotCase(
-          "snapshot_whole.hex", [] { return laterState().snapshot(); }, {}, wholeOf),
+          "snapshot_whole.hex", [] { return laterState().snapshot(); }, {}, completeOf),
       snapshotCase(
           "snapshot_access_whole.hex", [] { return snapshotFor(laterState(), ""); }, {}, forNobody),
       snapshotCase(
@@ -394,16 +394,16 @@
   const auto read = [](const std::string& snapshot) {
     return inTodaysFormat(snapshot).value_or("could not be restored");
   };
-  const auto wholeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
+  const auto completeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
   return {
       {"snapshot_format1.hex", written, {}, ""},
       {"snapshot_format1_partial.hex", partial, {}, ""},
       snapshotCase(
           "snapshot_format1_restored.hex",
-          [=] { return read(golden::stored("snapshot_format1.hex").value_or(written())); }, {}, wholeOf),
+          [=] { return read(golden::stored("snapshot_format1.hex").value_or(written())); }, {}, completeOf),
       snapshotCase(
           "snapshot_format1_partial_restored.hex",
-          [=] { return read(golden::stored("snapshot_format1_partial.hex").value_or(partial())); }, {}, wholeOf),
+          [=] { return read(golden::stored("snapshot_format1_partial.hex").value_or(partial())); }, {}, completeOf),
   };
 }
 
@@ -453,26 +453,26 @@
   return *HintKey::parse("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f");
 }
 /// What a site tells first (everything) and then (what has changed).
-std::vector<std::string> toldInTurn() {
+std::vector<std::string> announcedInTurn() {
   constexpr TimePoint now{1000s};
   constexpr std::int64_t epoch = 2937;
   HintTable table(hintKey(), {.maxAnnounced = 8, .padding = 4}, 7);
-  const auto sendFromTwoTenants = [&](std::uint64_t opening) {
+  const auto sendFromTwoTenants = [&](std::uint64_t promptPrefix) {
     for (const std::uint64_t tenant : {1, 2})
-      (void)table.cachedOnlyAtPartner(now, epoch, opening, tenant);
+      (void)table.cachedOnlyAtPartner(now, epoch, promptPrefix, tenant);
   };
   sendFromTwoTenants(42);
-  std::vector<std::string> told{avro::encode(table.nextUpdate(now, epoch))};
+  std::vector<std::string> announced{avro::encode(table.nextUpdate(now, epoch))};
   (void)table.applyUpdate(now, epoch, {.epoch = epoch, .acknowledged = 1, .version = 9, .added = {5}});
   sendFromTwoTenants(43);
-  told.push_back(avro::encode(table.nextUpdate(now, epoch)));
-  return told;
+  announced.push_back(avro::encode(table.nextUpdate(now, epoch)));
+  return announced;
 }
 Result<std::string> againAsHints(const std::string& bytes) {
-  const auto news = avro::decode<HintUpdate>(bytes);
-  if (!news)
-    return tl::unexpected(news.error());
-  return avro::encode(*news);
+  const auto update = avro::decode<HintUpdate>(bytes);
+  if (!update)
+    return tl::unexpected(update.error());
+  return avro::encode(*update);
 }
 std::vector<Case> hintCases() {
   return {
@@ -482,8 +482,8 @@
                                              .version = 73,
                                              .added = {-6148914691236517206, 1311768467463790320},
                                              .removed = {-5, 6}}),
-      {"hint_news_whole.hex", [] { return toldInTurn().at(0); }, againAsHints, ""},
-      {"hint_news_changes.hex", [] { return toldInTurn().at(1); }, againAsHints, ""},
+      {"hint_news_whole.hex", [] { return announcedInTurn().at(0); }, againAsHints, ""},
+      {"hint_news_changes.hex", [] { return announcedInTurn().at(1); }, againAsHints, ""},
       {"hint_digest.txt", [] { return std::to_string(hintKey().digest(42, 2937)); }, {}, ""},
       {"hint_seal.txt", [] { return hintKey().sign("sealed text"); },
        [](const std::string& seal) -> Result<std::string> {
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -358,7 +358,7 @@
   int writes_ = 0;
 };
 // One machine in trouble at a time: killed and back, cut off, frozen, or with a slow disk.
-void causeTrouble(SimulatedCluster& cluster) {
+void injectFaults(SimulatedCluster& cluster) {
   const auto& ip = kFounders[cluster.draw(kFounders.size())];
   const Duration lasting(500 + cluster.draw(4000));
   switch (cluster.draw(4)) {
@@ -390,7 +390,7 @@
   Operators operators(cluster, fault);
   operators.start(4, cluster.now + 40s);
   for (const auto end = cluster.now + 40s; cluster.now < end;)
-    causeTrouble(cluster);
+    injectFaults(cluster);
   cluster.runFor(8000ms);
   EXPECT_TRUE(cluster.violations.empty()) << "seed " << seed << ": " << cluster.violations.front();
   return operators.history();
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -11,7 +11,7 @@
 using zinccleat::sim::SimulatedCluster;
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
-constexpr Duration kSettleTime{6000};
+constexpr Duration kStabilizationTime{6000};
 constexpr Duration kRecoveryTime{6000};  // a lost machine counts as lost for so long after it is back
 
 std::vector<std::string> startMachines(SimulatedCluster& cluster, std::size_t count) {
@@ -20,7 +20,7 @@
     machines.push_back("10." + std::to_string(i % 3 + 1) + ".0." + std::to_string(2 + i / 3));
   for (const auto& machine : machines)
     cluster.start(machine, kSeeds, true);
-  cluster.runFor(kSettleTime);
+  cluster.runFor(kStabilizationTime);
   return machines;
 }
 void loseMachine(SimulatedCluster& cluster, const std::string& machine) {
@@ -196,7 +196,7 @@
     const auto victim = cluster.draw(ips.size());
     loseMachine(cluster, ips[victim]);
     ips.erase(ips.begin() + static_cast<std::ptrdiff_t>(victim));
-    cluster.runFor(kSettleTime);
+    cluster.runFor(kStabilizationTime);
     ASSERT_TRUE(commitsAWrite(cluster)) << machines << " machines, after " << lost + 1 << " losses";
   }
 }
@@ -364,14 +364,14 @@
   auto ips = startMachines(cluster, 5);
   const auto away = ips[4];
   cluster.crash(away);
-  cluster.runFor(kSettleTime);
+  cluster.runFor(kStabilizationTime);
   for (int round = 0; round < 4; ++round) {
     const auto newcomer = "10.9.0." + std::to_string(10 + round);
     replaceMachine(cluster, ips[static_cast<std::size_t>(round)], newcomer);
     ips[static_cast<std::size_t>(round)] = newcomer;
   }
   cluster.start(away, {ips[0], ips[1], ips[2]}, false);
-  cluster.runFor(kSettleTime);
+  cluster.runFor(kStabilizationTime);
   ASSERT_TRUE(commitsAWrite(cluster));
   EXPECT_EQ(cluster.nodes[away].raft->commitIndex(), cluster.nodes[cluster.leader()].raft->commitIndex());
 }
@@ -381,7 +381,7 @@
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
   node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now);
   bool voted = false;
-  const auto settle = [&] {
+  const auto stabilize = [&] {
     for (auto actions = node.takeActions(); !actions.empty(); actions = node.takeActions())
       for (auto& action : actions) {
         if (const auto* record = std::get_if<PersistRecord>(&action))
@@ -390,12 +390,12 @@
           voted = voted || std::holds_alternative<VoteResponse>(sent->message);
       }
   };
-  settle();
+  stabilize();
   VoteRequest request;
   request.term = 3;
   request.lastLogIndex = 9;
   request.lastLogTerm = 2;
   node.receive(now, "10.4.0.1#77", request);
-  settle();
+  stabilize();
   EXPECT_TRUE(voted);
 }
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -527,7 +527,7 @@
 }
 void World::runFairly(Duration duration) {
   const auto end = now + duration;
-  const auto settle = [&] {
+  const auto stabilize = [&] {
     for (int round = 0; round < kRoundsPerStep; ++round) {
       for (std::size_t machine = 0; machine < kMachines; ++machine)
         while (running(machine) && !machines[machine]->pending.empty())
@@ -542,7 +542,7 @@
       if (!running(machine))
         continue;
       feed(machine, [&](RaftNode& node) { node.tick(now); });
-      settle();
+      stabilize();
       const bool ends = machines[machine]->leaving && machines[machine]->raft->mayExit();
       if (ends)
         apply({ActionKind::exitAllowed, machine});
--- a/tests/nested_json_test.cpp
+++ b/tests/nested_json_test.cpp
@@ -76,7 +76,7 @@
   expectRefusals("heartbeat is no JSON object",
                  [](const std::string& body) { return refusalOf(parseRunnerHeartbeat("i1", body)); });
 }
-TEST(NestedJson, AClosureIsRefused) {
+TEST(NestedJson, AZoneDrainIsRefused) {
   expectRefusals("closure is no JSON object",
                  [](const std::string& body) { return refusalOf(parseZoneDrainRequest(body)); });
 }
--- a/tests/proxy_state_test.cpp
+++ b/tests/proxy_state_test.cpp
@@ -48,9 +48,9 @@
 TEST(ZoneDrains, OfZoneAndRegionTheStricterCounts) {
   const auto levels = drainLevels(kZones, {drainOf("z1", 30, true), drainOf("north", 50), drainOf("west", 100)});
   ASSERT_EQ(levels.size(), 2U);
-  EXPECT_EQ(levels.at("z1").share, 50);
+  EXPECT_EQ(levels.at("z1").drainPercent, 50);
   EXPECT_TRUE(levels.at("z1").migrateStreams);
-  EXPECT_EQ(levels.at("z2").share, 50);
+  EXPECT_EQ(levels.at("z2").drainPercent, 50);
   EXPECT_FALSE(levels.at("z2").migrateStreams);
 }
 
@@ -128,9 +128,9 @@
   proxy::ProxyContext context;
   context.zone = "z1";
   context.runners.setRunners({runnerIn("z1"), runnerIn("z3")});
-  context.runners.attemptBegan(0, 10);
-  context.runners.attemptBegan(1, 10);
-  context.runners.attemptBegan(1, 10);
+  context.runners.attemptStarted(0, 10);
+  context.runners.attemptStarted(1, 10);
+  context.runners.attemptStarted(1, 10);
   context.inFlight = 5;
   context.served = 300;
   context.rejected = 100;
