--- a/libs/balancing/include/balancing/quota_token_buckets.hpp
+++ b/libs/balancing/include/balancing/quota_token_buckets.hpp
@@ -15,7 +15,7 @@
  public:
   /// A local reserve that was not refilled for so long is void.
   static constexpr Duration kReserveLifetime{3000};
-  /// Immediate tokens that were not used by then are void: the requests that they were for have gone.
+  /// Immediate tokens that were not used by then are void: the requests that they were for have ended.
   static constexpr Duration kImmediateTokenLifetime{100};
 
   /// Adds granted tokens to the local reserve.
--- a/libs/proxy/include/proxy/graceful_shutdown.hpp
+++ b/libs/proxy/include/proxy/graceful_shutdown.hpp
@@ -19,9 +19,9 @@
   exiting,
 };
 
-/// Milliseconds from SIGTERM. For readiness to be seen as refused: the platform counts a machine as gone after two
-/// questions without a 200, and the rule DRAIN gives a machine 4 s until then; callers' lists are up to `seedLagS`
-/// (3 s) old. It must end before `kLastRequestAccepted`, with a margin for a signal that is handled late.
+/// Milliseconds from SIGTERM. How long readiness is refused before anything else: the platform takes a machine out of
+/// use after two questions without a 200, and the rule DRAIN gives a machine 4 s until then; callers' lists are up to
+/// `seedLagS` (3 s) old. It must end before `kLastRequestAccepted`, with a margin for a signal that is handled late.
 inline constexpr Duration kNoticeTime{2600};
 /// Milliseconds from SIGTERM. The rule LOST forgives a request that was cut in the second half of `graceS` only if it
 /// was sent by then, so none that was sent later may be accepted.
--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kHeaderLimit = 2048;
 constexpr std::size_t kBodyLimit = 4096;
 
-// Feeds a parser as `pump` does. True: the whole message was read.
+// Feeds a parser as `pump` does. True: the complete message was read.
 template <class Parser>
 bool parseInReads(Parser& parser, std::string_view input, std::size_t readLength) {
   parser.header_limit(kHeaderLimit);
@@ -87,7 +87,7 @@
   fuzz::require(count(head, "\r\n\r\n") <= 1);
   fuzz::require(count(head, "\n") == count(head, "\r\n"));
 }
-// What comes out and what is held make what went in; closed by an empty line all of it comes out, and the last id is
+// Returned and buffered bytes together are the input; after an empty line all of it is returned, and the last id is
 // the same however the stream was cut. (An empty line more than needed may come with the event before it or the one
 // after.)
 void scanEvents(std::string_view input, std::size_t readLength) {
