--- a/libs/config/src/run_daemon.cpp
+++ b/libs/config/src/run_daemon.cpp
@@ -18,7 +18,8 @@
     log::info("daemon_start_failed", {{"program", program}, {"reason", started.error().message}});
     return 1;
   }
-  runtime::watchLifecycle(settingsPath(), {.onTerminate = daemon.shutDown, .onReloadSettings = [&daemon] { reload(daemon); }});
+  runtime::watchLifecycle(settingsPath(),
+                          {.onTerminate = daemon.shutDown, .onReloadSettings = [&daemon] { reload(daemon); }});
   loop.run();
   return 0;
 }
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -33,8 +33,8 @@
   context_.rng.seed(randomSeed());
   context_.runners = balancing::RunnerPool(randomSeed());
   context_.runners.setRegions(settings.zones);
-  context_.retryBudget =
-      balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioPart, settings.timers.retryWindow / kRetryWindowParts);
+  context_.retryBudget = balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioPart,
+                                                settings.timers.retryWindow / kRetryWindowParts);
   applyLimits();
   connectCallbacks();
 }
@@ -82,8 +82,8 @@
   return {};
 }
 Result<void> ProxyDaemon::listenForClients(const tcp::endpoint& endpoint) {
-  auto listener =
-      transport::openListener(endpoint, [this](tcp::socket socket) { proxy::acceptClient(context_, std::move(socket)); });
+  auto listener = transport::openListener(
+      endpoint, [this](tcp::socket socket) { proxy::acceptClient(context_, std::move(socket)); });
   if (!listener)
     return tl::unexpected(listener.error());
   clientListener_ = std::move(*listener);
@@ -196,8 +196,8 @@
   if (granted->newestRequest)
     context_.quota.refillReserve(response.grants, granted->requestedAt);
   if (response.accessMachines > 0)
-    context_.retryBudget.setReserve(settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines),
-                          retrySlackDraw_);
+    context_.retryBudget.setReserve(
+        settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines), retrySlackDraw_);
   adoption_.adoptEjections(response);
   useLease();
 }
--- a/tests/balancing_test.cpp
+++ b/tests/balancing_test.cpp
@@ -102,8 +102,8 @@
         if ((ms + static_cast<int>(i) * 10) % 400 == 0 || n.reserve.shouldRefill("t", now)) {
           newestRequest[i] = now;
           const auto holds = n.reserve.reserveHoldings(now);
-          delayed.push_back(
-              {i, now, now + delay, allocator->allocate(now, name, n.reserve.steadyDemand(now), holds, cfg.get()), false});
+          delayed.push_back({i, now, now + delay,
+                             allocator->allocate(now, name, n.reserve.steadyDemand(now), holds, cfg.get()), false});
         }
       }
       while (!ran.empty() && now - ran.front() > 5s)
@@ -144,7 +144,7 @@
       if (ms % 400 == 0)
         for (std::size_t i = 0; i < nodes.size(); ++i)
           nodes[i].refillReserve(allocator.allocate(now, "n" + std::to_string(i), nodes[i].steadyDemand(now),
-                                                nodes[i].reserveHoldings(now), cfg.get()),
+                                                    nodes[i].reserveHoldings(now), cfg.get()),
                                  now);
     }
     EXPECT_GT(asked, 500);
