--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -145,7 +145,7 @@
     return usageError("scale-run", plan.error().message);
   return simulation::runAtScale(*plan, kThisProgram, absl::GetFlag(FLAGS_json));
 }
-int runDaemon(const std::string& name, int (*run)(const config::Settings&)) {
+int loadSettingsAndRun(const std::string& name, int (*run)(const config::Settings&)) {
   const auto path = absl::GetFlag(FLAGS_settings);
   const auto settings = config::loadSettings(path.empty() ? config::settingsPath() : path);
   if (!settings)
@@ -155,13 +155,13 @@
   return run(*settings);
 }
 int proxyDaemon(const Arguments& /*arguments*/) {
-  return runDaemon("proxy", proxy_daemon::runProxy);
+  return loadSettingsAndRun("proxy", proxy_daemon::runProxy);
 }
 int agentDaemon(const Arguments& /*arguments*/) {
-  return runDaemon("agent", agent::runAgent);
+  return loadSettingsAndRun("agent", agent::runAgent);
 }
 int controllerDaemon(const Arguments& /*arguments*/) {
-  return runDaemon("controller", controller::runController);
+  return loadSettingsAndRun("controller", controller::runController);
 }
 
 struct Subcommand {
--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -3,6 +3,8 @@
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
+// Looks at this member's own timers only; that a leader's lease still binds the others is theirs to say
+// (`boundByLease`).
 void RaftCore::tickElection(TimePoint now) {
   const bool awaitingPreVotes = role == Role::candidate && election.preVoting;
   const bool retryDue = now - election.lastVoteRequestAt >= options.voteRetryInterval;
--- a/libs/consensus/src/join_leave.cpp
+++ b/libs/consensus/src/join_leave.cpp
@@ -79,7 +79,7 @@
   send(from, LeaveResponse{term.current, request.requestId});
 }
 bool RaftCore::canDoWithout(TimePoint now, const MemberId& member) const {
-  if (!configSettled(now) || log.config().joint())
+  if (!mayChangeConfig(now) || log.config().joint())
     return false;
   if (!log.config().isVoter(member))
     return true;
--- a/libs/consensus/src/leader.cpp
+++ b/libs/consensus/src/leader.cpp
@@ -38,7 +38,7 @@
 void RaftCore::appendAsLeader(TimePoint now, transport::LogEntry entry) {
   entry.term = term.current;
   entry.index = log.lastLogIndex() + 1;
-  const bool changesConfig = entry.op() == transport::OperationKind::members;
+  const bool changesConfig = entry.op() == transport::OperationKind::membership;
   log.append(entry);
   if (changesConfig)
     for (const auto& voter : log.config().allVoters())
@@ -66,7 +66,7 @@
   if (index <= log.commitIndex() || log.termAt(index) != term.current)
     return;
   commitUpTo(index);
-  sendHeartbeats(now);
+  sendHeartbeats(now);  // they carry the commit index, so that followers apply the entries at once
   const bool configCommitted = log.configIndex() <= log.commitIndex();
   if (configCommitted && !isVoter())
     stepDown(now);  // removed from the voters while leading them
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -154,7 +154,7 @@
 
   void tickMembership(TimePoint now);
   /// Whether the leader's term and the newest configuration are committed under a valid lease.
-  bool configSettled(TimePoint now) const;
+  bool mayChangeConfig(TimePoint now) const;
   void proposeConfig(TimePoint now, const ClusterConfig& config);
   void changeVoters(TimePoint now, const std::vector<MemberId>& voters);
   std::vector<VoterStatus> voterStatus(TimePoint now) const;
--- a/libs/consensus/src/raft_log.cpp
+++ b/libs/consensus/src/raft_log.cpp
@@ -10,7 +10,7 @@
 }
 void RaftLog::append(transport::LogEntry entry) {
   checkInvariant(entry.index == lastLogIndex() + 1, "a log entry follows the one before it");
-  if (entry.op() == transport::OperationKind::members)
+  if (entry.op() == transport::OperationKind::membership)
     configs_.push_back({entry.index, decodeConfig(entry.body)});
   entries_.push_back(std::move(entry));
 }
--- a/libs/consensus/src/replication.cpp
+++ b/libs/consensus/src/replication.cpp
@@ -80,7 +80,7 @@
   message.prevLogTerm = log.termAt(prevLogIndex);
   message.commitIndex = log.commitIndex();
   message.heartbeatId = leading.heartbeatId;
-  message.leaderHasLease = leaseValid(lastTickAt);
+  message.leaderHasLease = leaseValid(lastTickAt);  // exact to a tick, which is enough for followers
   message.entries = std::move(entries);
   send(peer, std::move(message));
 }
--- a/libs/consensus/src/voter_changes.cpp
+++ b/libs/consensus/src/voter_changes.cpp
@@ -26,14 +26,14 @@
 }
 }  // namespace
 
-bool RaftCore::configSettled(TimePoint now) const {
+bool RaftCore::mayChangeConfig(TimePoint now) const {
   const bool ownTermCommitted = log.commitIndex() >= leading.firstIndexOfTerm;
   const bool configCommitted = log.configIndex() <= log.commitIndex();
   return leaseValid(now) && ownTermCommitted && configCommitted;
 }
 void RaftCore::tickMembership(TimePoint now) {
   dropUnreachableLearners(now);
-  if (!configSettled(now))
+  if (!mayChangeConfig(now))
     return;
   if (log.config().joint())
     return proposeConfig(now, {log.config().nextVoters, {}});
@@ -54,7 +54,7 @@
 }
 void RaftCore::proposeConfig(TimePoint now, const ClusterConfig& config) {
   transport::LogEntry entry;
-  entry.kind = static_cast<std::int32_t>(transport::OperationKind::members);
+  entry.kind = static_cast<std::int32_t>(transport::OperationKind::membership);
   entry.body = encodeConfig(config);
   log::debug("voters_changed", {{"member", self}, {"term", term.current}, {"voters", entry.body}});
   appendAsLeader(now, std::move(entry));
--- a/libs/controller/src/controller_node.cpp
+++ b/libs/controller/src/controller_node.cpp
@@ -30,6 +30,8 @@
       dispatcher_(context_, {peers_, driver_, reads_, runners_, agents_, requests_, hints_}) {}
 ControllerNode::~ControllerNode() = default;
 
+// At the leader, `MessageDispatcher::onSubmitEntry` receives what is forwarded; the raft nodes and the agents keep a
+// body that was sent ahead until its entry comes.
 PendingWrites::Submitters ControllerNode::submitters() {
   PendingWrites::Submitters submitters;
   submitters.submitHere = [this](const transport::LogEntry& entry) {
--- a/libs/controller/src/controller_services.hpp
+++ b/libs/controller/src/controller_services.hpp
@@ -20,7 +20,7 @@
   virtual bool heartbeatsReachLeader() const = 0;
   /// A runner has sent a heartbeat to this controller.
   virtual void recordHeartbeat(const std::string& runner) = 0;
-  /// Parks the calling fiber until its own write is committed and applied here.
+  /// Parks the calling fiber until its own write is committed and applied here (`PendingWrites` submits it).
   /// @return the write's outcome by the replica, or `ErrorCode::unavailable`.
   virtual Result<std::int32_t> write(transport::LogEntry entry, Duration timeout) = 0;
   /// Parks the calling fiber until the replica is as new as the leader's log was at the call: what is read from it then
--- a/libs/controller/src/raft_driver.cpp
+++ b/libs/controller/src/raft_driver.cpp
@@ -12,6 +12,8 @@
 void RaftDriver::startStorage(storage::Storage storage) {
   storage_ = std::make_unique<StorageThread>(std::move(storage));
 }
+// The way from a decision of the raft node to the rest of the controller: its actions first, then what a change of the
+// role brings with it, then the entries that were committed go to the agents.
 void RaftDriver::run() {
   if (running_)
     return;
@@ -27,6 +29,7 @@
 void RaftDriver::carryOut(consensus::SendMessage& action) {
   components_.peers.send(action.to, action.message);
 }
+// Answered on the event loop, once the storage thread has synced the record or failed to.
 void RaftDriver::carryOut(consensus::PersistRecord& action) {
   storage_->append(std::move(action.record), [this, ticket = action.ticket](const Result<void>& appended) {
     if (!appended)
--- a/libs/controller/src/role_changes.hpp
+++ b/libs/controller/src/role_changes.hpp
@@ -2,7 +2,7 @@
 /// What follows in the other components when this controller gains or loses the leadership, or another leader is
 /// elected.
 ///
-/// Owns the role and leader that the other components were last told of; changed on the event-loop thread.
+/// Owns the role and leader that the other components were last notified of; changed on the event-loop thread.
 #pragma once
 #include "agent_request_handler.hpp"
 #include "agent_sessions.hpp"
--- a/libs/controller/src/startup.cpp
+++ b/libs/controller/src/startup.cpp
@@ -59,7 +59,7 @@
                        dataDir + ": record " + std::to_string(record.seq) + " holds a state that can't be restored");
   return {};
 }
-/// A disk in trouble mostly comes back, while ending the process in a loop would help nobody. Until then the member
+/// A failing disk often recovers, while ending the process in a loop would help nobody. Until then the member
 /// counts as down, and nothing on its disk is changed.
 std::function<bool(const Error&)> diskRetry() {
   return [retries = 0](const Error& error) mutable {
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -50,7 +50,7 @@
     context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryPartForBodies;
 }
 void ProxyDaemon::connectCallbacks() {
-  context_.requestReserveRefill = [this] { renewLease(); };
+  context_.requestReserveRefill = [this] { renewLease(); };  // a lease request carries the quota demand too
   context_.requestQuotaTokens = [this] { quotaTokens_.requestSoon(); };
   if (!settings_.partner || settings_.partner->access.empty())
     return;
@@ -201,6 +201,8 @@
   adoption_.adoptEjections(response);
   useLease();
 }
+// Called after each response and after each applied entry: a lease counts only once the replica has applied as far as
+// the leader had committed when it granted the lease.
 void ProxyDaemon::useLease() {
   const auto usableUntil = lease_.usableUntil(replica_.lastApplied());
   if (!usableUntil || replica_.corrupted())
--- a/libs/runtime/include/runtime/log_ring.hpp
+++ b/libs/runtime/include/runtime/log_ring.hpp
@@ -1,9 +1,9 @@
 /// The structured log. A line is a fixed event name and key=value fields:
 ///
-///     1234.567 core-1 event=leader_elected term=7 member=core-1
+///     1234.567 core-1 event=leader_followed member=core-2 term=7
 ///
 /// Lines stay in a ring buffer in memory, which is written to standard error when something goes wrong. The events and
-/// what each means to an operator: docs/on-call.md.
+/// what each means to an operator: docs/on-call.md and docs/events.
 #pragma once
 #include <concepts>
 #include <initializer_list>
--- a/libs/state_machine/src/log_entries.cpp
+++ b/libs/state_machine/src/log_entries.cpp
@@ -35,7 +35,7 @@
   auto delta = computeDelta(current.configuration, current.digest, entry.body, entry.digest);
   if (delta.size() > entry.body.size() / 2)
     return entry;
-  entry.kind = static_cast<std::int32_t>(transport::OperationKind::difference);
+  entry.kind = static_cast<std::int32_t>(transport::OperationKind::configurationDelta);
   entry.body = std::move(delta);
   return entry;
 }
--- a/libs/state_machine/src/replicated_state.cpp
+++ b/libs/state_machine/src/replicated_state.cpp
@@ -26,7 +26,7 @@
 ReplicatedState::Verdict ReplicatedState::applyOperation(const transport::LogEntry& entry, Change& change) {
   switch (entry.op()) {
     case transport::OperationKind::configuration:
-    case transport::OperationKind::difference:
+    case transport::OperationKind::configurationDelta:
       return applyConfiguration(entry, change);
     case transport::OperationKind::zoneDrain:
       applyZoneDrain(entry, change);
--- a/libs/transport/include/transport/messages.hpp
+++ b/libs/transport/include/transport/messages.hpp
@@ -4,12 +4,12 @@
 namespace zinccleat::transport {
 /// What a log entry does to the replicated state. The numbers are part of the wire and disk formats.
 enum class OperationKind : std::int32_t {
-  noOp = 0,           ///< commits the entries before it at the beginning of a term
-  configuration = 1,  ///< replaces the configuration
-  runner = 2,         ///< what a runner reported
-  members = 3,        ///< the consensus group's membership
-  zoneDrain = 4,      ///< begins, changes or ends the drain of a zone
-  difference = 5,     ///< replaces the configuration by a difference to an earlier version
+  noOp = 0,                ///< commits the entries before it at the beginning of a term
+  configuration = 1,       ///< replaces the configuration
+  runner = 2,              ///< what a runner reported
+  membership = 3,          ///< the consensus group's membership
+  zoneDrain = 4,           ///< begins, changes or ends the drain of a zone
+  configurationDelta = 5,  ///< replaces the configuration by a delta to an earlier version
 };
 
 /// One entry of the replicated log.
--- a/tests/delta_test.cpp
+++ b/tests/delta_test.cpp
@@ -110,7 +110,7 @@
     std::size_t deltas = 0;
     for (int i = 0; i < 40; ++i) {
       const auto entry = replica.changeEntry(base, text, "w" + std::to_string(i));
-      deltas += entry.op() == OperationKind::difference;
+      deltas += entry.op() == OperationKind::configurationDelta;
       EXPECT_FALSE(replica.apply(entry).corrupted);
       ASSERT_EQ(replica.state.state().configuration, text.body()) << "seed " << seed;
       ASSERT_EQ(replica.state.state().version, text.version);
@@ -177,7 +177,7 @@
   text.version = 3, text.routes.pop_back();
   const auto winner = configurationChangeEntry(1, 2, second, "w2", atVersion1);
   const auto loser = configurationChangeEntry(1, 3, text.body(), "w3", atVersion1);
-  ASSERT_EQ(winner.op(), OperationKind::difference);
+  ASSERT_EQ(winner.op(), OperationKind::configurationDelta);
 
   replica.apply(winner);
   replica.apply(loser);
--- a/tests/model_invariants.cpp
+++ b/tests/model_invariants.cpp
@@ -76,7 +76,7 @@
       continue;
     std::optional<ClusterConfig> before;
     for (auto index = machine->raft->firstIndex(); const auto* entry = machine->raft->entryAt(index); ++index) {
-      if (entry->op() != OperationKind::members)
+      if (entry->op() != OperationKind::membership)
         continue;
       auto config = decodeConfig(entry->body);
       if (!before && machine->raft->firstIndex() == 1)
--- a/tests/outlier_test.cpp
+++ b/tests/outlier_test.cpp
@@ -187,7 +187,7 @@
     w.recordResponse("ill", "s", 600, 8000ms);
   EXPECT_LT(w.slowThreshold("s", 600), 500ms);
 }
-TEST(RunnerPool, OneSetAsideIsLeftAloneAndTriedByFewThatMayBeRepeated) {
+TEST(RunnerPool, EjectedRunnerIsProbedByFewIdempotentRequests) {
   RunnerPool d(1);
   d.setRunners(fleet(4));
   d.setEjected({{"r1", 1, 0}, {"r2", 0.5, 0}, {"unknown", 1, 0}});
