--- a/libs/controller/src/counter_service.cpp
+++ b/libs/controller/src/counter_service.cpp
@@ -98,7 +98,7 @@
 }
 void CounterService::logChanges(TimePoint now) {
   if (replica_->mayRead() && !std::exchange(caughtUp_, true))
-    log::debug("counters_caught_up", {{"ids", replica_->state().keptIncrements()}});
+    log::debug("counters_caught_up", {{"ids", replica_->state().retainedIncrements()}});
   std::set<std::string> unreachable;
   for (const auto& peer : replica_->peers(now)) {
     if (peer.reachable || peer.silentForMs < 0)
@@ -220,8 +220,8 @@
       .text("node", context_.settings.node)
       .text("zone", context_.settings.zone)
       .flag("caughtUp", replica_->mayRead())
-      .number("keptIds", state.keptIncrements())
-      .number("maxKeptIds", CounterReplica::kMaxKeptIncrements)
+      .number("keptIds", state.retainedIncrements())
+      .number("maxKeptIds", CounterReplica::kMaxRetainedIncrements)
       .number("keptBytes", state.keptBytes())
       .number("pendingCalls", replica_->pendingCalls())
       .raw("peers", jsonArray(peers))
--- a/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
+++ b/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
@@ -6,17 +6,17 @@
 ///
 /// Guarantees:
 /// - An increment is acknowledged once it is on this disk and on the disks of `Options::copies` others, or of as many
-///   as were heard within `kReachableFor`; or once it is on the disks of `Options::copies` + 1 others, whatever this
-///   disk does. Either way the loss of `Options::copies` machines leaves one. A replica that hears nobody acknowledges
-///   alone, though not within `kStartGrace` of its start: it may not have been heard yet.
+///   as were recordContact within `kReachabilityTimeout`; or once it is on the disks of `Options::copies` + 1 others,
+///   whatever this disk does. Either way the loss of `Options::copies` machines leaves one. A replica that hears nobody
+///   acknowledges alone, though not within `kStartGrace` of its start: it may not have been recordContact yet.
 /// - Which disks are asked first goes by how fast they answered lately: one that is slow holds no caller up.
 /// - A read holds everything that this incarnation has acknowledged. After a start there is no read before the replica
 ///   has caught up with the others (`mayRead`).
 /// - Whatever is on the disk of a replica is on those of all others about `kReportInterval` after they hear each other,
 ///   and one round trip for each `kTransferBytes`.
-/// - An id is kept for `kKeepIds` at least after its increment was merged here, and until every peer has it on its
+/// - An id is kept for `kIdRetention` at least after its increment was merged here, and until every peer has it on its
 ///   disk. A peer that is known and silent stops the folding of ids, unless it was replaced and is silent for
-///   `kForgetRemovedPeer`; beyond `kMaxKeptIncrements` increments are
+///   `kRemovedPeerTimeout`; beyond `kMaxRetainedIncrements` increments are
 ///   refused.
 #pragma once
 #include <set>
@@ -55,11 +55,11 @@
 /// What an operator may see of a replica's peer.
 struct PeerStatus {
   std::string address;
-  std::string zone;               ///< empty: not heard yet
-  bool reachable = false;         ///< heard within `CounterReplica::kReachableFor`
+  std::string zone;               ///< empty: not recordContact yet
+  bool reachable = false;         ///< recordContact within `CounterReplica::kReachabilityTimeout`
   std::int64_t theyLack = 0;      ///< increments that are here and not on its disk, as far as it has reported
   std::int64_t weLack = 0;        ///< increments that it has reported and that are not here
-  std::int64_t silentForMs = -1;  ///< since it was last heard; -1: never
+  std::int64_t silentForMs = -1;  ///< since it was last recordContact; -1: never
 };
 
 /// See the file's comment.
@@ -73,8 +73,8 @@
   };
   /// Progress is reported to all peers so often.
   static constexpr Duration kReportInterval{250};
-  /// A peer counts as reachable for so long after it was heard.
-  static constexpr Duration kReachableFor{700};
+  /// A peer counts as reachable for so long after it was recordContact.
+  static constexpr Duration kReachabilityTimeout{700};
   /// For so long after the start nothing is acknowledged on fewer disks than `Options::copies` asks for.
   static constexpr Duration kStartGrace{1500};
   /// For so long after the start a replica whose disk held records waits to hear a majority before it answers reads.
@@ -84,20 +84,21 @@
   /// Bytes of one transfer, about.
   static constexpr std::size_t kTransferBytes = 65536;
   /// An id is kept for so long at least.
-  static constexpr Duration kKeepIds{std::chrono::minutes(30)};
+  static constexpr Duration kIdRetention{std::chrono::minutes(30)};
   /// Increments whose ids are kept at the most; about 40 MB.
-  static constexpr std::size_t kMaxKeptIncrements = 200'000;
+  static constexpr std::size_t kMaxRetainedIncrements = 200'000;
   /// A peer that was silent for so long is given up: it stops the folding of ids no longer.
-  static constexpr Duration kForgetPeer{std::chrono::hours(24)};
+  static constexpr Duration kSilentPeerTimeout{std::chrono::hours(24)};
   /// The same for a machine that the fleet's log has removed from its voters: another has taken its place.
-  static constexpr Duration kForgetRemovedPeer = kKeepIds;
+  static constexpr Duration kRemovedPeerTimeout = kIdRetention;
 
   CounterReplica(Options options, TimePoint now) : options_(std::move(options)), startedAt_(now) {}
 
   /// Takes over what the disk holds, a record after the other. Before any other event.
   void recover(const IncrementBatch& record);
 
-  /// The other controllers that are known now, by address. One that is named no longer counts as long as it is heard.
+  /// The other controllers that are known now, by address. One that is named no longer counts as long as it is
+  /// recordContact.
   /// @param voters of the fleet's log, by address; a machine that was one and is none any more has been replaced.
   void setPeers(const std::set<std::string>& addresses, const std::set<std::string>& voters = {});
   /// A caller adds to a counter; an `Acknowledge` with this id follows, unless `cancel` comes first.
@@ -130,8 +131,8 @@
     bool isRemoved = false;  // was a voter and is none any more
     std::string zone;
     std::optional<TimePoint> heardAt;
-    Sequences durable;          // what it has reported
-    Sequences reportedAtFirst;  // what it had when it was first heard in this incarnation
+    Sequences durable;            // what it has reported
+    Sequences initiallyReported;  // what it had when it was first recordContact in this incarnation
     bool hasReported = false;
     std::optional<TimePoint> requestedAt;  // a request to it is under way since
     DiskTime diskTime;
@@ -141,8 +142,8 @@
     std::int64_t callId = 0;
     CounterState::Position position;
     TimePoint since;
-    bool pushedToMore = false;
-    bool pushedToAll = false;
+    bool pushedToAdditionalPeers = false;
+    bool pushedToAllPeers = false;
   };
   /// Increments that arrived together, by how far all origins had come then; for the folding of ids.
   struct Epoch {
@@ -150,40 +151,40 @@
     Sequences reached;
   };
   bool isReachable(const Peer& peer, TimePoint now) const {
-    return peer.heardAt && now - *peer.heardAt < kReachableFor;
+    return peer.heardAt && now - *peer.heardAt < kReachabilityTimeout;
   }
-  Peer& heard(TimePoint now, const std::string& from);
+  Peer& recordContact(TimePoint now, const std::string& from);
   int requiredCopies(TimePoint now) const;
-  int copiesOf(const CounterState::Position& position) const;
+  int remoteCopiesOf(const CounterState::Position& position) const;
   /// Whether an increment is on as many disks as its acknowledgement takes.
-  bool isSafe(const CounterState::Position& position, int requiredCopies) const;
+  bool hasEnoughCopies(const CounterState::Position& position, int requiredCopies) const;
   bool isDurable(const CounterState::Position& position) const;
-  void acknowledgeWhatIsSafe(TimePoint now);
+  void acknowledgeReplicatedCalls(TimePoint now);
   /// Sends an increment of this incarnation to the disks that are to have it.
-  void pushUrgently(std::int64_t sequence, TimePoint now);
+  void pushToPreferredPeers(std::int64_t sequence, TimePoint now);
   /// Sends a peer what it lacks of this incarnation's increments up to `sequence`: a caller waits for it.
   /// @return false if it has that already, or lacks too much.
   bool pushTo(const std::string& address, std::int64_t sequence, TimePoint now);
-  void pushToMore(PendingCall& call, TimePoint now);
-  void pushToAll(PendingCall& call, TimePoint now);
+  void pushToAdditionalPeers(PendingCall& call, TimePoint now);
+  void pushToAllPeers(PendingCall& call, TimePoint now);
   /// Of the reachable peers' disks the one that is the `Options::copies`th fastest: how long copies take at the best.
   Duration expectedCopyTime(TimePoint now) const;
   bool isSlow(const DiskTime& disk, Duration expectedCopyTime, TimePoint now) const;
   /// Reachable peers: fast disks first, among those the ones in other zones, otherwise in an order that differs from
   /// replica to replica.
   std::vector<std::string> peersByPreference(TimePoint now) const;
-  void sendOwedReports();
+  void sendDeferredReports();
   void mergeReceived(const IncrementBatch& batch);
   void requestMissing(TimePoint now, const std::string& from);
   void persistIfIdle();
   void reportTo(const std::string& address);
   void reportToAll(TimePoint now);
-  void checkCaughtUp(TimePoint now);
+  void updateCaughtUp(TimePoint now);
   bool hasReached(const Sequences& target) const;
   void foldOldIds(TimePoint now);
   void startFolding(TimePoint now);
   void finishFolding(TimePoint now);
-  bool isGivenUp(const Peer& peer, TimePoint now) const;
+  bool isPermanentlySilent(const Peer& peer, TimePoint now) const;
   bool allPeersHave(const Sequences& sequences, TimePoint now) const;
 
   Options options_;
@@ -201,7 +202,7 @@
   bool snapshotIsDue_ = false;
   std::map<std::string, Peer> peers_;  // by address
   DiskTime ownDiskTime_;
-  std::map<std::string, Sequences> owedReports_;  // by address: what urgent transfers brought that awaits the disk
+  std::map<std::string, Sequences> deferredReports_;  // by address: what urgent transfers brought that awaits the disk
   std::vector<PendingCall> pending_;
   std::deque<Epoch> epochs_;            // oldest first
   std::optional<Sequences> foldLimit_;  // every peer has these; folded once every peer has what they had accepted then
--- a/libs/replicated_counters/include/replicated_counters/counter_state.hpp
+++ b/libs/replicated_counters/include/replicated_counters/counter_state.hpp
@@ -4,7 +4,8 @@
 ///
 /// Guarantees:
 /// - Replicas that have merged the same increments, in any order and however often, answer the same totals.
-/// - Increments with one `instanceId` count once. If they differ, the one of the lowest origin and sequence counts.
+/// - Increments with one `instanceId` addToTotal once. If they differ, the one of the lowest origin and sequence
+/// counts.
 /// - Folding (see `fold`) changes no total.
 #pragma once
 #include "replicated_counters/increments.hpp"
@@ -43,7 +44,7 @@
   /// these ids arrives again.
   void fold(OriginId origin, std::int64_t throughSequence);
   /// Increments whose ids are kept.
-  std::size_t keptIncrements() const { return keptIncrements_; }
+  std::size_t retainedIncrements() const { return retainedIncrements_; }
   /// Bytes of memory that the kept increments take, about.
   std::size_t keptBytes() const { return keptBytes_; }
 
@@ -61,9 +62,9 @@
     std::vector<Position> positions;  // of those that are kept, in order
     bool isFolded = false;            // it is counted among the folded ones
   };
-  std::int64_t newestOf(const OriginLog& log) const;
+  std::int64_t newestSequenceOf(const OriginLog& log) const;
   const Increment& at(const Position& position) const;
-  void count(const Increment& increment, int times);
+  void addToTotal(const Increment& increment, int times);
   void addPosition(const Increment& increment, const Position& position);
   /// Takes one kept increment out of the index. @return whether it was the one that counts.
   bool removePosition(const Increment& increment, const Position& position);
@@ -74,7 +75,7 @@
   std::map<OriginId, OriginLog> origins_;
   std::unordered_map<std::string, KnownId> ids_;
   std::unordered_map<std::string, Sum> totals_;
-  std::size_t keptIncrements_ = 0;
+  std::size_t retainedIncrements_ = 0;
   std::size_t keptBytes_ = 0;
 };
 }  // namespace zinccleat::replicated_counters
--- a/libs/replicated_counters/include/replicated_counters/disk_time.hpp
+++ b/libs/replicated_counters/include/replicated_counters/disk_time.hpp
@@ -17,15 +17,15 @@
   /// under way if that is larger; 0 before the first.
   Duration expected(TimePoint now) const;
   /// Whether nothing was handed over for `interval`: the measured time may be out of date.
-  bool isOutdated(TimePoint now, Duration interval) const { return now - lastBegunAt_ >= interval; }
+  bool isOutdated(TimePoint now, Duration interval) const { return now - lastBeginAt_ >= interval; }
 
  private:
-  struct UnderWay {
+  struct PendingWrite {
     std::int64_t sequence = 0;
     TimePoint since;
   };
-  std::deque<UnderWay> underWay_;  // oldest first; the oldest ones, if there are many
-  Duration smoothed_{0};
-  TimePoint lastBegunAt_{};
+  std::deque<PendingWrite> pendingWrites_;  // oldest first; the oldest ones, if there are many
+  Duration smoothedTime_{0};
+  TimePoint lastBeginAt_{};
 };
 }  // namespace zinccleat::replicated_counters
--- a/libs/replicated_counters/src/counter_replica.cpp
+++ b/libs/replicated_counters/src/counter_replica.cpp
@@ -4,16 +4,16 @@
 
 namespace zinccleat::replicated_counters {
 namespace {
-constexpr Duration kRequestTimeout{400};       // a request that brought nothing is sent again after this
-constexpr Duration kPushToMoreAfter{25};       // a few times what a sound disk and a link take
-constexpr Duration kPushToAllAfter{150};       // the first choices of peers did not answer
-constexpr std::size_t kMaxPushBytes = 16'384;  // a peer that lacks more is on its way to catch up
-constexpr Duration kLostPushAfter{400};        // a push that is not reported by then was lost with its link
-constexpr Duration kProbeInterval{1000};       // between two increments that find out whether a slow disk is fast again
+constexpr Duration kRequestTimeout{400};             // a request that brought nothing is sent again after this
+constexpr Duration kPushToAdditionalPeersAfter{25};  // a few times what a sound disk and a link take
+constexpr Duration kPushToAllPeersAfter{150};        // the first choices of peers did not answer
+constexpr std::size_t kMaxPushBytes = 16'384;        // a peer that lacks more is on its way to catch up
+constexpr Duration kLostPushTimeout{400};            // a push that is not reported by then was lost with its link
+constexpr Duration kProbeInterval{1000};  // between two increments that find out whether a slow disk is fast again
 // A disk is slow if it takes this many times what the copies take at the best, and this much more.
 constexpr int kSlowFactor = 2;
 constexpr Duration kSlowMargin{10};
-constexpr Duration kEpochLength{60'000};  // how finely the age of ids is known
+constexpr Duration kEpochInterval{60'000};  // how finely the age of ids is known
 // The disk's records are replaced by a snapshot once they are twice as large, so that snapshots cost half as much as
 // the records do; and no later than a start can read at ease, since each record is a file.
 constexpr int kMinRecordsPerSnapshot = 256;
@@ -26,18 +26,18 @@
     sequences[origin] = sequence;
   return sequences;
 }
-std::int64_t valueOf(const std::map<OriginId, std::int64_t>& sequences, OriginId origin) {
+std::int64_t sequenceIn(const std::map<OriginId, std::int64_t>& sequences, OriginId origin) {
   const auto found = sequences.find(origin);
   return found == sequences.end() ? 0 : found->second;
 }
-void raiseTo(std::map<OriginId, std::int64_t>& sequences, OriginId origin, std::int64_t sequence) {
+void raiseSequence(std::map<OriginId, std::int64_t>& sequences, OriginId origin, std::int64_t sequence) {
   auto& value = sequences[origin];
   value = std::max(value, sequence);
 }
-std::int64_t missingIn(const std::map<OriginId, std::int64_t>& other, const std::map<OriginId, std::int64_t>& all) {
+std::int64_t countMissing(const std::map<OriginId, std::int64_t>& other, const std::map<OriginId, std::int64_t>& all) {
   std::int64_t missing = 0;
   for (const auto& [origin, sequence] : all)
-    missing += std::max<std::int64_t>(0, sequence - valueOf(other, origin));
+    missing += std::max<std::int64_t>(0, sequence - sequenceIn(other, origin));
   return missing;
 }
 std::size_t bytesOf(const IncrementBatch& batch) {
@@ -52,7 +52,7 @@
   return bytes;
 }
 /// Adds a batch behind another one; ranges that continue the last one are joined to it.
-void appendTo(IncrementBatch& batch, IncrementBatch more) {
+void appendBatch(IncrementBatch& batch, IncrementBatch more) {
   std::move(more.folded.begin(), more.folded.end(), std::back_inserter(batch.folded));
   std::move(more.foldedIds.begin(), more.foldedIds.end(), std::back_inserter(batch.foldedIds));
   for (auto& range : more.ranges) {
@@ -83,7 +83,7 @@
     peer.wasVoter = peer.wasVoter || isVoter;
   }
 }
-CounterReplica::Peer& CounterReplica::heard(TimePoint now, const std::string& from) {
+CounterReplica::Peer& CounterReplica::recordContact(TimePoint now, const std::string& from) {
   auto& peer = peers_[from];
   peer.heardAt = now;
   return peer;
@@ -97,18 +97,18 @@
 Result<void> CounterReplica::add(TimePoint now, std::int64_t callId, const Increment& increment) {
   auto position = state_.find(increment.instanceId);
   if (!position) {
-    if (state_.keptIncrements() >= kMaxKeptIncrements)
+    if (state_.retainedIncrements() >= kMaxRetainedIncrements)
       return makeError(ErrorCode::limitReached, "no room for the id of another increment");
     state_.append(options_.origin, increment);
     const auto sequence = state_.sequenceOf(options_.origin);
     position = {options_.origin, sequence};
-    appendTo(unpersisted_, {{}, {}, {{options_.origin, sequence, {increment}}}});
+    appendBatch(unpersisted_, {{}, {}, {{options_.origin, sequence, {increment}}}});
     ownDiskTime_.begin(now, sequence);
-    pushUrgently(sequence, now);
+    pushToPreferredPeers(sequence, now);
     persistIfIdle();
   }
   pending_.push_back({callId, *position, now});
-  acknowledgeWhatIsSafe(now);
+  acknowledgeReplicatedCalls(now);
   return {};
 }
 void CounterReplica::cancel(std::int64_t callId) {
@@ -121,24 +121,24 @@
       std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) { return isReachable(entry.second, now); });
   return std::min(options_.copies, static_cast<int>(reachable));
 }
-int CounterReplica::copiesOf(const CounterState::Position& position) const {
+int CounterReplica::remoteCopiesOf(const CounterState::Position& position) const {
   return static_cast<int>(std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) {
-    return valueOf(entry.second.durable, position.origin) >= position.sequence;
+    return sequenceIn(entry.second.durable, position.origin) >= position.sequence;
   }));
 }
 bool CounterReplica::isDurable(const CounterState::Position& position) const {
-  return valueOf(durable_, position.origin) >= position.sequence;
+  return sequenceIn(durable_, position.origin) >= position.sequence;
 }
 // Without this machine's disk one more elsewhere takes its place, however many peers are reachable: what only the other
 // side of a partition has would go with one disk there.
-bool CounterReplica::isSafe(const CounterState::Position& position, int requiredCopies) const {
-  const auto copies = copiesOf(position);
+bool CounterReplica::hasEnoughCopies(const CounterState::Position& position, int requiredCopies) const {
+  const auto copies = remoteCopiesOf(position);
   return copies > options_.copies || (isDurable(position) && copies >= requiredCopies);
 }
-void CounterReplica::acknowledgeWhatIsSafe(TimePoint now) {
+void CounterReplica::acknowledgeReplicatedCalls(TimePoint now) {
   const auto required = requiredCopies(now);
   std::erase_if(pending_, [&](const PendingCall& call) {
-    const bool safe = isSafe(call.position, required);
+    const bool safe = hasEnoughCopies(call.position, required);
     if (safe)
       actions_.emplace_back(Acknowledge{call.callId});
     return safe;
@@ -173,7 +173,7 @@
     addresses.push_back(std::move(std::get<std::string>(choice)));
   return addresses;
 }
-void CounterReplica::pushUrgently(std::int64_t sequence, TimePoint now) {
+void CounterReplica::pushToPreferredPeers(std::int64_t sequence, TimePoint now) {
   const auto addresses = peersByPreference(now);
   const auto copyTime = expectedCopyTime(now);
   const bool ownDiskIsSlow = isSlow(ownDiskTime_, copyTime, now);
@@ -192,8 +192,8 @@
 }
 bool CounterReplica::pushTo(const std::string& address, std::int64_t sequence, TimePoint now) {
   auto& peer = peers_[address];
-  const auto known = valueOf(peer.durable, options_.origin);
-  if (peer.diskTime.expected(now) >= kLostPushAfter)
+  const auto known = sequenceIn(peer.durable, options_.origin);
+  if (peer.diskTime.expected(now) >= kLostPushTimeout)
     peer.pushedThrough = known;
   // A range without a gap: behind what the peer has, or is sent already.
   const auto after = std::max(known, peer.pushedThrough);
@@ -206,8 +206,8 @@
   return true;
 }
 // The first choices are late: as many others are asked. Only increments of this incarnation are pushed so early.
-void CounterReplica::pushToMore(PendingCall& call, TimePoint now) {
-  call.pushedToMore = true;
+void CounterReplica::pushToAdditionalPeers(PendingCall& call, TimePoint now) {
+  call.pushedToAdditionalPeers = true;
   if (call.position.origin != options_.origin)
     return;
   auto more = options_.copies;
@@ -215,12 +215,12 @@
     if (more > 0 && peers_[address].pushedThrough < call.position.sequence)
       more -= pushTo(address, call.position.sequence, now) ? 1 : 0;
 }
-void CounterReplica::pushToAll(PendingCall& call, TimePoint now) {
-  call.pushedToMore = true;
-  call.pushedToAll = true;
+void CounterReplica::pushToAllPeers(PendingCall& call, TimePoint now) {
+  call.pushedToAdditionalPeers = true;
+  call.pushedToAllPeers = true;
   const auto origin = call.position.origin;
   for (const auto& address : peersByPreference(now)) {
-    const auto known = valueOf(peers_[address].durable, origin);
+    const auto known = sequenceIn(peers_[address].durable, origin);
     if (known < call.position.sequence)
       actions_.emplace_back(SendTransfer{address, {true, state_.batchAfter({{origin, known}}, kTransferBytes)}});
   }
@@ -229,16 +229,16 @@
 // --- messages ---
 
 void CounterReplica::receive(TimePoint now, const std::string& from, const ProgressReport& report) {
-  auto& peer = heard(now, from);
+  auto& peer = recordContact(now, from);
   peer.zone = report.zone;
   // A peer that came back with another disk reports less than before: its copies are gone.
   peer.durable = sequencesOf(report.progress);
-  peer.diskTime.end(now, valueOf(peer.durable, options_.origin));
+  peer.diskTime.end(now, sequenceIn(peer.durable, options_.origin));
   if (!std::exchange(peer.hasReported, true))
-    peer.reportedAtFirst = peer.durable;
-  acknowledgeWhatIsSafe(now);
+    peer.initiallyReported = peer.durable;
+  acknowledgeReplicatedCalls(now);
   requestMissing(now, from);
-  checkCaughtUp(now);
+  updateCaughtUp(now);
 }
 void CounterReplica::requestMissing(TimePoint now, const std::string& from) {
   auto& peer = peers_[from];
@@ -251,7 +251,7 @@
     const bool isRequested = std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
       const auto& other = entry.second;
       return other.requestedAt && now - *other.requestedAt < kRequestTimeout &&
-             valueOf(other.durable, offered.first) >= offered.second;
+             sequenceIn(other.durable, offered.first) >= offered.second;
     });
     if (sequence > own && !isRequested)
       request.after.push_back({origin, own});
@@ -262,35 +262,35 @@
   actions_.emplace_back(SendRequest{from, std::move(request)});
 }
 void CounterReplica::receive(TimePoint now, const std::string& from, const TransferRequest& request) {
-  heard(now, from);
+  recordContact(now, from);
   auto batch = state_.batchAfter(request.after, kTransferBytes);
   if (!batch.empty())
     actions_.emplace_back(SendTransfer{from, {false, std::move(batch)}});
 }
 void CounterReplica::receive(TimePoint now, const std::string& from, const IncrementTransfer& transfer) {
-  auto& peer = heard(now, from);
+  auto& peer = recordContact(now, from);
   if (!transfer.urgent)
     peer.requestedAt.reset();
   mergeReceived(transfer.batch);
   if (transfer.urgent)
     for (const auto& range : transfer.batch.ranges)
-      raiseTo(owedReports_[from], range.origin, range.lastSequence());
+      raiseSequence(deferredReports_[from], range.origin, range.lastSequence());
   persistIfIdle();
-  sendOwedReports();
+  sendDeferredReports();
   if (!transfer.urgent)
     requestMissing(now, from);
-  checkCaughtUp(now);
+  updateCaughtUp(now);
 }
 void CounterReplica::mergeReceived(const IncrementBatch& batch) {
   auto fresh = state_.merge(batch);
   if (!fresh.empty())
-    appendTo(unpersisted_, std::move(fresh));
+    appendBatch(unpersisted_, std::move(fresh));
 }
 // What arrives while a write is under way is in the next one: its sender is told after that.
-void CounterReplica::sendOwedReports() {
-  std::erase_if(owedReports_, [this](const auto& owed) {
+void CounterReplica::sendDeferredReports() {
+  std::erase_if(deferredReports_, [this](const auto& owed) {
     const auto& [address, sequences] = owed;
-    const bool durable = missingIn(durable_, sequences) == 0;
+    const bool durable = countMissing(durable_, sequences) == 0;
     if (durable)
       reportTo(address);
     return durable;
@@ -328,26 +328,26 @@
   checkInvariant(isPersisting_, "a write to the disk ends once");
   isPersisting_ = false;
   durable_ = std::move(persisting_);
-  ownDiskTime_.end(now, valueOf(durable_, options_.origin));
+  ownDiskTime_.end(now, sequenceIn(durable_, options_.origin));
   persistIfIdle();
-  sendOwedReports();
-  acknowledgeWhatIsSafe(now);
+  sendDeferredReports();
+  acknowledgeReplicatedCalls(now);
 }
 
 // --- time ---
 
 void CounterReplica::tick(TimePoint now) {
   for (auto& call : pending_) {
-    if (!call.pushedToAll && now - call.since >= kPushToAllAfter)
-      pushToAll(call, now);
-    else if (!call.pushedToMore && now - call.since >= kPushToMoreAfter)
-      pushToMore(call, now);
+    if (!call.pushedToAllPeers && now - call.since >= kPushToAllPeersAfter)
+      pushToAllPeers(call, now);
+    else if (!call.pushedToAdditionalPeers && now - call.since >= kPushToAdditionalPeersAfter)
+      pushToAdditionalPeers(call, now);
   }
   if (now - reportedAt_ >= kReportInterval)
     reportToAll(now);
   persistIfIdle();
-  acknowledgeWhatIsSafe(now);
-  checkCaughtUp(now);
+  acknowledgeReplicatedCalls(now);
+  updateCaughtUp(now);
   foldOldIds(now);
 }
 void CounterReplica::reportToAll(TimePoint now) {
@@ -356,14 +356,14 @@
     if (peer.isMember || isReachable(peer, now))
       reportTo(address);
   std::erase_if(peers_, [&](const auto& entry) {
-    return !entry.second.isMember && now - entry.second.heardAt.value_or(startedAt_) >= kForgetPeer;
+    return !entry.second.isMember && now - entry.second.heardAt.value_or(startedAt_) >= kSilentPeerTimeout;
   });
 }
 bool CounterReplica::hasReached(const Sequences& target) const {
   return std::all_of(target.begin(), target.end(),
                      [&](const auto& entry) { return state_.sequenceOf(entry.first) >= entry.second; });
 }
-void CounterReplica::checkCaughtUp(TimePoint now) {
+void CounterReplica::updateCaughtUp(TimePoint now) {
   if (caughtUp_)
     return;
   std::size_t reported = 0;
@@ -372,8 +372,8 @@
       continue;
     ++reported;
     // Of what a peer had, only what it still has: its disk may be lost, and what was nowhere else with it.
-    for (const auto& [origin, sequence] : peer.reportedAtFirst)
-      if (isReachable(peer, now) && state_.sequenceOf(origin) < std::min(sequence, valueOf(peer.durable, origin)))
+    for (const auto& [origin, sequence] : peer.initiallyReported)
+      if (isReachable(peer, now) && state_.sequenceOf(origin) < std::min(sequence, sequenceIn(peer.durable, origin)))
         return;
   }
   // The peers may not all be known yet: as many as bear the loss of `copies` machines are assumed.
@@ -389,18 +389,18 @@
 bool CounterReplica::allPeersHave(const Sequences& sequences, TimePoint now) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
     const auto& peer = entry.second;
-    return isGivenUp(peer, now) || (peer.hasReported && missingIn(peer.durable, sequences) == 0);
+    return isPermanentlySilent(peer, now) || (peer.hasReported && countMissing(peer.durable, sequences) == 0);
   });
 }
-bool CounterReplica::isGivenUp(const Peer& peer, TimePoint now) const {
+bool CounterReplica::isPermanentlySilent(const Peer& peer, TimePoint now) const {
   const auto silentFor = now - peer.heardAt.value_or(startedAt_);
-  return silentFor >= (peer.isRemoved ? kForgetRemovedPeer : kForgetPeer);
+  return silentFor >= (peer.isRemoved ? kRemovedPeerTimeout : kSilentPeerTimeout);
 }
-// In two steps. An id may have been accepted at two replicas, each before it heard of the other. Once all peers have a
-// position on their disks none of them accepts its id again. What they had accepted until then is in their reports;
-// once all peers have that too, every replica knows all positions of these ids and folds the same ones.
+// In two steps. An id may have been accepted at two replicas, each before it recordContact of the other. Once all peers
+// have a position on their disks none of them accepts its id again. What they had accepted until then is in their
+// reports; once all peers have that too, every replica knows all positions of these ids and folds the same ones.
 void CounterReplica::foldOldIds(TimePoint now) {
-  if (now - epochAt_ < kEpochLength)
+  if (now - epochAt_ < kEpochInterval)
     return;
   epochAt_ = now;
   epochs_.push_back({now, durable_});
@@ -410,23 +410,23 @@
     startFolding(now);
 }
 void CounterReplica::startFolding(TimePoint now) {
-  while (epochs_.size() > 1 && now - epochs_[1].at >= kKeepIds)
+  while (epochs_.size() > 1 && now - epochs_[1].at >= kIdRetention)
     epochs_.pop_front();
-  if (now - epochs_.front().at < kKeepIds || !allPeersHave(epochs_.front().reached, now))
+  if (now - epochs_.front().at < kIdRetention || !allPeersHave(epochs_.front().reached, now))
     return;
   foldLimit_ = epochs_.front().reached;
   foldBarrier_ = sequencesOf(state_.progress());
   foldStartedAt_ = now;
   // What a machine that is given up has reported may have gone with it.
   for (const auto& [address, peer] : peers_)
-    if (!isGivenUp(peer, now))
+    if (!isPermanentlySilent(peer, now))
       for (const auto& [origin, sequence] : peer.durable)
-        raiseTo(foldBarrier_, origin, sequence);
+        raiseSequence(foldBarrier_, origin, sequence);
 }
 void CounterReplica::finishFolding(TimePoint now) {
   if (!allPeersHave(foldBarrier_, now) || !hasReached(foldBarrier_)) {
     // What it waits for may have gone with a machine that was replaced meanwhile: it begins anew.
-    if (now - foldStartedAt_ >= kKeepIds)
+    if (now - foldStartedAt_ >= kIdRetention)
       foldLimit_.reset();
     return;
   }
@@ -441,7 +441,8 @@
   std::vector<PeerStatus> statuses;
   for (const auto& [address, peer] : peers_) {
     PeerStatus status{
-        address, peer.zone, isReachable(peer, now), missingIn(peer.durable, own), missingIn(own, peer.durable), -1};
+        address, peer.zone, isReachable(peer, now), countMissing(peer.durable, own), countMissing(own, peer.durable),
+        -1};
     if (peer.heardAt)
       status.silentForMs = toDuration(now - *peer.heardAt).count();
     statuses.push_back(std::move(status));
--- a/libs/replicated_counters/src/counter_state.cpp
+++ b/libs/replicated_counters/src/counter_state.cpp
@@ -14,18 +14,18 @@
   return increment.counter.size() + increment.instanceId.size() + kNumbersAndLengths;
 }
 template <class Sum>
-std::int64_t withinLimits(Sum sum) {
+std::int64_t saturateToInt64(Sum sum) {
   using Limits = std::numeric_limits<std::int64_t>;
   return static_cast<std::int64_t>(std::clamp<Sum>(sum, Limits::min(), Limits::max()));
 }
 }  // namespace
 
-std::int64_t CounterState::newestOf(const OriginLog& log) const {
+std::int64_t CounterState::newestSequenceOf(const OriginLog& log) const {
   return log.foldedThrough + static_cast<std::int64_t>(log.increments.size());
 }
 std::int64_t CounterState::sequenceOf(OriginId origin) const {
   const auto log = origins_.find(origin);
-  return log == origins_.end() ? 0 : newestOf(log->second);
+  return log == origins_.end() ? 0 : newestSequenceOf(log->second);
 }
 const Increment& CounterState::at(const Position& position) const {
   const auto& log = origins_.at(position.origin);
@@ -39,19 +39,19 @@
 }
 std::int64_t CounterState::total(const std::string& counter) const {
   const auto sum = totals_.find(counter);
-  return sum == totals_.end() ? 0 : withinLimits(sum->second);
+  return sum == totals_.end() ? 0 : saturateToInt64(sum->second);
 }
 std::vector<OriginProgress> CounterState::progress() const {
   std::vector<OriginProgress> progress;
   progress.reserve(origins_.size());
   for (const auto& [origin, log] : origins_)
-    progress.push_back({origin, newestOf(log)});
+    progress.push_back({origin, newestSequenceOf(log)});
   return progress;
 }
 
 // --- increments that are kept ---
 
-void CounterState::count(const Increment& increment, int times) {
+void CounterState::addToTotal(const Increment& increment, int times) {
   totals_[increment.counter] += static_cast<Sum>(increment.amount) * times;
 }
 void CounterState::addPosition(const Increment& increment, const Position& position) {
@@ -59,10 +59,10 @@
   const auto place = std::lower_bound(known.positions.begin(), known.positions.end(), position);
   const bool counts = !known.isFolded && place == known.positions.begin();
   if (counts && !known.positions.empty())
-    count(at(known.positions.front()), -1);
+    addToTotal(at(known.positions.front()), -1);
   known.positions.insert(place, position);
   if (counts)
-    count(increment, 1);
+    addToTotal(increment, 1);
 }
 bool CounterState::removePosition(const Increment& increment, const Position& position) {
   const auto known = ids_.find(increment.instanceId);
@@ -78,8 +78,8 @@
 void CounterState::append(OriginId origin, const Increment& increment) {
   auto& log = origins_[origin];
   log.increments.push_back(increment);
-  addPosition(log.increments.back(), {origin, newestOf(log)});
-  ++keptIncrements_;
+  addPosition(log.increments.back(), {origin, newestSequenceOf(log)});
+  ++retainedIncrements_;
   keptBytes_ += bytesOf(increment);
 }
 
@@ -87,7 +87,7 @@
 
 IncrementBatch CounterState::merge(const IncrementBatch& batch) {
   IncrementBatch merged;
-  // First of all: an id among them must not count again when its repetition is merged below.
+  // First of all: an id among them must not addToTotal again when its repetition is merged below.
   mergeFoldedIds(batch.foldedIds);
   for (const auto& folded : batch.folded)
     if (mergeFolded(folded))
@@ -103,7 +103,7 @@
   for (const auto& id : ids) {
     auto& known = ids_[id];
     if (!known.isFolded && !known.positions.empty())
-      count(at(known.positions.front()), -1);
+      addToTotal(at(known.positions.front()), -1);
     known.isFolded = true;
   }
 }
@@ -144,13 +144,13 @@
   std::size_t bytes = 0;
   for (const auto& [origin, sequence] : after) {
     const auto found = origins_.find(origin);
-    if (found == origins_.end() || sequence < 0 || sequence >= newestOf(found->second) || bytes >= maxBytes)
+    if (found == origins_.end() || sequence < 0 || sequence >= newestSequenceOf(found->second) || bytes >= maxBytes)
       continue;
     const auto& log = found->second;
     if (sequence < log.foldedThrough) {
       batch.folded.push_back({origin, log.foldedThrough, {}});
       for (const auto& [counter, amount] : log.foldedAmounts)
-        batch.folded.back().amounts.push_back({counter, withinLimits(amount)});
+        batch.folded.back().amounts.push_back({counter, saturateToInt64(amount)});
     }
     IncrementRange range{origin, std::max(sequence, log.foldedThrough) + 1, {}};
     for (auto i = static_cast<std::size_t>(range.firstSequence - log.foldedThrough - 1);
@@ -168,11 +168,11 @@
   return batch;
 }
 IncrementBatch CounterState::snapshot() const {
-  std::vector<OriginProgress> fromTheStart;
-  fromTheStart.reserve(origins_.size());
+  std::vector<OriginProgress> fromStart;
+  fromStart.reserve(origins_.size());
   for (const auto& [origin, log] : origins_)
-    fromTheStart.push_back({origin, 0});
-  return batchAfter(fromTheStart, std::numeric_limits<std::size_t>::max());
+    fromStart.push_back({origin, 0});
+  return batchAfter(fromStart, std::numeric_limits<std::size_t>::max());
 }
 void CounterState::fold(OriginId origin, std::int64_t throughSequence) {
   const auto found = origins_.find(origin);
@@ -185,7 +185,7 @@
       log.foldedAmounts[increment.counter] += increment.amount;
     log.increments.pop_front();
     ++log.foldedThrough;
-    --keptIncrements_;
+    --retainedIncrements_;
     keptBytes_ -= bytesOf(increment);
   }
 }
--- a/libs/replicated_counters/src/increments.cpp
+++ b/libs/replicated_counters/src/increments.cpp
@@ -2,21 +2,21 @@
 
 namespace zinccleat::replicated_counters {
 namespace {
-bool isSequence(std::int64_t number) {
+bool isValidSequence(std::int64_t number) {
   return number >= 0 && number <= kMaxSequence;
 }
-bool isRange(const IncrementRange& range) {
-  return range.firstSequence >= 1 && isSequence(range.firstSequence);
+bool isValidRange(const IncrementRange& range) {
+  return range.firstSequence >= 1 && isValidSequence(range.firstSequence);
 }
 }  // namespace
 
 bool isWellFormed(const IncrementBatch& batch) {
-  const auto isFolded = [](const FoldedOrigin& folded) { return isSequence(folded.throughSequence); };
+  const auto isFolded = [](const FoldedOrigin& folded) { return isValidSequence(folded.throughSequence); };
   return std::all_of(batch.folded.begin(), batch.folded.end(), isFolded) &&
-         std::all_of(batch.ranges.begin(), batch.ranges.end(), isRange);
+         std::all_of(batch.ranges.begin(), batch.ranges.end(), isValidRange);
 }
 bool isWellFormed(const std::vector<OriginProgress>& progress) {
   return std::all_of(progress.begin(), progress.end(),
-                     [](const OriginProgress& each) { return isSequence(each.sequence); });
+                     [](const OriginProgress& each) { return isValidSequence(each.sequence); });
 }
 }  // namespace zinccleat::replicated_counters
--- a/tests/fuzz/counters_fuzzer.cpp
+++ b/tests/fuzz/counters_fuzzer.cpp
@@ -33,7 +33,7 @@
   fuzz::require(restored.progress() == state.progress());
   for (const auto& [origin, sequence] : state.progress())
     state.fold(origin, sequence);
-  fuzz::require(state.keptIncrements() == 0);
+  fuzz::require(state.retainedIncrements() == 0);
 }
 void takeMessages(std::string_view input) {
   CounterReplica replica({kOwn, "z", 1}, TimePoint{});
--- a/tests/replicated_counters_test.cpp
+++ b/tests/replicated_counters_test.cpp
@@ -94,7 +94,7 @@
   state.fold(kB, 1);  // the repetition of "y", which does not count
   EXPECT_EQ(state.total("t"), 15);
   EXPECT_FALSE(state.find("x")) << "its id is forgotten";
-  EXPECT_EQ(state.keptIncrements(), 2U);
+  EXPECT_EQ(state.retainedIncrements(), 2U);
   CounterState restored;
   restored.merge(avro::decode<IncrementBatch>(avro::encode(state.snapshot())).value());
   EXPECT_EQ(restored.total("t"), 15);
@@ -111,7 +111,7 @@
   EXPECT_EQ(newcomer.total("t"), 11);
   newcomer.fold(kB, 2);
   EXPECT_EQ(newcomer.total("t"), 11);
-  EXPECT_EQ(newcomer.keptIncrements(), 0U);
+  EXPECT_EQ(newcomer.retainedIncrements(), 0U);
 }
 TEST(CounterState, AReplicaThatLagsTakesFoldedOriginsInPlaceOfWhatItHas) {
   CounterState state;
@@ -206,7 +206,7 @@
   const auto cut = kStart + 10s;
   for (const auto* peer : {"b", "c", "d"})
     replica.receive(cut, peer, reportOf("z2", {}));
-  const auto later = cut + CounterReplica::kReachableFor;
+  const auto later = cut + CounterReplica::kReachabilityTimeout;
   replica.receive(later - 10ms, "b", reportOf("z1", {}));
   ASSERT_TRUE(replica.add(later - 20ms, 1, incrementOf("x", 4)));
   replica.persisted(later);
@@ -321,14 +321,14 @@
 TEST(CounterReplica, BeyondItsLimitNewIdsAreRefusedAndKnownOnesAreNot) {
   auto replica = replicaOf(kA, 0, {});
   IncrementBatch many = rangeOf(kB, 1, {});
-  for (std::size_t i = 0; i < CounterReplica::kMaxKeptIncrements; ++i)
+  for (std::size_t i = 0; i < CounterReplica::kMaxRetainedIncrements; ++i)
     many.ranges[0].increments.push_back(incrementOf("n" + std::to_string(i), 1));
   replica.recover(many);
   const auto refused = replica.add(kStart, 1, incrementOf("x", 4));
   ASSERT_FALSE(refused);
   EXPECT_EQ(refused.error().code, ErrorCode::limitReached);
   EXPECT_TRUE(replica.add(kStart, 2, incrementOf("n7", 1)));
-  EXPECT_EQ(replica.state().total("t"), static_cast<std::int64_t>(CounterReplica::kMaxKeptIncrements));
+  EXPECT_EQ(replica.state().total("t"), static_cast<std::int64_t>(CounterReplica::kMaxRetainedIncrements));
 }
 TEST(CounterReplica, OldIdsAreForgottenOnceAllPeersHaveThemAndNotWhileOneIsSilent) {
   auto replica = replicaOf(kA, 0, {"b", "c"});
@@ -345,12 +345,12 @@
   ASSERT_TRUE(replica.add(now, 1, incrementOf("x", 4)));
   ASSERT_EQ(actionsOf<PersistBatch>(replica).size(), 1U);
   replica.persisted(now);
-  tickFor(CounterReplica::kKeepIds * 2, {"b"});
+  tickFor(CounterReplica::kIdRetention * 2, {"b"});
   EXPECT_TRUE(replica.state().find("x")) << "c may hold a repetition of it";
   tickFor(5min, {"b", "c"});
   EXPECT_FALSE(replica.state().find("x"));
   EXPECT_EQ(replica.state().total("t"), 4);
-  EXPECT_EQ(replica.state().keptIncrements(), 0U);
+  EXPECT_EQ(replica.state().retainedIncrements(), 0U);
 }
 // A core of three in which one machine is replaced a minute after the start; it had reported an increment that went
 // with it. Then half a day of five increments a second.
@@ -376,10 +376,10 @@
       replica.persisted(now);
     for (int i = 0; i < kPerStep; ++i)
       replica.cancel(i);
-    mostKept = std::max(mostKept, replica.state().keptIncrements());
+    mostKept = std::max(mostKept, replica.state().retainedIncrements());
   }
   EXPECT_EQ(refused, 0);
-  const auto half = static_cast<std::size_t>(CounterReplica::kKeepIds / 30s) * kPerStep;
+  const auto half = static_cast<std::size_t>(CounterReplica::kIdRetention / 30s) * kPerStep;
   EXPECT_LE(mostKept, 4 * half)
       << "ids are kept twice their time at the most, and once more while the machine is awaited";
 }
@@ -395,13 +395,13 @@
     while (!actionsOf<PersistBatch>(replica).empty())
       replica.persisted(now);
   }
-  EXPECT_EQ(replica.state().keptIncrements(), 1U);
+  EXPECT_EQ(replica.state().retainedIncrements(), 1U);
 }
 TEST(CounterReplica, AnIdIsKeptForItsTime) {
   auto replica = replicaOf(kA, 0, {"b"});
   ASSERT_TRUE(replica.add(kStart, 1, incrementOf("x", 4)));
   replica.persisted(kStart);
-  for (auto now = kStart; now < kStart + CounterReplica::kKeepIds; now += 30s) {
+  for (auto now = kStart; now < kStart + CounterReplica::kIdRetention; now += 30s) {
     replica.receive(now, "b", reportOf("z2", {{kA, 1}}));
     replica.tick(now);
   }
@@ -462,5 +462,5 @@
             controller::HttpStatus::bad_request);
   EXPECT_EQ(controller.post("/v1/Tallies.Modify/", R"({"instanceId":"a","actor":4})").status,
             controller::HttpStatus::bad_request);
-  EXPECT_EQ(controller.counters.state.keptIncrements(), 0U);
+  EXPECT_EQ(controller.counters.state.retainedIncrements(), 0U);
 }
