--- a/libs/controller/src/coordination_service.cpp
+++ b/libs/controller/src/coordination_service.cpp
@@ -195,7 +195,7 @@
     const auto end = attempt(shard, command, pending, progress.deadline());
     if (end == AttemptEnd::answered)
       return pending.result->outcome;
-    const auto pause = progress.pauseAfter(end, Clock::now());
+    const auto pause = progress.retryDelayAfter(end, Clock::now());
     if (!pause)
       return makeError(progress.failure(), "no answer of the shard's leaseholder");
     runtime::EventLoop::get().sleepFor(*pause);
--- a/libs/coordination/include/coordination/call_progress.hpp
+++ b/libs/coordination/include/coordination/call_progress.hpp
@@ -17,19 +17,19 @@
 /// See the file's comment.
 class CallProgress {
  public:
-  CallProgress(TimePoint begun, Duration timeout) : begun_(begun), deadline_(begun + timeout) {}
+  CallProgress(TimePoint startedAt, Duration timeout) : startedAt_(startedAt), deadline_(startedAt + timeout) {}
   /// Until when an attempt may wait for its answer.
   TimePoint deadline() const { return deadline_; }
   /// After an attempt without an answer. Each call may be repeated: another lock for the same holder, another number, a
   /// put that is known by its value.
   /// @return the pause before the next attempt; none: the call ends, see `failure`.
-  std::optional<Duration> pauseAfter(AttemptEnd end, TimePoint now);
+  std::optional<Duration> retryDelayAfter(AttemptEnd end, TimePoint now);
   /// `ErrorCode::unavailable`: not executed, and it never will be; `ErrorCode::outcomeUnknown` otherwise.
-  ErrorCode failure() const { return mayBeExecuted_ ? ErrorCode::outcomeUnknown : ErrorCode::unavailable; }
+  ErrorCode failure() const { return mayHaveExecuted_ ? ErrorCode::outcomeUnknown : ErrorCode::unavailable; }
 
  private:
-  TimePoint begun_;
+  TimePoint startedAt_;
   TimePoint deadline_;
-  bool mayBeExecuted_ = false;
+  bool mayHaveExecuted_ = false;
 };
 }  // namespace zinccleat::coordination
--- a/libs/coordination/include/coordination/leaseholder.hpp
+++ b/libs/coordination/include/coordination/leaseholder.hpp
@@ -71,16 +71,16 @@
   /// Ends a call that was evaluated from memory, if the lease stands behind the outcome.
   void finishUnderLease(std::int64_t callId, Outcome outcome);
   void enqueue(std::int64_t callId, const Command& command);
-  void callNumber(std::int64_t callId, const std::string& name);
-  void drawNumbers(const std::string& name, NumberBlock& block);
+  void requestNumber(std::int64_t callId, const std::string& name);
+  void assignNumbers(const std::string& name, NumberBlock& block);
   void onReserved(const Command& command, const Outcome& outcome);
 
   const ShardState& state_;
   HasLease hasLease_;
   Duration history_{40'000};
   bool leading_ = false;
-  TimePoint stampedAt_{};  // up to here the time is in a batch that was proposed in this term
-  bool tickDue_ = false;
+  TimePoint timeRecordedUpTo_{};  // up to here the time is in a batch that was proposed in this term
+  bool timeEntryIsDue_ = false;
   std::deque<QueuedCall> queue_;
   std::string inFlightId_;  // empty: no batch is in flight
   std::vector<QueuedCall> inFlight_;
--- a/libs/coordination/include/coordination/shard_state.hpp
+++ b/libs/coordination/include/coordination/shard_state.hpp
@@ -106,9 +106,9 @@
   static std::optional<std::int64_t> revisionOfRepeatedPut(const Group& group, const Cell& cell,
                                                            const std::string& value);
   /// The lock, unless it is free.
-  const Lock* findTaken(const std::string& name) const;
-  std::int64_t endOfHold(std::int64_t holdMs) const;
-  void discardEndedLocks();
+  const Lock* findActiveLock(const std::string& name) const;
+  std::int64_t lockExpiryMs(std::int64_t holdMs) const;
+  void discardExpiredLocks();
   void discardHistory(std::int64_t historyMs);
 
   StateLimits limits_;
--- a/libs/coordination/src/call_progress.cpp
+++ b/libs/coordination/src/call_progress.cpp
@@ -3,15 +3,15 @@
 namespace zinccleat::coordination {
 namespace {
 constexpr Duration kRetryInterval{15};
-constexpr Duration kContactPoll{25};
+constexpr Duration kContactPollInterval{25};
 constexpr Duration kContactTimeout{300};  // without contact, and with nothing sent, a caller is better off elsewhere
 }  // namespace
 
-std::optional<Duration> CallProgress::pauseAfter(AttemptEnd end, TimePoint now) {
-  mayBeExecuted_ |= end == AttemptEnd::unknown;
-  const bool noContact = end == AttemptEnd::notSent && !mayBeExecuted_ && now - begun_ >= kContactTimeout;
+std::optional<Duration> CallProgress::retryDelayAfter(AttemptEnd end, TimePoint now) {
+  mayHaveExecuted_ |= end == AttemptEnd::unknown;
+  const bool noContact = end == AttemptEnd::notSent && !mayHaveExecuted_ && now - startedAt_ >= kContactTimeout;
   if (noContact || now >= deadline_)
     return std::nullopt;
-  return end == AttemptEnd::notSent ? kContactPoll : kRetryInterval;
+  return end == AttemptEnd::notSent ? kContactPollInterval : kRetryInterval;
 }
 }  // namespace zinccleat::coordination
--- a/libs/coordination/src/leaseholder.cpp
+++ b/libs/coordination/src/leaseholder.cpp
@@ -4,21 +4,21 @@
 
 namespace zinccleat::coordination {
 namespace {
-constexpr std::int64_t kNumberBlock = 64;
+constexpr std::int64_t kNumberBlockSize = 64;
 constexpr std::size_t kMaxQueuedCalls = 4096;
 constexpr std::size_t kMaxBatchCommands = 512;
 // While locks are taken, a leader that is lost takes at most so much of the shard's time with it.
-constexpr Duration kTimeStampInterval{200};
+constexpr Duration kTimeEntryInterval{200};
 }  // namespace
 
 void Leaseholder::startTerm(TimePoint now) {
   endTerm();
   leading_ = true;
-  stampedAt_ = now;
+  timeRecordedUpTo_ = now;
 }
 void Leaseholder::endTerm() {
   leading_ = false;
-  tickDue_ = false;
+  timeEntryIsDue_ = false;
   for (const auto& queued : std::exchange(queue_, {}))
     reject(queued.callId);
   for (const auto& proposed : std::exchange(inFlight_, {}))
@@ -50,7 +50,7 @@
     return reject(callId);
   switch (command.op()) {
     case CommandKind::nextNumber:
-      return callNumber(callId, command.name);
+      return requestNumber(callId, command.name);
     case CommandKind::getCell:
       return finishUnderLease(callId, state_.readCell(command.name));
     case CommandKind::readIndex:
@@ -73,12 +73,12 @@
 
 // --- numbers ---
 
-void Leaseholder::callNumber(std::int64_t callId, const std::string& name) {
+void Leaseholder::requestNumber(std::int64_t callId, const std::string& name) {
   auto& block = numbers_[name];
   block.waiting.push_back(callId);
-  drawNumbers(name, block);
+  assignNumbers(name, block);
 }
-void Leaseholder::drawNumbers(const std::string& name, NumberBlock& block) {
+void Leaseholder::assignNumbers(const std::string& name, NumberBlock& block) {
   while (!block.waiting.empty() && !block.empty()) {
     const auto callId = block.waiting.front();
     block.waiting.pop_front();
@@ -90,7 +90,7 @@
   Command reserve;
   reserve.kind = static_cast<std::int32_t>(CommandKind::reserveNumbers);
   reserve.name = name;
-  reserve.argument = kNumberBlock;
+  reserve.argument = kNumberBlockSize;
   queue_.push_back({0, reserve});
 }
 void Leaseholder::onReserved(const Command& command, const Outcome& outcome) {
@@ -103,28 +103,28 @@
   }
   block.next = outcome.number + 1;
   block.last = outcome.number + command.argument;
-  drawNumbers(command.name, block);
+  assignNumbers(command.name, block);
 }
 
 // --- batches ---
 
 void Leaseholder::tick(TimePoint now) {
-  tickDue_ = leading_ && state_.hasLocks() && now - stampedAt_ >= kTimeStampInterval;
+  timeEntryIsDue_ = leading_ && state_.hasLocks() && now - timeRecordedUpTo_ >= kTimeEntryInterval;
 }
 // One batch at a time: what comes while it is synced goes along in the next one.
 std::optional<transport::LogEntry> Leaseholder::nextBatch(TimePoint now, const std::string& operationId) {
-  if (!leading_ || !inFlightId_.empty() || (queue_.empty() && !tickDue_))
+  if (!leading_ || !inFlightId_.empty() || (queue_.empty() && !timeEntryIsDue_))
     return std::nullopt;
   const auto count = std::min(queue_.size(), kMaxBatchCommands);
   const auto end = queue_.begin() + static_cast<std::ptrdiff_t>(count);
   inFlight_.assign(std::make_move_iterator(queue_.begin()), std::make_move_iterator(end));
   queue_.erase(queue_.begin(), end);
   inFlightId_ = operationId;
-  tickDue_ = false;
+  timeEntryIsDue_ = false;
   CommandBatch batch;
-  batch.elapsedMs = toDuration(now - stampedAt_).count();
+  batch.elapsedMs = toDuration(now - timeRecordedUpTo_).count();
   batch.historyMs = history_.count();
-  stampedAt_ += Duration(batch.elapsedMs);  // what rounding left out goes into the next one
+  timeRecordedUpTo_ += Duration(batch.elapsedMs);  // what rounding left out goes into the next one
   for (const auto& proposed : inFlight_)
     batch.commands.push_back(proposed.command);
   transport::LogEntry entry;
--- a/libs/coordination/src/shard_state.cpp
+++ b/libs/coordination/src/shard_state.cpp
@@ -8,7 +8,7 @@
 constexpr std::int64_t kSweepIntervalMs = 1000;
 // A caller's clock may run slower than ours by one part in so many.
 constexpr std::int64_t kClockDriftDivisor = 100;
-constexpr std::int64_t kRoundingMs = 2;  // the shard's time is a sum of whole milliseconds
+constexpr std::int64_t kRoundingAllowanceMs = 2;  // the shard's time is a sum of whole milliseconds
 
 std::size_t bytesOf(const CellEvent& event) {
   return event.cell.size() + event.value.size();
@@ -100,7 +100,7 @@
   timeMs_ += batch->elapsedMs;
   if (timeMs_ >= nextSweepMs_) {
     nextSweepMs_ = timeMs_ + kSweepIntervalMs;
-    discardEndedLocks();
+    discardExpiredLocks();
     discardHistory(batch->historyMs);
   }
   outcomes.reserve(batch->commands.size());
@@ -130,36 +130,36 @@
 
 // --- locks ---
 
-const ShardState::Lock* ShardState::findTaken(const std::string& name) const {
+const ShardState::Lock* ShardState::findActiveLock(const std::string& name) const {
   const auto it = locks_.find(name);
   return it == locks_.end() || it->second.endsAtMs <= timeMs_ ? nullptr : &it->second;
 }
 std::int64_t ShardState::fenceOf(const std::string& lock) const {
-  const auto* taken = findTaken(lock);
+  const auto* taken = findActiveLock(lock);
   return taken ? taken->fence : 0;
 }
 // The caller counts from before it sent the call, and the shard's time stood no later then: with the drift of the
 // caller's clock and what rounding takes off, this end is never the earlier one.
-std::int64_t ShardState::endOfHold(std::int64_t holdMs) const {
-  return timeMs_ + holdMs + holdMs / kClockDriftDivisor + kRoundingMs;
+std::int64_t ShardState::lockExpiryMs(std::int64_t holdMs) const {
+  return timeMs_ + holdMs + holdMs / kClockDriftDivisor + kRoundingAllowanceMs;
 }
 // Also for the holder itself a new fence: a release that an earlier incarnation of it sent must not free the new hold.
 Outcome ShardState::acquireLock(const Command& command) {
-  const auto* taken = findTaken(command.name);
+  const auto* taken = findActiveLock(command.name);
   if (taken && taken->holder != command.holder)
     return makeOutcome(OutcomeKind::lockTaken);
   if (!taken && locks_.size() >= limits_.names && !locks_.contains(command.name))
     return makeOutcome(OutcomeKind::limitReached);
-  const auto endsAt = std::max(endOfHold(command.holdMs), taken ? taken->endsAtMs : 0);
+  const auto endsAt = std::max(lockExpiryMs(command.holdMs), taken ? taken->endsAtMs : 0);
   locks_[command.name] = {command.holder, ++lastFence_, endsAt};
   return makeOutcome(OutcomeKind::done, lastFence_);
 }
 Outcome ShardState::renewLock(const Command& command) {
-  const auto* taken = findTaken(command.name);
+  const auto* taken = findActiveLock(command.name);
   if (!taken || taken->holder != command.holder || taken->fence != command.fence)
     return makeOutcome(OutcomeKind::lockTaken);
   auto& renewed = locks_[command.name];
-  renewed.endsAtMs = std::max(renewed.endsAtMs, endOfHold(command.holdMs));
+  renewed.endsAtMs = std::max(renewed.endsAtMs, lockExpiryMs(command.holdMs));
   return makeOutcome(OutcomeKind::done, renewed.fence);
 }
 Outcome ShardState::releaseLock(const Command& command) {
@@ -168,7 +168,7 @@
     locks_.erase(it);
   return makeOutcome(OutcomeKind::done);
 }
-void ShardState::discardEndedLocks() {
+void ShardState::discardExpiredLocks() {
   std::erase_if(locks_, [this](const auto& named) { return named.second.endsAtMs <= timeMs_; });
 }
 
--- a/libs/coordination/src/watch_query.cpp
+++ b/libs/coordination/src/watch_query.cpp
@@ -2,7 +2,7 @@
 
 namespace zinccleat::coordination {
 namespace {
-constexpr std::size_t kMaxAnswerBytes = 1U << 20;
+constexpr std::size_t kMaxWatchResponseBytes = 1U << 20;
 }
 
 std::optional<Result<WatchedEvents>> answerWatch(const ShardState& state, const WatchQuery& query, bool timeIsUp) {
@@ -13,7 +13,7 @@
     return std::nullopt;
   if (query.after == 0)
     return WatchedEvents{false, {}, state.revisionOf(query.group)};
-  auto found = state.eventsAfter(query.group, query.after, kMaxAnswerBytes);
+  auto found = state.eventsAfter(query.group, query.after, kMaxWatchResponseBytes);
   if (!found.discarded && found.events.empty() && !timeIsUp)
     return std::nullopt;
   return found;
--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -176,7 +176,7 @@
   });
 }
 void CoordinationWorld::endAttempt(const TakenPtr& taken, AttemptEnd end) {
-  const auto pause = taken->progress.pauseAfter(end, now);
+  const auto pause = taken->progress.retryDelayAfter(end, now);
   if (pause)
     return schedule(*pause,
                     [this, taken] { onProcess(taken->ip, taken->incarnation, [this, taken] { attempt(taken); }); });
