--- a/libs/platform/include/platform/call_schedule.hpp
+++ b/libs/platform/include/platform/call_schedule.hpp
@@ -44,7 +44,7 @@
 
  private:
   struct Subject {
-    bool underWay = false;
+    bool inFlight = false;
     bool staleFence = false;
     int failures = 0;  ///< in a row
     TimePoint nextAt{};
@@ -56,9 +56,9 @@
   double callsPerS_;
   Duration lease_;
   std::int64_t term_ = 0;
-  TimePoint mayCallFrom_{};
+  TimePoint callsAllowedFrom_{};
   TimePoint lastCallAt_{};
-  bool lastWasUnanswered_ = false;
+  bool lastCallIsUnanswered_ = false;
   double tokens_ = 1;
   TimePoint refilledAt_{};
   std::map<std::string, Subject> subjects_;
--- a/libs/platform/include/platform/scaling_policy.hpp
+++ b/libs/platform/include/platform/scaling_policy.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How many runners of each service are to serve in each zone: target tracking on the share of the runners' places that
+/// How many runners of each service are to serve in each zone: target tracking on the share of the runners' slots that
 /// are in use, up at once and down slowly. Why so: docs/notes-platform.md.
 ///
 /// A count is never lowered while the leader is blind (proxies have not reported), in a zone that is evacuated, during
@@ -47,7 +47,7 @@
   std::vector<ScalingStatus> status() const;
 
  private:
-  using Subject = std::pair<std::string, std::string>;  // service and zone
+  using ServiceZone = std::pair<std::string, std::string>;  // service and zone
   struct Load {
     int inFlight = 0;
     int turnedAway = 0;
@@ -61,7 +61,7 @@
     TimePoint seenAt{};
     int runners = 0;
   };
-  struct SubjectState {
+  struct ServiceZoneState {
     int present = 0;
     int demand = 0;
     std::deque<Demand> wanted;
@@ -70,14 +70,14 @@
     std::vector<TimePoint> repeatAt;  ///< the last order is sent again then
     const char* reason = "";
   };
-  std::map<Subject, Load> sumLoads(TimePoint now, std::size_t& reporting);
-  static void recordWanted(SubjectState& subject, int runners, Duration kept, TimePoint now);
-  std::optional<ScalingOrder> decideOne(const Subject& name, SubjectState& subject, const config::Scaling& scaling,
-                                        bool mayLower, TimePoint now);
-  static bool repeatIsDue(SubjectState& subject, TimePoint now);
+  std::map<ServiceZone, Load> sumLoads(TimePoint now, std::size_t& reporting);
+  static void recordWanted(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now);
+  std::optional<ScalingOrder> decideOne(const ServiceZone& name, ServiceZoneState& zoneState,
+                                        const config::Scaling& scaling, bool mayScaleDown, TimePoint now);
+  static bool repeatIsDue(ServiceZoneState& zoneState, TimePoint now);
 
   std::unordered_map<std::string, MachineLoad> machines_;
-  std::map<Subject, SubjectState> subjects_;
-  TimePoint termBegan_{};
+  std::map<ServiceZone, ServiceZoneState> serviceZones_;
+  TimePoint termStartedAt_{};
 };
 }  // namespace zinccleat::platform
--- a/libs/platform/include/platform/usage_collector.hpp
+++ b/libs/platform/include/platform/usage_collector.hpp
@@ -2,7 +2,7 @@
 /// Adds up, at the leader, what the proxies have counted, and decides when the report of a window can be committed.
 ///
 /// A window is ready once every proxy that may have served in it has said that its counts are complete. One that is
-/// silent is waited for: a short time if few are, and longer if many are, which is what a partition looks like.
+/// silent is waited for: a short time if fewMissing are, and longer if many are, which is what a partition looks like.
 ///
 /// Guarantee: each batch of a proxy is added once, however often it arrives. What a leader has added up ends with its
 /// term: the proxies send the next one everything that is not reported yet.
@@ -54,10 +54,10 @@
   Completeness completenessOf(std::int64_t window, const state_machine::UsageReports& known,
                               TimePoint windowBegan) const;
   bool mayCommit(const Completeness& completeness, Duration sinceEnd, TimePoint now) const;
-  void forget(std::int64_t before, TimePoint now);
+  void discardBefore(std::int64_t before, TimePoint now);
 
   UsageTimes times_;
-  TimePoint termBegan_{};
+  TimePoint termStartedAt_{};
   std::optional<std::int64_t> firstWindow_;                             // where no report is known, reports begin here
   std::unordered_map<std::int64_t, Reporter> reporters_;                // by incarnation
   std::unordered_map<std::string, std::int64_t> incarnationOf_;         // by machine, the newest
--- a/libs/platform/include/platform/usage_recorder.hpp
+++ b/libs/platform/include/platform/usage_recorder.hpp
@@ -41,22 +41,22 @@
   std::int64_t windowAt(TimePoint moment);
   void count(const std::string& tenant, TimePoint began);
   void setOffset(Duration offset);
-  void cutBatch(TimePoint now);
+  void closeBatch(TimePoint now);
   void dropReported(std::int64_t reportedThrough);
 
   Duration windowLength_{0};
   std::int64_t incarnation_ = 0;
-  std::optional<Duration> offset_;                              // fleet time less steady time
-  bool offsetIsFleets_ = false;                                 // else by this machine's own clock
-  std::vector<std::pair<std::string, TimePoint>> withoutTime_;  // tenants and begins, until there is an offset
+  std::optional<Duration> offset_;                                    // fleet time less steady time
+  bool hasFleetOffset_ = false;                                       // else by this machine's own clock
+  std::vector<std::pair<std::string, TimePoint>> uncountedRequests_;  // tenants and begins, until there is an offset
   TimePoint firstFillAt_{};
   std::int64_t currentWindow_ = 0;
-  std::map<std::pair<std::int64_t, std::string>, std::int64_t> open_;  // by window and tenant, not in a batch yet
-  std::deque<transport::UsageBatch> batches_;                          // the oldest first
+  std::map<std::pair<std::int64_t, std::string>, std::int64_t> openCounts_;  // by window and tenant, not in a batch yet
+  std::deque<transport::UsageBatch> batches_;                                // the oldest first
   std::int64_t nextNumber_ = 1;
   std::int64_t completeThrough_ = 0;  // by the newest batch
   std::int64_t received_ = 0;         // by the leader
-  TimePoint cutAt_{};
+  TimePoint lastBatchAt_{};
   std::uint64_t dropped_ = 0;
 };
 }  // namespace zinccleat::platform
--- a/libs/platform/src/fleet_clock.cpp
+++ b/libs/platform/src/fleet_clock.cpp
@@ -2,9 +2,9 @@
 
 namespace zinccleat::platform {
 namespace {
-constexpr auto kSampleLifetime = 10s;
+constexpr auto kSampleMaxAge = 10s;
 constexpr auto kEstimateInterval = 200ms;
-constexpr auto kWaitForSamples = 1000ms;  // by then every machine in touch has said its time; a few may all be wrong
+constexpr auto kMinSamplingTime = 1000ms;  // by then every machine in touch has said its time; a few may all be wrong
 }  // namespace
 
 void FleetClock::record(const std::string& machine, FleetTime timeOfDay, TimePoint now) {
@@ -23,8 +23,8 @@
   return FleetTime(toDuration(now.time_since_epoch()) + *offset_);
 }
 void FleetClock::estimate(TimePoint now) {
-  std::erase_if(samples_, [now](const auto& sample) { return now - sample.second.receivedAt > kSampleLifetime; });
-  if (samples_.empty() || now - firstSampleAt_ < kWaitForSamples)
+  std::erase_if(samples_, [now](const auto& sample) { return now - sample.second.receivedAt > kSampleMaxAge; });
+  if (samples_.empty() || now - firstSampleAt_ < kMinSamplingTime)
     return;  // the last estimate goes on with the steady clock
   std::vector<Duration> offsets;
   offsets.reserve(samples_.size());
--- a/libs/platform/src/scaling_policy.cpp
+++ b/libs/platform/src/scaling_policy.cpp
@@ -4,27 +4,28 @@
 
 namespace zinccleat::platform {
 namespace {
-// Of the places of the runners that are left after the loss of a zone, in a burst that comes faster than runners boot:
+// Of the slots of the runners that are left after the loss of a zone, in a burst that comes faster than runners boot:
 // beyond it first tokens come late more and more, since prompts are read between the tokens of others.
-constexpr double kUseInBurst = 0.45;
-constexpr double kBurst = 1.8;          // times the demand of the moment
-constexpr double kTurnedAwayHoldS = 1;  // a request that was turned away would have held a place for about so long
-constexpr auto kLoadLifetime = 3s;
-constexpr auto kFirstLoads = 4s;       // of a term: by then all proxies have told their load
-constexpr auto kMinObservation = 20s;  // of a term: what the demand is in quiet seconds says little before
-constexpr double kSightedPart = 0.9;   // of the proxies; with fewer the leader is blind
+constexpr double kBurstUtilization = 0.45;
+constexpr double kBurstFactor = 1.8;  // times the demand of the moment
+constexpr double kRejectedRequestDurationS =
+    1;  // a request that was turned away would have held a place for about so long
+constexpr auto kLoadReportMaxAge = 3s;
+constexpr auto kInitialReportingTime = 4s;  // of a term: by then all proxies have told their load
+constexpr auto kMinObservationTime = 20s;   // of a term: what the demand is in quiet seconds says little before
+constexpr double kMinReportingShare = 0.9;  // of the proxies; with fewer the leader is blind
 constexpr auto kMinOrderInterval = 2s;
-constexpr std::array kRepeatAfter = {3s, 8s};  // an order that got no answer
+constexpr std::array kRepeatDelays = {3s, 8s};  // an order that got no answer
 
 bool isEvacuated(const state_machine::StateContents& state, const std::string& zone) {
   return std::find(state.evacuatedZones.begin(), state.evacuatedZones.end(), zone) != state.evacuatedZones.end();
 }
-/// The part of the places that the demand of the moment may take.
-double targetUse(std::size_t zones) {
+/// The part of the slots that the demand of the moment may take.
+double targetUtilization(std::size_t zones) {
   const double left = zones > 1 ? static_cast<double>(zones - 1) / static_cast<double>(zones) : 1;
-  return kUseInBurst / kBurst * left;
+  return kBurstUtilization / kBurstFactor * left;
 }
-bool isRolledOut(const state_machine::StateContents& state, const std::string& service) {
+bool hasActiveRollout(const state_machine::StateContents& state, const std::string& service) {
   return std::any_of(state.rollouts.begin(), state.rollouts.end(), [&](const state_machine::Rollout& rollout) {
     return rollout.service == service && rollout.inProgress();
   });
@@ -32,18 +33,19 @@
 }  // namespace
 
 void ScalingPolicy::startTerm(TimePoint now) {
-  termBegan_ = now;
+  termStartedAt_ = now;
   machines_.clear();
-  subjects_.clear();
+  serviceZones_.clear();
 }
 void ScalingPolicy::report(const std::string& machine, const std::vector<transport::RunnerLoadReport>& loads,
                            TimePoint now) {
   machines_[machine] = {now, loads};
 }
-std::map<ScalingPolicy::Subject, ScalingPolicy::Load> ScalingPolicy::sumLoads(TimePoint now, std::size_t& reporting) {
-  std::erase_if(machines_, [now](const auto& machine) { return now - machine.second.reportedAt > kLoadLifetime; });
+std::map<ScalingPolicy::ServiceZone, ScalingPolicy::Load> ScalingPolicy::sumLoads(TimePoint now,
+                                                                                  std::size_t& reporting) {
+  std::erase_if(machines_, [now](const auto& machine) { return now - machine.second.reportedAt > kLoadReportMaxAge; });
   reporting = machines_.size();
-  std::map<Subject, Load> sums;
+  std::map<ServiceZone, Load> sums;
   for (const auto& [machine, each] : machines_) {
     for (const auto& load : each.loads) {
       auto& sum = sums[{load.service, load.zone}];
@@ -53,8 +55,8 @@
   }
   return sums;
 }
-void ScalingPolicy::recordWanted(SubjectState& subject, int runners, Duration kept, TimePoint now) {
-  auto& wanted = subject.wanted;
+void ScalingPolicy::recordWanted(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now) {
+  auto& wanted = zoneState.wanted;
   while (!wanted.empty() && wanted.back().runners <= runners)
     wanted.pop_back();
   wanted.push_back({now, runners});
@@ -66,78 +68,79 @@
                                                 TimePoint now) {
   std::size_t reporting = 0;
   const auto loads = sumLoads(now, reporting);
-  const bool sighted = static_cast<double>(reporting) >= kSightedPart * static_cast<double>(machines) &&
-                       now - termBegan_ >= kMinObservation;
+  const bool loadIsKnown = static_cast<double>(reporting) >= kMinReportingShare * static_cast<double>(machines) &&
+                           now - termStartedAt_ >= kMinObservationTime;
   std::vector<ScalingOrder> orders;
   for (const auto& service : configuration.services) {
     if (!service.scaling)
       continue;
-    std::map<std::string, std::pair<int, int>> zones;  // runners in service and their places, by zone
+    std::map<std::string, std::pair<int, int>> zones;  // runners in service and their slots, by zone
     for (const auto& runner : state.runners) {
       if (runner.service != service.label || runner.runnerState() != state_machine::RunnerState::inService)
         continue;
-      auto& [runners, places] = zones[runner.zone];
+      auto& [runners, slots] = zones[runner.zone];
       ++runners;
-      places += static_cast<int>(runner.capacity);
+      slots += static_cast<int>(runner.capacity);
     }
     const auto turnedAway = loads.find({service.label, ""});
-    const double refused = turnedAway == loads.end() ? 0 : turnedAway->second.turnedAway * kTurnedAwayHoldS;
+    const double refused = turnedAway == loads.end() ? 0 : turnedAway->second.turnedAway * kRejectedRequestDurationS;
     for (const auto& [zone, present] : zones) {
-      const Subject name{service.label, zone};
-      auto& subject = subjects_[name];
+      const ServiceZone name{service.label, zone};
+      auto& zoneState = serviceZones_[name];
       const auto load = loads.find(name);
-      subject.present = present.first;
-      subject.demand = (load == loads.end() ? 0 : load->second.inFlight) +
-                       static_cast<int>(std::ceil(refused / static_cast<double>(zones.size())));
-      const double placesEach = std::max(1.0, static_cast<double>(present.second) / present.first);
-      const int wanted = static_cast<int>(std::ceil(subject.demand / (placesEach * targetUse(zones.size()))));
-      recordWanted(subject, std::clamp(wanted, service.scaling->min, service.scaling->max), service.scaling->startup,
+      zoneState.present = present.first;
+      zoneState.demand = (load == loads.end() ? 0 : load->second.inFlight) +
+                         static_cast<int>(std::ceil(refused / static_cast<double>(zones.size())));
+      const double slotsPerRunner = std::max(1.0, static_cast<double>(present.second) / present.first);
+      const int wanted =
+          static_cast<int>(std::ceil(zoneState.demand / (slotsPerRunner * targetUtilization(zones.size()))));
+      recordWanted(zoneState, std::clamp(wanted, service.scaling->min, service.scaling->max), service.scaling->startup,
                    now);
-      const bool mayLower = sighted && !isEvacuated(state, zone) && !isRolledOut(state, service.label);
-      if (auto order = decideOne(name, subject, *service.scaling, mayLower, now))
+      const bool mayScaleDown = loadIsKnown && !isEvacuated(state, zone) && !hasActiveRollout(state, service.label);
+      if (auto order = decideOne(name, zoneState, *service.scaling, mayScaleDown, now))
         orders.push_back(std::move(*order));
     }
   }
   return orders;
 }
-std::optional<ScalingOrder> ScalingPolicy::decideOne(const Subject& name, SubjectState& subject,
-                                                     const config::Scaling& scaling, bool mayLower, TimePoint now) {
-  if (now - termBegan_ < kFirstLoads)
+std::optional<ScalingOrder> ScalingPolicy::decideOne(const ServiceZone& name, ServiceZoneState& zoneState,
+                                                     const config::Scaling& scaling, bool mayScaleDown, TimePoint now) {
+  if (now - termStartedAt_ < kInitialReportingTime)
     return std::nullopt;
-  const int current = subject.ordered.value_or(subject.present);
-  const int wanted = subject.wanted.front().runners;
+  const int current = zoneState.ordered.value_or(zoneState.present);
+  const int wanted = zoneState.wanted.front().runners;
   const int inRange = std::clamp(current, scaling.min, scaling.max);
-  const int desired = wanted < inRange && !mayLower ? inRange : wanted;
-  subject.reason = desired > current ? "demand" : desired < current ? "idle" : "steady";
-  const bool repeats = repeatIsDue(subject, now);
-  if (desired == current && !repeats)
+  const int desired = wanted < inRange && !mayScaleDown ? inRange : wanted;
+  zoneState.reason = desired > current ? "demand" : desired < current ? "idle" : "steady";
+  const bool isRepeated = repeatIsDue(zoneState, now);
+  if (desired == current && !isRepeated)
     return std::nullopt;
-  const bool tooSoon = subject.ordered && now - subject.orderedAt < kMinOrderInterval;
-  if (tooSoon && !repeats)
+  const bool tooSoon = zoneState.ordered && now - zoneState.orderedAt < kMinOrderInterval;
+  if (tooSoon && !isRepeated)
     return std::nullopt;
-  return ScalingOrder{name.first, name.second, desired, repeats ? "repeated" : subject.reason};
+  return ScalingOrder{name.first, name.second, desired, isRepeated ? "repeated" : zoneState.reason};
 }
-bool ScalingPolicy::repeatIsDue(SubjectState& subject, TimePoint now) {
-  return std::any_of(subject.repeatAt.begin(), subject.repeatAt.end(), [now](TimePoint at) { return now >= at; });
+bool ScalingPolicy::repeatIsDue(ServiceZoneState& zoneState, TimePoint now) {
+  return std::any_of(zoneState.repeatAt.begin(), zoneState.repeatAt.end(), [now](TimePoint at) { return now >= at; });
 }
 void ScalingPolicy::accepted(const ScalingOrder& order, TimePoint now) {
-  auto& subject = subjects_[{order.service, order.zone}];
-  subject.ordered = order.desiredCount;
-  subject.orderedAt = now;
-  std::erase_if(subject.repeatAt, [now](TimePoint at) { return now >= at; });
+  auto& zoneState = serviceZones_[{order.service, order.zone}];
+  zoneState.ordered = order.desiredCount;
+  zoneState.orderedAt = now;
+  std::erase_if(zoneState.repeatAt, [now](TimePoint at) { return now >= at; });
 }
 void ScalingPolicy::unanswered(const ScalingOrder& order, TimePoint now) {
-  auto& subject = subjects_[{order.service, order.zone}];
-  subject.repeatAt.clear();
-  for (const auto after : kRepeatAfter)
-    subject.repeatAt.push_back(now + after);
+  auto& zoneState = serviceZones_[{order.service, order.zone}];
+  zoneState.repeatAt.clear();
+  for (const auto after : kRepeatDelays)
+    zoneState.repeatAt.push_back(now + after);
 }
 std::vector<ScalingStatus> ScalingPolicy::status() const {
   std::vector<ScalingStatus> all;
-  for (const auto& [name, subject] : subjects_) {
-    const int wanted = subject.wanted.empty() ? 0 : subject.wanted.front().runners;
-    all.push_back({name.first, name.second, subject.present, subject.demand, wanted, subject.ordered.value_or(-1),
-                   subject.reason});
+  for (const auto& [name, zoneState] : serviceZones_) {
+    const int wanted = zoneState.wanted.empty() ? 0 : zoneState.wanted.front().runners;
+    all.push_back({name.first, name.second, zoneState.present, zoneState.demand, wanted, zoneState.ordered.value_or(-1),
+                   zoneState.reason});
   }
   return all;
 }
--- a/libs/platform/src/usage_collector.cpp
+++ b/libs/platform/src/usage_collector.cpp
@@ -2,18 +2,18 @@
 
 namespace zinccleat::platform {
 namespace {
-constexpr auto kReportGrace = 1500ms;   // after its end a window waits so long in any case
-constexpr double kFewMissing = 0.01;    // part of the proxies whose silence hardly changes a report
-constexpr double kPatiencePart = 0.65;  // of the delay: so long a window waits for a few
-constexpr auto kLongestWait = 40s;      // for many, which may be cut off
-constexpr auto kFirstReports = 2500ms;  // by then every proxy in touch has found a new leader
+constexpr auto kReportGrace = 1500ms;             // after its end a window waits so long in any case
+constexpr double kNegligibleMissingShare = 0.01;  // part of the proxies whose silence hardly changes a report
+constexpr double kShortWaitShare = 0.65;          // of the delay: so long a window waits for a fewMissing
+constexpr auto kPartitionWait = 40s;              // for many, which may be cut off
+constexpr auto kLeaderDiscoveryTime = 2500ms;     // by then every proxy in touch has found a new leader
 constexpr auto kForgetReporterAfter = 60s;
-constexpr std::int64_t kWindowsBeforeTerm = 2;  // that a leader before may have left, where no report is known
-constexpr std::int64_t kOldestWindow = 16;      // behind the newest; earlier ones are given up
+constexpr std::int64_t kWindowsBeforeFirst = 2;  // that a leader before may have left, where no report is known
+constexpr std::int64_t kMaxWindowAge = 16;       // behind the newest; earlier ones are given up
 }  // namespace
 
 void UsageCollector::startTerm(TimePoint now) {
-  termBegan_ = now;
+  termStartedAt_ = now;
   reporters_.clear();
   incarnationOf_.clear();
   counts_.clear();
@@ -58,20 +58,20 @@
       ++completeness.missing;
   }
   // Proxies that this leader has never heard may have served under the one before it.
-  const bool othersMayHaveServed = windowBegan < termBegan_ + times_.lease;
+  const bool othersMayHaveServed = windowBegan < termStartedAt_ + times_.lease;
   if (othersMayHaveServed)
     completeness.missing += std::max<std::int64_t>(0, known.reportersBefore(window) - completeness.reporters);
   return completeness;
 }
 bool UsageCollector::mayCommit(const Completeness& completeness, Duration sinceEnd, TimePoint now) const {
-  if (sinceEnd < kReportGrace || now - termBegan_ < kFirstReports)
+  if (sinceEnd < kReportGrace || now - termStartedAt_ < kLeaderDiscoveryTime)
     return false;
   if (completeness.missing == 0)
     return true;
-  const auto patience = std::chrono::duration_cast<Duration>(times_.delay * kPatiencePart);
+  const auto shortWait = std::chrono::duration_cast<Duration>(times_.delay * kShortWaitShare);
   const auto all = static_cast<double>(completeness.reporters + completeness.missing);
-  const bool few = static_cast<double>(completeness.missing) <= std::max(1.0, all * kFewMissing);
-  return sinceEnd >= (few ? patience : std::max<Duration>(patience, kLongestWait));
+  const bool fewMissing = static_cast<double>(completeness.missing) <= std::max(1.0, all * kNegligibleMissingShare);
+  return sinceEnd >= (fewMissing ? shortWait : std::max<Duration>(shortWait, kPartitionWait));
 }
 std::vector<state_machine::UsageReport> UsageCollector::ready(const state_machine::UsageReports& known,
                                                               FleetTime fleetTime, TimePoint now) {
@@ -80,11 +80,11 @@
     return reports;
   const auto newest = windowOf(fleetTime, times_.windowLength) - 1;
   if (!firstWindow_)
-    firstWindow_ = newest - kWindowsBeforeTerm;
+    firstWindow_ = newest - kWindowsBeforeFirst;
   if (!counts_.empty())
     firstWindow_ = std::min(*firstWindow_, counts_.begin()->first);
   const auto oldest = known.empty() ? *firstWindow_ : std::min(*firstWindow_, known.windows().begin()->first);
-  const auto first = std::max(oldest, newest - kOldestWindow);
+  const auto first = std::max(oldest, newest - kMaxWindowAge);
   for (auto window = first; window <= newest; ++window) {
     if (!known.mayCommit(window))
       continue;
@@ -98,10 +98,10 @@
       report.counts.push_back({tenant, requests});
     reports.push_back(std::move(report));
   }
-  forget(first, now);
+  discardBefore(first, now);
   return reports;
 }
-void UsageCollector::forget(std::int64_t before, TimePoint now) {
+void UsageCollector::discardBefore(std::int64_t before, TimePoint now) {
   std::erase_if(counts_, [before](const auto& window) { return window.first < before; });
   std::erase_if(reporters_, [now](const auto& entry) { return now - entry.second.heardAt > kForgetReporterAfter; });
   std::erase_if(incarnationOf_, [this](const auto& entry) { return !reporters_.contains(entry.second); });
--- a/libs/platform/src/usage_recorder.cpp
+++ b/libs/platform/src/usage_recorder.cpp
@@ -2,11 +2,11 @@
 
 namespace zinccleat::platform {
 namespace {
-constexpr std::size_t kMaxBatches = 256;          // kept for a new leader
-constexpr std::size_t kMaxCountsPerReport = 400;  // further ones go with the next report
-constexpr auto kMaxRoundTrip = 200ms;             // a slower answer says little about the time
-constexpr auto kWaitForFleetTime = 10s;           // then this machine's own clock has to do
-constexpr std::size_t kMaxWithoutTime = 2000;     // requests that wait for it
+constexpr std::size_t kMaxBatches = 256;             // kept for a new leader
+constexpr std::size_t kMaxCountsPerReport = 400;     // further ones go with the next report
+constexpr auto kMaxRoundTrip = 200ms;                // a slower answer says little about the time
+constexpr auto kFleetTimeTimeout = 10s;              // then this machine's own clock has to do
+constexpr std::size_t kMaxUncountedRequests = 2000;  // requests that wait for it
 }  // namespace
 
 // Windows never go back by one: a correction of the clock would else reopen a window that was called complete.
@@ -22,30 +22,30 @@
     return;
   if (offset_)
     return count(tenant, began);
-  if (withoutTime_.size() < kMaxWithoutTime)
-    withoutTime_.emplace_back(tenant, began);
+  if (uncountedRequests_.size() < kMaxUncountedRequests)
+    uncountedRequests_.emplace_back(tenant, began);
   else
     ++dropped_;
 }
 void UsageRecorder::count(const std::string& tenant, TimePoint began) {
-  ++open_[{windowAt(began), tenant}];
+  ++openCounts_[{windowAt(began), tenant}];
 }
 void UsageRecorder::setOffset(Duration offset) {
   offset_ = offset;
-  for (const auto& [tenant, began] : std::exchange(withoutTime_, {}))
+  for (const auto& [tenant, began] : std::exchange(uncountedRequests_, {}))
     count(tenant, began);
 }
-void UsageRecorder::cutBatch(TimePoint now) {
-  cutAt_ = now;
+void UsageRecorder::closeBatch(TimePoint now) {
+  lastBatchAt_ = now;
   const auto complete = windowAt(now) - 1;
-  if (open_.empty() && complete <= completeThrough_)
+  if (openCounts_.empty() && complete <= completeThrough_)
     return;
   transport::UsageBatch batch;
   batch.number = nextNumber_++;
   batch.completeThrough = completeThrough_ = std::max(complete, completeThrough_);
-  for (const auto& [key, requests] : open_)
+  for (const auto& [key, requests] : openCounts_)
     batch.counts.push_back({key.first, key.second, requests});
-  open_.clear();
+  openCounts_.clear();
   batches_.push_back(std::move(batch));
   if (batches_.size() <= kMaxBatches)
     return;
@@ -58,7 +58,7 @@
     return;
   if (firstFillAt_ == TimePoint{})
     firstFillAt_ = now;
-  if (!offset_ && now - firstFillAt_ >= kWaitForFleetTime)
+  if (!offset_ && now - firstFillAt_ >= kFleetTimeTimeout)
     setOffset(timeOfDay.time_since_epoch() - toDuration(now.time_since_epoch()));
   report.incarnation = incarnation_;
   report.timeOfDayMs = timeOfDay.time_since_epoch().count();
@@ -66,8 +66,8 @@
     return;
   if (!offset_)
     return;
-  if (isLast || now - cutAt_ >= kBatchInterval)
-    cutBatch(now);
+  if (isLast || now - lastBatchAt_ >= kBatchInterval)
+    closeBatch(now);
   report.firstBatch = batches_.empty() ? nextNumber_ : batches_.front().number;
   std::size_t counts = 0;
   for (const auto& batch : batches_) {
@@ -82,9 +82,9 @@
 void UsageRecorder::accept(const transport::PlatformReportAnswer& answer, TimePoint requestedAt, TimePoint now) {
   if (!enabled() || answer.empty())
     return;
-  if (answer.fleetTimeMs > 0 && (now - requestedAt < kMaxRoundTrip || !offsetIsFleets_)) {
+  if (answer.fleetTimeMs > 0 && (now - requestedAt < kMaxRoundTrip || !hasFleetOffset_)) {
     const auto answeredAt = requestedAt + (now - requestedAt) / 2;
-    offsetIsFleets_ = true;
+    hasFleetOffset_ = true;
     setOffset(Duration(answer.fleetTimeMs) - toDuration(answeredAt.time_since_epoch()));
   }
   received_ = answer.receivedBatch;
