--- a/tests/coordination_history.cpp
+++ b/tests/coordination_history.cpp
@@ -9,7 +9,7 @@
 constexpr int kPreconditionFailed = 412, kTooManyRequests = 429, kUnavailable = 503;
 constexpr std::int64_t kMicrosecondsPerMs = 1000;
 
-bool promisesNothingDone(int status) {
+bool guaranteesNotExecuted(int status) {
   return status == kPreconditionFailed || status == kTooManyRequests || status == kUnavailable;
 }
 std::string describe(const Call& call) {
@@ -23,26 +23,27 @@
          std::to_string(call.status) + " " + std::to_string(call.number) + " " + call.value;
 }
 /// A value that was answered, with the time from which on everybody may rely on it.
-struct Given {
+struct AnsweredNumber {
   std::int64_t at = 0;
   std::int64_t number = 0;
 };
-/// The highest number that was given before a moment.
-class GivenNumbers {
+/// The highest number that was answeredBefore before a moment.
+class AnsweredNumbers {
  public:
   void add(std::int64_t at, std::int64_t number) { all_.push_back({at, number}); }
   void sort() {
-    std::sort(all_.begin(), all_.end(), [](const Given& a, const Given& b) { return a.at < b.at; });
+    std::sort(all_.begin(), all_.end(), [](const AnsweredNumber& a, const AnsweredNumber& b) { return a.at < b.at; });
     for (std::size_t i = 1; i < all_.size(); ++i)
       all_[i].number = std::max(all_[i].number, all_[i - 1].number);
   }
   std::int64_t highestBefore(std::int64_t moment) const {
-    const auto end = std::partition_point(all_.begin(), all_.end(), [&](const Given& g) { return g.at < moment; });
+    const auto end =
+        std::partition_point(all_.begin(), all_.end(), [&](const AnsweredNumber& g) { return g.at < moment; });
     return end == all_.begin() ? 0 : std::prev(end)->number;
   }
 
  private:
-  std::vector<Given> all_;
+  std::vector<AnsweredNumber> all_;
 };
 
 class Checker {
@@ -85,14 +86,15 @@
   // From the answer until the time of the last good call is over, or the release is sent.
   static Hold holdOf(const Call& begin, const std::vector<const Call*>& calls) {
     Hold hold{&begin, begin.answeredAt, begin.sentAt + begin.holdMs * kMicrosecondsPerMs};
-    std::vector<const Call*> own;
+    std::vector<const Call*> callsOfHold;
     for (const auto* call : calls) {
       const bool afterBegin = call->caller == begin.caller && call->sentAt > begin.sentAt;
       if (afterBegin && (call->kind == CallKind::releaseLock || call->fence == begin.number))
-        own.push_back(call);
+        callsOfHold.push_back(call);
     }
-    std::sort(own.begin(), own.end(), [](const Call* a, const Call* b) { return a->sentAt < b->sentAt; });
-    for (const auto* call : own) {
+    std::sort(callsOfHold.begin(), callsOfHold.end(),
+              [](const Call* a, const Call* b) { return a->sentAt < b->sentAt; });
+    for (const auto* call : callsOfHold) {
       if (call->kind == CallKind::releaseLock)
         hold.until = std::min(hold.until, call->sentAt);
       else if (call->succeeded() && call->answeredAt <= hold.until)
@@ -119,39 +121,39 @@
     for (const auto* call : calls)
       if (call->kind == CallKind::beginLock && call->succeeded())
         granted.push_back(call);
-    GivenNumbers given;
+    AnsweredNumbers answeredBefore;
     for (const auto* call : granted) {
       const auto [known, added] = byFence.emplace(call->number, call);
       if (!added && known->second->caller != call->caller)
         report("ONE", "one fence for two: " + describe(*known->second) + " and " + describe(*call));
-      given.add(call->answeredAt, call->number);
+      answeredBefore.add(call->answeredAt, call->number);
     }
-    given.sort();
+    answeredBefore.sort();
     for (const auto* call : granted)
-      if (call->number <= given.highestBefore(call->sentAt))
+      if (call->number <= answeredBefore.highestBefore(call->sentAt))
         report("ONE", "a fence not above an earlier one: " + describe(*call));
   }
 
   // --- numbers ---
 
   void checkNumbers() {
-    std::map<std::string, GivenNumbers> given;
+    std::map<std::string, AnsweredNumbers> answeredBefore;
     std::set<std::pair<std::string, std::int64_t>> seen;
     for (const auto& call : calls_)
       if (call.kind == CallKind::number && call.succeeded()) {
-        given[call.name].add(call.answeredAt, call.number);
+        answeredBefore[call.name].add(call.answeredAt, call.number);
         if (!seen.insert({call.name, call.number}).second)
           report("ORDER", "a number twice: " + describe(call));
       }
-    for (auto& [name, numbers] : given)
+    for (auto& [name, numbers] : answeredBefore)
       numbers.sort();
     for (const auto& call : calls_)
       if (call.kind == CallKind::number && call.succeeded() &&
-          call.number <= given[call.name].highestBefore(call.sentAt))
+          call.number <= answeredBefore[call.name].highestBefore(call.sentAt))
         report("ORDER", "a number not above an earlier one: " + describe(call));
   }
 
-  // --- cells: puts, reads, what watches show ---
+  // --- cells: puts, reads, what watches recordRevision ---
 
   /// A put with all its copies.
   struct Put {
@@ -169,11 +171,11 @@
       auto& put = puts_[{call.name, call.value}];
       put.firstSentAt = std::min(put.firstSentAt, call.sentAt);
       ++put.copies;
-      put.refused |= promisesNothingDone(call.status);
+      put.refused |= guaranteesNotExecuted(call.status);
     }
   }
   /// A revision of a cell that an answer shows.
-  void show(const std::string& cell, const std::string& value, std::int64_t revision, const Call& by) {
+  void recordRevision(const std::string& cell, const std::string& value, std::int64_t revision, const Call& by) {
     const auto put = puts_.find({cell, value});
     if (put == puts_.end() || put->second.firstSentAt > by.answeredAt)
       return report("MIXED", "a value that nobody had put: " + describe(by));
@@ -189,21 +191,21 @@
   }
   void checkCells() {
     collectPuts();
-    std::map<std::string, GivenNumbers> ofCell;
-    std::map<std::string, GivenNumbers> ofGroup;
+    std::map<std::string, AnsweredNumbers> ofCell;
+    std::map<std::string, AnsweredNumbers> ofGroup;
     for (const auto& call : calls_) {
       const bool cellCall = call.kind == CallKind::put || call.kind == CallKind::read;
       if (cellCall && call.succeeded())
-        show(call.name, call.value, call.number, call);
+        recordRevision(call.name, call.value, call.number, call);
       if (call.kind == CallKind::put && call.succeeded())
         ofCell[call.name].add(call.answeredAt, call.number);
       if (cellCall && call.succeeded())
         ofGroup[std::string(coordination::groupOf(call.name))].add(call.answeredAt, call.number);
       for (const auto& event : call.events)
-        show(event.cell, event.value, event.revision, call);
+        recordRevision(event.cell, event.value, event.revision, call);
     }
-    for (auto* given : {&ofCell, &ofGroup})
-      for (auto& [name, numbers] : *given)
+    for (auto* answeredBefore : {&ofCell, &ofGroup})
+      for (auto& [name, numbers] : *answeredBefore)
         numbers.sort();
     for (const auto& call : calls_) {
       if (call.kind == CallKind::read && (call.succeeded() || call.status == 404) &&
@@ -213,13 +215,13 @@
         checkPut(call, ofGroup[std::string(coordination::groupOf(call.name))]);
     }
   }
-  void checkPut(const Call& call, const GivenNumbers& given) {
+  void checkPut(const Call& call, const AnsweredNumbers& answeredBefore) {
     if (call.status == kPreconditionFailed && call.number != 0 && !isRevisionOf(call.name, call.number))
       report("MIXED", "a 412 with a revision that the cell never had: " + describe(call));
     if (!call.succeeded())
       return;
     const auto& put = puts_.at({call.name, call.value});
-    if (call.number <= given.highestBefore(put.firstSentAt))
+    if (call.number <= answeredBefore.highestBefore(put.firstSentAt))
       report("ORDER", "a revision not above an earlier one: " + describe(call));
     if (call.appliesTo == coordination::kAnyRevision)
       return;
@@ -230,14 +232,14 @@
   bool isRevisionOf(const std::string& cell, std::int64_t revision) {
     const auto& revisions = revisions_[std::string(coordination::groupOf(cell))];
     const auto known = revisions.find(revision);
-    // A put whose answer was lost may have given it.
+    // A put whose answer was lost may have answeredBefore it.
     return known == revisions.end() || known->second.first == cell;
   }
 
   // --- watches: rising, complete, never behind ---
 
   void checkWatches() {
-    std::map<std::string, GivenNumbers> acknowledged;
+    std::map<std::string, AnsweredNumbers> acknowledged;
     for (const auto& call : calls_)
       if (call.kind == CallKind::put && call.succeeded())
         acknowledged[std::string(coordination::groupOf(call.name))].add(call.answeredAt, call.number);
@@ -252,12 +254,12 @@
   }
   void checkEvents(const Call& call) {
     std::int64_t last = call.after;
-    std::set<std::int64_t> shown;
+    std::set<std::int64_t> shownRevisions;
     for (const auto& event : call.events) {
       if (event.revision <= last)
         report("ORDER", "events that do not rise: " + describe(call));
       last = event.revision;
-      shown.insert(event.revision);
+      shownRevisions.insert(event.revision);
     }
     if (call.number < call.after)
       report("ORDER", "a watch that goes back: " + describe(call));
@@ -265,7 +267,7 @@
       return;
     const auto& revisions = revisions_[call.name];
     for (auto it = revisions.upper_bound(call.after); it != revisions.end() && it->first <= call.number; ++it)
-      if (!shown.contains(it->first))
+      if (!shownRevisions.contains(it->first))
         report("ORDER", "a watch that skips revision " + std::to_string(it->first) + ": " + describe(call));
   }
 
--- a/tests/coordination_state_test.cpp
+++ b/tests/coordination_state_test.cpp
@@ -31,7 +31,7 @@
     entry.body = avro::encode(CommandBatch{elapsedMs, kHistoryMs, std::move(commands)});
     return state.apply(entry);
   }
-  void pass(std::int64_t elapsedMs) { (void)apply(elapsedMs, {}); }
+  void advanceTime(std::int64_t elapsedMs) { (void)apply(elapsedMs, {}); }
   Outcome acquire(const std::string& lock, const std::string& holder, std::int64_t holdMs) {
     auto command = commandOf(CommandKind::acquireLock, lock);
     command.holder = holder;
@@ -70,39 +70,40 @@
     EXPECT_EQ(state.snapshot(), snapshot);
   }
 };
-constexpr auto kDone = OutcomeKind::done, kTaken = OutcomeKind::lockTaken, kMismatch = OutcomeKind::revisionMismatch;
+constexpr auto kDone = OutcomeKind::done, kLockTaken = OutcomeKind::lockTaken,
+               kRevisionMismatch = OutcomeKind::revisionMismatch;
 }  // namespace
 
 TEST(CoordinationLocks, OneHolderUntilTheHoldIsOver) {
   Shard shard;
   const auto first = shard.acquire("l", "a", 3000);
   EXPECT_EQ(first.result(), kDone);
-  EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kTaken);
-  shard.pass(3000);
-  EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kTaken)
+  EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kLockTaken);
+  shard.advanceTime(3000);
+  EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kLockTaken)
       << "a caller whose clock is slow still counts itself holder";
-  shard.pass(100);
+  shard.advanceTime(100);
   const auto second = shard.acquire("l", "b", 3000);
   EXPECT_EQ(second.result(), kDone);
   EXPECT_GT(second.number, first.number);
-  EXPECT_EQ(shard.renew("l", "a", first.number, 3000).result(), kTaken) << "lost";
+  EXPECT_EQ(shard.renew("l", "a", first.number, 3000).result(), kLockTaken) << "lost";
 }
 TEST(CoordinationLocks, ARenewalKeepsTheLockAndNeverShortensTheHold) {
   Shard shard;
   const auto fence = shard.acquire("l", "a", 3000).number;
   EXPECT_EQ(shard.renew("l", "a", fence, 10).result(), kDone);
-  shard.pass(2900);
-  EXPECT_EQ(shard.acquire("l", "b", 1).result(), kTaken);
+  shard.advanceTime(2900);
+  EXPECT_EQ(shard.acquire("l", "b", 1).result(), kLockTaken);
   EXPECT_EQ(shard.renew("l", "a", fence, 3000).result(), kDone);
-  shard.pass(2900);
-  EXPECT_EQ(shard.acquire("l", "b", 1).result(), kTaken);
+  shard.advanceTime(2900);
+  EXPECT_EQ(shard.acquire("l", "b", 1).result(), kLockTaken);
 }
 // The race of a renewal with the end of its hold is decided by the order of the log.
 TEST(CoordinationLocks, ARenewalAfterTheEndIsRefusedAlsoIfNobodyElseAsked) {
   Shard shard;
   const auto fence = shard.acquire("l", "a", 100).number;
-  shard.pass(200);
-  EXPECT_EQ(shard.renew("l", "a", fence, 3000).result(), kTaken);
+  shard.advanceTime(200);
+  EXPECT_EQ(shard.renew("l", "a", fence, 3000).result(), kLockTaken);
   EXPECT_EQ(shard.acquire("l", "b", 100).result(), kDone);
 }
 // A holder that died keeps its name: a release that it had sent before must not free the lock under its new hold.
@@ -112,7 +113,7 @@
   const auto again = shard.acquire("l", "a", 3000).number;
   EXPECT_GT(again, before);
   EXPECT_EQ(shard.release("l", "a", before).result(), kDone) << "always answered as done";
-  EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kTaken);
+  EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kLockTaken);
   EXPECT_EQ(shard.release("l", "a", again).result(), kDone);
   EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kDone);
 }
@@ -126,7 +127,7 @@
     if (round % 2 == 0)
       shard.release("l", "holder" + std::to_string(round % 2), fence);
     else
-      shard.pass(5000);
+      shard.advanceTime(5000);
     shard.restart();
   }
   EXPECT_EQ(shard.state.lockCount(), 0U) << "locks that ended take no memory";
@@ -155,10 +156,10 @@
   EXPECT_EQ(shard.put("g.a", "v1", 0).number, 1);
   shard.put("g.other", "v2");
   const auto late = shard.put("g.a", "v3", 0);
-  EXPECT_EQ(late.result(), kMismatch);
+  EXPECT_EQ(late.result(), kRevisionMismatch);
   EXPECT_EQ(late.number, 1) << "the cell's revision, not the group's";
   EXPECT_EQ(shard.put("g.a", "v3", 1).number, 3);
-  EXPECT_EQ(shard.put("g.new", "v4", 7).result(), kMismatch);
+  EXPECT_EQ(shard.put("g.new", "v4", 7).result(), kRevisionMismatch);
   EXPECT_EQ(shard.put("g.new", "v4", 7).number, 0);
 }
 // The value comes first and the comparison afterwards: a repeated put meets its own revision.
@@ -173,7 +174,7 @@
   shard.restart();
   EXPECT_EQ(shard.put("g.a", "v1").number, 2) << "without a revision to compare with, after a restart";
   EXPECT_EQ(shard.state.readCell("g.a").value, "v2");
-  shard.pass(kHistoryMs / 2);
+  shard.advanceTime(kHistoryMs / 2);
   EXPECT_EQ(shard.put("g.a", "v1", 1).number, 2);
 }
 TEST(CoordinationCells, AWatchFindsEveryPutAboveItsRevision) {
@@ -203,7 +204,7 @@
   EXPECT_FALSE(answerWatch(shard.state, behind, true).value().has_value()) << "and then says that it can't tell";
   const WatchQuery present{"g.", 0, shard.lastIndex + 1};
   EXPECT_FALSE(answerWatch(shard.state, present, true).value().has_value());
-  shard.pass(10);
+  shard.advanceTime(10);
   EXPECT_EQ(answerWatch(shard.state, behind, false).value()->events.size(), 1U);
   EXPECT_EQ(answerWatch(shard.state, present, false).value()->revision, 2);
   const WatchQuery newest{"g.", 2, shard.lastIndex};
@@ -213,17 +214,17 @@
 TEST(CoordinationCells, TheHistoryIsKeptForItsTimeAndThenDiscarded) {
   Shard shard;
   shard.put("g.a", "v1");
-  shard.pass(kHistoryMs);
+  shard.advanceTime(kHistoryMs);
   shard.put("g.a", "v2");
   EXPECT_FALSE(shard.state.eventsAfter("g.", 0, 1000).discarded) << "on the edge";
-  shard.pass(2000);
+  shard.advanceTime(2000);
   EXPECT_TRUE(shard.state.eventsAfter("g.", 0, 1000).discarded);
   EXPECT_FALSE(shard.state.eventsAfter("g.", 1, 1000).discarded) << "nothing above it is missing";
   EXPECT_EQ(shard.state.eventsAfter("g.", 1, 1000).events.size(), 1U);
   shard.restart();
   EXPECT_TRUE(shard.state.eventsAfter("g.", 0, 1000).discarded);
   EXPECT_EQ(shard.state.readCell("g.a").value, "v2");
-  shard.pass(2 * kHistoryMs);
+  shard.advanceTime(2 * kHistoryMs);
   EXPECT_EQ(shard.put("g.a", "v2").number, 2) << "a cell's present value is known however old it is";
 }
 TEST(CoordinationState, LimitsRefuseWhatIsNewAndServeWhatIsThere) {
--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -16,10 +16,10 @@
 constexpr int kOk = 200, kNotFound = 404, kConflict = 409, kGone = 410, kPreconditionFailed = 412, kUnavailable = 503;
 constexpr Duration kServiceTimeout{850};
 constexpr Duration kCallerTimeout{1000};
-constexpr Duration kThawRetry{50};
-constexpr Duration kRefusedRetry{30};
+constexpr Duration kPausedRetryInterval{50};
+constexpr Duration kRefusedRetryInterval{30};
 constexpr int kLocks = 3, kCells = 6, kGroups = 2, kNumbers = 2;
-constexpr int kPutCopies = 5;
+constexpr int kMaxPutAttempts = 5;
 
 int statusOf(const Outcome& outcome) {
   switch (outcome.result()) {
@@ -73,9 +73,9 @@
 // As `CoordinationShard::run` has it.
 void CoordinationWorld::afterActions(Node& node) {
   auto& member = members_[node.ip];
-  if (member.working || !node.raft)
+  if (member.isRunning || !node.raft)
     return;
-  member.working = true;
+  member.isRunning = true;
   for (;;) {
     const auto ledTerm = node.raft->role() == Role::leader ? node.raft->term() : 0;
     if (std::exchange(member.ledTerm, ledTerm) != ledTerm) {
@@ -95,19 +95,19 @@
     }
     if (planted_ == PlantedFault::answersBeforeCommit) {
       auto copy = member.state;
-      auto early = *entry;
-      early.index = copy.index() + 1;
-      member.leaseholder->onApplied(early, copy.apply(early));
+      auto earlyEntry = *entry;
+      earlyEntry.index = copy.index() + 1;
+      member.leaseholder->onApplied(earlyEntry, copy.apply(earlyEntry));
     }
     node.raft->submit(now, std::move(*entry));
     carryOutActions(node);
   }
-  member.working = false;
+  member.isRunning = false;
   for (const auto& result : member.leaseholder->takeResults())
     if (const auto pending = member.pending.extract(result.callId); !pending.empty())
       pending.mapped()(result);
-  for (const auto& wake : std::exchange(member.waitingForApply, {}))
-    wake();
+  for (const auto& callback : std::exchange(member.onNextApply, {}))
+    callback();
 }
 void CoordinationWorld::startAll(const std::vector<std::string>& ips) {
   ips_ = ips;
@@ -119,70 +119,74 @@
     return;
   if (!nodes[ip].paused)
     return task();
-  schedule(kThawRetry, [this, ip, incarnation, task] { onProcess(ip, incarnation, task); });
+  schedule(kPausedRetryInterval, [this, ip, incarnation, task] { onProcess(ip, incarnation, task); });
 }
 
 // --- the service ---
 
-void CoordinationWorld::take(const std::string& ip, const Command& command, Duration timeout, OnAnswer onAnswer) {
-  attempt(std::make_shared<Taken>(Taken{ip, nodes[ip].incarnation, command, {now, timeout}, std::move(onAnswer)}));
+void CoordinationWorld::acceptCall(const std::string& ip, const Command& command, Duration timeout, OnAnswer onAnswer) {
+  attempt(std::make_shared<AcceptedCall>(
+      AcceptedCall{ip, nodes[ip].incarnation, command, {now, timeout}, std::move(onAnswer)}));
 }
-void CoordinationWorld::attempt(const TakenPtr& taken) {
-  auto& node = nodes[taken->ip];
+void CoordinationWorld::attempt(const AcceptedCallPtr& accepted) {
+  auto& node = nodes[accepted->ip];
   const auto leaderId = node.raft->leader();
   const bool inContact = planted_ == PlantedFault::leaseIsNotChecked || node.raft->inContactWithMajority(now);
   if (leaderId.empty() || !inContact)
-    return endAttempt(taken, AttemptEnd::notSent);
+    return endAttempt(accepted, AttemptEnd::notSent);
   // The attempt ends by its result, by another leader or by the time, whichever is first.
   const auto ended = std::make_shared<bool>(false);
-  const auto end = [this, taken, ended](AttemptEnd how) {
+  const auto end = [this, accepted, ended](AttemptEnd how) {
     if (!std::exchange(*ended, true))
-      endAttempt(taken, how);
+      endAttempt(accepted, how);
   };
-  const auto onResult = [taken, ended, end](const CallResult& result) {
+  const auto onResult = [accepted, ended, end](const CallResult& result) {
     if (result.status != CallStatus::executed)
       return end(result.status == CallStatus::notExecuted ? AttemptEnd::notExecuted : AttemptEnd::unknown);
     if (!std::exchange(*ended, true))
-      taken->onAnswer(statusOf(result.outcome), result.outcome);
+      accepted->onAnswer(statusOf(result.outcome), result.outcome);
   };
   const auto poll = std::make_shared<std::function<void()>>();
-  *poll = [this, taken, ended, end, leaderId, poll] {
-    if (*ended || !isAlive(taken->ip, taken->incarnation))
+  *poll = [this, accepted, ended, end, leaderId, poll] {
+    if (*ended || !isAlive(accepted->ip, accepted->incarnation))
       return;
-    if (!nodes[taken->ip].paused && (nodes[taken->ip].raft->leader() != leaderId || now >= taken->progress.deadline()))
+    if (!nodes[accepted->ip].paused &&
+        (nodes[accepted->ip].raft->leader() != leaderId || now >= accepted->progress.deadline()))
       return end(AttemptEnd::unknown);
     schedule(Duration(10), *poll);
   };
   (*poll)();
   if (leaderId == node.id)
-    return callLeaseholder(node, taken->command, onResult);
+    return callLeaseholder(node, accepted->command, onResult);
   const auto leaderIp = addressOf(leaderId);
-  if (isLost(taken->ip, leaderIp))
+  if (isLost(accepted->ip, leaderIp))
     return;  // sent, and lost on the way
-  schedule(drawDelay(), [this, taken, leaderIp, onResult] {
-    auto* leader = reach(taken->ip, leaderIp);
+  schedule(drawDelay(), [this, accepted, leaderIp, onResult] {
+    auto* leader = reach(accepted->ip, leaderIp);
     if (!leader)
       return;
-    onProcess(leaderIp, leader->incarnation, [this, taken, leaderIp, onResult] {
-      callLeaseholder(nodes[leaderIp], taken->command, [this, taken, leaderIp, onResult](const CallResult& result) {
-        if (isLost(leaderIp, taken->ip))
-          return;
-        schedule(drawDelay(), [this, taken, leaderIp, onResult, result] {
-          if (reach(leaderIp, taken->ip))
-            onProcess(taken->ip, taken->incarnation, [onResult, result] { onResult(result); });
-        });
-      });
+    onProcess(leaderIp, leader->incarnation, [this, accepted, leaderIp, onResult] {
+      callLeaseholder(nodes[leaderIp], accepted->command,
+                      [this, accepted, leaderIp, onResult](const CallResult& result) {
+                        if (isLost(leaderIp, accepted->ip))
+                          return;
+                        schedule(drawDelay(), [this, accepted, leaderIp, onResult, result] {
+                          if (reach(leaderIp, accepted->ip))
+                            onProcess(accepted->ip, accepted->incarnation, [onResult, result] { onResult(result); });
+                        });
+                      });
     });
   });
 }
-void CoordinationWorld::endAttempt(const TakenPtr& taken, AttemptEnd end) {
-  const auto pause = taken->progress.retryDelayAfter(end, now);
+void CoordinationWorld::endAttempt(const AcceptedCallPtr& accepted, AttemptEnd end) {
+  const auto pause = accepted->progress.retryDelayAfter(end, now);
   if (pause)
-    return schedule(*pause,
-                    [this, taken] { onProcess(taken->ip, taken->incarnation, [this, taken] { attempt(taken); }); });
+    return schedule(*pause, [this, accepted] {
+      onProcess(accepted->ip, accepted->incarnation, [this, accepted] { attempt(accepted); });
+    });
   const bool refused =
-      taken->progress.failure() == ErrorCode::unavailable || planted_ == PlantedFault::unknownIsRefused;
-  taken->onAnswer(refused ? kUnavailable : 0, {});
+      accepted->progress.failure() == ErrorCode::unavailable || planted_ == PlantedFault::unknownIsRefused;
+  accepted->onAnswer(refused ? kUnavailable : 0, {});
 }
 void CoordinationWorld::callLeaseholder(Node& node, const Command& command,
                                         std::function<void(const CallResult&)> onResult) {
@@ -199,8 +203,8 @@
   freshness.kind = static_cast<std::int32_t>(CommandKind::readIndex);
   freshness.name = group;
   const auto incarnation = nodes[ip].incarnation;
-  const auto look = std::make_shared<std::function<void(std::int64_t)>>();
-  *look = [=, this](std::int64_t readIndex) {
+  const auto checkWatch = std::make_shared<std::function<void(std::int64_t)>>();
+  *checkWatch = [=, this](std::int64_t readIndex) {
     if (!isAlive(ip, incarnation))
       return;
     const coordination::WatchQuery query{group, after, readIndex};
@@ -209,22 +213,22 @@
         return onAnswer(kUnavailable, {});
       return (*answer)->discarded ? onAnswer(kGone, {}) : onEvents(**answer);
     }
-    schedule(Duration(20), [this, ip, incarnation, look, readIndex] {
-      onProcess(ip, incarnation, [look, readIndex] { (*look)(readIndex); });
+    schedule(Duration(20), [this, ip, incarnation, checkWatch, readIndex] {
+      onProcess(ip, incarnation, [checkWatch, readIndex] { (*checkWatch)(readIndex); });
     });
   };
   if (planted_ == PlantedFault::watchIsNotFresh)
-    return (*look)(0);
-  take(ip, freshness, kServiceTimeout, [look, onAnswer](int status, const Outcome& outcome) {
+    return (*checkWatch)(0);
+  acceptCall(ip, freshness, kServiceTimeout, [checkWatch, onAnswer](int status, const Outcome& outcome) {
     if (status != kOk)
       return onAnswer(status, outcome);
-    (*look)(outcome.number);
+    (*checkWatch)(outcome.number);
   });
 }
 
 // --- the applications ---
 
-std::string CoordinationWorld::drawMachine() {
+std::string CoordinationWorld::drawMachineIp() {
   return ips_[draw(ips_.size())];
 }
 Command CoordinationWorld::commandOf(const Call& call) {
@@ -245,7 +249,7 @@
   return command;
 }
 void CoordinationWorld::send(Call call, const std::string& ip, const std::function<void(const Call&)>& onEnd,
-                             Duration delayedBy) {
+                             Duration extraDelay) {
   call.sentAt = nowUs();
   const auto ended = std::make_shared<bool>(false);
   const auto index = history_.size();
@@ -263,8 +267,8 @@
       onEnd(Call(recorded));
     });
   };
-  const auto patience = call.kind == CallKind::watch ? kCallerTimeout * 2 : kCallerTimeout;
-  schedule(patience, [end] { end(0, [](Call&) {}); });
+  const auto callerTimeout = call.kind == CallKind::watch ? kCallerTimeout * 2 : kCallerTimeout;
+  schedule(callerTimeout, [end] { end(0, [](Call&) {}); });
   const auto onAnswer = [end](int status, const Outcome& outcome) {
     end(status, [outcome](Call& recorded) {
       recorded.number = outcome.number;
@@ -272,12 +276,12 @@
         recorded.value = outcome.value;
     });
   };
-  schedule(drawDelay() + delayedBy, [this, ip, call, end, onAnswer] {
+  schedule(drawDelay() + extraDelay, [this, ip, call, end, onAnswer] {
     if (!nodes[ip].up)
       return end(0, [](Call&) {});
     onProcess(ip, nodes[ip].incarnation, [this, ip, call, end, onAnswer] {
       if (call.kind != CallKind::watch)
-        return take(ip, commandOf(call), kServiceTimeout, onAnswer);
+        return acceptCall(ip, commandOf(call), kServiceTimeout, onAnswer);
       watch(ip, call.name, call.after, now + Duration(400), onAnswer, [end](const coordination::WatchedEvents& found) {
         end(kOk, [found](Call& recorded) {
           recorded.events = found.events;
@@ -292,17 +296,17 @@
   for (int i = 0; i < count; ++i) {
     auto caller = std::make_shared<Caller>();
     caller->name = "caller" + std::to_string(i);
-    actAgain(caller);
+    scheduleNextCall(caller);
   }
 }
-void CoordinationWorld::actAgain(const std::shared_ptr<Caller>& caller) {
+void CoordinationWorld::scheduleNextCall(const std::shared_ptr<Caller>& caller) {
   if (now < callUntil_)
-    schedule(Duration(5 + draw(60)), [this, caller] { act(caller); });
+    schedule(Duration(5 + draw(60)), [this, caller] { issueCall(caller); });
 }
-void CoordinationWorld::act(const std::shared_ptr<Caller>& caller) {
+void CoordinationWorld::issueCall(const std::shared_ptr<Caller>& caller) {
   Call call;
   call.caller = caller->name;
-  const auto again = [this, caller](const Call&) { actAgain(caller); };
+  const auto scheduleNext = [this, caller](const Call&) { scheduleNextCall(caller); };
   const auto lock = "l" + std::to_string(draw(kLocks));
   switch (draw(7)) {
     case 0:
@@ -319,25 +323,25 @@
       // It dies after it has sent the release, which is late, and comes back under its name.
       if (call.kind == CallKind::releaseLock && draw(3) == 0) {
         send(
-            call, drawMachine(), [](const Call&) {}, Duration(20 + draw(200)));
+            call, drawMachineIp(), [](const Call&) {}, Duration(20 + draw(200)));
         return schedule(Duration(1), [this, caller, lock] { beginLock(caller, lock); });
       }
-      return send(call, drawMachine(), [this, caller](const Call& ended) {
+      return send(call, drawMachineIp(), [this, caller](const Call& ended) {
         if (ended.status == kConflict)
           caller->fences.erase(ended.name);
-        actAgain(caller);
+        scheduleNextCall(caller);
       });
     }
     case 2:
       call.kind = CallKind::number;
       call.name = "n" + std::to_string(draw(kNumbers));
-      return send(call, drawMachine(), again);
+      return send(call, drawMachineIp(), scheduleNext);
     case 3:
       call.kind = CallKind::read;
       call.name = "g" + std::to_string(draw(kGroups)) + "." + std::to_string(draw(kCells));
-      return send(call, drawMachine(), [this, caller](const Call& ended) {
+      return send(call, drawMachineIp(), [this, caller](const Call& ended) {
         caller->read[ended.name] = ended.number;
-        actAgain(caller);
+        scheduleNextCall(caller);
       });
     case 4:
     case 5:
@@ -346,15 +350,15 @@
       call.value = "v" + std::to_string(++lastValue_);
       if (const auto seen = caller->read.find(call.name); draw(2) == 0 && seen != caller->read.end())
         call.appliesTo = seen->second;
-      return putUntilAnswered(caller, call, kPutCopies);
+      return putUntilAnswered(caller, call, kMaxPutAttempts);
     default:
       call.kind = CallKind::watch;
       call.name = "g" + std::to_string(draw(kGroups)) + ".";
       call.after = caller->watched[call.name];
-      return send(call, drawMachine(), [this, caller](const Call& ended) {
+      return send(call, drawMachineIp(), [this, caller](const Call& ended) {
         if (ended.succeeded())
           caller->watched[ended.name] = ended.number;
-        actAgain(caller);
+        scheduleNextCall(caller);
       });
   }
 }
@@ -364,33 +368,34 @@
   call.name = lock;
   call.kind = CallKind::beginLock;
   call.holdMs = 100 + static_cast<std::int64_t>(draw(1200));
-  send(call, drawMachine(), [this, caller](const Call& ended) {
+  send(call, drawMachineIp(), [this, caller](const Call& ended) {
     if (ended.succeeded())
       caller->fences[ended.name] = ended.number;
-    actAgain(caller);
+    scheduleNextCall(caller);
   });
 }
-// A put without a clear answer is sent again as it was; one that was refused is given up half of the time.
-void CoordinationWorld::putUntilAnswered(const std::shared_ptr<Caller>& caller, const Call& put, int copiesLeft) {
-  send(put, drawMachine(), [this, caller, put, copiesLeft](const Call& ended) {
+// A put without a clear answer is sent scheduleNext as it was; one that was refused is given up half of the time.
+void CoordinationWorld::putUntilAnswered(const std::shared_ptr<Caller>& caller, const Call& put, int attemptsLeft) {
+  send(put, drawMachineIp(), [this, caller, put, attemptsLeft](const Call& ended) {
     const bool clear = ended.succeeded() || ended.status == kPreconditionFailed;
     const bool givesUp = ended.status == kUnavailable && draw(2) == 0;
-    if (clear || givesUp || copiesLeft == 1)
-      return actAgain(caller);
-    schedule(kRefusedRetry, [this, caller, put, copiesLeft] { putUntilAnswered(caller, put, copiesLeft - 1); });
+    if (clear || givesUp || attemptsLeft == 1)
+      return scheduleNextCall(caller);
+    schedule(kRefusedRetryInterval,
+             [this, caller, put, attemptsLeft] { putUntilAnswered(caller, put, attemptsLeft - 1); });
   });
 }
 std::vector<std::string> CoordinationWorld::readBack(Duration within) {
-  const auto open = std::make_shared<std::set<std::string>>();
+  const auto unanswered = std::make_shared<std::set<std::string>>();
   const auto until = now + within;
   const auto ask = std::make_shared<std::function<void(const Call&)>>();
-  *ask = [this, open, until, ask](const Call& call) {
-    send(call, drawMachine(), [this, open, until, ask, call](const Call& ended) {
+  *ask = [this, unanswered, until, ask](const Call& call) {
+    send(call, drawMachineIp(), [this, unanswered, until, ask, call](const Call& ended) {
       const bool answered = ended.succeeded() || ended.status == kNotFound || ended.status == kGone;
       if (answered)
-        open->erase(call.name);
+        unanswered->erase(call.name);
       else if (now < until)
-        schedule(kRefusedRetry, [ask, call] { (*ask)(call); });
+        schedule(kRefusedRetryInterval, [ask, call] { (*ask)(call); });
     });
   };
   Call call;
@@ -399,7 +404,7 @@
   const auto add = [&](CallKind kind, const std::string& name) {
     call.kind = kind;
     call.name = name;
-    open->insert(name);
+    unanswered->insert(name);
     (*ask)(call);
   };
   for (int i = 0; i < kLocks; ++i)
@@ -415,7 +420,7 @@
   }
   runFor(within + kCallerTimeout * 2);
   *ask = nullptr;  // it refers to itself
-  return {open->begin(), open->end()};
+  return {unanswered->begin(), unanswered->end()};
 }
 std::size_t CoordinationWorld::answered() const {
   return static_cast<std::size_t>(
--- a/tests/coordination_world.hpp
+++ b/tests/coordination_world.hpp
@@ -45,22 +45,22 @@
 
  private:
   using OnAnswer = std::function<void(int status, const coordination::Outcome&)>;
-  /// A call that a machine has taken from an application or from another machine.
-  struct Taken {
+  /// A call that a machine has accepted from an application or from another machine.
+  struct AcceptedCall {
     std::string ip;
     int incarnation = 0;
     coordination::Command command;
     coordination::CallProgress progress;
     OnAnswer onAnswer;
   };
-  using TakenPtr = std::shared_ptr<Taken>;
+  using AcceptedCallPtr = std::shared_ptr<AcceptedCall>;
   struct Member {
     coordination::ShardState state;
     std::unique_ptr<coordination::Leaseholder> leaseholder;
     std::int64_t ledTerm = 0;
     std::map<std::int64_t, std::function<void(const coordination::CallResult&)>> pending;
-    std::vector<std::function<void()>> waitingForApply;
-    bool working = false;
+    std::vector<std::function<void()>> onNextApply;
+    bool isRunning = false;
   };
   /// An application: one call after the other, at machines drawn anew.
   struct Caller {
@@ -71,9 +71,9 @@
   };
 
   // --- the service, as the controller wires it ---
-  void take(const std::string& ip, const coordination::Command& command, Duration timeout, OnAnswer onAnswer);
-  void attempt(const TakenPtr& taken);
-  void endAttempt(const TakenPtr& taken, coordination::AttemptEnd end);
+  void acceptCall(const std::string& ip, const coordination::Command& command, Duration timeout, OnAnswer onAnswer);
+  void attempt(const AcceptedCallPtr& accepted);
+  void endAttempt(const AcceptedCallPtr& accepted, coordination::AttemptEnd end);
   void callLeaseholder(Node& node, const coordination::Command& command,
                        std::function<void(const coordination::CallResult&)> onResult);
   void watch(const std::string& ip, const std::string& group, std::int64_t after, TimePoint until,
@@ -83,14 +83,14 @@
   void onProcess(const std::string& ip, int incarnation, const std::function<void()>& task);
 
   // --- the applications ---
-  void act(const std::shared_ptr<Caller>& caller);
-  /// @param delayedBy so much longer than usual is the call on its way.
+  void issueCall(const std::shared_ptr<Caller>& caller);
+  /// @param extraDelay so much longer than usual is the call on its way.
   void send(Call call, const std::string& ip, const std::function<void(const Call&)>& onEnd,
-            Duration delayedBy = Duration(0));
+            Duration extraDelay = Duration(0));
   void beginLock(const std::shared_ptr<Caller>& caller, const std::string& lock);
-  void actAgain(const std::shared_ptr<Caller>& caller);
-  void putUntilAnswered(const std::shared_ptr<Caller>& caller, const Call& put, int copiesLeft);
-  std::string drawMachine();
+  void scheduleNextCall(const std::shared_ptr<Caller>& caller);
+  void putUntilAnswered(const std::shared_ptr<Caller>& caller, const Call& put, int attemptsLeft);
+  std::string drawMachineIp();
   std::int64_t nowUs() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(now.time_since_epoch()).count();
   }
--- a/tests/coordination_worlds_test.cpp
+++ b/tests/coordination_worlds_test.cpp
@@ -11,17 +11,17 @@
 using namespace zinccleat::sim;
 namespace {
 const std::vector<std::string> kMachines = {"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.1.0.2", "10.2.0.2"};
-constexpr Duration kCalling{20'000};
-constexpr Duration kReadBack{3000};
+constexpr Duration kCallPeriod{20'000};
+constexpr Duration kReadBackTimeout{3000};
 
-std::uint64_t fromEnvironment(const char* name, std::uint64_t usual) {
+std::uint64_t fromEnvironment(const char* name, std::uint64_t defaultValue) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : usual;
+  return text ? std::strtoull(text, nullptr, 10) : defaultValue;
 }
-/// Faults in turn, some of which overlap, until the callers end.
-class Faults {
+/// FaultInjector in turn, some of which overlap, until the callers end.
+class FaultInjector {
  public:
-  explicit Faults(CoordinationWorld& world) : world_(world) {}
+  explicit FaultInjector(CoordinationWorld& world) : world_(world) {}
   void start(TimePoint until) {
     until_ = until;
     next();
@@ -30,40 +30,40 @@
   std::size_t freezes() const { return freezes_; }
 
  private:
-  std::string drawMachine() { return kMachines[world_.draw(kMachines.size())]; }
+  std::string drawMachineIp() { return kMachines[world_.draw(kMachines.size())]; }
   /// The leaseholder half of the time: what hits it matters most.
   std::string drawTarget() {
     const auto leader = world_.leader();
-    return leader.empty() || world_.draw(2) == 0 ? drawMachine() : leader;
+    return leader.empty() || world_.draw(2) == 0 ? drawMachineIp() : leader;
   }
   void next() {
     if (world_.now >= until_)
       return;
     world_.schedule(Duration(300 + world_.draw(1500)), [this] {
       if (world_.now < until_)
-        strike();
+        injectFault();
       next();
     });
   }
-  void later(Duration delay, std::function<void()> task) { world_.schedule(delay, std::move(task)); }
-  Duration drawSpan() { return Duration(100 + world_.draw(2500)); }
+  void scheduleAfter(Duration delay, std::function<void()> task) { world_.schedule(delay, std::move(task)); }
+  Duration drawFaultDuration() { return Duration(100 + world_.draw(2500)); }
   void restart(const std::string& ip) {
     if (!world_.nodes[ip].up)
       world_.start(ip, kMachines, false);
   }
-  void strike() {
+  void injectFault() {
     const auto ip = drawTarget();
     switch (world_.draw(10)) {
       case 0:
       case 1:  // frozen, and thawed again, mostly past its lease
         ++freezes_;
         world_.nodes[ip].paused = true;
-        return later(drawSpan(), [this, ip] { world_.nodes[ip].paused = false; });
+        return scheduleAfter(drawFaultDuration(), [this, ip] { world_.nodes[ip].paused = false; });
       case 2:
       case 3: {  // cut off, in one direction or both
         const auto before = world_.cutLinks;
         world_.isolate(ip, world_.draw(2) == 0);
-        return later(drawSpan(), [this] { world_.cutLinks.clear(); });
+        return scheduleAfter(drawFaultDuration(), [this] { world_.cutLinks.clear(); });
       }
       case 4:  // two halves
         for (const auto& one : {kMachines[0], kMachines[1]})
@@ -71,31 +71,31 @@
             world_.cutLinks.insert({one, other});
             world_.cutLinks.insert({other, one});
           }
-        return later(drawSpan(), [this] { world_.cutLinks.clear(); });
+        return scheduleAfter(drawFaultDuration(), [this] { world_.cutLinks.clear(); });
       case 5:
         if (world_.nodes[ip].up)
           world_.crash(ip);
-        return later(Duration(50 + world_.draw(800)), [this, ip] { restart(ip); });
+        return scheduleAfter(Duration(50 + world_.draw(800)), [this, ip] { restart(ip); });
       case 6:  // power lost everywhere
         for (const auto& each : kMachines)
           if (world_.nodes[each].up)
             world_.crash(each);
-        return later(Duration(50 + world_.draw(400)), [this] {
+        return scheduleAfter(Duration(50 + world_.draw(400)), [this] {
           for (const auto& each : kMachines)
             restart(each);
         });
       case 7:  // a disk lost; the next one only once this one is replaced
-        if (world_.now - lastWipe_ < Duration(8000) || !world_.nodes[ip].up)
+        if (world_.now - lastDiskLossAt_ < Duration(8000) || !world_.nodes[ip].up)
           return;
-        lastWipe_ = world_.now;
+        lastDiskLossAt_ = world_.now;
         world_.crash(ip);
         world_.nodes[ip].disk.clear();
-        return later(Duration(50 + world_.draw(300)), [this, ip] { restart(ip); });
+        return scheduleAfter(Duration(50 + world_.draw(300)), [this, ip] { restart(ip); });
       case 8:
         return slowDisks(ip);
       default:
         world_.leave(ip, Duration(1500));
-        return later(Duration(2000), [this, ip] { restart(ip); });
+        return scheduleAfter(Duration(2000), [this, ip] { restart(ip); });
     }
   }
 
@@ -106,7 +106,7 @@
     for (const auto& ip : kMachines)
       if (all || ip == one)
         world_.nodes[ip].syncTime = syncTime;
-    later(drawSpan(), [this] {
+    scheduleAfter(drawFaultDuration(), [this] {
       for (const auto& ip : kMachines)
         world_.nodes[ip].syncTime = kUsualSyncTime;
     });
@@ -114,23 +114,23 @@
 
   CoordinationWorld& world_;
   TimePoint until_{};
-  TimePoint lastWipe_{};
+  TimePoint lastDiskLossAt_{};
   std::size_t freezes_ = 0;
 };
-struct Played {
+struct SimulationResult {
   std::vector<std::string> violations;
   std::size_t answered = 0;
   std::size_t freezes = 0;
 };
-Played play(std::uint64_t seed, PlantedFault planted) {
+SimulationResult runSimulation(std::uint64_t seed, PlantedFault planted) {
   CoordinationWorld world(seed, planted);
   world.startAll(kMachines);
   world.runFor(Duration(2000));
-  const auto until = world.now + kCalling;
-  Faults faults(world);
+  const auto until = world.now + kCallPeriod;
+  FaultInjector faults(world);
   faults.start(until);
   world.startCallers(6, until);
-  world.runFor(kCalling + Duration(3000));
+  world.runFor(kCallPeriod + Duration(3000));
   // The faults are over: everything runs and is connected.
   world.cutLinks.clear();
   for (const auto& ip : kMachines) {
@@ -140,16 +140,16 @@
       world.start(ip, kMachines, false);
   }
   world.runFor(Duration(6000));
-  Played played;
-  for (const auto& name : world.readBack(kReadBack))
-    played.violations.push_back("LOST: at the end no answer for " + name);
+  SimulationResult result;
+  for (const auto& name : world.readBack(kReadBackTimeout))
+    result.violations.push_back("LOST: at the end no answer for " + name);
   for (auto& each : coordination_history::violationsIn(world.history()))
-    played.violations.push_back(std::move(each));
+    result.violations.push_back(std::move(each));
   for (const auto& each : world.violations)
-    played.violations.push_back(each);
-  played.answered = world.answered();
-  played.freezes = faults.freezes();
-  return played;
+    result.violations.push_back(each);
+  result.answered = world.answered();
+  result.freezes = faults.freezes();
+  return result;
 }
 std::string textOf(const std::vector<std::string>& lines) {
   std::string text;
@@ -165,12 +165,12 @@
   std::size_t answered = 0;
   std::size_t freezes = 0;
   for (auto seed = from; seed < from + count; ++seed) {
-    const auto played = play(seed, PlantedFault::nothing);
-    EXPECT_TRUE(played.violations.empty())
+    const auto result = runSimulation(seed, PlantedFault::nothing);
+    EXPECT_TRUE(result.violations.empty())
         << "seed " << seed << ", replay with ZINCCLEAT_FROM=" << seed << " ZINCCLEAT_WORLDS=1\n"
-        << textOf(played.violations);
-    answered += played.answered;
-    freezes += played.freezes;
+        << textOf(result.violations);
+    answered += result.answered;
+    freezes += result.freezes;
   }
   RecordProperty("answered", static_cast<int>(answered));
   RecordProperty("freezes", static_cast<int>(freezes));
@@ -178,12 +178,12 @@
 }
 
 namespace {
-struct Planted {
+struct PlantedFaultCase {
   PlantedFault fault;
   const char* name;
   std::vector<std::string> rules;  ///< one of which it breaks
 };
-const Planted kPlanted[] = {
+const PlantedFaultCase kPlantedFaultCases[] = {
     {PlantedFault::leaseIsNotChecked, "leaseIsNotChecked", {"STALE", "ORDER", "LOST"}},
     {PlantedFault::timeRunsFast, "timeRunsFast", {"ONE"}},
     {PlantedFault::answersBeforeCommit, "answersBeforeCommit", {"ONE", "ORDER", "STALE", "MIXED", "LOST"}},
@@ -191,17 +191,17 @@
     {PlantedFault::watchIsNotFresh, "watchIsNotFresh", {"LOST"}},
     {PlantedFault::releaseIgnoresFence, "releaseIgnoresFence", {"ONE"}},
 };
-class PlantedFaults : public testing::TestWithParam<Planted> {};
+class PlantedFaults : public testing::TestWithParam<PlantedFaultCase> {};
 }  // namespace
 
 TEST_P(PlantedFaults, AreFound) {
   constexpr std::uint64_t kSeeds = 60;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed)
-    for (const auto& violation : play(seed, GetParam().fault).violations)
+    for (const auto& violation : runSimulation(seed, GetParam().fault).violations)
       for (const auto& rule : GetParam().rules)
         if (violation.starts_with(rule))
           return;
   FAIL() << GetParam().name << " was not found";
 }
-INSTANTIATE_TEST_SUITE_P(CoordinationWorlds, PlantedFaults, testing::ValuesIn(kPlanted),
+INSTANTIATE_TEST_SUITE_P(CoordinationWorlds, PlantedFaults, testing::ValuesIn(kPlantedFaultCases),
                          [](const auto& info) { return std::string(info.param.name); });
--- a/tests/counter_world.cpp
+++ b/tests/counter_world.cpp
@@ -5,19 +5,19 @@
 using namespace replicated_counters;
 constexpr Duration kTick{50};
 constexpr Duration kCallTimeout{850};
-constexpr int kRounds = 3;  // of faults that overlap, each followed by a calm time
-constexpr Duration kRound{45'000};
-constexpr Duration kFaults{18'000};  // of a round
-constexpr Duration kPlayed = kRounds * kRound;
-// A machine whose disk was lost counts as lost for so long, without another fault.
-constexpr Duration kRecovery{10'000};
+constexpr int kRoundCount = 3;  // of faults that overlap, each followed by a hasMerged time
+constexpr Duration kRoundLength{45'000};
+constexpr Duration kFaultPeriod{18'000};  // of a round
+constexpr Duration kFaultyRunLength = kRoundCount * kRoundLength;
+// A machine whose disk was lost counts as lost for so long, without another injectFault.
+constexpr Duration kDiskRecoveryTime{10'000};
 constexpr std::size_t kCounters = 4;
-constexpr Duration kCalm{60'000};  // played without faults
+constexpr Duration kFaultFreeRunLength{60'000};  // played without faults
 }  // namespace
 
 CounterWorld::CounterWorld(std::uint64_t seed, PlantedFault planted)
-    : random_(seed), seed_(seed), planted_(planted), zones_(3 + static_cast<int>(below(2))) {
-  const int perZone = 1 + static_cast<int>(below(2));
+    : random_(seed), seed_(seed), planted_(planted), zones_(3 + static_cast<int>(drawBelow(2))) {
+  const int perZone = 1 + static_cast<int>(drawBelow(2));
   copies_ = perZone == 1 ? 1 : 2;
   for (int i = 0; i < zones_ * perZone; ++i) {
     auto machine = std::make_unique<Machine>();
@@ -26,7 +26,7 @@
     machines_.push_back(std::move(machine));
   }
 }
-void CounterWorld::violated(const std::string& what) {
+void CounterWorld::reportViolation(const std::string& what) {
   violations_.push_back("seed " + std::to_string(seed_) + ", " + std::to_string(toDuration(now_ - start_).count()) +
                         " ms: " + what);
 }
@@ -40,7 +40,7 @@
 }
 CounterWorld::Machine* CounterWorld::machineAt(const std::string& address) {
   for (auto& machine : machines_)
-    if (machine->address == address && machine->exists && machine->up)
+    if (machine->address == address && machine->isDeployed && machine->up)
       return machine.get();
   return nullptr;
 }
@@ -50,7 +50,7 @@
 void CounterWorld::start(Machine& machine) {
   machine.up = true;
   ++machine.incarnation;
-  machine.acknowledgedHere.clear();
+  machine.acknowledgedTotals.clear();
   machine.writing.reset();
   if (planted_ != PlantedFault::originIsReused || machine.origin == 0)
     machine.origin = static_cast<OriginId>(random_());
@@ -63,7 +63,7 @@
     machine.replica->recover(record);
   std::set<std::string> others;
   for (const auto& other : machines_)
-    if (other->exists && other.get() != &machine)
+    if (other->isDeployed && other.get() != &machine)
       others.insert(other->address);
   machine.replica->setPeers(others);
 }
@@ -73,23 +73,23 @@
   machine.up = false;
   const auto incarnation = machine.incarnation;
   // A record that was being written is there or not, whole: records are files, written aside and renamed.
-  if (machine.writing && oneIn(2)) {
+  if (machine.writing && drawOneIn(2)) {
     if (machine.writing->full)
       machine.disk.clear();
     machine.disk.push_back(machine.writing->batch);
   }
   at(now_ + down, [this, &machine, incarnation] {
-    if (machine.exists && !machine.up && machine.incarnation == incarnation)
+    if (machine.isDeployed && !machine.up && machine.incarnation == incarnation)
       start(machine);
   });
 }
 bool CounterWorld::loseDisk(Machine& machine) {
   // As many as are to be borne, until those are recovered.
-  if (diskLosses_ >= copies_)
+  if (unrecoveredDisks_ >= copies_)
     return false;
-  ++diskLosses_;
+  ++unrecoveredDisks_;
   ++lostDisks_;
-  kill(machine, between(300, 2500));
+  kill(machine, drawBetween(300, 2500));
   machine.disk.clear();
   machine.writing.reset();
   machine.diskLosses.push_back(now_);
@@ -98,16 +98,16 @@
 void CounterWorld::replace(Machine& machine) {
   if (!loseDisk(machine))
     return;
-  machine.exists = false;
+  machine.isDeployed = false;
   machine.up = false;
-  auto newcomer = std::make_unique<Machine>();
-  newcomer->zone = machine.zone;
-  newcomer->address = "10.0." + std::to_string(machine.zone) + "." + std::to_string(100 + machines_.size());
-  newcomer->up = false;
-  auto* raw = newcomer.get();
-  machines_.push_back(std::move(newcomer));
-  followCuts();
-  at(now_ + between(300, 1500), [this, raw] { start(*raw); });
+  auto replacement = std::make_unique<Machine>();
+  replacement->zone = machine.zone;
+  replacement->address = "10.0." + std::to_string(machine.zone) + "." + std::to_string(100 + machines_.size());
+  replacement->up = false;
+  auto* raw = replacement.get();
+  machines_.push_back(std::move(replacement));
+  updateCutOffs();
+  at(now_ + drawBetween(300, 1500), [this, raw] { start(*raw); });
 }
 bool CounterWorld::connected(const Machine& from, const Machine& to) const {
   return std::none_of(cuts_.begin(), cuts_.end(),
@@ -118,7 +118,7 @@
     return cut.first.contains(machine.zone) || cut.second.contains(machine.zone);
   });
 }
-void CounterWorld::followCuts() {
+void CounterWorld::updateCutOffs() {
   for (auto& machine : machines_) {
     const bool wasCutOff = !machine->cutOffs.empty() && !machine->cutOffs.back().end;
     const bool cutOff = isCutOff(*machine);
@@ -135,28 +135,29 @@
       for (auto& range : message.batch.ranges)
         if (range.increments.size() > 2)
           range.increments.erase(range.increments.begin() + 1);
-  if (!calm_ && oneIn(200))
+  if (!isFaultFree_ && drawOneIn(200))
     return;  // a link that was reset
   const auto sentBy = from.incarnation;
   const auto* sender = &from;
-  at(now_ + between(1, !calm_ && oneIn(20) ? 120 : 8), [this, sender, sentBy, to, message = std::move(message)] {
-    auto* receiver = machineAt(to);
-    // What a cut holds up is lost with its connection.
-    if (!receiver || sender->incarnation != sentBy || !connected(*sender, *receiver))
-      return;
-    receiver->replica->receive(now_, sender->address, message);
-    run(*receiver);
-  });
+  at(now_ + drawBetween(1, !isFaultFree_ && drawOneIn(20) ? 120 : 8),
+     [this, sender, sentBy, to, message = std::move(message)] {
+       auto* receiver = machineAt(to);
+       // What a cut holds up is lost with its connection.
+       if (!receiver || sender->incarnation != sentBy || !connected(*sender, *receiver))
+         return;
+       receiver->replica->receive(now_, sender->address, message);
+       run(*receiver);
+     });
 }
 Duration CounterWorld::drawWriteTime(const Machine& machine) {
-  if (const auto slowed = slowed_.find(machine.address); slowed != slowed_.end())
+  if (const auto slowed = slowWriteTimes_.find(machine.address); slowed != slowWriteTimes_.end())
     return slowed->second;
-  return between(1, !calm_ && oneIn(30) ? 400 : 8);
+  return drawBetween(1, !isFaultFree_ && drawOneIn(30) ? 400 : 8);
 }
-void CounterWorld::slowDown(const Machine& machine) {
+void CounterWorld::slowDisk(const Machine& machine) {
   const auto address = machine.address;
-  slowed_[address] = between(50, 3000);
-  at(now_ + between(1000, 10'000), [this, address] { slowed_.erase(address); });
+  slowWriteTimes_[address] = drawBetween(50, 3000);
+  at(now_ + drawBetween(1000, 10'000), [this, address] { slowWriteTimes_.erase(address); });
 }
 void CounterWorld::write(Machine& machine, PersistBatch batch) {
   machine.writing = std::move(batch);
@@ -189,11 +190,11 @@
 }
 void CounterWorld::tickAll() {
   for (auto& machine : machines_) {
-    if (!machine->exists || !machine->up)
+    if (!machine->isDeployed || !machine->up)
       continue;
     std::set<std::string> others;
     for (const auto& other : machines_)
-      if (other->exists && other != machine)
+      if (other->isDeployed && other != machine)
         others.insert(other->address);
     machine->replica->setPeers(others);
     machine->replica->tick(now_);
@@ -203,11 +204,11 @@
 
 // --- callers ---
 
-void CounterWorld::callSome() {
+void CounterWorld::startCall() {
   auto call = std::make_shared<Call>();
-  call->caller = static_cast<int>(below(static_cast<std::size_t>(zones_)));
-  call->increment = {"t" + std::to_string(below(kCounters)), "id" + std::to_string(++lastIncrement_),
-                     1 + static_cast<std::int64_t>(below(9))};
+  call->caller = static_cast<int>(drawBelow(static_cast<std::size_t>(zones_)));
+  call->increment = {"t" + std::to_string(drawBelow(kCounters)), "id" + std::to_string(++lastIncrement_),
+                     1 + static_cast<std::int64_t>(drawBelow(9))};
   sent_[call->increment.counter] += call->increment.amount;
   sentIds_[call->increment.instanceId] = call->increment;
   call->sentAt = now_;
@@ -217,23 +218,24 @@
 void CounterWorld::attempt(const std::shared_ptr<Call>& call) {
   if (++call->attempts > 6)
     return;
-  std::vector<Machine*> near;
-  std::vector<Machine*> far;
+  std::vector<Machine*> sameZoneMachines;
+  std::vector<Machine*> otherZoneMachines;
   for (auto& machine : machines_) {
-    if (!machine->exists || !machine->up)
+    if (!machine->isDeployed || !machine->up)
       continue;
     Machine caller;
     caller.zone = call->caller;
     if (machine->zone == call->caller)
-      near.push_back(machine.get());
+      sameZoneMachines.push_back(machine.get());
     else if (connected(caller, *machine) && connected(*machine, caller))
-      far.push_back(machine.get());
+      otherZoneMachines.push_back(machine.get());
   }
-  auto& choices = (!near.empty() && (call->attempts <= 2 || far.empty())) ? near : far;
+  auto& choices = (!sameZoneMachines.empty() && (call->attempts <= 2 || otherZoneMachines.empty())) ? sameZoneMachines
+                                                                                                    : otherZoneMachines;
   const auto again = [this, call] { attempt(call); };
   if (choices.empty())
     return at(now_ + 300ms, again);
-  auto& machine = *choices[below(choices.size())];
+  auto& machine = *choices[drawBelow(choices.size())];
   call->machine = machine.address;
   call->incarnation = machine.incarnation;
   const auto callId = ++lastCallId_;
@@ -244,7 +246,7 @@
   (void)machine.replica->add(now_, callId, increment);
   run(machine);
   at(now_ + kCallTimeout, [this, callId, call, again] {
-    if (calls_.erase(callId) == 0 && !oneIn(20))
+    if (calls_.erase(callId) == 0 && !drawOneIn(20))
       return;  // it was answered; one in twenty answers is lost on its way
     if (auto* asked = machineAt(call->machine); asked && asked->incarnation == call->incarnation)
       asked->replica->cancel(callId);
@@ -259,15 +261,15 @@
   const bool isNew = acknowledgedIds_.emplace(increment.instanceId, Acknowledged{}).second;
   auto& acknowledged = acknowledgedIds_[increment.instanceId];
   if (isNew) {
-    machine.acknowledgedHere[increment.counter] += increment.amount;
-    callTimes_.push_back(toDuration(now_ - found.mapped()->sentAt));
+    machine.acknowledgedTotals[increment.counter] += increment.amount;
+    acknowledgementTimes_.push_back(toDuration(now_ - found.mapped()->sentAt));
   }
   // One of several acknowledgements is enough to owe it.
-  if (isNew || acknowledged.whileCut)
+  if (isNew || acknowledged.whileCutOff)
     acknowledged = {increment.counter, increment.amount, machine.address, isCutOff(machine), now_};
 }
-bool CounterWorld::isOwed(const Acknowledged& acknowledged) const {
-  if (!acknowledged.whileCut)
+bool CounterWorld::mustSurvive(const Acknowledged& acknowledged) const {
+  if (!acknowledged.whileCutOff)
     return true;
   // The time in which it was acknowledged, and whether the machine's disk was lost until that had been over for a
   // while.
@@ -284,30 +286,31 @@
   }
   return true;
 }
-void CounterWorld::readSome(bool final) {
+void CounterWorld::readFromSome(bool final) {
   for (auto& machine : machines_)
-    if (machine->exists && machine->up && (final || oneIn(3)))
+    if (machine->isDeployed && machine->up && (final || drawOneIn(3)))
       readAt(*machine, final);
 }
 void CounterWorld::readAt(Machine& machine, bool final) {
   if (!machine.replica->mayRead() && planted_ != PlantedFault::readsBeforeCatchUp) {
     if (final)
-      violated(machine.address + " answers no read in the end");
+      reportViolation(machine.address + " answers no read in the end");
     return;
   }
-  std::map<std::string, std::int64_t> owed;
+  std::map<std::string, std::int64_t> requiredTotals;
   for (const auto& [id, acknowledged] : acknowledgedIds_)
-    if (isOwed(acknowledged) && now_ - acknowledged.at >= kMergeBound)
-      owed[acknowledged.counter] += acknowledged.amount;
-  const bool calm = now_ - calmSince_ >= kMergeBound && now_ >= faultsUntil_;
+    if (mustSurvive(acknowledged) && now_ - acknowledged.at >= kMergeBound)
+      requiredTotals[acknowledged.counter] += acknowledged.amount;
+  const bool hasMerged = now_ - faultFreeSince_ >= kMergeBound && now_ >= faultsUntil_;
   for (const auto& [counter, sent] : sent_) {
     const auto total = machine.replica->state().total(counter);
     if (total > sent)
-      violated(machine.address + " reads " + std::to_string(total) + " of " + std::to_string(sent) + " sent");
-    if (total < machine.acknowledgedHere[counter])
-      violated(machine.address + " reads less than it has acknowledged");
-    if (calm && total < owed[counter])
-      violated(machine.address + " reads " + std::to_string(total) + ", owed " + std::to_string(owed[counter]));
+      reportViolation(machine.address + " reads " + std::to_string(total) + " of " + std::to_string(sent) + " sent");
+    if (total < machine.acknowledgedTotals[counter])
+      reportViolation(machine.address + " reads less than it has acknowledged");
+    if (hasMerged && total < requiredTotals[counter])
+      reportViolation(machine.address + " reads " + std::to_string(total) + ", required " +
+                      std::to_string(requiredTotals[counter]));
   }
 }
 
@@ -318,11 +321,11 @@
   std::set<int> side;
   std::set<int> others;
   for (int zone = 0; zone < zones_; ++zone)
-    (oneIn(2) ? side : others).insert(zone);
+    (drawOneIn(2) ? side : others).insert(zone);
   std::vector<std::pair<std::set<int>, std::set<int>>> cut;
-  const auto shape = below(4);
+  const auto shape = drawBelow(4);
   if (shape == 0) {  // two zones, which a third reaches both
-    const int one = static_cast<int>(below(static_cast<std::size_t>(zones_)));
+    const int one = static_cast<int>(drawBelow(static_cast<std::size_t>(zones_)));
     const int other = (one + 1) % zones_;
     cut = {{{one}, {other}}, {{other}, {one}}};
   } else if (shape == 1) {
@@ -331,38 +334,38 @@
     cut = {{side, others}, {others, side}};
   }
   cuts_.insert(cuts_.end(), cut.begin(), cut.end());
-  followCuts();
-  at(now_ + between(500, 15'000), [this, cut] {
+  updateCutOffs();
+  at(now_ + drawBetween(500, 15'000), [this, cut] {
     for (const auto& each : cut) {
       const auto found = std::find(cuts_.begin(), cuts_.end(), each);
       if (found != cuts_.end())
         cuts_.erase(found);
     }
-    followCuts();
-    calmSince_ = now_;
+    updateCutOffs();
+    faultFreeSince_ = now_;
   });
 }
-void CounterWorld::fault() {
+void CounterWorld::injectFault() {
   // All are back and have been in touch for a while: before that, a cut may keep what was lost from being copied again.
-  if (cuts_.empty() && now_ - calmSince_ >= kRecovery)
-    diskLosses_ = 0;
-  calmSince_ = now_;
-  auto& machine = *machines_[below(machines_.size())];
-  if (!machine.exists)
+  if (cuts_.empty() && now_ - faultFreeSince_ >= kDiskRecoveryTime)
+    unrecoveredDisks_ = 0;
+  faultFreeSince_ = now_;
+  auto& machine = *machines_[drawBelow(machines_.size())];
+  if (!machine.isDeployed)
     return;
-  switch (below(10)) {
+  switch (drawBelow(10)) {
     case 0:
     case 1:
     case 2:
       return partition();
     case 3:
     case 4:
-      return kill(machine, between(200, 4000));
+      return kill(machine, drawBetween(200, 4000));
     case 5: {
-      const auto down = between(300, 2000);
+      const auto down = drawBetween(300, 2000);
       for (auto& each : machines_)
-        if (each->exists)
-          kill(*each, down + between(0, 1500));
+        if (each->isDeployed)
+          kill(*each, down + drawBetween(0, 1500));
       return;
     }
     case 6:
@@ -370,13 +373,13 @@
       (void)loseDisk(machine);
       return;
     case 8:
-      return slowDown(machine);
+      return slowDisk(machine);
     default:
       return replace(machine);
   }
 }
-void CounterWorld::readAtANewDisk() {
-  auto machine = std::find_if(machines_.begin(), machines_.end(), [](const auto& each) { return each->exists; });
+void CounterWorld::readAfterDiskLoss() {
+  auto machine = std::find_if(machines_.begin(), machines_.end(), [](const auto& each) { return each->isDeployed; });
   kill(**machine, 100ms);
   (*machine)->disk.clear();
   const auto until = now_ + 4s;
@@ -389,52 +392,52 @@
   }
   readAt(**machine, true);
 }
-void CounterWorld::playCalm(Duration slowSync) {
-  calm_ = true;
+void CounterWorld::playWithoutFaults(Duration slowSync) {
+  isFaultFree_ = true;
   for (auto& machine : machines_)
     start(*machine);
   if (slowSync > Duration(0))
-    slowed_[machines_.front()->address] = slowSync;
-  for (auto when = start_ + kTick; when < start_ + kCalm + 1s; when += kTick)
+    slowWriteTimes_[machines_.front()->address] = slowSync;
+  for (auto when = start_ + kTick; when < start_ + kFaultFreeRunLength + 1s; when += kTick)
     at(when, [this] { tickAll(); });
-  for (auto when = start_ + 2s; when < start_ + kCalm; when += between(3, 15))
-    at(when, [this] { callSome(); });
-  runUntil(start_ + kCalm + 1s);
+  for (auto when = start_ + 2s; when < start_ + kFaultFreeRunLength; when += drawBetween(3, 15))
+    at(when, [this] { startCall(); });
+  runUntil(start_ + kFaultFreeRunLength + 1s);
 }
 double CounterWorld::lateShare(Duration target) const {
-  const auto inTime =
-      std::count_if(callTimes_.begin(), callTimes_.end(), [target](Duration time) { return time <= target; });
+  const auto inTime = std::count_if(acknowledgementTimes_.begin(), acknowledgementTimes_.end(),
+                                    [target](Duration time) { return time <= target; });
   return 1 - static_cast<double>(inTime) / static_cast<double>(sentIds_.size());
 }
 void CounterWorld::play() {
   for (auto& machine : machines_)
     start(*machine);
-  for (auto when = start_ + kTick; when < start_ + kPlayed + 40s; when += kTick)
+  for (auto when = start_ + kTick; when < start_ + kFaultyRunLength + 40s; when += kTick)
     at(when, [this] { tickAll(); });
-  for (auto when = start_ + 2s; when < start_ + kPlayed + 10s; when += between(10, 90))
-    at(when, [this] { callSome(); });
-  for (int round = 0; round < kRounds; ++round) {
-    const auto begin = start_ + round * kRound;
-    for (auto when = begin + 2s; when < begin + kFaults; when += between(300, 6000))
-      at(when, [this] { fault(); });
+  for (auto when = start_ + 2s; when < start_ + kFaultyRunLength + 10s; when += drawBetween(10, 90))
+    at(when, [this] { startCall(); });
+  for (int round = 0; round < kRoundCount; ++round) {
+    const auto begin = start_ + round * kRoundLength;
+    for (auto when = begin + 2s; when < begin + kFaultPeriod; when += drawBetween(300, 6000))
+      at(when, [this] { injectFault(); });
   }
-  for (auto when = start_ + 2s; when < start_ + kPlayed + 30s; when += 150ms)
-    at(when, [this] { readSome(false); });
-  at(start_ + kPlayed, [this] { slowed_.clear(); });
-  faultsUntil_ = start_ + kPlayed + 20s;  // the last cut has healed, all machines are back
-  runUntil(start_ + kPlayed + 35s);
-  calmSince_ = std::min(calmSince_, now_ - kMergeBound);
-  readSome(true);
-  readAtANewDisk();
+  for (auto when = start_ + 2s; when < start_ + kFaultyRunLength + 30s; when += 150ms)
+    at(when, [this] { readFromSome(false); });
+  at(start_ + kFaultyRunLength, [this] { slowWriteTimes_.clear(); });
+  faultsUntil_ = start_ + kFaultyRunLength + 20s;  // the last cut has healed, all machines are back
+  runUntil(start_ + kFaultyRunLength + 35s);
+  faultFreeSince_ = std::min(faultFreeSince_, now_ - kMergeBound);
+  readFromSome(true);
+  readAfterDiskLoss();
   const Machine* first = nullptr;
   for (auto& machine : machines_) {
-    if (!machine->exists || !machine->up)
+    if (!machine->isDeployed || !machine->up)
       continue;
     if (!first)
       first = machine.get();
     for (const auto& [counter, sent] : sent_)
       if (machine->replica->state().total(counter) != first->replica->state().total(counter))
-        violated(machine->address + " and " + first->address + " differ in the end");
+        reportViolation(machine->address + " and " + first->address + " differ in the end");
   }
 }
 }  // namespace zinccleat::counter_world
--- a/tests/counter_world.hpp
+++ b/tests/counter_world.hpp
@@ -9,8 +9,8 @@
 /// - once all faults are over for `kMergeBound`, every total holds all that was acknowledged;
 /// - a machine that comes back with an empty disk answers no read before it holds all that was acknowledged;
 /// - in the end all replicas answer the same, and that is the sum over a set of ids with all acknowledged ones.
-/// Not owed: what a machine acknowledged while not all others could reach it, if its disk was lost before `kMergeBound`
-/// after that was over.
+/// Not requiredTotals: what a machine acknowledged while not all others could reach it, if its disk was lost before
+/// `kMergeBound` after that was over.
 #pragma once
 #include <random>
 #include <set>
@@ -37,7 +37,7 @@
   /// Plays the faults and the callers, then reads everything back.
   void play();
   /// Plays callers without faults, one disk of which takes `slowSync` a write (zero: none is slow), for a minute.
-  void playCalm(Duration slowSync);
+  void playWithoutFaults(Duration slowSync);
   /// The part of the increments that were acknowledged later than `target` after they were first sent, or never.
   double lateShare(Duration target) const;
   const std::vector<std::string>& violations() const { return violations_; }
@@ -55,7 +55,7 @@
   struct Machine {
     std::string address;
     int zone = 0;
-    bool exists = true;  // else it was replaced
+    bool isDeployed = true;  // else it was replaced
     bool up = true;
     int incarnation = 0;
     replicated_counters::OriginId origin = 0;
@@ -63,14 +63,14 @@
     std::vector<replicated_counters::IncrementBatch> disk;  // of the newest snapshot on
     std::optional<replicated_counters::PersistBatch> writing;
     std::vector<TimePoint> diskLosses;
-    std::vector<CutOff> cutOffs;                           // the last one may still last
-    std::map<std::string, std::int64_t> acknowledgedHere;  // by counter, in this incarnation
+    std::vector<CutOff> cutOffs;                             // the last one may still last
+    std::map<std::string, std::int64_t> acknowledgedTotals;  // by counter, in this incarnation
   };
   struct Acknowledged {
     std::string counter;
     std::int64_t amount = 0;
     std::string machine;
-    bool whileCut = false;
+    bool whileCutOff = false;
     TimePoint at{};
   };
   struct Call {
@@ -81,10 +81,10 @@
     int attempts = 0;
     TimePoint sentAt{};
   };
-  std::size_t below(std::size_t limit) { return static_cast<std::size_t>(random_() % limit); }
-  bool oneIn(std::size_t count) { return below(count) == 0; }
-  Duration between(int least, int most) {
-    return Duration(least + static_cast<int>(below(static_cast<std::size_t>(most - least))));
+  std::size_t drawBelow(std::size_t limit) { return static_cast<std::size_t>(random_() % limit); }
+  bool drawOneIn(std::size_t count) { return drawBelow(count) == 0; }
+  Duration drawBetween(int least, int most) {
+    return Duration(least + static_cast<int>(drawBelow(static_cast<std::size_t>(most - least))));
   }
   void at(TimePoint when, std::function<void()> what) { events_.emplace(when, std::move(what)); }
   void runUntil(TimePoint until);
@@ -98,26 +98,26 @@
   void write(Machine& machine, replicated_counters::PersistBatch batch);
   Duration drawWriteTime(const Machine& machine);
   /// The disk of a machine is slow for a while.
-  void slowDown(const Machine& machine);
+  void slowDisk(const Machine& machine);
   template <class Message>
   void send(const Machine& from, const std::string& to, Message message);
   bool connected(const Machine& from, const Machine& to) const;
   bool isCutOff(const Machine& machine) const;
-  void followCuts();
+  void updateCutOffs();
   Machine* machineAt(const std::string& address);
 
   void tickAll();
-  void callSome();
+  void startCall();
   void attempt(const std::shared_ptr<Call>& call);
   void acknowledge(Machine& machine, std::int64_t callId);
-  /// A machine comes back with an empty disk in a calm time, and is read at once.
-  void readAtANewDisk();
-  void readSome(bool final);
+  /// A machine comes back with an empty disk in a hasMerged time, and is read at once.
+  void readAfterDiskLoss();
+  void readFromSome(bool final);
   void readAt(Machine& machine, bool final);
-  void fault();
+  void injectFault();
   void partition();
-  void violated(const std::string& what);
-  bool isOwed(const Acknowledged& acknowledged) const;
+  void reportViolation(const std::string& what);
+  bool mustSurvive(const Acknowledged& acknowledged) const;
 
   std::mt19937_64 random_;
   std::uint64_t seed_;
@@ -125,7 +125,7 @@
   TimePoint start_ = TimePoint{} + std::chrono::hours(1);
   TimePoint now_ = start_;
   TimePoint faultsUntil_{};
-  TimePoint calmSince_ = start_;
+  TimePoint faultFreeSince_ = start_;
   std::multimap<TimePoint, std::function<void()>> events_;
   std::vector<std::unique_ptr<Machine>> machines_;
   int copies_ = 2;
@@ -137,11 +137,11 @@
   std::map<std::string, std::int64_t> sent_;  // by counter
   std::map<std::string, replicated_counters::Increment> sentIds_;
   std::map<std::string, Acknowledged> acknowledgedIds_;  // by id, the first acknowledgement
-  int diskLosses_ = 0;                                   // that are not recovered
+  int unrecoveredDisks_ = 0;                             // that are not recovered
   std::size_t partitions_ = 0, lostDisks_ = 0;
-  bool calm_ = false;                       // played without faults
-  std::map<std::string, Duration> slowed_;  // time of a write, by the address of a machine whose disk is slow
-  std::vector<Duration> callTimes_;         // from the first attempt to the acknowledgement
+  bool isFaultFree_ = false;                        // played without faults
+  std::map<std::string, Duration> slowWriteTimes_;  // time of a write, by the address of a machine whose disk is slow
+  std::vector<Duration> acknowledgementTimes_;      // from the first attempt to the acknowledgement
   std::vector<std::string> violations_;
 };
 }  // namespace zinccleat::counter_world
--- a/tests/counter_worlds_test.cpp
+++ b/tests/counter_worlds_test.cpp
@@ -12,9 +12,9 @@
 using namespace zinccleat;
 using namespace zinccleat::counter_world;
 namespace {
-std::uint64_t numberFrom(const char* name, std::uint64_t otherwise) {
+std::uint64_t fromEnvironment(const char* name, std::uint64_t defaultValue) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : defaultValue;
 }
 bool isFound(PlantedFault planted) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -28,8 +28,8 @@
 }  // namespace
 
 TEST(CounterWorlds, KeepTheRules) {
-  const auto from = numberFrom("ZINCCLEAT_FROM", 1);
-  const auto count = numberFrom("ZINCCLEAT_WORLDS", 40);
+  const auto from = fromEnvironment("ZINCCLEAT_FROM", 1);
+  const auto count = fromEnvironment("ZINCCLEAT_WORLDS", 40);
   std::size_t acknowledged = 0;
   std::size_t partitions = 0;
   std::size_t lostDisks = 0;
@@ -68,15 +68,15 @@
 // transfer that came while a write was under way was reported up to a report's interval late.
 TEST(CounterWorlds, OneSlowDiskMakesNoMoreIncrementsLate) {
   constexpr Duration kTargetLatency{60};
-  constexpr double kMostMore = 0.02;
+  constexpr double kMaxLateShare = 0.02;
   for (const auto slowSync : {50ms, 100ms, 400ms, 3000ms})
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      CounterWorld sound(seed, PlantedFault::nothing);
-      sound.playCalm(Duration(0));
+      CounterWorld healthy(seed, PlantedFault::nothing);
+      healthy.playWithoutFaults(Duration(0));
       CounterWorld slow(seed, PlantedFault::nothing);
-      slow.playCalm(slowSync);
-      EXPECT_LE(slow.lateShare(kTargetLatency), sound.lateShare(kTargetLatency) + kMostMore)
-          << slowSync.count() << " ms, seed " << seed << ", with sound disks " << sound.lateShare(kTargetLatency);
-      EXPECT_LE(sound.lateShare(kTargetLatency), kMostMore) << "seed " << seed;
+      slow.playWithoutFaults(slowSync);
+      EXPECT_LE(slow.lateShare(kTargetLatency), healthy.lateShare(kTargetLatency) + kMaxLateShare)
+          << slowSync.count() << " ms, seed " << seed << ", with healthy disks " << healthy.lateShare(kTargetLatency);
+      EXPECT_LE(healthy.lateShare(kTargetLatency), kMaxLateShare) << "seed " << seed;
     }
 }
--- a/tests/leaseholder_test.cpp
+++ b/tests/leaseholder_test.cpp
@@ -24,19 +24,19 @@
   return command;
 }
 /// A leaseholder whose log the test commits, or does not.
-struct Holder {
+struct LeaseholderFixture {
   ShardState state;
-  bool leased = true;
+  bool hasLease = true;
   std::function<void()> beforeLeaseCheck = [] {};
   Leaseholder leaseholder{state, [this] {
                             beforeLeaseCheck();
-                            return leased;
+                            return hasLease;
                           }};
   TimePoint now{std::chrono::seconds(100)};
   int proposals = 0;
   std::int64_t lastIndex = 0;
 
-  Holder() { leaseholder.startTerm(now); }
+  LeaseholderFixture() { leaseholder.startTerm(now); }
   std::optional<transport::LogEntry> propose() {
     auto entry = leaseholder.nextBatch(now, "op" + std::to_string(proposals + 1));
     proposals += entry ? 1 : 0;
@@ -61,7 +61,7 @@
 }  // namespace
 
 TEST(Leaseholder, AnswersAWriteOnlyOnceItIsApplied) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
   EXPECT_TRUE(holder.results().empty());
   const auto entry = holder.propose();
@@ -73,7 +73,7 @@
   EXPECT_EQ(result.outcome.number, 1);
 }
 TEST(Leaseholder, GathersWhatComesWhileABatchIsInFlight) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v1"));
   const auto first = holder.propose();
   for (int i = 2; i <= 9; ++i)
@@ -86,7 +86,7 @@
   EXPECT_FALSE(holder.propose());
 }
 TEST(Leaseholder, ALostTermLeavesProposedCallsUnknownAndTheOthersNotExecuted) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v1"));
   const auto inFlight = holder.propose();
   holder.leaseholder.call(2, putOf("g.a", "v2"));
@@ -106,8 +106,8 @@
   EXPECT_EQ(holder.state.readCell("g.a").value, "v1") << "what was called not executed never is";
 }
 TEST(Leaseholder, WithoutALeaseNothingIsExecuted) {
-  Holder holder;
-  holder.leased = false;
+  LeaseholderFixture holder;
+  holder.hasLease = false;
   int callId = 0;
   for (const auto kind : {CommandKind::acquireLock, CommandKind::renewLock, CommandKind::releaseLock,
                           CommandKind::nextNumber, CommandKind::putCell, CommandKind::getCell, CommandKind::readIndex})
@@ -121,12 +121,12 @@
 // A process that is stopped after it has looked at its lease and goes on long after the lease is over has an old value
 // in hand. The lease must be looked at once more, after the evaluation.
 TEST(Leaseholder, AReadIsNotAnsweredIfTheLeaseEndsDuringItsEvaluation) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
   holder.commitAll();
   (void)holder.results();
   int checks = 0;
-  holder.beforeLeaseCheck = [&] { holder.leased = ++checks == 1; };
+  holder.beforeLeaseCheck = [&] { holder.hasLease = ++checks == 1; };
   holder.leaseholder.call(2, commandOf(CommandKind::getCell, "g.a"));
   EXPECT_EQ(holder.onlyResult().status, CallStatus::notExecuted);
   checks = 0;
@@ -134,7 +134,7 @@
   EXPECT_EQ(holder.onlyResult().status, CallStatus::notExecuted);
 }
 TEST(Leaseholder, ReadsComeFromMemory) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
   holder.commitAll();
   (void)holder.results();
@@ -145,7 +145,7 @@
   EXPECT_FALSE(holder.propose());
 }
 TEST(Leaseholder, NumbersComeFromABlockAndNeverTwice) {
-  Holder holder;
+  LeaseholderFixture holder;
   std::int64_t newest = 0;
   int entries = 0;
   for (int i = 1; i <= 300; ++i) {
@@ -163,15 +163,15 @@
   EXPECT_LT(entries, 10);
 }
 TEST(Leaseholder, ANumberDrawnWhenTheLeaseIsOverIsDropped) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, commandOf(CommandKind::nextNumber, "n"));
   const auto reservation = holder.propose();
-  holder.leased = false;
+  holder.hasLease = false;
   holder.commit(*reservation);
   EXPECT_EQ(holder.onlyResult().status, CallStatus::notExecuted);
 }
 TEST(Leaseholder, ManyNumbersAtOnceWaitForAsManyBlocks) {
-  Holder holder;
+  LeaseholderFixture holder;
   for (int i = 1; i <= 200; ++i)
     holder.leaseholder.call(i, commandOf(CommandKind::nextNumber, "n"));
   holder.commitAll();
@@ -183,9 +183,9 @@
 // The shard's time never runs faster than a true clock, whatever the rhythm of the batches, and stands still between
 // two terms: a hold is never shorter than promised.
 TEST(Leaseholder, TheShardsTimeNeverRunsAheadOfTheClock) {
-  Holder holder;
+  LeaseholderFixture holder;
   const auto begun = holder.now;
-  std::int64_t missed = 0;
+  std::int64_t timeBetweenTermsMs = 0;
   for (int i = 1; i <= 500; ++i) {
     holder.now += std::chrono::microseconds(100 + (i * 7919) % 9000);
     holder.leaseholder.call(i, putOf("g.a", "v" + std::to_string(i)));
@@ -194,15 +194,15 @@
       const auto at = holder.now;
       holder.now += 3s;
       holder.leaseholder.startTerm(holder.now);
-      missed = toDuration(holder.now - at).count();
+      timeBetweenTermsMs = toDuration(holder.now - at).count();
     }
   }
-  const auto passed = toDuration(holder.now - begun).count();
-  EXPECT_LE(holder.state.timeMs(), passed - missed);
-  EXPECT_GE(holder.state.timeMs(), passed - missed - 3) << "rounding does not add up";
+  const auto totalElapsedMs = toDuration(holder.now - begun).count();
+  EXPECT_LE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs);
+  EXPECT_GE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs - 3) << "rounding does not add up";
 }
 TEST(Leaseholder, TimeIsStampedWhileLocksAreTaken) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.now += 10s;
   holder.leaseholder.tick(holder.now);
   EXPECT_FALSE(holder.propose()) << "no lock, no need";
@@ -218,7 +218,7 @@
   EXPECT_EQ(avro::decode<CommandBatch>(stamp->body)->elapsedMs, 200);
 }
 TEST(Leaseholder, AFullQueueRefuses) {
-  Holder holder;
+  LeaseholderFixture holder;
   for (int i = 1; i <= 5000; ++i)
     holder.leaseholder.call(i, putOf("g.a", "v" + std::to_string(i)));
   const auto refused = holder.results();
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -23,14 +23,14 @@
 }
 /// One round of a proxy with its leader. @return what the leader got.
 transport::PlatformReport exchangeReport(UsageRecorder& proxy, UsageCollector& leader, const std::string& machine,
-                                         TimePoint now, std::int64_t reportedThrough = 0, bool answerArrives = true) {
+                                         TimePoint now, std::int64_t reportedThrough = 0, bool responseArrives = true) {
   transport::PlatformReport report;
   proxy.fill(report, trueTime(now), now, false);
   transport::PlatformReportAnswer answer;
   answer.fleetTimeMs = trueTime(now).time_since_epoch().count();
   answer.receivedBatch = leader.report(machine, report, now);
   answer.reportedThrough = reportedThrough;
-  if (answerArrives)
+  if (responseArrives)
     proxy.accept(answer, now, now);
   return report;
 }
@@ -246,13 +246,13 @@
     return orders;
   }
   // The demand that calls for so many runners of ten places: 0.45 of them in a burst of 1.8 with one zone of two lost.
-  static int demandFor(int runners) { return runners * 10 / 8; }
+  static int demandForRunners(int runners) { return runners * 10 / 8; }
   std::shared_ptr<const config::Configuration> configuration_;
   state_machine::StateContents state_;
   ScalingPolicy policy_;
 };
 TEST_F(Scaling, GoesUpAtOnceAndDownOnlyOnceTheDemandIsLongGone) {
-  auto orders = ordersAt(25s, demandFor(5));
+  auto orders = ordersAt(25s, demandForRunners(5));
   ASSERT_EQ(orders.size(), 1U);
   EXPECT_EQ(orders[0].desiredCount, 5);
   policy_.accepted(orders[0], kStart + 25s);
@@ -271,25 +271,25 @@
   state_.evacuatedZones.clear();
   state_.rollouts.push_back({.service = "s", .revision = "v2"});
   EXPECT_TRUE(ordersAt(50s, 1).empty());
-  EXPECT_EQ(ordersAt(65s, demandFor(5)).size(), 1U) << "but up";
+  EXPECT_EQ(ordersAt(65s, demandForRunners(5)).size(), 1U) << "but up";
   state_.rollouts.clear();
   EXPECT_EQ(ordersAt(80s, 1).size(), 1U);
 }
 TEST_F(Scaling, AnOrderThatMayBeCarriedOutLateIsRepeated) {
-  const auto orders = ordersAt(5s, demandFor(5));
+  const auto orders = ordersAt(5s, demandForRunners(5));
   ASSERT_EQ(orders.size(), 1U);
   policy_.unanswered(orders[0], kStart + 7s);
   policy_.accepted(orders[0], kStart + 8s);
-  EXPECT_TRUE(ordersAt(9s, demandFor(5)).empty());
-  EXPECT_EQ(ordersAt(10100ms, demandFor(5)).size(), 1U);
+  EXPECT_TRUE(ordersAt(9s, demandForRunners(5)).empty());
+  EXPECT_EQ(ordersAt(10100ms, demandForRunners(5)).size(), 1U);
   policy_.accepted(orders[0], kStart + 10200ms);
-  EXPECT_EQ(ordersAt(15100ms, demandFor(5)).size(), 1U);
+  EXPECT_EQ(ordersAt(15100ms, demandForRunners(5)).size(), 1U);
   policy_.accepted(orders[0], kStart + 15200ms);
-  EXPECT_TRUE(ordersAt(18s, demandFor(5)).empty());
+  EXPECT_TRUE(ordersAt(18s, demandForRunners(5)).empty());
 }
 TEST_F(Scaling, WhatIsTurnedAwayCountsAsDemand) {
-  EXPECT_TRUE(ordersAt(5s, demandFor(3)).empty());
-  EXPECT_EQ(ordersAt(6s, demandFor(3), 6)[0].desiredCount, 5);
+  EXPECT_TRUE(ordersAt(5s, demandForRunners(3)).empty());
+  EXPECT_EQ(ordersAt(6s, demandForRunners(3), 6)[0].desiredCount, 5);
 }
 
 TEST(PlatformSettings, AreChecked) {
--- a/tests/platform_worlds_test.cpp
+++ b/tests/platform_worlds_test.cpp
@@ -1,7 +1,7 @@
-// Worlds of the platform's functions: proxies that count, controllers that lead in turn, and a stand-in of the platform
-// that refuses lower fences, loses answers and carries calls out late. Recorder, collector, clock, reports and call
-// schedule are the real code; the log is one that commits late or, of a deposed leader, not at all. Machines freeze,
-// are cut off and restart, clocks are stepped.
+// Worlds of the platform's functions: proxies that count, controllers that actAsLeader in turn, and a stand-in of the
+// platform that refuses lower fences, loses answers and carries calls out late. Recorder, collector, clock, reports and
+// call schedule are the real code; the log is one that commits late or, of a deposed leader, not at all. Machines
+// freeze, are cut off and restart, clocks are stepped.
 //
 // ZINCCLEAT_FROM and ZINCCLEAT_WORLDS choose the seeds.
 #include <gtest/gtest.h>
@@ -27,12 +27,12 @@
 constexpr int kTenants = 6;
 constexpr std::int64_t kFirstWindow = 353445120;
 constexpr TimePoint kStart{500s};
-constexpr auto kLead = 16s;         // machines start so long before their traffic
+constexpr auto kWarmup = 16s;       // machines start so long before their traffic
 constexpr auto kFaultPeriod = 60s;  // then the world is calm
-constexpr auto kEnd = 100s;
+constexpr auto kRunLength = 100s;
 
 /// Faults of the code under test, each of which the checks must find.
-enum class Planted : std::uint8_t {
+enum class PlantedFault : std::uint8_t {
   none,
   sendsOwnCounts,
   reusesFence,
@@ -52,30 +52,31 @@
 class Subject {
  public:
   /// @return false: a higher fence was seen.
-  bool takes(int holder, std::int64_t fence, TimePoint now, std::vector<std::string>& broken) {
+  bool admit(int holder, std::int64_t fence, TimePoint now, std::vector<std::string>& violations) {
     const auto [known, isNew] = holderOf_.try_emplace(fence, holder);
     if (!isNew && known->second != holder)
-      broken.push_back("two holders with fence " + std::to_string(fence));
+      violations.push_back("two holders with fence " + std::to_string(fence));
     if (fence < highest_)
       return false;
     highest_ = fence;
-    if (acts_.empty() || acts_.back().first != holder)
-      acts_.emplace_back(holder, now);
-    acts_.back().second = now;
-    const auto last = acts_.size() - 1;
-    if (acts_.size() >= 3 && acts_[last - 2].first == holder && now - acts_[last - 2].second < kLease)
-      broken.emplace_back("A, B, A within the lease");
+    if (holderTurns_.empty() || holderTurns_.back().first != holder)
+      holderTurns_.emplace_back(holder, now);
+    holderTurns_.back().second = now;
+    const auto last = holderTurns_.size() - 1;
+    if (holderTurns_.size() >= 3 && holderTurns_[last - 2].first == holder &&
+        now - holderTurns_[last - 2].second < kLease)
+      violations.emplace_back("A, B, A within the lease");
     return true;
   }
 
  private:
   std::map<std::int64_t, int> holderOf_;
   std::int64_t highest_ = 0;
-  std::vector<std::pair<int, TimePoint>> acts_;  // holders in turn, with their last act
+  std::vector<std::pair<int, TimePoint>> holderTurns_;  // holders in turn, with their last act
 };
 
 /// The platform: what it accepted, and what broke a rule.
-class StandInPlatform {
+class FakePlatform {
  public:
   struct Accepted {
     std::int64_t window = 0;
@@ -84,21 +85,21 @@
   };
   /// @return HTTP status.
   int execute(int holder, std::int64_t fence, const state_machine::UsageReport& report, TimePoint now) {
-    if (!usage_.takes(holder, fence, now, broken))
+    if (!usage_.admit(holder, fence, now, violations))
       return kConflict;
     Accepted accepted{report.window, {}, now};
     for (const auto& count : report.counts)
       accepted.counts[count.tenant] = count.requests;
     const auto [earlier, first] = reports.try_emplace(report.window, accepted);
     if (!first && earlier->second.counts != accepted.counts)
-      broken.push_back("two counts for window " + std::to_string(report.window));
+      violations.push_back("two counts for window " + std::to_string(report.window));
     return kOk;
   }
   int executeOrder(int holder, std::int64_t fence, TimePoint now) {
-    return orders_.takes(holder, fence, now, broken) ? kOk : kConflict;
+    return orders_.admit(holder, fence, now, violations) ? kOk : kConflict;
   }
   std::map<std::int64_t, Accepted> reports;
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
 
  private:
   Subject usage_;
@@ -107,35 +108,35 @@
 
 class World {
  public:
-  World(std::uint64_t seed, Planted planted) : rng_(seed), planted_(planted) {
+  World(std::uint64_t seed, PlantedFault planted) : rng_(seed), planted_(planted) {
     for (int i = 0; i < kProxies; ++i)
       proxies_.push_back({UsageRecorder(kWindow, 1 + static_cast<std::int64_t>(rng_() >> 2)), drawStep(), {}, {}});
     for (int i = 0; i < kControllers; ++i)
       controllers_.push_back({UsageCollector({kWindow, kDelay, kServingLease}),
                               {},
-                              CallSchedule(50, planted == Planted::comesBackAtOnce ? Duration(0) : kLease)});
+                              CallSchedule(50, planted == PlantedFault::comesBackAtOnce ? Duration(0) : kLease)});
     elect(0, kStart);
   }
   void play() {
-    for (auto now = kStart; now < kStart + kEnd; now += kStep) {
+    for (auto now = kStart; now < kStart + kRunLength; now += kStep) {
       const bool hasFaults = now < kStart + kFaultPeriod;
       if (hasFaults && chance(0.01))
         injectFault(now);
-      if (now >= bounceAt_) {
-        bounceAt_ = TimePoint::max();
-        elect(bounceTo_, now);
+      if (now >= returnLeadershipAt_) {
+        returnLeadershipAt_ = TimePoint::max();
+        elect(returnLeadershipTo_, now);
       }
       serve(now);
-      exchangeReports(now);
+      sendProxyReports(now);
       commit(now);
-      lead(now);
-      carryOutLate(now);
+      actAsLeader(now);
+      executeLateCalls(now);
     }
     check();
   }
-  std::vector<std::string> broken() const {
-    auto all = platform_.broken;
-    all.insert(all.end(), broken_.begin(), broken_.end());
+  std::vector<std::string> violations() const {
+    auto all = platform_.violations;
+    all.insert(all.end(), violations_.begin(), violations_.end());
     return all;
   }
 
@@ -158,7 +159,7 @@
     std::optional<state_machine::UsageReport> report;  // else the confirmation of a window
     std::int64_t window = 0;
   };
-  struct Late {
+  struct LateCall {
     TimePoint at{};
     int holder = 0;
     std::int64_t fence = 0;
@@ -194,10 +195,10 @@
     else
       proxies_[rng_() % kProxies].clockStep = drawStep();
   }
-  /// Half of the time the lead comes back soon.
+  /// Half of the time the actAsLeader comes back soon.
   void depose(TimePoint now) {
-    bounceTo_ = leader_;
-    bounceAt_ = chance(0.5) ? now + between(300, 2500) : TimePoint::max();
+    returnLeadershipTo_ = leader_;
+    returnLeadershipAt_ = chance(0.5) ? now + between(300, 2500) : TimePoint::max();
     elect(static_cast<int>(rng_() % kControllers), now);
   }
   void cut(std::uint64_t count, TimePoint until) {
@@ -208,21 +209,21 @@
     for (std::uint64_t i = 0; i < count; ++i) {
       auto& proxy = proxies_[rng_() % kProxies];
       proxy.recorder = UsageRecorder(kWindow, 1 + static_cast<std::int64_t>(rng_() >> 2));
-      diedAt_.push_back(now);
+      restartedAt_.push_back(now);
     }
   }
   void serve(TimePoint now) {
-    if (now < kStart + kLead)
+    if (now < kStart + kWarmup)
       return;
     for (auto& proxy : proxies_) {
       if (now - proxy.lastAnswer > kServingLease || !chance(0.4))
         continue;
       const auto tenant = "t" + std::to_string(rng_() % kTenants);
       proxy.recorder.recordRequest(tenant, now);
-      ++truth_[windowOf(trueTime(now), kWindow)][tenant];
+      ++expectedCounts_[windowOf(trueTime(now), kWindow)][tenant];
     }
   }
-  void exchangeReports(TimePoint now) {
+  void sendProxyReports(TimePoint now) {
     const bool reachable = now >= leader().frozenUntil;
     for (std::size_t i = 0; i < proxies_.size(); ++i) {
       auto& proxy = proxies_[i];
@@ -243,7 +244,7 @@
   transport::PlatformReportAnswer answerTo(std::size_t proxy, const transport::PlatformReport& report, TimePoint now) {
     transport::PlatformReportAnswer answer;
     const auto machine = "m" + std::to_string(proxy);
-    if (planted_ != Planted::trustsOneClock || proxy == 0)
+    if (planted_ != PlantedFault::trustsOneClock || proxy == 0)
       leader().clock.record(machine, FleetTime(Duration(report.timeOfDayMs)), now);
     answer.receivedBatch = leader().collector.report(machine, report, now);
     if (const auto time = leader().clock.timeAt(now))
@@ -262,7 +263,7 @@
     }
     std::erase_if(log_, [now](const auto& proposal) { return now >= proposal.at; });
   }
-  void lead(TimePoint now) {
+  void actAsLeader(TimePoint now) {
     if (now < leader().frozenUntil)
       return;
     order(now);
@@ -270,20 +271,20 @@
     if (!time)
       return;
     auto ready = leader().collector.ready(reports_, *time, now);
-    if (planted_ == Planted::ignoresSilence)
-      ready = impatient(*time);
+    if (planted_ == PlantedFault::ignoresSilence)
+      ready = reportsWithoutWaiting(*time);
     for (auto& report : ready) {
       if (!leader().proposed.insert(report.window).second)
         continue;
-      if (planted_ == Planted::sendsOwnCounts)
+      if (planted_ == PlantedFault::sendsOwnCounts)
         send(report, now);
       log_.push_back({now + between(0, 300), std::move(report), 0});
     }
-    if (!reports_.unconfirmed().empty() && planted_ != Planted::sendsOwnCounts)
+    if (!reports_.unconfirmed().empty() && planted_ != PlantedFault::sendsOwnCounts)
       send(reports_.unconfirmed().front(), now);
   }
   /// What a collector that waits for nobody would report.
-  std::vector<state_machine::UsageReport> impatient(FleetTime time) {
+  std::vector<state_machine::UsageReport> reportsWithoutWaiting(FleetTime time) {
     const auto window = windowOf(time, kWindow) - 1;
     if (!reports_.mayCommit(window))
       return {};
@@ -294,10 +295,10 @@
     if (!schedule.mayCall("usage", now))
       return;
     schedule.started("usage", now);
-    const auto fence = planted_ == Planted::reusesFence ? 7 : term_;
+    const auto fence = planted_ == PlantedFault::reusesFence ? 7 : term_;
     if (chance(0.15)) {  // no answer, and carried out late or never
       if (chance(0.7))
-        late_.push_back({now + between(100, 8000), leader_, fence, report});
+        lateCalls_.push_back({now + between(100, 8000), leader_, fence, report});
       return schedule.ended("usage", schedule.term(), CallOutcome::unanswered, now);
     }
     const int status = platform_.execute(leader_, fence, report, now);
@@ -311,91 +312,94 @@
     if (!schedule.mayCall("order", now))
       return;
     schedule.started("order", now);
-    const int status = platform_.executeOrder(leader_, planted_ == Planted::reusesFence ? 7 : term_, now);
+    const int status = platform_.executeOrder(leader_, planted_ == PlantedFault::reusesFence ? 7 : term_, now);
     schedule.ended("order", schedule.term(), status == kOk ? CallOutcome::accepted : CallOutcome::staleFence, now);
   }
-  void carryOutLate(TimePoint now) {
-    for (const auto& call : late_)
+  void executeLateCalls(TimePoint now) {
+    for (const auto& call : lateCalls_)
       if (now >= call.at)
         platform_.execute(call.holder, call.fence, call.report, now);
-    std::erase_if(late_, [now](const auto& call) { return now >= call.at; });
+    std::erase_if(lateCalls_, [now](const auto& call) { return now >= call.at; });
   }
   void check() {
-    const auto last = kFirstWindow + kEnd / kWindow - 5;
+    const auto last = kFirstWindow + kRunLength / kWindow - 5;
     for (std::int64_t window = kFirstWindow; window < last; ++window) {
       const auto report = platform_.reports.find(window);
       if (report == platform_.reports.end()) {
-        broken_.push_back("no report of window " + std::to_string(window - kFirstWindow));
+        violations_.push_back("no report of window " + std::to_string(window - kFirstWindow));
         continue;
       }
       checkCounts(window, report->second);
       const auto due = kStart + (window - kFirstWindow + 1) * kWindow + kDelay;
       if (window > kFirstWindow + (kFaultPeriod + 15s) / kWindow && report->second.at > due)
-        broken_.push_back("a late report in calm times of window " + std::to_string(window - kFirstWindow));
+        violations_.push_back("a late report in calm times of window " + std::to_string(window - kFirstWindow));
     }
   }
-  // A proxy that died costs what it had counted since its last report.
-  void checkCounts(std::int64_t window, const StandInPlatform::Accepted& report) {
+  // A proxy that hasRestartedProxy costs what it had counted since its last report.
+  void checkCounts(std::int64_t window, const FakePlatform::Accepted& report) {
     std::int64_t total = 0;
     std::int64_t off = 0;
     for (int i = 0; i < kTenants; ++i) {
       const auto tenant = "t" + std::to_string(i);
       const auto counted = report.counts.contains(tenant) ? report.counts.at(tenant) : 0;
-      total += truth_[window][tenant];
-      off += std::abs(truth_[window][tenant] - counted);
+      total += expectedCounts_[window][tenant];
+      off += std::abs(expectedCounts_[window][tenant] - counted);
     }
     const auto began = kStart + (window - kFirstWindow) * kWindow;
-    const bool died = std::any_of(diedAt_.begin(), diedAt_.end(),
-                                  [&](TimePoint at) { return at >= began - 1s && at < began + kWindow + kDelay; });
-    if (!died && static_cast<double>(off) > kUsageError * static_cast<double>(total))
-      broken_.push_back("window " + std::to_string(window - kFirstWindow) + " is off by " + std::to_string(off) +
-                        " of " + std::to_string(total));
+    const bool hasRestartedProxy = std::any_of(restartedAt_.begin(), restartedAt_.end(), [&](TimePoint at) {
+      return at >= began - 1s && at < began + kWindow + kDelay;
+    });
+    if (!hasRestartedProxy && static_cast<double>(off) > kUsageError * static_cast<double>(total))
+      violations_.push_back("window " + std::to_string(window - kFirstWindow) + " is off by " + std::to_string(off) +
+                            " of " + std::to_string(total));
   }
 
   std::mt19937_64 rng_;
-  Planted planted_;
+  PlantedFault planted_;
   std::vector<Proxy> proxies_;
   std::vector<Controller> controllers_;
   int leader_ = 0;
   std::int64_t term_ = 0;
   state_machine::UsageReports reports_;  // committed
   std::vector<Proposal> log_;
-  StandInPlatform platform_;
-  std::vector<Late> late_;
-  std::map<std::int64_t, std::map<std::string, std::int64_t>> truth_;
-  std::vector<TimePoint> diedAt_;
-  TimePoint bounceAt_ = TimePoint::max();  // then the lead goes back to the one before
-  int bounceTo_ = 0;
-  std::vector<std::string> broken_;
+  FakePlatform platform_;
+  std::vector<LateCall> lateCalls_;
+  std::map<std::int64_t, std::map<std::string, std::int64_t>> expectedCounts_;
+  std::vector<TimePoint> restartedAt_;
+  TimePoint returnLeadershipAt_ = TimePoint::max();  // then the actAsLeader goes back to the one before
+  int returnLeadershipTo_ = 0;
+  std::vector<std::string> violations_;
 };
 
-std::uint64_t fromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t fromEnvironment(const char* name, std::uint64_t defaultValue) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : defaultValue;
 }
-std::vector<std::string> brokenIn(std::uint64_t seed, Planted planted) {
+std::vector<std::string> violationsIn(std::uint64_t seed, PlantedFault planted) {
   World world(seed, planted);
   world.play();
-  return world.broken();
+  return world.violations();
 }
 
 TEST(PlatformWorlds, KeepTheRules) {
   const auto from = fromEnvironment("ZINCCLEAT_FROM", 1);
   const auto worlds = fromEnvironment("ZINCCLEAT_WORLDS", 60);
   for (auto seed = from; seed < from + worlds; ++seed) {
-    const auto broken = brokenIn(seed, Planted::none);
-    EXPECT_TRUE(broken.empty()) << "replay: ZINCCLEAT_WORLDS=1 ZINCCLEAT_FROM=" << seed << ": " << broken.front();
+    const auto violations = violationsIn(seed, PlantedFault::none);
+    EXPECT_TRUE(violations.empty()) << "replay: ZINCCLEAT_WORLDS=1 ZINCCLEAT_FROM=" << seed << ": "
+                                    << violations.front();
   }
 }
-class PlatformWorldsFind : public testing::TestWithParam<Planted> {};
+class PlatformWorldsFind : public testing::TestWithParam<PlantedFault> {};
 TEST_P(PlatformWorldsFind, APlantedFault) {
   bool found = false;
   for (std::uint64_t seed = 1; seed <= 40 && !found; ++seed)
-    found = !brokenIn(seed, GetParam()).empty();
+    found = !violationsIn(seed, GetParam()).empty();
   EXPECT_TRUE(found);
 }
 INSTANTIATE_TEST_SUITE_P(Faults, PlatformWorldsFind,
-                         testing::Values(Planted::sendsOwnCounts, Planted::reusesFence, Planted::comesBackAtOnce,
-                                         Planted::trustsOneClock, Planted::ignoresSilence));
+                         testing::Values(PlantedFault::sendsOwnCounts, PlantedFault::reusesFence,
+                                         PlantedFault::comesBackAtOnce, PlantedFault::trustsOneClock,
+                                         PlantedFault::ignoresSilence));
 }  // namespace
 }  // namespace zinccleat::platform
