--- a/libs/coordination/include/coordination/call_progress.hpp
+++ b/libs/coordination/include/coordination/call_progress.hpp
@@ -1,30 +1,32 @@
 /// @file
-/// The attempts of one call, as the machine that took it from an application makes them: at the leaseholder that it
-/// knows of, at the next one if that is lost, until the caller's time is up. Pure: the clock is passed in.
+/// Tracks the attempts to execute one call on behalf of an application. The machine that received the call sends it to
+/// the leaseholder that it knows, and to the next leaseholder if that one is lost, until the deadline of the call.
+/// Pure: the clock is passed in.
 ///
-/// Guarantee: a call is said to be not executed only if every attempt at it either never left this machine or was
-/// refused by the leaseholder that it reached.
+/// Guarantee: a call is reported as not executed only if no attempt left this machine except those that a leaseholder
+/// refused.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::coordination {
 /// How one attempt ended.
 enum class AttemptEnd {
   answered,     ///< the leaseholder has executed the call
-  notSent,      ///< no byte of it has left this machine
-  notExecuted,  ///< the leaseholder has refused it and will not execute it
-  unknown,      ///< it may have been executed, or may yet be
+  notSent,      ///< no byte of the call has left this machine
+  notExecuted,  ///< the leaseholder has refused the call and will not execute it
+  unknown,      ///< the call may have been executed or may still be executed
 };
-/// See the file's comment.
+/// The attempts of one call.
 class CallProgress {
  public:
   CallProgress(TimePoint startedAt, Duration timeout) : startedAt_(startedAt), deadline_(startedAt + timeout) {}
-  /// Until when an attempt may wait for its answer.
+  /// The time until which an attempt may wait for its answer.
   TimePoint deadline() const { return deadline_; }
-  /// After an attempt without an answer. Each call may be repeated: another lock for the same holder, another number, a
-  /// put that is known by its value.
-  /// @return the pause before the next attempt; none: the call ends, see `failure`.
+  /// Handles an attempt that ended without an answer. Every call may be repeated: a repeated lock request by the same
+  /// holder and a repeated number request are harmless, and a repeated put is recognized by its value.
+  /// @return the delay before the next attempt; none if the call has failed, see `failure`.
   std::optional<Duration> retryDelayAfter(AttemptEnd end, TimePoint now);
-  /// `ErrorCode::unavailable`: not executed, and it never will be; `ErrorCode::outcomeUnknown` otherwise.
+  /// The error of a failed call. `ErrorCode::unavailable`: the call was not executed and will never be executed.
+  /// `ErrorCode::outcomeUnknown`: the call may have been executed.
   ErrorCode failure() const { return mayHaveExecuted_ ? ErrorCode::outcomeUnknown : ErrorCode::unavailable; }
 
  private:
--- a/libs/coordination/include/coordination/leaseholder.hpp
+++ b/libs/coordination/include/coordination/leaseholder.hpp
@@ -1,74 +1,77 @@
 /// @file
-/// The leaseholder of a shard: gathers the calls that reach it into batches for the shard's log, and answers reads and
-/// numbers from memory. Pure: events in, batches and results out, the clock passed in. The owner drives it: after each
-/// event it proposes what `nextBatch` returns and delivers what `takeResults` returns.
+/// The leaseholder of a shard. It collects incoming calls into batches for the shard's log, and answers reads and
+/// number requests from memory. Pure state machine: it takes events, returns batches and results, and is passed the
+/// clock. After each event the owner proposes the entry returned by `nextBatch` and delivers the results returned by
+/// `takeResults`.
 ///
 /// Guarantees:
-/// - A call that ends as `CallStatus::notExecuted` has had no effect and never will.
-/// - A batch is applied completely or not at all; its calls are answered only after it was applied.
-/// - An answer from memory was right at a moment between the call and the answer: the lease is checked after the
-///   evaluation, by a clock read then.
+/// - A call that ends with `CallStatus::notExecuted` has had no effect and never will.
+/// - A batch is applied completely or not at all. Its calls are answered only after it has been applied.
+/// - An answer from memory was correct at some moment between the call and the answer: the lease is checked after the
+///   evaluation, against a clock that is read at that time.
 #pragma once
 #include "coordination/shard_state.hpp"
 namespace zinccleat::coordination {
-/// How a call ended for whoever passed it to the leaseholder. The numbers are part of the wire format.
+/// The final status of a call that was passed to the leaseholder. The numeric values are part of the wire format.
 enum class CallStatus : std::int32_t {
-  executed = 1,     ///< the outcome stands
-  notExecuted = 2,  ///< it has had no effect and never will; another leaseholder may be asked
-  unknown = 3,      ///< it was proposed, and whether it is committed is not known here any more
+  executed = 1,     ///< the call was executed; see its outcome
+  notExecuted = 2,  ///< the call has had no effect and never will; another leaseholder may be tried
+  unknown = 3,      ///< the call was proposed, and this leaseholder can no longer tell whether it is committed
 };
-/// The end of one call.
+/// The result of one call.
 struct CallResult {
   std::int64_t callId = 0;
   CallStatus status = CallStatus::notExecuted;
-  Outcome outcome;  ///< if executed
+  Outcome outcome;  ///< valid only for `CallStatus::executed`
 };
 
-/// See the file's comment.
+/// The leaseholder of a shard. The guarantees are listed at the top of this file.
 class Leaseholder {
  public:
-  /// What the owner tells of the shard's lease, by a clock that it reads at each question.
+  /// Returns whether this member has the shard's lease, by a clock that is read on each call.
   using HasLease = std::function<bool()>;
-  /// @param state the shard's replica on this machine; must outlive this.
+  /// @param state the local replica of the shard; must outlive this object.
   Leaseholder(const ShardState& state, HasLease hasLease) : state_(state), hasLease_(std::move(hasLease)) {}
-  /// How long puts are kept for watches.
+  /// Sets how long puts are kept for watches.
   void setHistory(Duration history) { history_ = history; }
   /// This member has become the leader of the shard's log.
   void startTerm(TimePoint now);
-  /// It leads no longer: what was not proposed is not executed, what was is unknown.
+  /// This member is no longer the leader. Calls that were not proposed end as not executed, proposed ones as unknown.
   void endTerm();
-  /// A call, with an id of the owner's. Its result comes by `takeResults`, at once or later.
+  /// Accepts a call with an id chosen by the owner. Its result is returned by `takeResults`, immediately or later.
   void call(std::int64_t callId, const Command& command);
-  /// Time passes; to be called several times a second.
+  /// Updates the time; to be called several times a second.
   void tick(TimePoint now);
-  /// The next entry to propose, if there is one and none is in flight; its end comes by `onApplied`.
-  /// @param operationId of the entry, unique.
+  /// The next entry to propose; none if nothing is due or an entry is in flight. `onApplied` reports when the entry has
+  /// been applied.
+  /// @param operationId unique id of the entry.
   std::optional<transport::LogEntry> nextBatch(TimePoint now, const std::string& operationId);
   /// The replica has applied an entry.
   void onApplied(const transport::LogEntry& entry, const std::vector<Outcome>& outcomes);
-  /// Removes and returns the calls that have ended.
+  /// Removes and returns the results of finished calls.
   std::vector<CallResult> takeResults();
-  /// Whether `takeResults` has something to return.
+  /// Whether there are results for `takeResults`.
   bool hasResults() const { return !results_.empty(); }
-  /// Calls that wait for a batch or for its commit.
+  /// Number of calls that wait for a batch or for the commit of their batch.
   std::size_t pendingCalls() const { return queue_.size() + inFlight_.size(); }
 
  private:
   struct QueuedCall {
-    std::int64_t callId = 0;  ///< 0: a reservation of its own
+    std::int64_t callId = 0;  ///< 0: a reservation of numbers by the leaseholder itself
     Command command;
   };
-  /// Numbers that were reserved and not given away: from `next` up to and including `last`.
+  /// Reserved numbers that have not been assigned yet: from `next` through `last`.
   struct NumberBlock {
     std::int64_t next = 1;
     std::int64_t last = 0;
-    bool reserving = false;            ///< another block is on its way
-    std::deque<std::int64_t> waiting;  ///< calls
+    bool reserving = false;            ///< a reservation of another block is in progress
+    std::deque<std::int64_t> waiting;  ///< ids of the calls that wait for a number
     bool empty() const { return next > last; }
   };
   void finish(std::int64_t callId, Outcome outcome);
   void reject(std::int64_t callId);
-  /// Ends a call that was evaluated from memory, if the lease stands behind the outcome.
+  /// Ends a call that was evaluated from memory: with the outcome if the lease is still valid, as not executed
+  /// otherwise.
   void finishUnderLease(std::int64_t callId, Outcome outcome);
   void enqueue(std::int64_t callId, const Command& command);
   void requestNumber(std::int64_t callId, const std::string& name);
@@ -79,7 +82,7 @@
   HasLease hasLease_;
   Duration history_{40'000};
   bool leading_ = false;
-  TimePoint timeRecordedUpTo_{};  // up to here the time is in a batch that was proposed in this term
+  TimePoint timeRecordedUpTo_{};  // batches proposed in this term account for the time up to here
   bool timeEntryIsDue_ = false;
   std::deque<QueuedCall> queue_;
   std::string inFlightId_;  // empty: no batch is in flight
--- a/libs/coordination/include/coordination/messages.hpp
+++ b/libs/coordination/include/coordination/messages.hpp
@@ -1,20 +1,20 @@
 /// @file
-/// The messages between core machines on the links of the coordination service.
+/// The messages between core machines for the coordination service.
 #pragma once
 #include "coordination/leaseholder.hpp"
 #include "transport/envelope.hpp"
 namespace zinccleat::coordination {
-/// A message of one shard's replicated log.
+/// A message of the replicated log of one shard.
 struct ShardConsensus {
   static constexpr auto kType = transport::MessageType::coordinationConsensus;
   std::int32_t shard = 0;
-  std::string message;  ///< see `consensus::encodeMessage`
+  std::string message;  ///< encoded by `consensus::encodeMessage`
   template <class V>
   void fields(V& v) {
     v("shard", shard), v("message", message);
   }
 };
-/// A call that is passed to the shard's leaseholder.
+/// A call that is forwarded to the leaseholder of a shard.
 struct ShardCall {
   static constexpr auto kType = transport::MessageType::coordinationCall;
   std::int32_t shard = 0;
@@ -25,7 +25,7 @@
     v("shard", shard), v("requestId", requestId), v("command", command);
   }
 };
-/// How the call ended at the leaseholder.
+/// The result of a forwarded call.
 struct ShardCallResult {
   static constexpr auto kType = transport::MessageType::coordinationResult;
   std::int64_t requestId = 0;
@@ -36,8 +36,8 @@
     v("requestId", requestId), v("status", status), v("outcome", outcome);
   }
 };
-/// Asks a member of the fleet's log whether its disk has records of any shard. Its sender is that log's leader, which
-/// has none itself and is to say who founds the shards.
+/// Asks a member of the fleet's log whether its disk has records of any shard. The sender is the leader of the fleet's
+/// log; it has no shard records itself and decides which members create the shards.
 struct ShardRecordsQuery {
   static constexpr auto kType = transport::MessageType::shardRecordsQuery;
   std::int64_t requestId = 0;
@@ -46,7 +46,7 @@
     v("requestId", requestId);
   }
 };
-/// The answer; the envelope names the member.
+/// The answer to a `ShardRecordsQuery`; the envelope names the member.
 struct ShardRecordsAnswer {
   static constexpr auto kType = transport::MessageType::shardRecordsAnswer;
   std::int64_t requestId = 0;
--- a/libs/coordination/include/coordination/sharding.hpp
+++ b/libs/coordination/include/coordination/sharding.hpp
@@ -1,14 +1,15 @@
 /// @file
-/// Which shard a name belongs to. Each shard is a replicated log of its own, whose leader is the shard's leaseholder.
+/// Assigns names to shards. Each shard is a separate replicated log, and the leader of the log is the shard's
+/// leaseholder.
 #pragma once
 #include "coordination/commands.hpp"
 namespace zinccleat::coordination {
-/// Shards of the name space. It is part of the disk format: with another number, names would move to shards that do
-/// not know them.
+/// Number of shards. It is part of the disk format: changing it would assign names to shards that do not have their
+/// data.
 constexpr int kShardCount = 2;
 
-/// The group of a cell: its name up to and including the first dot, or all of it.
+/// The group of a cell: its name up to and including the first dot, or the whole name if there is no dot.
 std::string_view groupOf(std::string_view cell);
-/// The shard of a command: a lock or number lies whole in one shard, and so does a group of cells.
+/// The shard of a command. A lock or a number belongs to exactly one shard, and so do all cells of a group.
 int shardOf(const Command& command);
 }  // namespace zinccleat::coordination
--- a/libs/platform/include/platform/call_schedule.hpp
+++ b/libs/platform/include/platform/call_schedule.hpp
@@ -1,52 +1,55 @@
 /// @file
-/// Which calls to the platform may be made now. One call of a subject is under way at a time; what failed is tried
-/// again after a pause that grows; all subjects together stay inside the platform's rate. A subject is what fences are
-/// compared within: the usage reports, or one service in one zone.
+/// Decides when a call to the platform may be made. At most one call per subject is in flight. Failed calls are retried
+/// with exponential backoff. All subjects together stay within the platform's rate limit. A subject is the scope within
+/// which the platform compares fences: the usage reports, or one service in one zone.
 ///
 /// Guarantees:
-/// - a holder that the platform has refused for a lower fence makes no further call of that subject in its term;
-/// - a holder that lost its function makes no call again before `lease` has passed since its last call, and longer
-///   after one without an answer, which the platform may still carry out: others may have acted in between.
+/// - A holder whose call the platform has refused because of a stale fence makes no further call for that subject in
+///   the same term.
+/// - A holder that lost its function and regains it makes no call until `lease` has passed since its last call. It
+///   waits longer if that call got no answer, because the platform may still execute it. Another holder may have made
+///   calls in the meantime.
 ///
-/// Source of the fence: Burrows, "The Chubby lock service for loosely-coupled distributed systems" (2006), sequencers.
+/// Source of the fencing scheme: sequencers in Burrows, "The Chubby lock service for loosely-coupled distributed
+/// systems" (2006).
 ///
-/// Soft state of the holder. Pure: the time is passed in.
+/// The state is not persisted; it belongs to the current holder of the function. Pure: the time is passed in.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::platform {
-/// How a call ended.
+/// The result of a call.
 enum class CallOutcome : std::uint8_t {
   accepted,
-  staleFence,   ///< another holder has acted with a higher fence
-  invalid,      ///< the platform does not take such a call
-  rateLimited,  ///< not carried out
-  unanswered,   ///< it may be carried out, also later
+  staleFence,   ///< another holder has made a call with a higher fence
+  invalid,      ///< the platform rejects this call as invalid
+  rateLimited,  ///< the call was not executed
+  unanswered,   ///< the call may have been executed or may still be executed
 };
 
-/// See the file's comment.
+/// Schedules the calls of one function's holder. The guarantees are listed at the top of this file.
 class CallSchedule {
  public:
-  /// @param callsPerS of the platform's rate, for this function's holder; 0: no bound.
-  /// @param lease in this time a function does not return to an earlier holder.
+  /// @param callsPerS the platform's rate limit for the holder of this function; 0: unlimited.
+  /// @param lease a function does not return to an earlier holder within this time.
   CallSchedule(double callsPerS, Duration lease) : callsPerS_(callsPerS), lease_(lease) {}
-  /// This node has become the holder, with a higher fence than ever before.
+  /// This node has become the holder, with a higher fence than any holder before.
   void startTerm(TimePoint now);
-  /// Whether a call of the subject may be sent now.
+  /// Whether a call for the subject may be sent now.
   bool mayCall(const std::string& subject, TimePoint now) const;
-  /// A call is sent.
+  /// A call was sent.
   void started(const std::string& subject, TimePoint now);
-  /// A call has ended. One that began in an earlier term says nothing about this one.
+  /// A call has ended. The outcome of a call from an earlier term does not affect the subjects of this term.
   void ended(const std::string& subject, std::int64_t startedInTerm, CallOutcome outcome, TimePoint now);
-  /// Counts the terms of this process as holder.
+  /// Number of terms in which this process has been the holder.
   std::int64_t term() const { return term_; }
-  /// When the last call without an answer was sent; none since the term began.
+  /// When the latest unanswered call of this term was sent; none if there is none.
   std::optional<TimePoint> unansweredAt(const std::string& subject) const;
 
  private:
   struct Subject {
     bool inFlight = false;
     bool staleFence = false;
-    int failures = 0;  ///< in a row
+    int failures = 0;  ///< consecutive failures
     TimePoint nextAt{};
     TimePoint startedAt{};
     std::optional<TimePoint> unansweredAt;
--- a/libs/platform/include/platform/fleet_clock.hpp
+++ b/libs/platform/include/platform/fleet_clock.hpp
@@ -1,28 +1,28 @@
 /// @file
-/// True time as the leader knows it: the median of what the clocks of the access machines say. A clock that was stepped
-/// moves the median by no more than the spread of the others, as long as more than half are right.
+/// The leader's estimate of the true time: the median of the clocks of the access machines. As long as more than half
+/// of the clocks are right, a wrong clock shifts the median by no more than the spread of the right ones.
 ///
-/// Bound: a sample is late by the way of its message, which the median takes from an ordinary message, some
-/// milliseconds. Source: Marzullo and Owicki, "Maintaining the time in a distributed system" (1983), for the majority's
-/// time.
+/// Error bound: a sample is late by the transit time of its message. Because of the median this is the transit time of
+/// an ordinary message, a few milliseconds. Source for taking the time of the majority: Marzullo and Owicki,
+/// "Maintaining the time in a distributed system" (1983).
 ///
-/// Soft state of the leader. Pure: the steady time is passed in.
+/// The state is not persisted; it belongs to the leader. Pure: the steady time is passed in.
 #pragma once
 #include "platform/usage_window.hpp"
 namespace zinccleat::platform {
-/// See the file's comment.
+/// Estimates the true time from the clocks of many machines.
 class FleetClock {
  public:
-  /// A machine has said what its time of day is.
+  /// Records the time of day that a machine has reported.
   void record(const std::string& machine, FleetTime timeOfDay, TimePoint now);
-  /// @return none while too few machines have been heard.
+  /// The true time, from a new estimate if the last one is too old. @return none until enough machines have reported.
   std::optional<FleetTime> timeAt(TimePoint now);
-  /// The same by the newest estimate, without a new one.
+  /// The true time according to the last estimate, without making a new one.
   std::optional<FleetTime> lastEstimateAt(TimePoint now) const;
 
  private:
   struct Sample {
-    Duration offset{0};  ///< time of day less steady time
+    Duration offset{0};  ///< time of day minus steady time
     TimePoint receivedAt{};
   };
   void estimate(TimePoint now);
--- a/libs/platform/include/platform/scaling_policy.hpp
+++ b/libs/platform/include/platform/scaling_policy.hpp
@@ -1,48 +1,49 @@
 /// @file
-/// How many runners of each service are to serve in each zone: target tracking on the share of the runners' slots that
-/// are in use, up at once and down slowly. Why so: docs/notes-platform.md.
+/// Decides how many runners each service should have in each zone. It uses target tracking on the utilization of the
+/// runners' slots, scales up immediately and scales down slowly. The reasons are explained in docs/notes-platform.md.
 ///
-/// A count is never lowered while the leader is blind (proxies have not reported), in a zone that is evacuated, during
-/// a rollout of the service, or within `Scaling::startup` of a higher demand.
+/// A count is never lowered while too many proxies have not reported their load, in a zone that is being evacuated,
+/// during a rollout of the service, or within `Scaling::startup` of a higher demand.
 ///
-/// Soft state of the leader. Pure: the time is passed in.
+/// The state is not persisted; it belongs to the leader. Pure: the time is passed in.
 #pragma once
 #include "config/configuration.hpp"
 #include "state_machine/fleet_state.hpp"
 #include "transport/platform_records.hpp"
 namespace zinccleat::platform {
-/// A count of runners to be ordered.
+/// An order to the platform to run a number of runners.
 struct ScalingOrder {
   std::string service;
   std::string zone;
   int desiredCount = 0;
   const char* reason = "";  ///< for logs
 };
-/// What is known of one service in one zone, for reports.
+/// The scaling status of one service in one zone, for status reports.
 struct ScalingStatus {
   std::string service;
   std::string zone;
-  int present = 0;   ///< runners in service
-  int demand = 0;    ///< requests under way at them, and those that found none
-  int wanted = 0;    ///< runners that the demand calls for
-  int ordered = -1;  ///< by this leader; -1: nothing yet
+  int present = 0;  ///< runners in service
+  int demand = 0;  ///< requests in flight at these runners, plus the zone's share of requests that found no free runner
+  int wanted = 0;  ///< runners needed for the demand
+  int ordered = -1;  ///< the count last ordered by this leader; -1: none yet
   const char* reason = "";
 };
 
-/// See the file's comment.
+/// Decides the desired runner counts; see the description at the top of this file.
 class ScalingPolicy {
  public:
-  /// A leader's term begins: it has ordered nothing yet.
+  /// A new term of the leader begins. It has not ordered anything yet.
   void startTerm(TimePoint now);
-  /// A proxy has told its load.
+  /// Records the load that a proxy has reported.
   void report(const std::string& machine, const std::vector<transport::RunnerLoadReport>& loads, TimePoint now);
-  /// The orders to be sent now.
-  /// @param machines access machines that were heard lately.
+  /// The orders to send now.
+  /// @param machines number of access machines that were recently in contact.
   std::vector<ScalingOrder> decide(const config::Configuration& configuration,
                                    const state_machine::StateContents& state, std::size_t machines, TimePoint now);
-  /// The platform has taken an order.
+  /// The platform has accepted an order.
   void accepted(const ScalingOrder& order, TimePoint now);
-  /// An order got no answer and may be carried out late: the newest one is sent again some time after.
+  /// An order got no answer and may still be executed late, after a newer one. The latest order is therefore repeated
+  /// after some time.
   void unanswered(const ScalingOrder& order, TimePoint now);
   std::vector<ScalingStatus> status() const;
 
@@ -56,7 +57,8 @@
     TimePoint reportedAt{};
     std::vector<transport::RunnerLoadReport> loads;
   };
-  /// A demand and when it was seen; the list of them falls, so the first is the highest of those that still count.
+  /// A number of runners and when it was needed. The list of them is descending, so its first element is the highest
+  /// demand that still counts.
   struct Demand {
     TimePoint seenAt{};
     int runners = 0;
@@ -67,7 +69,7 @@
     std::deque<Demand> wanted;
     std::optional<int> ordered;
     TimePoint orderedAt{};
-    std::vector<TimePoint> repeatAt;  ///< the last order is sent again then
+    std::vector<TimePoint> repeatAt;  ///< when to repeat the last order
     const char* reason = "";
   };
   std::map<ServiceZone, Load> sumLoads(TimePoint now, std::size_t& reporting);
--- a/libs/platform/include/platform/usage_collector.hpp
+++ b/libs/platform/include/platform/usage_collector.hpp
@@ -1,40 +1,42 @@
 /// @file
-/// Adds up, at the leader, what the proxies have counted, and decides when the report of a window can be committed.
+/// Adds up the usage counts of all proxies at the leader, and decides when the report of a usage window can be
+/// committed.
 ///
-/// A window is ready once every proxy that may have served in it has said that its counts are complete. One that is
-/// silent is waited for: a short time if fewMissing are, and longer if many are, which is what a partition looks like.
+/// A window is ready once every proxy that may have served requests in it has declared its counts complete. If a small
+/// share of the proxies is silent, the window waits for them for a short time. If more are silent, which indicates a
+/// network partition, it waits longer.
 ///
-/// Guarantee: each batch of a proxy is added once, however often it arrives. What a leader has added up ends with its
-/// term: the proxies send the next one everything that is not reported yet.
+/// Guarantee: each batch of a proxy is added once, no matter how often it arrives. The sums of a leader are discarded
+/// at the end of its term, and the proxies send the next leader everything that has not been reported yet.
 ///
-/// Soft state of the leader. Pure: the steady time is passed in.
+/// The state is not persisted; it belongs to the leader. Pure: the steady time is passed in.
 #pragma once
 #include "platform/usage_window.hpp"
 #include "state_machine/usage_reports.hpp"
 #include "transport/platform_records.hpp"
 namespace zinccleat::platform {
-/// How long a window's report waits for proxies.
+/// Times that govern when a window is reported.
 struct UsageTimes {
-  Duration windowLength{0};  ///< 0: nothing is reported
-  Duration delay{10000};     ///< a report is due so long after the end of its window
-  Duration lease{4500};      ///< a proxy that is silent for so long serves nothing
+  Duration windowLength{0};  ///< 0: usage is not reported
+  Duration delay{10000};     ///< a report is due this long after the end of its window
+  Duration lease{4500};      ///< a proxy without contact for this long no longer serves requests
 };
 
-/// See the file's comment.
+/// Collects usage counts; see the description at the top of this file.
 class UsageCollector {
  public:
   explicit UsageCollector(UsageTimes times) : times_(times) {}
-  /// A leader's term begins.
+  /// A new term of the leader begins.
   void startTerm(TimePoint now);
-  /// Takes over what a proxy has counted.
-  /// @param machine that the proxy runs on.
-  /// @return the newest batch up to which everything of this proxy is here.
+  /// Adds the counts that a proxy has reported.
+  /// @param machine the machine on which the proxy runs.
+  /// @return the number of the last batch up to which all batches of this proxy have arrived.
   std::int64_t report(const std::string& machine, const transport::PlatformReport& report, TimePoint now);
-  /// The reports to be committed now, the oldest first; those of windows in `known` are committed already.
-  /// @param fleetTime true time.
+  /// The reports to commit now, oldest first. Windows in `known` are already committed.
+  /// @param fleetTime the true time.
   std::vector<state_machine::UsageReport> ready(const state_machine::UsageReports& known, FleetTime fleetTime,
                                                 TimePoint now);
-  /// Windows that were committed although proxies were silent.
+  /// Number of windows that were committed although some proxies had not completed their counts.
   std::uint64_t incompleteWindows() const { return incompleteWindows_; }
 
  private:
@@ -43,12 +45,13 @@
     TimePoint heardAt{};
     std::int64_t received = 0;
     std::int64_t completeThrough = 0;
-    bool superseded = false;  ///< another proxy has started on its machine
+    bool superseded = false;  ///< a newer proxy process has started on the same machine
   };
-  /// Who a window waits for.
+  /// The proxies whose counts a window needs.
   struct Completeness {
-    std::int64_t reporters = 0;  ///< that were heard and may have served in the window
-    std::int64_t missing = 0;    ///< of those, and of those that an earlier leader knew, the ones it waits for
+    std::int64_t reporters = 0;  ///< proxies known to this leader that may have served requests in the window
+    /// proxies whose counts are still missing, including proxies that only an earlier leader knew
+    std::int64_t missing = 0;
   };
   void addCounts(const transport::UsageBatch& batch);
   Completeness completenessOf(std::int64_t window, const state_machine::UsageReports& known,
@@ -58,9 +61,9 @@
 
   UsageTimes times_;
   TimePoint termStartedAt_{};
-  std::optional<std::int64_t> firstWindow_;                             // where no report is known, reports begin here
-  std::unordered_map<std::int64_t, Reporter> reporters_;                // by incarnation
-  std::unordered_map<std::string, std::int64_t> incarnationOf_;         // by machine, the newest
+  std::optional<std::int64_t> firstWindow_;                      // the first window to report if no report is known
+  std::unordered_map<std::int64_t, Reporter> reporters_;         // by incarnation
+  std::unordered_map<std::string, std::int64_t> incarnationOf_;  // newest incarnation, by machine
   std::map<std::int64_t, std::map<std::string, std::int64_t>> counts_;  // by window and tenant
   std::uint64_t incompleteWindows_ = 0;
 };
--- a/libs/platform/include/platform/usage_recorder.hpp
+++ b/libs/platform/include/platform/usage_recorder.hpp
@@ -1,39 +1,40 @@
 /// @file
-/// Counts, at one proxy, the requests that runners began for each tenant, and hands the counts to the leader.
+/// Counts the requests that runners began for each tenant at one proxy, and sends the counts to the leader.
 ///
-/// Guarantee: a leader that adds up each batch once counts each request once. Batches are numbered and sent again until
-/// the leader has them; a new leader gets all batches with windows that are not reported yet. A proxy that dies takes
-/// with it what no leader had: the time since its last batch, `kBatchInterval` and one renewal of its lease.
+/// Guarantee: a leader that adds each batch once counts each request once. Batches are numbered and sent again until
+/// the leader has confirmed them. A new leader gets all batches of windows that are not reported yet. If a proxy
+/// process dies, the counts that no leader had received are lost: at most those of one `kBatchInterval` plus one lease
+/// renewal interval.
 ///
-/// Soft state of the proxy. Pure: the steady time is passed in.
+/// The state is not persisted. Pure: the steady time is passed in.
 #pragma once
 #include "platform/usage_window.hpp"
 #include "transport/platform_records.hpp"
 namespace zinccleat::platform {
-/// See the file's comment.
+/// Counts the requests at one proxy; see the description at the top of this file.
 class UsageRecorder {
  public:
   static constexpr Duration kBatchInterval{1000};
 
-  /// @param windowLength 0: nothing is counted, only the time of day is told.
-  /// @param incarnation drawn at each start; not 0.
+  /// @param windowLength 0: only the time of day is reported, no requests are counted.
+  /// @param incarnation random id of this process; not 0.
   UsageRecorder(Duration windowLength, std::int64_t incarnation)
       : windowLength_(windowLength), incarnation_(incarnation) {}
-  /// One that counts and tells nothing.
+  /// Creates a disabled recorder, which counts and reports nothing.
   UsageRecorder() = default;
 
-  /// Whether the leader is told anything for the platform's functions.
+  /// Whether this recorder reports anything to the leader.
   bool enabled() const { return incarnation_ != 0; }
-  /// A runner began a request of a tenant. Without a tenant nothing is counted.
+  /// Counts a request that a runner began at `began`. Requests without a tenant are not counted.
   void recordRequest(const std::string& tenant, TimePoint began);
-  /// Fills in what the leader lacks.
+  /// Adds the data that the leader does not have yet to a report.
   /// @param timeOfDay this machine's own clock.
-  /// @param isLast the proxy is about to end: what was counted since the last batch goes at once.
+  /// @param isLast the proxy is about to exit; the counts since the last batch are sent immediately.
   void fill(transport::PlatformReport& report, FleetTime timeOfDay, TimePoint now, bool isLast);
-  /// Takes over the leader's answer.
+  /// Processes the leader's answer to a report.
   /// @param requestedAt when the report was sent.
   void accept(const transport::PlatformReportAnswer& answer, TimePoint requestedAt, TimePoint now);
-  /// Requests that were counted and are not kept any more although no leader is known to have them.
+  /// Number of counted requests that were discarded without confirmation by a leader.
   std::uint64_t dropped() const { return dropped_; }
 
  private:
@@ -46,16 +47,17 @@
 
   Duration windowLength_{0};
   std::int64_t incarnation_ = 0;
-  std::optional<Duration> offset_;                                    // fleet time less steady time
-  bool hasFleetOffset_ = false;                                       // else by this machine's own clock
-  std::vector<std::pair<std::string, TimePoint>> uncountedRequests_;  // tenants and begins, until there is an offset
+  std::optional<Duration> offset_;  // fleet time minus steady time
+  bool hasFleetOffset_ = false;     // false: the offset comes from this machine's own clock
+  // tenants and start times of requests that arrived before the offset was known
+  std::vector<std::pair<std::string, TimePoint>> uncountedRequests_;
   TimePoint firstFillAt_{};
   std::int64_t currentWindow_ = 0;
-  std::map<std::pair<std::int64_t, std::string>, std::int64_t> openCounts_;  // by window and tenant, not in a batch yet
-  std::deque<transport::UsageBatch> batches_;                                // the oldest first
+  std::map<std::pair<std::int64_t, std::string>, std::int64_t> openCounts_;  // by window and tenant, not yet in a batch
+  std::deque<transport::UsageBatch> batches_;                                // oldest first
   std::int64_t nextNumber_ = 1;
-  std::int64_t completeThrough_ = 0;  // by the newest batch
-  std::int64_t received_ = 0;         // by the leader
+  std::int64_t completeThrough_ = 0;  // the last window that the newest batch declares complete
+  std::int64_t received_ = 0;         // number of the last batch that the leader has received
   TimePoint lastBatchAt_{};
   std::uint64_t dropped_ = 0;
 };
--- a/libs/platform/include/platform/usage_window.hpp
+++ b/libs/platform/include/platform/usage_window.hpp
@@ -1,16 +1,16 @@
 /// @file
-/// The windows of usage: window k begins k times the window's length after the start of 1970, in true time.
+/// Usage windows: window k begins k window lengths after the start of 1970, in true time.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::platform {
 /// True time, in milliseconds since the start of 1970.
 using FleetTime = std::chrono::sys_time<std::chrono::milliseconds>;
-/// The window that a moment lies in.
-/// @param length above 0.
+/// The window that contains a point in time.
+/// @param length must be positive.
 inline std::int64_t windowOf(FleetTime time, Duration length) {
   return time.time_since_epoch() / length;
 }
-/// When a window ends and the next one begins.
+/// The end of a window, which is also the start of the next one.
 inline FleetTime endOf(std::int64_t window, Duration length) {
   return FleetTime(length * (window + 1));
 }
--- a/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
+++ b/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
@@ -1,23 +1,25 @@
 /// @file
-/// One controller's replica of the counters: which increments it has accepted, on how many disks each of them is, and
-/// what it lacks or others lack. Every replica accepts increments and answers reads by itself, on whichever side of a
-/// partition it is; after the partition has healed the replicas exchange what they lack. Pure: events in, actions out,
-/// the clock passed in. Not thread-safe.
+/// One controller's replica of the counters. It tracks which increments it has accepted, how many disks store each of
+/// them, and which increments this replica or its peers are missing. Every replica accepts increments and answers reads
+/// independently, on either side of a network partition. After a partition has healed, the replicas exchange the
+/// missing increments. Pure state machine: it takes events, returns actions and is passed the clock. Not thread-safe.
 ///
 /// Guarantees:
-/// - An increment is acknowledged once it is on this disk and on the disks of `Options::copies` others, or of as many
-///   as were recordContact within `kReachabilityTimeout`; or once it is on the disks of `Options::copies` + 1 others,
-///   whatever this disk does. Either way the loss of `Options::copies` machines leaves one. A replica that hears nobody
-///   acknowledges alone, though not within `kStartGrace` of its start: it may not have been recordContact yet.
-/// - Which disks are asked first goes by how fast they answered lately: one that is slow holds no caller up.
-/// - A read holds everything that this incarnation has acknowledged. After a start there is no read before the replica
-///   has caught up with the others (`mayRead`).
-/// - Whatever is on the disk of a replica is on those of all others about `kReportInterval` after they hear each other,
-///   and one round trip for each `kTransferBytes`.
-/// - An id is kept for `kIdRetention` at least after its increment was merged here, and until every peer has it on its
-///   disk. A peer that is known and silent stops the folding of ids, unless it was replaced and is silent for
-///   `kRemovedPeerTimeout`; beyond `kMaxRetainedIncrements` increments are
-///   refused.
+/// - An increment is acknowledged once it is on this replica's disk and on the disks of `Options::copies` peers. If
+///   fewer peers than that are reachable (a message arrived from them within `kReachabilityTimeout`), the disks of all
+///   reachable peers suffice. An increment is also acknowledged once it is on the disks of `Options::copies` + 1 peers,
+///   regardless of the local disk. In both cases at least one copy survives the loss of `Options::copies` machines. A
+///   replica without any reachable peer acknowledges on its own disk alone, but not within `kStartGrace` after its
+///   start, because its peers may not have reached it yet.
+/// - Peers are chosen by the recently measured response times of their disks, so one slow disk delays no caller.
+/// - A read includes every increment that this incarnation of the replica has acknowledged. After a start the replica
+///   answers no reads until it has caught up with its peers (`mayRead`).
+/// - After two replicas can reach each other, an increment on one disk is copied to the other within about
+///   `kReportInterval`, plus one round trip for each `kTransferBytes` of missing data.
+/// - The id of an increment is kept for at least `kIdRetention` after the increment was merged here, and until every
+///   peer has the increment on its disk. A known but silent peer blocks the folding of ids for up to
+///   `kSilentPeerTimeout`, or `kRemovedPeerTimeout` if it was replaced. New increments are refused while
+///   `kMaxRetainedIncrements` ids are kept.
 #pragma once
 #include <set>
 #include <variant>
@@ -26,117 +28,123 @@
 #include "replicated_counters/disk_time.hpp"
 #include "replicated_counters/messages.hpp"
 namespace zinccleat::replicated_counters {
-/// A message for another replica.
+/// Sends a progress report to a peer.
 struct SendReport {
   std::string to;  ///< address of the peer
   ProgressReport message;
 };
-/// A message for another replica.
+/// Sends a request for missing increments to a peer.
 struct SendRequest {
   std::string to;  ///< address of the peer
   TransferRequest message;
 };
-/// A message for another replica.
+/// Sends increments to a peer.
 struct SendTransfer {
   std::string to;  ///< address of the peer
   IncrementTransfer message;
 };
-/// Writes to the disk; to be answered by `CounterReplica::persisted`. There is one at a time.
+/// Writes a batch to the disk. The owner calls `CounterReplica::persisted` when the write has finished. At most one
+/// write is in progress at a time.
 struct PersistBatch {
   IncrementBatch batch;
-  bool full = false;  ///< a snapshot: all records before it are obsolete
+  bool full = false;  ///< the batch is a snapshot and makes all earlier records obsolete
 };
-/// An increment is acknowledged.
+/// Acknowledges an increment to its caller.
 struct Acknowledge {
   std::int64_t callId = 0;
 };
 using Action = std::variant<SendReport, SendRequest, SendTransfer, PersistBatch, Acknowledge>;
 
-/// What an operator may see of a replica's peer.
+/// The status of one peer, as shown to operators.
 struct PeerStatus {
   std::string address;
-  std::string zone;               ///< empty: not recordContact yet
-  bool reachable = false;         ///< recordContact within `CounterReplica::kReachabilityTimeout`
-  std::int64_t theyLack = 0;      ///< increments that are here and not on its disk, as far as it has reported
-  std::int64_t weLack = 0;        ///< increments that it has reported and that are not here
-  std::int64_t silentForMs = -1;  ///< since it was last recordContact; -1: never
+  std::string zone;               ///< empty until the first report from the peer
+  bool reachable = false;         ///< a message arrived within `CounterReplica::kReachabilityTimeout`
+  std::int64_t theyLack = 0;      ///< increments stored here that the peer has not reported as durable
+  std::int64_t weLack = 0;        ///< increments that the peer has reported as durable and that are not stored here
+  std::int64_t silentForMs = -1;  ///< time since the last message from the peer; -1: no message yet
 };
 
-/// See the file's comment.
+/// A replica of the counters. The guarantees are listed at the top of this file.
 class CounterReplica {
  public:
-  /// How it is set up.
+  /// Configuration of a replica.
   struct Options {
-    OriginId origin = 0;  ///< of this incarnation, never used before
-    std::string zone;     ///< of this machine
-    int copies = 2;       ///< other disks that an increment is to be on: machines that may be lost at once
+    OriginId origin = 0;  ///< id of this incarnation of the process; never reused
+    std::string zone;     ///< zone of this machine
+    /// number of peer disks that must store an increment, and number of machines whose simultaneous loss is tolerated
+    int copies = 2;
   };
-  /// Progress is reported to all peers so often.
+  /// Interval between progress reports to all peers.
   static constexpr Duration kReportInterval{250};
-  /// A peer counts as reachable for so long after it was recordContact.
+  /// A peer counts as reachable for this long after its last message.
   static constexpr Duration kReachabilityTimeout{700};
-  /// For so long after the start nothing is acknowledged on fewer disks than `Options::copies` asks for.
+  /// For this long after the start, an increment is acknowledged only with the full number of `Options::copies`.
   static constexpr Duration kStartGrace{1500};
-  /// For so long after the start a replica whose disk held records waits to hear a majority before it answers reads.
+  /// A replica that started with records on its disk waits at most this long for reports from a majority before it
+  /// answers reads.
   static constexpr Duration kCatchUpGrace{3000};
-  /// The same for a replica whose disk was empty; it then needs one peer at least.
+  /// A replica that started with an empty disk waits at most this long for reports from a majority before it answers
+  /// reads. After this time it still needs a report from at least one peer.
   static constexpr Duration kEmptyCatchUpGrace{6000};
-  /// Bytes of one transfer, about.
+  /// Approximate size of one transfer, in bytes.
   static constexpr std::size_t kTransferBytes = 65536;
-  /// An id is kept for so long at least.
+  /// Minimum time for which the id of an increment is kept.
   static constexpr Duration kIdRetention{std::chrono::minutes(30)};
-  /// Increments whose ids are kept at the most; about 40 MB.
+  /// Maximum number of increments whose ids are kept; they take about 40 MB of memory.
   static constexpr std::size_t kMaxRetainedIncrements = 200'000;
-  /// A peer that was silent for so long is given up: it stops the folding of ids no longer.
+  /// A peer that has been silent for this long no longer blocks the folding of ids.
   static constexpr Duration kSilentPeerTimeout{std::chrono::hours(24)};
-  /// The same for a machine that the fleet's log has removed from its voters: another has taken its place.
+  /// The same timeout for a machine that is no longer among the voters of the fleet's log, because another machine has
+  /// replaced it.
   static constexpr Duration kRemovedPeerTimeout = kIdRetention;
 
   CounterReplica(Options options, TimePoint now) : options_(std::move(options)), startedAt_(now) {}
 
-  /// Takes over what the disk holds, a record after the other. Before any other event.
+  /// Restores one record from the disk. Called once for each record, in order, before any other event.
   void recover(const IncrementBatch& record);
 
-  /// The other controllers that are known now, by address. One that is named no longer counts as long as it is
-  /// recordContact.
-  /// @param voters of the fleet's log, by address; a machine that was one and is none any more has been replaced.
+  /// Sets the addresses of the other controllers that are currently known. A peer that is no longer listed still counts
+  /// while it is reachable.
+  /// @param voters addresses of the voters of the fleet's log; a machine that was a voter and no longer is one has been
+  /// replaced.
   void setPeers(const std::set<std::string>& addresses, const std::set<std::string>& voters = {});
-  /// A caller adds to a counter; an `Acknowledge` with this id follows, unless `cancel` comes first.
-  /// @return `ErrorCode::limitReached` if no more ids can be kept: nothing was done.
+  /// Adds an increment for a caller. An `Acknowledge` with this call id follows, unless `cancel` is called first.
+  /// @return `ErrorCode::limitReached` if no more ids can be kept; the state is then unchanged.
   Result<void> add(TimePoint now, std::int64_t callId, const Increment& increment);
-  /// The caller has given up. The increment may count all the same.
+  /// Drops a call whose caller has given up. The increment may still be counted.
   void cancel(std::int64_t callId);
   void receive(TimePoint now, const std::string& from, const ProgressReport& report);
   void receive(TimePoint now, const std::string& from, const TransferRequest& request);
   void receive(TimePoint now, const std::string& from, const IncrementTransfer& transfer);
-  /// The batch of the last `PersistBatch` is on the disk.
+  /// The write of the last `PersistBatch` has finished and the batch is durable.
   void persisted(TimePoint now);
-  /// To be called several times a second.
+  /// Handles timeouts; to be called several times a second.
   void tick(TimePoint now);
-  /// Removes and returns what is to be done now.
+  /// Removes and returns the pending actions.
   std::vector<Action> takeActions();
 
-  /// Whether the replica has caught up since its start.
+  /// Whether the replica has caught up since its start and may answer reads.
   bool mayRead() const { return caughtUp_; }
   const CounterState& state() const { return state_; }
-  /// Calls that wait for copies.
+  /// Number of calls that wait for copies on other disks.
   std::size_t pendingCalls() const { return pending_.size(); }
   std::vector<PeerStatus> peers(TimePoint now) const;
 
  private:
   using Sequences = std::map<OriginId, std::int64_t>;
   struct Peer {
-    bool isMember = false;  // named by `setPeers`
+    bool isMember = false;  // listed by `setPeers`
     bool wasVoter = false;
-    bool isRemoved = false;  // was a voter and is none any more
+    bool isRemoved = false;  // was a voter and no longer is one
     std::string zone;
     std::optional<TimePoint> heardAt;
-    Sequences durable;            // what it has reported
-    Sequences initiallyReported;  // what it had when it was first recordContact in this incarnation
+    Sequences durable;            // the progress that the peer last reported
+    Sequences initiallyReported;  // the peer's first report to this incarnation
     bool hasReported = false;
-    std::optional<TimePoint> requestedAt;  // a request to it is under way since
+    std::optional<TimePoint> requestedAt;  // when the outstanding transfer request was sent
     DiskTime diskTime;
-    std::int64_t pushedThrough = 0;  // increments of this incarnation that were sent to it at once
+    std::int64_t pushedThrough = 0;  // the last sequence of this incarnation that was pushed to the peer
   };
   struct PendingCall {
     std::int64_t callId = 0;
@@ -145,7 +153,7 @@
     bool pushedToAdditionalPeers = false;
     bool pushedToAllPeers = false;
   };
-  /// Increments that arrived together, by how far all origins had come then; for the folding of ids.
+  /// The progress of all origins on the local disk at one moment. It shows how old the ids of increments are.
   struct Epoch {
     TimePoint at;
     Sequences reached;
@@ -156,22 +164,24 @@
   Peer& recordContact(TimePoint now, const std::string& from);
   int requiredCopies(TimePoint now) const;
   int remoteCopiesOf(const CounterState::Position& position) const;
-  /// Whether an increment is on as many disks as its acknowledgement takes.
+  /// Whether an increment is on enough disks to be acknowledged.
   bool hasEnoughCopies(const CounterState::Position& position, int requiredCopies) const;
   bool isDurable(const CounterState::Position& position) const;
   void acknowledgeReplicatedCalls(TimePoint now);
-  /// Sends an increment of this incarnation to the disks that are to have it.
+  /// Sends an increment of this incarnation to the preferred peers, as many as are needed for its acknowledgement.
   void pushToPreferredPeers(std::int64_t sequence, TimePoint now);
-  /// Sends a peer what it lacks of this incarnation's increments up to `sequence`: a caller waits for it.
-  /// @return false if it has that already, or lacks too much.
+  /// Sends a peer the increments of this incarnation that it is missing, up to `sequence`, because a caller waits for
+  /// their acknowledgement.
+  /// @return false if the peer already has them, or is missing more than one push can carry.
   bool pushTo(const std::string& address, std::int64_t sequence, TimePoint now);
   void pushToAdditionalPeers(PendingCall& call, TimePoint now);
   void pushToAllPeers(PendingCall& call, TimePoint now);
-  /// Of the reachable peers' disks the one that is the `Options::copies`th fastest: how long copies take at the best.
+  /// The expected write time of the `Options::copies`th fastest disk among the reachable peers: the shortest time in
+  /// which enough copies can be made.
   Duration expectedCopyTime(TimePoint now) const;
   bool isSlow(const DiskTime& disk, Duration expectedCopyTime, TimePoint now) const;
-  /// Reachable peers: fast disks first, among those the ones in other zones, otherwise in an order that differs from
-  /// replica to replica.
+  /// The reachable peers, best first: fast disks before slow ones, then other zones before this replica's own zone,
+  /// then an order that differs from replica to replica to spread the load.
   std::vector<std::string> peersByPreference(TimePoint now) const;
   void sendDeferredReports();
   void mergeReceived(const IncrementBatch& batch);
@@ -192,9 +202,9 @@
   CounterState state_;
   bool hadRecords_ = false;
   bool caughtUp_ = false;
-  Sequences durable_;           // on this disk
-  IncrementBatch unpersisted_;  // merged, and not on the way to the disk yet
-  Sequences persisting_;        // reached once the write that is under way has ended
+  Sequences durable_;           // progress on the local disk
+  IncrementBatch unpersisted_;  // merged, but not yet part of a write
+  Sequences persisting_;        // progress on the local disk once the current write has finished
   bool isPersisting_ = false;
   std::size_t bytesSinceSnapshot_ = 0;
   std::size_t snapshotBytes_ = 0;
@@ -202,10 +212,13 @@
   bool snapshotIsDue_ = false;
   std::map<std::string, Peer> peers_;  // by address
   DiskTime ownDiskTime_;
-  std::map<std::string, Sequences> deferredReports_;  // by address: what urgent transfers brought that awaits the disk
+  // by address: progress from urgent transfers, to be reported to the sender once it is durable
+  std::map<std::string, Sequences> deferredReports_;
   std::vector<PendingCall> pending_;
-  std::deque<Epoch> epochs_;            // oldest first
-  std::optional<Sequences> foldLimit_;  // every peer has these; folded once every peer has what they had accepted then
+  std::deque<Epoch> epochs_;  // oldest first
+  // All peers have the increments up to here. They are folded once all peers also have the increments up to
+  // `foldBarrier_`.
+  std::optional<Sequences> foldLimit_;
   Sequences foldBarrier_;
   TimePoint foldStartedAt_{};
   TimePoint reportedAt_{};
--- a/libs/replicated_counters/include/replicated_counters/counter_state.hpp
+++ b/libs/replicated_counters/include/replicated_counters/counter_state.hpp
@@ -1,19 +1,20 @@
 /// @file
-/// The state of replicated counters: a set of increments that only grows, merged by union. A replica's copy is known by
-/// how far it has come with each origin (a version vector). Pure, deterministic, not thread-safe.
+/// The state of replicated counters: a grow-only set of increments, merged by union. A version vector describes what a
+/// replica has: for each origin the sequence of the last increment. Pure, deterministic, not thread-safe.
 ///
 /// Guarantees:
-/// - Replicas that have merged the same increments, in any order and however often, answer the same totals.
-/// - Increments with one `instanceId` addToTotal once. If they differ, the one of the lowest origin and sequence
-/// counts.
+/// - Replicas that have merged the same increments return the same totals, regardless of the order and number of
+///   merges.
+/// - Increments with the same `instanceId` are counted once. If they differ, the one with the lowest origin and
+///   sequence is counted.
 /// - Folding (see `fold`) changes no total.
 #pragma once
 #include "replicated_counters/increments.hpp"
 namespace zinccleat::replicated_counters {
-/// The increments of all counters; see the file's comment.
+/// The increments of all counters. The guarantees are listed at the top of this file.
 class CounterState {
  public:
-  /// Where an increment stands. Ordered by origin, then sequence.
+  /// The position of an increment, ordered by origin and then by sequence.
   struct Position {
     OriginId origin = 0;
     std::int64_t sequence = 0;
@@ -23,50 +24,53 @@
     }
   };
 
-  /// The newest sequence up to which all increments of an origin are here; 0: none.
+  /// The highest sequence for which all increments of the origin up to it are present; 0 if there are none.
   std::int64_t sequenceOf(OriginId origin) const;
-  /// Appends an origin's next increment.
+  /// Appends the next increment of an origin.
   void append(OriginId origin, const Increment& increment);
-  /// Merges what a disk record or a message brings: what is here already is skipped, and so is what would leave a gap.
-  /// @return what was new, to be persisted.
+  /// Merges a batch from a disk record or a message. Increments that are already present are skipped, as are ranges
+  /// that would leave a gap.
+  /// @return the new part of the batch, which must be persisted.
   IncrementBatch merge(const IncrementBatch& batch);
-  /// Where the increment with this id stands that counts; none: it is not here, or its id is no longer kept.
+  /// The position of the increment with this id that is counted; none if there is no such increment or its id is no
+  /// longer kept.
   std::optional<Position> find(const std::string& instanceId) const;
-  /// The counter's total, 0 for one that is new; at the limits of its type where the sum is beyond them.
+  /// The total of a counter, 0 for an unknown one. A sum beyond the limits of the result type is clamped to them.
   std::int64_t total(const std::string& counter) const;
-  /// How far this replica has come, by origin.
+  /// The last sequence of each origin.
   std::vector<OriginProgress> progress() const;
-  /// What follows `after` in each of its origins, in about so many bytes at most, but at least one increment.
+  /// The increments that follow `after` for each of the listed origins: about `maxBytes` in all, but at least one
+  /// increment.
   IncrementBatch batchAfter(const std::vector<OriginProgress>& after, std::size_t maxBytes) const;
-  /// Everything, for a snapshot.
+  /// The whole state as one batch, for a snapshot.
   IncrementBatch snapshot() const;
-  /// Adds the increments of an origin up to a sequence up and forgets their ids. The owner makes sure that none of
-  /// these ids arrives again.
+  /// Adds the increments of an origin up to a sequence to its folded amounts and discards their ids. The caller ensures
+  /// that none of these ids arrives again.
   void fold(OriginId origin, std::int64_t throughSequence);
-  /// Increments whose ids are kept.
+  /// Number of increments whose ids are kept.
   std::size_t retainedIncrements() const { return retainedIncrements_; }
-  /// Bytes of memory that the kept increments take, about.
+  /// Approximate memory that the kept increments use, in bytes.
   std::size_t keptBytes() const { return keptBytes_; }
 
  private:
-  /// A total, which may pass the limits of 64 bits.
+  /// A sum of amounts, which may exceed 64 bits.
   __extension__ using Sum = __int128;
   /// The increments of one origin.
   struct OriginLog {
     std::int64_t foldedThrough = 0;
     std::map<std::string, Sum> foldedAmounts;  // by counter
-    std::deque<Increment> increments;          // from `foldedThrough` + 1 on
+    std::deque<Increment> increments;          // sequences from `foldedThrough` + 1 on
   };
-  /// The increments with one id.
+  /// All occurrences of one increment id.
   struct KnownId {
-    std::vector<Position> positions;  // of those that are kept, in order
-    bool isFolded = false;            // it is counted among the folded ones
+    std::vector<Position> positions;  // positions of the increments with this id that are kept, ascending
+    bool isFolded = false;            // an increment with this id is part of the folded amounts
   };
   std::int64_t newestSequenceOf(const OriginLog& log) const;
   const Increment& at(const Position& position) const;
   void addToTotal(const Increment& increment, int times);
   void addPosition(const Increment& increment, const Position& position);
-  /// Takes one kept increment out of the index. @return whether it was the one that counts.
+  /// Removes one kept increment from the index. @return whether this increment was the one counted for its id.
   bool removePosition(const Increment& increment, const Position& position);
   bool mergeFolded(const FoldedOrigin& folded);
   void mergeFoldedIds(const std::vector<std::string>& ids);
--- a/libs/replicated_counters/include/replicated_counters/messages.hpp
+++ b/libs/replicated_counters/include/replicated_counters/messages.hpp
@@ -1,22 +1,22 @@
 /// @file
-/// The messages between controllers that keep counters in step (anti-entropy by version vectors, as in Bayou: Petersen
-/// et al., "Flexible Update Propagation for Weakly Consistent Replication", 1997). Each may be lost, repeated or
-/// overtaken by another without harm.
+/// The messages with which controllers synchronize counters (anti-entropy with version vectors, as in Bayou: Petersen
+/// et al., "Flexible Update Propagation for Weakly Consistent Replication", 1997). Messages may be lost, duplicated or
+/// reordered.
 #pragma once
 #include "replicated_counters/increments.hpp"
 #include "transport/envelope.hpp"
 namespace zinccleat::replicated_counters {
-/// How far the sender's disk has come. Sent at intervals, and as the acknowledgement of an urgent transfer.
+/// The progress on the sender's disk. Sent periodically, and to acknowledge an urgent transfer.
 struct ProgressReport {
   static constexpr auto kType = transport::MessageType::counterProgressReport;
-  std::string zone;                      ///< of the sender
-  std::vector<OriginProgress> progress;  ///< origins that are not listed have nothing on the sender's disk
+  std::string zone;                      ///< zone of the sender
+  std::vector<OriginProgress> progress;  ///< the sender has no durable increments of origins that are not listed
   template <class V>
   void fields(V& v) {
     v("zone", zone), v("progress", progress);
   }
 };
-/// Asks for the increments that follow these. Origins that are not listed are not asked for.
+/// Requests the increments after these positions. Only increments of the listed origins are requested.
 struct TransferRequest {
   static constexpr auto kType = transport::MessageType::counterTransferRequest;
   std::vector<OriginProgress> after;
@@ -25,10 +25,10 @@
     v("after", after);
   }
 };
-/// Increments that the receiver lacks.
+/// Increments that the receiver is missing.
 struct IncrementTransfer {
   static constexpr auto kType = transport::MessageType::counterTransfer;
-  bool urgent = false;  ///< a caller waits: to be acknowledged by a `ProgressReport` once it is on the disk
+  bool urgent = false;  ///< a caller is waiting: the receiver answers with a `ProgressReport` once the batch is durable
   IncrementBatch batch;
   template <class V>
   void fields(V& v) {
