--- a/libs/coordination/include/coordination/leaseholder.hpp
+++ b/libs/coordination/include/coordination/leaseholder.hpp
@@ -72,7 +72,7 @@
   void reject(std::int64_t callId);
   /// Ends a call that was evaluated from memory: with the outcome if the lease is still valid, as not executed
   /// otherwise.
-  void finishUnderLease(std::int64_t callId, Outcome outcome);
+  void finishIfLeaseHolds(std::int64_t callId, Outcome outcome);
   void enqueue(std::int64_t callId, const Command& command);
   void requestNumber(std::int64_t callId, const std::string& name);
   void assignNumbers(const std::string& name, NumberBlock& block);
--- a/libs/coordination/src/leaseholder.cpp
+++ b/libs/coordination/src/leaseholder.cpp
@@ -39,7 +39,7 @@
 }
 // The process may have been stopped since the lease was looked at before: only a lease that stands after the evaluation
 // says that nobody else could have written meanwhile.
-void Leaseholder::finishUnderLease(std::int64_t callId, Outcome outcome) {
+void Leaseholder::finishIfLeaseHolds(std::int64_t callId, Outcome outcome) {
   if (hasLease_())
     finish(callId, std::move(outcome));
   else
@@ -52,9 +52,9 @@
     case CommandKind::nextNumber:
       return requestNumber(callId, command.name);
     case CommandKind::getCell:
-      return finishUnderLease(callId, state_.readCell(command.name));
+      return finishIfLeaseHolds(callId, state_.readCell(command.name));
     case CommandKind::readIndex:
-      return finishUnderLease(callId, makeOutcome(OutcomeKind::done, state_.index()));
+      return finishIfLeaseHolds(callId, makeOutcome(OutcomeKind::done, state_.index()));
     case CommandKind::acquireLock:
     case CommandKind::renewLock:
     case CommandKind::releaseLock:
@@ -82,7 +82,7 @@
   while (!block.waiting.empty() && !block.empty()) {
     const auto callId = block.waiting.front();
     block.waiting.pop_front();
-    finishUnderLease(callId, makeOutcome(OutcomeKind::done, block.next++));
+    finishIfLeaseHolds(callId, makeOutcome(OutcomeKind::done, block.next++));
   }
   if (block.waiting.empty() || block.reserving)
     return;
--- a/libs/platform/include/platform/scaling_policy.hpp
+++ b/libs/platform/include/platform/scaling_policy.hpp
@@ -73,9 +73,9 @@
     const char* reason = "";
   };
   std::map<ServiceZone, Load> sumLoads(TimePoint now, std::size_t& reporting);
-  static void recordWanted(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now);
-  std::optional<ScalingOrder> decideOne(const ServiceZone& name, ServiceZoneState& zoneState,
-                                        const config::Scaling& scaling, bool mayScaleDown, TimePoint now);
+  static void recordNeededRunners(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now);
+  std::optional<ScalingOrder> decideForZone(const ServiceZone& name, ServiceZoneState& zoneState,
+                                            const config::Scaling& scaling, bool mayScaleDown, TimePoint now);
   static bool repeatIsDue(ServiceZoneState& zoneState, TimePoint now);
 
   std::unordered_map<std::string, MachineLoad> machines_;
--- a/libs/platform/src/scaling_policy.cpp
+++ b/libs/platform/src/scaling_policy.cpp
@@ -55,7 +55,7 @@
   }
   return sums;
 }
-void ScalingPolicy::recordWanted(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now) {
+void ScalingPolicy::recordNeededRunners(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now) {
   auto& wanted = zoneState.wanted;
   while (!wanted.empty() && wanted.back().runners <= runners)
     wanted.pop_back();
@@ -94,17 +94,18 @@
       const double slotsPerRunner = std::max(1.0, static_cast<double>(present.second) / present.first);
       const int wanted =
           static_cast<int>(std::ceil(zoneState.demand / (slotsPerRunner * targetUtilization(zones.size()))));
-      recordWanted(zoneState, std::clamp(wanted, service.scaling->min, service.scaling->max), service.scaling->startup,
-                   now);
+      recordNeededRunners(zoneState, std::clamp(wanted, service.scaling->min, service.scaling->max),
+                          service.scaling->startup, now);
       const bool mayScaleDown = loadIsKnown && !isEvacuated(state, zone) && !hasActiveRollout(state, service.label);
-      if (auto order = decideOne(name, zoneState, *service.scaling, mayScaleDown, now))
+      if (auto order = decideForZone(name, zoneState, *service.scaling, mayScaleDown, now))
         orders.push_back(std::move(*order));
     }
   }
   return orders;
 }
-std::optional<ScalingOrder> ScalingPolicy::decideOne(const ServiceZone& name, ServiceZoneState& zoneState,
-                                                     const config::Scaling& scaling, bool mayScaleDown, TimePoint now) {
+std::optional<ScalingOrder> ScalingPolicy::decideForZone(const ServiceZone& name, ServiceZoneState& zoneState,
+                                                         const config::Scaling& scaling, bool mayScaleDown,
+                                                         TimePoint now) {
   if (now - termStartedAt_ < kInitialReportingTime)
     return std::nullopt;
   const int current = zoneState.ordered.value_or(zoneState.present);
--- a/tests/counter_world.cpp
+++ b/tests/counter_world.cpp
@@ -241,7 +241,7 @@
   const auto callId = ++lastCallId_;
   calls_[callId] = call;
   auto increment = call->increment;
-  if (planted_ == PlantedFault::idIsNotKept)
+  if (planted_ == PlantedFault::idsAreCountedPerMachine)
     increment.instanceId += "@" + machine.address;
   (void)machine.replica->add(now_, callId, increment);
   run(machine);
--- a/tests/counter_world.hpp
+++ b/tests/counter_world.hpp
@@ -21,11 +21,11 @@
 /// Faults of the service itself, planted to show that the checks find them.
 enum class PlantedFault {
   nothing,
-  idIsNotKept,         ///< each machine counts an id by itself
-  originIsReused,      ///< a process that starts again goes on under its old origin
-  transferDropsOne,    ///< a transfer of several increments lacks one in its middle
-  acknowledgesAlone,   ///< an increment is acknowledged on one disk
-  readsBeforeCatchUp,  ///< a replica answers as soon as it starts
+  idsAreCountedPerMachine,  ///< each machine counts an id by itself
+  originIsReused,           ///< a process that starts again goes on under its old origin
+  transferDropsOne,         ///< a transfer of several increments lacks one in its middle
+  acknowledgesAlone,        ///< an increment is acknowledged on one disk
+  readsBeforeCatchUp,       ///< a replica answers as soon as it starts
 };
 
 class CounterWorld {
--- a/tests/counter_worlds_test.cpp
+++ b/tests/counter_worlds_test.cpp
@@ -49,7 +49,7 @@
               static_cast<unsigned long long>(count));
 }
 TEST(CounterWorlds, AnIdThatIsNotKeptIsFound) {
-  EXPECT_TRUE(isFound(PlantedFault::idIsNotKept));
+  EXPECT_TRUE(isFound(PlantedFault::idsAreCountedPerMachine));
 }
 TEST(CounterWorlds, AnOriginThatIsReusedIsFound) {
   EXPECT_TRUE(isFound(PlantedFault::originIsReused));
--- a/tests/platform_worlds_test.cpp
+++ b/tests/platform_worlds_test.cpp
@@ -34,11 +34,11 @@
 /// Faults of the code under test, each of which the checks must find.
 enum class PlantedFault : std::uint8_t {
   none,
-  sendsOwnCounts,
+  sendsUncommittedReport,
   reusesFence,
-  comesBackAtOnce,
+  callsBeforeLeaseEnds,
   trustsOneClock,
-  ignoresSilence
+  ignoresSilentProxies
 };
 
 FleetTime trueTime(TimePoint now) {
@@ -114,7 +114,7 @@
     for (int i = 0; i < kControllers; ++i)
       controllers_.push_back({UsageCollector({kWindow, kDelay, kServingLease}),
                               {},
-                              CallSchedule(50, planted == PlantedFault::comesBackAtOnce ? Duration(0) : kLease)});
+                              CallSchedule(50, planted == PlantedFault::callsBeforeLeaseEnds ? Duration(0) : kLease)});
     elect(0, kStart);
   }
   void play() {
@@ -271,16 +271,16 @@
     if (!time)
       return;
     auto ready = leader().collector.ready(reports_, *time, now);
-    if (planted_ == PlantedFault::ignoresSilence)
+    if (planted_ == PlantedFault::ignoresSilentProxies)
       ready = reportsWithoutWaiting(*time);
     for (auto& report : ready) {
       if (!leader().proposed.insert(report.window).second)
         continue;
-      if (planted_ == PlantedFault::sendsOwnCounts)
+      if (planted_ == PlantedFault::sendsUncommittedReport)
         send(report, now);
       log_.push_back({now + between(0, 300), std::move(report), 0});
     }
-    if (!reports_.unconfirmed().empty() && planted_ != PlantedFault::sendsOwnCounts)
+    if (!reports_.unconfirmed().empty() && planted_ != PlantedFault::sendsUncommittedReport)
       send(reports_.unconfirmed().front(), now);
   }
   /// What a collector that waits for nobody would report.
@@ -398,8 +398,8 @@
   EXPECT_TRUE(found);
 }
 INSTANTIATE_TEST_SUITE_P(Faults, PlatformWorldsFind,
-                         testing::Values(PlantedFault::sendsOwnCounts, PlantedFault::reusesFence,
-                                         PlantedFault::comesBackAtOnce, PlantedFault::trustsOneClock,
-                                         PlantedFault::ignoresSilence));
+                         testing::Values(PlantedFault::sendsUncommittedReport, PlantedFault::reusesFence,
+                                         PlantedFault::callsBeforeLeaseEnds, PlantedFault::trustsOneClock,
+                                         PlantedFault::ignoresSilentProxies));
 }  // namespace
 }  // namespace zinccleat::platform
