--- a/libs/coordination/include/coordination/commands.hpp
+++ b/libs/coordination/include/coordination/commands.hpp
@@ -14,7 +14,7 @@
   reserveNumbers = 5,  ///< through the log: reserves a block of numbers for the leaseholder
   putCell = 6,         ///< through the log
   getCell = 7,         ///< by the leaseholder, from memory
-  /// by the leaseholder: the log index that a replica must have applied to be as recent as the leaseholder
+  /// By the leaseholder: the log index that a replica must have applied to be as recent as the leaseholder.
   readIndex = 8,
 };
 /// The expected revision of a put that applies to any revision of the cell.
--- a/libs/coordination/include/coordination/watch_query.hpp
+++ b/libs/coordination/include/coordination/watch_query.hpp
@@ -7,7 +7,7 @@
 struct WatchQuery {
   std::string group;
   std::int64_t after = 0;  ///< report puts above this revision; 0: report only the current revision
-  /// the leaseholder's log index at the time of the call; the replica must have applied it
+  /// The leaseholder's log index at the time of the call; the replica must have applied it.
   std::int64_t readIndex = 0;
 };
 /// Evaluates a watch.
--- a/libs/coordination/src/call_progress.cpp
+++ b/libs/coordination/src/call_progress.cpp
@@ -4,7 +4,9 @@
 namespace {
 constexpr Duration kRetryInterval{15};
 constexpr Duration kContactPollInterval{25};
-constexpr Duration kContactTimeout{300};  // without contact, and with nothing sent, a caller is better off elsewhere
+// If nothing was sent for this long because there is no contact, the call fails so that the caller can try another
+// machine.
+constexpr Duration kContactTimeout{300};
 }  // namespace
 
 std::optional<Duration> CallProgress::retryDelayAfter(AttemptEnd end, TimePoint now) {
--- a/libs/coordination/src/leaseholder.cpp
+++ b/libs/coordination/src/leaseholder.cpp
@@ -7,7 +7,8 @@
 constexpr std::int64_t kNumberBlockSize = 64;
 constexpr std::size_t kMaxQueuedCalls = 4096;
 constexpr std::size_t kMaxBatchCommands = 512;
-// While locks are taken, a leader that is lost takes at most so much of the shard's time with it.
+// While locks are taken, the elapsed time is committed at least this often. This limits how much of the shard's time is
+// lost with a leader.
 constexpr Duration kTimeEntryInterval{200};
 }  // namespace
 
@@ -37,8 +38,8 @@
   if (callId != 0)
     results_.push_back({callId, CallStatus::notExecuted, {}});
 }
-// The process may have been stopped since the lease was looked at before: only a lease that stands after the evaluation
-// says that nobody else could have written meanwhile.
+// The process may have been suspended since the previous check of the lease. Only a lease that is valid after the
+// evaluation proves that no other leaseholder has written in the meantime.
 void Leaseholder::finishIfLeaseHolds(std::int64_t callId, Outcome outcome) {
   if (hasLease_())
     finish(callId, std::move(outcome));
@@ -60,7 +61,7 @@
     case CommandKind::releaseLock:
     case CommandKind::putCell:
       return enqueue(callId, command);
-    case CommandKind::reserveNumbers:  // the leaseholder's own
+    case CommandKind::reserveNumbers:  // issued only by the leaseholder itself
       break;
   }
   reject(callId);
@@ -111,7 +112,7 @@
 void Leaseholder::tick(TimePoint now) {
   timeEntryIsDue_ = leading_ && state_.hasLocks() && now - timeRecordedUpTo_ >= kTimeEntryInterval;
 }
-// One batch at a time: what comes while it is synced goes along in the next one.
+// Only one batch is in flight at a time. Calls that arrive while it is being written go into the next batch.
 std::optional<transport::LogEntry> Leaseholder::nextBatch(TimePoint now, const std::string& operationId) {
   if (!leading_ || !inFlightId_.empty() || (queue_.empty() && !timeEntryIsDue_))
     return std::nullopt;
@@ -124,7 +125,7 @@
   CommandBatch batch;
   batch.elapsedMs = toDuration(now - timeRecordedUpTo_).count();
   batch.historyMs = history_.count();
-  timeRecordedUpTo_ += Duration(batch.elapsedMs);  // what rounding left out goes into the next one
+  timeRecordedUpTo_ += Duration(batch.elapsedMs);  // the rounded-off remainder goes into the next batch
   for (const auto& proposed : inFlight_)
     batch.commands.push_back(proposed.command);
   transport::LogEntry entry;
--- a/libs/coordination/src/shard_state.cpp
+++ b/libs/coordination/src/shard_state.cpp
@@ -6,9 +6,9 @@
 namespace zinccleat::coordination {
 namespace {
 constexpr std::int64_t kSweepIntervalMs = 1000;
-// A caller's clock may run slower than ours by one part in so many.
+// A caller's clock may be slower than the shard's time by one part in this many.
 constexpr std::int64_t kClockDriftDivisor = 100;
-constexpr std::int64_t kRoundingAllowanceMs = 2;  // the shard's time is a sum of whole milliseconds
+constexpr std::int64_t kRoundingAllowanceMs = 2;  // the shard's time is a sum of times rounded down to milliseconds
 
 std::size_t bytesOf(const CellEvent& event) {
   return event.cell.size() + event.value.size();
@@ -17,7 +17,7 @@
   return name.size() + value.size();
 }
 
-// --- the snapshot's format ---
+// --- snapshot format ---
 
 struct LockRecord {
   std::string name;
@@ -58,7 +58,8 @@
     v("cells", cells), v("history", history);
   }
 };
-/// Whether a group is one that `ShardState::snapshot` writes: puts are looked up by their place in the history.
+/// Whether a group has the form that `ShardState::snapshot` writes: contiguous revisions, because puts are looked up by
+/// their offset in the history.
 bool isConsistent(const GroupRecord& group) {
   auto next = group.revision - static_cast<std::int64_t>(group.history.size());
   if (group.discardedUpTo < 0 || group.discardedUpTo > next)
@@ -85,7 +86,7 @@
   }
 };
 
-// --- applying ---
+// --- applying entries ---
 
 std::vector<Outcome> ShardState::apply(const transport::LogEntry& entry) {
   index_ = entry.index;
@@ -94,7 +95,8 @@
   if (entry.op() != transport::OperationKind::coordination)
     return outcomes;
   const auto batch = avro::decode<CommandBatch>(entry.body);
-  // A leaseholder encoded it, and its checksum was verified: it is equally unreadable on every replica.
+  // The batch was encoded by a leaseholder and its checksum was verified. If it cannot be decoded, it is undecodable on
+  // every replica, so all replicas skip it.
   if (!batch)
     return outcomes;
   timeMs_ += batch->elapsedMs;
@@ -123,7 +125,7 @@
     case CommandKind::nextNumber:
     case CommandKind::getCell:
     case CommandKind::readIndex:
-      break;  // never in the log
+      break;  // never written to the log
   }
   return makeOutcome(OutcomeKind::notFound);
 }
@@ -138,12 +140,14 @@
   const auto* taken = findActiveLock(lock);
   return taken ? taken->fence : 0;
 }
-// The caller counts from before it sent the call, and the shard's time stood no later then: with the drift of the
-// caller's clock and what rounding takes off, this end is never the earlier one.
+// The caller measures the duration from a moment before it sent the call, when the shard's time was not later than now.
+// With allowances for the drift of the caller's clock and for rounding, the lock expires here no earlier than at the
+// caller.
 std::int64_t ShardState::lockExpiryMs(std::int64_t holdMs) const {
   return timeMs_ + holdMs + holdMs / kClockDriftDivisor + kRoundingAllowanceMs;
 }
-// Also for the holder itself a new fence: a release that an earlier incarnation of it sent must not free the new hold.
+// The holder gets a new fence even if it already has the lock, so that a delayed release from its previous incarnation
+// does not release the new lock.
 Outcome ShardState::acquireLock(const Command& command) {
   const auto* taken = findActiveLock(command.name);
   if (taken && taken->holder != command.holder)
@@ -183,7 +187,8 @@
 
 // --- cells ---
 
-// A put that comes again would meet its own revision, or a later one: it is known by its value.
+// A repeated put cannot be recognized by its expected revision, because its first execution has already changed the
+// revision. It is recognized by its value, which is unique among the puts of the cell.
 std::optional<std::int64_t> ShardState::revisionOfRepeatedPut(const Group& group, const Cell& cell,
                                                               const std::string& value) {
   if (cell.value == value)
@@ -206,7 +211,7 @@
   const auto current = cell ? cell->revision : 0;
   if (command.argument != kAnyRevision && command.argument != current)
     return makeOutcome(OutcomeKind::revisionMismatch, current);
-  const auto addedBytes = 2 * bytesOf(command.name, command.value);  // as a cell and in the history
+  const auto addedBytes = 2 * bytesOf(command.name, command.value);  // stored in the cell and in the history
   if ((!cell && cellCount_ >= limits_.names) || cellBytes_ + addedBytes > limits_.cellBytes)
     return makeOutcome(OutcomeKind::limitReached);
   cellCount_ += cell ? 0 : 1;
@@ -235,7 +240,7 @@
     }
 }
 
-// --- reading ---
+// --- reads ---
 
 Outcome ShardState::readCell(const std::string& cell) const {
   const auto group = groups_.find(groupOf(cell));
--- a/libs/platform/include/platform/usage_collector.hpp
+++ b/libs/platform/include/platform/usage_collector.hpp
@@ -50,7 +50,7 @@
   /// The proxies whose counts a window needs.
   struct Completeness {
     std::int64_t reporters = 0;  ///< proxies known to this leader that may have served requests in the window
-    /// proxies whose counts are still missing, including proxies that only an earlier leader knew
+    /// Proxies whose counts are still missing, including proxies that only an earlier leader knew.
     std::int64_t missing = 0;
   };
   void addCounts(const transport::UsageBatch& batch);
--- a/libs/platform/include/platform/usage_recorder.hpp
+++ b/libs/platform/include/platform/usage_recorder.hpp
@@ -49,7 +49,7 @@
   std::int64_t incarnation_ = 0;
   std::optional<Duration> offset_;  // fleet time minus steady time
   bool hasFleetOffset_ = false;     // false: the offset comes from this machine's own clock
-  // tenants and start times of requests that arrived before the offset was known
+  // Tenants and start times of requests that arrived before the offset was known.
   std::vector<std::pair<std::string, TimePoint>> uncountedRequests_;
   TimePoint firstFillAt_{};
   std::int64_t currentWindow_ = 0;
--- a/libs/platform/src/call_schedule.cpp
+++ b/libs/platform/src/call_schedule.cpp
@@ -4,9 +4,9 @@
 namespace {
 constexpr Duration kInitialBackoff{300};
 constexpr int kMaxBackoffDoublings = 3;
-constexpr auto kLateExecutionAllowance = 5000ms;  // beyond the lease, after a call that got no answer
-constexpr double kRateShare = 0.5;  // of the platform's rate: a holder before this one may have spent as much
-constexpr double kBurstCalls = 4;   // calls at once
+constexpr auto kLateExecutionAllowance = 5000ms;  // additional wait after the lease if the last call got no answer
+constexpr double kRateShare = 0.5;  // share of the platform's rate to use; the previous holder may have used as much
+constexpr double kBurstCalls = 4;   // maximum number of calls in a burst
 }  // namespace
 
 void CallSchedule::startTerm(TimePoint now) {
@@ -39,7 +39,7 @@
   known.inFlight = true;
   known.startedAt = now;
   lastCallAt_ = now;
-  lastCallIsUnanswered_ = true;  // until it is answered
+  lastCallIsUnanswered_ = true;  // until the answer arrives
 }
 void CallSchedule::ended(const std::string& subject, std::int64_t startedInTerm, CallOutcome outcome, TimePoint now) {
   lastCallIsUnanswered_ = outcome == CallOutcome::unanswered;
--- a/libs/platform/src/fleet_clock.cpp
+++ b/libs/platform/src/fleet_clock.cpp
@@ -4,7 +4,8 @@
 namespace {
 constexpr auto kSampleMaxAge = 10s;
 constexpr auto kEstimateInterval = 200ms;
-constexpr auto kMinSamplingTime = 1000ms;  // by then every machine in touch has said its time; a few may all be wrong
+// All machines in contact have reported by then; the first few samples may all be wrong.
+constexpr auto kMinSamplingTime = 1000ms;
 }  // namespace
 
 void FleetClock::record(const std::string& machine, FleetTime timeOfDay, TimePoint now) {
@@ -25,7 +26,7 @@
 void FleetClock::estimate(TimePoint now) {
   std::erase_if(samples_, [now](const auto& sample) { return now - sample.second.receivedAt > kSampleMaxAge; });
   if (samples_.empty() || now - firstSampleAt_ < kMinSamplingTime)
-    return;  // the last estimate goes on with the steady clock
+    return;  // the last estimate is extrapolated with the steady clock
   std::vector<Duration> offsets;
   offsets.reserve(samples_.size());
   for (const auto& [machine, sample] : samples_)
--- a/libs/platform/src/scaling_policy.cpp
+++ b/libs/platform/src/scaling_policy.cpp
@@ -4,23 +4,24 @@
 
 namespace zinccleat::platform {
 namespace {
-// Of the slots of the runners that are left after the loss of a zone, in a burst that comes faster than runners boot:
-// beyond it first tokens come late more and more, since prompts are read between the tokens of others.
+// Target utilization of the slots that remain after the loss of one zone, during a burst that is too fast for new
+// runners to start. Beyond this utilization the time to the first token grows quickly, because prompts are processed
+// between the tokens of other requests.
 constexpr double kBurstUtilization = 0.45;
-constexpr double kBurstFactor = 1.8;  // times the demand of the moment
-constexpr double kRejectedRequestDurationS =
-    1;  // a request that was turned away would have held a place for about so long
+constexpr double kBurstFactor = 1.8;             // burst demand relative to the current demand
+constexpr double kRejectedRequestDurationS = 1;  // approximate time for which a rejected request would have used a slot
 constexpr auto kLoadReportMaxAge = 3s;
-constexpr auto kInitialReportingTime = 4s;  // of a term: by then all proxies have told their load
-constexpr auto kMinObservationTime = 20s;   // of a term: what the demand is in quiet seconds says little before
-constexpr double kMinReportingShare = 0.9;  // of the proxies; with fewer the leader is blind
+constexpr auto kInitialReportingTime = 4s;  // from the start of a term; all proxies have reported their load by then
+// From the start of a term; the demand of a shorter period is not representative.
+constexpr auto kMinObservationTime = 20s;
+constexpr double kMinReportingShare = 0.9;  // share of the proxies; with fewer reports the load is considered unknown
 constexpr auto kMinOrderInterval = 2s;
-constexpr std::array kRepeatDelays = {3s, 8s};  // an order that got no answer
+constexpr std::array kRepeatDelays = {3s, 8s};  // for an order that got no answer
 
 bool isEvacuated(const state_machine::StateContents& state, const std::string& zone) {
   return std::find(state.evacuatedZones.begin(), state.evacuatedZones.end(), zone) != state.evacuatedZones.end();
 }
-/// The part of the slots that the demand of the moment may take.
+/// The share of the slots that the current demand may use.
 double targetUtilization(std::size_t zones) {
   const double left = zones > 1 ? static_cast<double>(zones - 1) / static_cast<double>(zones) : 1;
   return kBurstUtilization / kBurstFactor * left;
@@ -74,7 +75,7 @@
   for (const auto& service : configuration.services) {
     if (!service.scaling)
       continue;
-    std::map<std::string, std::pair<int, int>> zones;  // runners in service and their slots, by zone
+    std::map<std::string, std::pair<int, int>> zones;  // number of runners in service and of their slots, by zone
     for (const auto& runner : state.runners) {
       if (runner.service != service.label || runner.runnerState() != state_machine::RunnerState::inService)
         continue;
--- a/libs/platform/src/usage_collector.cpp
+++ b/libs/platform/src/usage_collector.cpp
@@ -2,14 +2,17 @@
 
 namespace zinccleat::platform {
 namespace {
-constexpr auto kReportGrace = 1500ms;             // after its end a window waits so long in any case
-constexpr double kNegligibleMissingShare = 0.01;  // part of the proxies whose silence hardly changes a report
-constexpr double kShortWaitShare = 0.65;          // of the delay: so long a window waits for a fewMissing
-constexpr auto kPartitionWait = 40s;              // for many, which may be cut off
-constexpr auto kLeaderDiscoveryTime = 2500ms;     // by then every proxy in touch has found a new leader
+constexpr auto kReportGrace = 1500ms;             // minimum wait after the end of a window
+constexpr double kNegligibleMissingShare = 0.01;  // share of the proxies whose missing counts hardly change a report
+// Share of the report delay to wait if only a negligible share of the proxies is missing.
+constexpr double kShortWaitShare = 0.65;
+constexpr auto kPartitionWait = 40s;  // wait if more proxies are missing, which may be partitioned from the leader
+// From the start of a term; every proxy in contact has found the new leader by then.
+constexpr auto kLeaderDiscoveryTime = 2500ms;
 constexpr auto kForgetReporterAfter = 60s;
-constexpr std::int64_t kWindowsBeforeFirst = 2;  // that a leader before may have left, where no report is known
-constexpr std::int64_t kMaxWindowAge = 16;       // behind the newest; earlier ones are given up
+// Windows that an earlier leader may have left unreported, if no report is known.
+constexpr std::int64_t kWindowsBeforeFirst = 2;
+constexpr std::int64_t kMaxWindowAge = 16;  // relative to the newest window; older windows are never reported
 }  // namespace
 
 void UsageCollector::startTerm(TimePoint now) {
@@ -57,7 +60,7 @@
     if (reporter.completeThrough < window)
       ++completeness.missing;
   }
-  // Proxies that this leader has never heard may have served under the one before it.
+  // Proxies that this leader does not know may have served requests under its predecessor.
   const bool othersMayHaveServed = windowBegan < termStartedAt_ + times_.lease;
   if (othersMayHaveServed)
     completeness.missing += std::max<std::int64_t>(0, known.reportersBefore(window) - completeness.reporters);
--- a/libs/platform/src/usage_recorder.cpp
+++ b/libs/platform/src/usage_recorder.cpp
@@ -2,14 +2,15 @@
 
 namespace zinccleat::platform {
 namespace {
-constexpr std::size_t kMaxBatches = 256;             // kept for a new leader
-constexpr std::size_t kMaxCountsPerReport = 400;     // further ones go with the next report
-constexpr auto kMaxRoundTrip = 200ms;                // a slower answer says little about the time
-constexpr auto kFleetTimeTimeout = 10s;              // then this machine's own clock has to do
-constexpr std::size_t kMaxUncountedRequests = 2000;  // requests that wait for it
+constexpr std::size_t kMaxBatches = 256;          // kept for a new leader
+constexpr std::size_t kMaxCountsPerReport = 400;  // the remaining counts are sent with the next report
+constexpr auto kMaxRoundTrip = 200ms;             // an answer that took longer is too imprecise to set the offset
+constexpr auto kFleetTimeTimeout = 10s;           // after this time the offset is taken from this machine's own clock
+constexpr std::size_t kMaxUncountedRequests = 2000;  // requests that are kept until the offset is known
 }  // namespace
 
-// Windows never go back by one: a correction of the clock would else reopen a window that was called complete.
+// The current window never moves back by one. Otherwise a clock correction could reopen a window that was already
+// declared complete.
 std::int64_t UsageRecorder::windowAt(TimePoint moment) {
   const auto window =
       windowOf(FleetTime(toDuration(moment.time_since_epoch()) + offset_.value_or(Duration(0))), windowLength_);
--- a/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
+++ b/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
@@ -72,7 +72,7 @@
   struct Options {
     OriginId origin = 0;  ///< id of this incarnation of the process; never reused
     std::string zone;     ///< zone of this machine
-    /// number of peer disks that must store an increment, and number of machines whose simultaneous loss is tolerated
+    /// Number of peer disks that must store an increment, and number of machines whose simultaneous loss is tolerated.
     int copies = 2;
   };
   /// Interval between progress reports to all peers.
@@ -212,7 +212,7 @@
   bool snapshotIsDue_ = false;
   std::map<std::string, Peer> peers_;  // by address
   DiskTime ownDiskTime_;
-  // by address: progress from urgent transfers, to be reported to the sender once it is durable
+  // By address: progress from urgent transfers, to be reported to the sender once it is durable.
   std::map<std::string, Sequences> deferredReports_;
   std::vector<PendingCall> pending_;
   std::deque<Epoch> epochs_;  // oldest first
--- a/libs/replicated_counters/src/counter_replica.cpp
+++ b/libs/replicated_counters/src/counter_replica.cpp
@@ -4,18 +4,21 @@
 
 namespace zinccleat::replicated_counters {
 namespace {
-constexpr Duration kRequestTimeout{400};             // a request that brought nothing is sent again after this
-constexpr Duration kPushToAdditionalPeersAfter{25};  // a few times what a sound disk and a link take
-constexpr Duration kPushToAllPeersAfter{150};        // the first choices of peers did not answer
-constexpr std::size_t kMaxPushBytes = 16'384;        // a peer that lacks more is on its way to catch up
-constexpr Duration kLostPushTimeout{400};            // a push that is not reported by then was lost with its link
-constexpr Duration kProbeInterval{1000};  // between two increments that find out whether a slow disk is fast again
-// A disk is slow if it takes this many times what the copies take at the best, and this much more.
+constexpr Duration kRequestTimeout{400};             // an unanswered transfer request is repeated after this time
+constexpr Duration kPushToAdditionalPeersAfter{25};  // a few times the usual time of a healthy disk and link
+constexpr Duration kPushToAllPeersAfter{150};        // the preferred and the additional peers did not answer in time
+constexpr std::size_t kMaxPushBytes = 16'384;  // a peer that is missing more is still catching up by transfer requests
+// A push that is not reported as durable by then is assumed lost with its connection.
+constexpr Duration kLostPushTimeout{400};
+// Interval between increments that probe whether a slow disk has become fast again.
+constexpr Duration kProbeInterval{1000};
+// A disk is slow if its expected write time exceeds the expected time of enough copies by this factor plus this margin.
 constexpr int kSlowFactor = 2;
 constexpr Duration kSlowMargin{10};
-constexpr Duration kEpochInterval{60'000};  // how finely the age of ids is known
-// The disk's records are replaced by a snapshot once they are twice as large, so that snapshots cost half as much as
-// the records do; and no later than a start can read at ease, since each record is a file.
+constexpr Duration kEpochInterval{60'000};  // precision to which the age of ids is known
+// A snapshot replaces the records once they are twice as large as the previous snapshot, so that writing snapshots
+// costs half as much as writing records. Because each record is a file that a start must read, the number of records is
+// also limited to `kMaxRecordsPerSnapshot`.
 constexpr int kMinRecordsPerSnapshot = 256;
 constexpr int kMaxRecordsPerSnapshot = 4096;
 constexpr std::size_t kRecordBytesPerSnapshotByte = 2;
@@ -51,7 +54,7 @@
       bytes += kFixed + amount.counter.size();
   return bytes;
 }
-/// Adds a batch behind another one; ranges that continue the last one are joined to it.
+/// Appends a batch to another one. A range that continues the last range of the same origin is joined to it.
 void appendBatch(IncrementBatch& batch, IncrementBatch more) {
   std::move(more.folded.begin(), more.folded.end(), std::back_inserter(batch.folded));
   std::move(more.foldedIds.begin(), more.foldedIds.end(), std::back_inserter(batch.foldedIds));
@@ -78,7 +81,7 @@
   for (auto& [address, peer] : peers_) {
     const bool isVoter = voters.contains(address);
     peer.isMember = addresses.contains(address);
-    // Without voters nothing is known: this machine follows no log yet.
+    // An empty set of voters means that this machine does not follow the fleet's log yet, so nobody counts as removed.
     peer.isRemoved = peer.wasVoter && !isVoter && !voters.empty();
     peer.wasVoter = peer.wasVoter || isVoter;
   }
@@ -92,7 +95,7 @@
   return std::exchange(actions_, {});
 }
 
-// --- increments of callers ---
+// --- increments from callers ---
 
 Result<void> CounterReplica::add(TimePoint now, std::int64_t callId, const Increment& increment) {
   auto position = state_.find(increment.instanceId);
@@ -129,8 +132,9 @@
 bool CounterReplica::isDurable(const CounterState::Position& position) const {
   return sequenceIn(durable_, position.origin) >= position.sequence;
 }
-// Without this machine's disk one more elsewhere takes its place, however many peers are reachable: what only the other
-// side of a partition has would go with one disk there.
+// If the increment is not on the local disk, one additional copy must replace the local one, no matter how few peers
+// are reachable. Otherwise the only copy could be on a single disk on the other side of a partition and be lost with
+// that disk.
 bool CounterReplica::hasEnoughCopies(const CounterState::Position& position, int requiredCopies) const {
   const auto copies = remoteCopiesOf(position);
   return copies > options_.copies || (isDurable(position) && copies >= requiredCopies);
@@ -195,7 +199,7 @@
   const auto known = sequenceIn(peer.durable, options_.origin);
   if (peer.diskTime.expected(now) >= kLostPushTimeout)
     peer.pushedThrough = known;
-  // A range without a gap: behind what the peer has, or is sent already.
+  // The batch must continue without a gap what the peer has on its disk or has already been sent.
   const auto after = std::max(known, peer.pushedThrough);
   auto batch = state_.batchAfter({{options_.origin, after}}, kMaxPushBytes);
   if (batch.ranges.empty() || batch.ranges.front().lastSequence() < sequence)
@@ -205,7 +209,8 @@
   actions_.emplace_back(SendTransfer{address, {true, std::move(batch)}});
   return true;
 }
-// The first choices are late: as many others are asked. Only increments of this incarnation are pushed so early.
+// The preferred peers are late, so the same number of other peers is asked as well. Only increments of this incarnation
+// are pushed at this stage.
 void CounterReplica::pushToAdditionalPeers(PendingCall& call, TimePoint now) {
   call.pushedToAdditionalPeers = true;
   if (call.position.origin != options_.origin)
@@ -231,7 +236,7 @@
 void CounterReplica::receive(TimePoint now, const std::string& from, const ProgressReport& report) {
   auto& peer = recordContact(now, from);
   peer.zone = report.zone;
-  // A peer that came back with another disk reports less than before: its copies are gone.
+  // A peer that came back with an empty disk reports less than before; its earlier copies no longer exist.
   peer.durable = sequencesOf(report.progress);
   peer.diskTime.end(now, sequenceIn(peer.durable, options_.origin));
   if (!std::exchange(peer.hasReported, true))
@@ -286,7 +291,7 @@
   if (!fresh.empty())
     appendBatch(unpersisted_, std::move(fresh));
 }
-// What arrives while a write is under way is in the next one: its sender is told after that.
+// Data that arrives during a write is part of the next write. Its sender gets the report after that write has finished.
 void CounterReplica::sendDeferredReports() {
   std::erase_if(deferredReports_, [this](const auto& owed) {
     const auto& [address, sequences] = owed;
@@ -334,7 +339,7 @@
   acknowledgeReplicatedCalls(now);
 }
 
-// --- time ---
+// --- timeouts ---
 
 void CounterReplica::tick(TimePoint now) {
   for (auto& call : pending_) {
@@ -371,12 +376,14 @@
     if (!peer.hasReported)
       continue;
     ++reported;
-    // Of what a peer had, only what it still has: its disk may be lost, and what was nowhere else with it.
+    // Only data that the peer still has is required. If its disk was lost, data that was stored nowhere else no longer
+    // exists.
     for (const auto& [origin, sequence] : peer.initiallyReported)
       if (isReachable(peer, now) && state_.sequenceOf(origin) < std::min(sequence, sequenceIn(peer.durable, origin)))
         return;
   }
-  // The peers may not all be known yet: as many as bear the loss of `copies` machines are assumed.
+  // Some peers may still be unknown. At least as many members are assumed as are needed to tolerate the loss of
+  // `copies` machines.
   const auto members = std::max(peers_.size() + 1, static_cast<std::size_t>(2 * options_.copies + 1));
   const bool hasMajority = reported + 1 > members / 2;
   const bool waitedLong =
@@ -384,7 +391,7 @@
   caughtUp_ = hasMajority || waitedLong;
 }
 
-// --- forgetting ids ---
+// --- discarding ids ---
 
 bool CounterReplica::allPeersHave(const Sequences& sequences, TimePoint now) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
@@ -396,9 +403,10 @@
   const auto silentFor = now - peer.heardAt.value_or(startedAt_);
   return silentFor >= (peer.isRemoved ? kRemovedPeerTimeout : kSilentPeerTimeout);
 }
-// In two steps. An id may have been accepted at two replicas, each before it recordContact of the other. Once all peers
-// have a position on their disks none of them accepts its id again. What they had accepted until then is in their
-// reports; once all peers have that too, every replica knows all positions of these ids and folds the same ones.
+// Folding takes two steps. Two replicas may accept the same id before either learns of the other's increment. Once all
+// peers have an increment on their disks, none of them accepts its id again. Everything they had accepted until then is
+// in their progress reports. Once all peers have that as well, every replica knows all positions of these ids, so all
+// replicas fold the same increments.
 void CounterReplica::foldOldIds(TimePoint now) {
   if (now - epochAt_ < kEpochInterval)
     return;
@@ -417,7 +425,7 @@
   foldLimit_ = epochs_.front().reached;
   foldBarrier_ = sequencesOf(state_.progress());
   foldStartedAt_ = now;
-  // What a machine that is given up has reported may have gone with it.
+  // Data reported by a permanently silent peer may have been lost with it, so the barrier does not include that data.
   for (const auto& [address, peer] : peers_)
     if (!isPermanentlySilent(peer, now))
       for (const auto& [origin, sequence] : peer.durable)
@@ -425,7 +433,8 @@
 }
 void CounterReplica::finishFolding(TimePoint now) {
   if (!allPeersHave(foldBarrier_, now) || !hasReached(foldBarrier_)) {
-    // What it waits for may have gone with a machine that was replaced meanwhile: it begins anew.
+    // An increment below the barrier may have been lost with a machine that was replaced since the start. After this
+    // timeout the folding starts again with a new barrier.
     if (now - foldStartedAt_ >= kIdRetention)
       foldLimit_.reset();
     return;
--- a/libs/replicated_counters/src/counter_state.cpp
+++ b/libs/replicated_counters/src/counter_state.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::replicated_counters {
 namespace {
-constexpr std::size_t kBytesPerIncrement = 160;  // of the index and the containers, beside the texts
+constexpr std::size_t kBytesPerIncrement = 160;  // memory of the index and the containers, without the strings
 
 std::size_t bytesOf(const Increment& increment) {
   return kBytesPerIncrement + increment.counter.size() + 2 * increment.instanceId.size();
@@ -49,7 +49,7 @@
   return progress;
 }
 
-// --- increments that are kept ---
+// --- kept increments ---
 
 void CounterState::addToTotal(const Increment& increment, int times) {
   totals_[increment.counter] += static_cast<Sum>(increment.amount) * times;
@@ -87,7 +87,8 @@
 
 IncrementBatch CounterState::merge(const IncrementBatch& batch) {
   IncrementBatch merged;
-  // First of all: an id among them must not addToTotal again when its repetition is merged below.
+  // The folded ids are merged first, so that a repetition of such an id in the ranges below is not added to the total
+  // again.
   mergeFoldedIds(batch.foldedIds);
   for (const auto& folded : batch.folded)
     if (mergeFolded(folded))
@@ -137,7 +138,7 @@
   return fresh;
 }
 
-// --- what others lack ---
+// --- batches for other replicas ---
 
 IncrementBatch CounterState::batchAfter(const std::vector<OriginProgress>& after, std::size_t maxBytes) const {
   IncrementBatch batch;
--- a/libs/replicated_counters/src/disk_time.cpp
+++ b/libs/replicated_counters/src/disk_time.cpp
@@ -2,7 +2,8 @@
 
 namespace zinccleat::replicated_counters {
 namespace {
-constexpr std::size_t kMaxPendingWrites = 256;  // enough to know the age of the oldest and the time of most
+// Enough to know the age of the oldest write and the time of most writes.
+constexpr std::size_t kMaxPendingWrites = 256;
 }  // namespace
 
 void DiskTime::begin(TimePoint now, std::int64_t sequence) {
@@ -10,7 +11,8 @@
   if (pendingWrites_.size() < kMaxPendingWrites)
     pendingWrites_.push_back({sequence, now});
 }
-// A disk is believed to be slow after a few measurements, and to be fast again after one or two.
+// Longer times are averaged in slowly and shorter times quickly: a disk is considered slow after a few slow writes, and
+// fast again after one or two fast writes.
 void DiskTime::end(TimePoint now, std::int64_t sequence) {
   if (pendingWrites_.empty() || pendingWrites_.front().sequence > sequence)
     return;
