--- a/tests/coordination_history.cpp
+++ b/tests/coordination_history.cpp
@@ -22,12 +22,12 @@
          (call.answeredAt == Call::kNever ? "?" : std::to_string(call.answeredAt)) + " -> " +
          std::to_string(call.status) + " " + std::to_string(call.number) + " " + call.value;
 }
-/// A value that was answered, with the time from which on everybody may rely on it.
+/// A number that was returned to a caller, with the time of the answer.
 struct AnsweredNumber {
   std::int64_t at = 0;
   std::int64_t number = 0;
 };
-/// The highest number that was answeredBefore before a moment.
+/// Finds the highest number that was returned before a point in time.
 class AnsweredNumbers {
  public:
   void add(std::int64_t at, std::int64_t number) { all_.push_back({at, number}); }
@@ -60,11 +60,11 @@
  private:
   void report(const std::string& rule, const std::string& what) { violations_.push_back(rule + ": " + what); }
 
-  // --- locks: one holder at a moment, rising fences ---
+  // --- locks: at most one holder at a time, ascending fences ---
 
   struct Hold {
     const Call* begin = nullptr;
-    std::int64_t from = 0, until = 0;  // as the caller counts
+    std::int64_t from = 0, until = 0;  // according to the caller's clock
   };
   void checkLocks() {
     std::map<std::string, std::vector<const Call*>> byLock;
@@ -83,7 +83,7 @@
         holds.push_back(holdOf(*call, calls));
     return holds;
   }
-  // From the answer until the time of the last good call is over, or the release is sent.
+  // A hold lasts from its first answer until the duration of the last successful call has passed or a release is sent.
   static Hold holdOf(const Call& begin, const std::vector<const Call*>& calls) {
     Hold hold{&begin, begin.answeredAt, begin.sentAt + begin.holdMs * kMicrosecondsPerMs};
     std::vector<const Call*> callsOfHold;
@@ -125,13 +125,13 @@
     for (const auto* call : granted) {
       const auto [known, added] = byFence.emplace(call->number, call);
       if (!added && known->second->caller != call->caller)
-        report("ONE", "one fence for two: " + describe(*known->second) + " and " + describe(*call));
+        report("ONE", "two holders with the same fence: " + describe(*known->second) + " and " + describe(*call));
       answeredBefore.add(call->answeredAt, call->number);
     }
     answeredBefore.sort();
     for (const auto* call : granted)
       if (call->number <= answeredBefore.highestBefore(call->sentAt))
-        report("ONE", "a fence not above an earlier one: " + describe(*call));
+        report("ONE", "a fence that is not above an earlier one: " + describe(*call));
   }
 
   // --- numbers ---
@@ -143,26 +143,26 @@
       if (call.kind == CallKind::number && call.succeeded()) {
         answeredBefore[call.name].add(call.answeredAt, call.number);
         if (!seen.insert({call.name, call.number}).second)
-          report("ORDER", "a number twice: " + describe(call));
+          report("ORDER", "a number was returned twice: " + describe(call));
       }
     for (auto& [name, numbers] : answeredBefore)
       numbers.sort();
     for (const auto& call : calls_)
       if (call.kind == CallKind::number && call.succeeded() &&
           call.number <= answeredBefore[call.name].highestBefore(call.sentAt))
-        report("ORDER", "a number not above an earlier one: " + describe(call));
+        report("ORDER", "a number that is not above an earlier one: " + describe(call));
   }
 
-  // --- cells: puts, reads, what watches recordRevision ---
+  // --- cells: puts, reads and events of watches ---
 
-  /// A put with all its copies.
+  /// A put with all its repetitions.
   struct Put {
     std::int64_t firstSentAt = Call::kNever;
-    std::int64_t revision = 0;  ///< 0: none is known
-    bool refused = false;       ///< the answer to its only copy promises that it was not done
+    std::int64_t revision = 0;  ///< 0: unknown
+    bool refused = false;       ///< an answer to the put guarantees that it was not executed
     int copies = 0;
   };
-  using PutKey = std::pair<std::string, std::string>;  // cell, value
+  using PutKey = std::pair<std::string, std::string>;  // cell and value
 
   void collectPuts() {
     for (const auto& call : calls_) {
@@ -174,20 +174,20 @@
       put.refused |= guaranteesNotExecuted(call.status);
     }
   }
-  /// A revision of a cell that an answer shows.
+  /// Records the revision of a cell's value as it occurs in an answer.
   void recordRevision(const std::string& cell, const std::string& value, std::int64_t revision, const Call& by) {
     const auto put = puts_.find({cell, value});
     if (put == puts_.end() || put->second.firstSentAt > by.answeredAt)
-      return report("MIXED", "a value that nobody had put: " + describe(by));
+      return report("MIXED", "a value that was never put: " + describe(by));
     if (put->second.refused && put->second.copies == 1)
-      report("REFUSED", "a value whose put was turned away: " + describe(by));
+      report("REFUSED", "a value whose put was refused: " + describe(by));
     if (put->second.revision != 0 && put->second.revision != revision)
-      report("MIXED", "one put under two revisions: " + describe(by));
+      report("MIXED", "a put with two revisions: " + describe(by));
     put->second.revision = revision;
     const auto group = std::string(coordination::groupOf(cell));
     const auto [known, added] = revisions_[group].emplace(revision, PutKey{cell, value});
     if (!added && known->second != PutKey{cell, value})
-      report("ORDER", "one revision for two puts: " + describe(by));
+      report("ORDER", "a revision of two puts: " + describe(by));
   }
   void checkCells() {
     collectPuts();
@@ -210,7 +210,7 @@
     for (const auto& call : calls_) {
       if (call.kind == CallKind::read && (call.succeeded() || call.status == 404) &&
           call.number < ofCell[call.name].highestBefore(call.sentAt))
-        report("STALE", "a read below an acknowledged put: " + describe(call));
+        report("STALE", "a read that misses an acknowledged put: " + describe(call));
       if (call.kind == CallKind::put)
         checkPut(call, ofGroup[std::string(coordination::groupOf(call.name))]);
     }
@@ -222,21 +222,21 @@
       return;
     const auto& put = puts_.at({call.name, call.value});
     if (call.number <= answeredBefore.highestBefore(put.firstSentAt))
-      report("ORDER", "a revision not above an earlier one: " + describe(call));
+      report("ORDER", "a revision that is not above an earlier one: " + describe(call));
     if (call.appliesTo == coordination::kAnyRevision)
       return;
     for (const auto& [revision, other] : revisions_[std::string(coordination::groupOf(call.name))])
       if (other.first == call.name && revision > call.appliesTo && revision < call.number)
-        report("ORDER", "a put over a later revision: " + describe(call));
+        report("ORDER", "a put that overwrites a later revision than expected: " + describe(call));
   }
   bool isRevisionOf(const std::string& cell, std::int64_t revision) {
     const auto& revisions = revisions_[std::string(coordination::groupOf(cell))];
     const auto known = revisions.find(revision);
-    // A put whose answer was lost may have answeredBefore it.
+    // A revision that no answer contains may belong to a put whose answer was lost.
     return known == revisions.end() || known->second.first == cell;
   }
 
-  // --- watches: rising, complete, never behind ---
+  // --- watches: ascending, complete and up to date ---
 
   void checkWatches() {
     std::map<std::string, AnsweredNumbers> acknowledged;
@@ -249,7 +249,7 @@
       if (call.kind == CallKind::watch && call.succeeded()) {
         checkEvents(call);
         if (call.number < acknowledged[call.name].highestBefore(call.sentAt))
-          report("LOST", "a watch behind an acknowledged put: " + describe(call));
+          report("LOST", "a watch that misses an acknowledged put: " + describe(call));
       }
   }
   void checkEvents(const Call& call) {
@@ -257,12 +257,12 @@
     std::set<std::int64_t> shownRevisions;
     for (const auto& event : call.events) {
       if (event.revision <= last)
-        report("ORDER", "events that do not rise: " + describe(call));
+        report("ORDER", "events that are not in ascending order: " + describe(call));
       last = event.revision;
       shownRevisions.insert(event.revision);
     }
     if (call.number < call.after)
-      report("ORDER", "a watch that goes back: " + describe(call));
+      report("ORDER", "a watch whose revision decreases: " + describe(call));
     if (call.after == 0)
       return;
     const auto& revisions = revisions_[call.name];
--- a/tests/coordination_history.hpp
+++ b/tests/coordination_history.hpp
@@ -1,32 +1,35 @@
 /// @file
-/// The calls of applications for coordination as they were answered, and the rules that a history of them must keep.
-/// Each check says in its violations which rule is broken: ONE, ORDER, STALE, MIXED, REFUSED, LOST.
+/// The recorded coordination calls of applications, and the rules that such a history must satisfy. Each violation
+/// starts with the name of the violated rule: ONE (one holder per lock), ORDER (numbers and revisions ascend), STALE
+/// (no outdated reads), MIXED (values and revisions match), REFUSED (refused puts have no effect), LOST (no
+/// acknowledged put is missing).
 #pragma once
 #include "coordination/shard_state.hpp"
 
 namespace zinccleat::coordination_history {
 enum class CallKind { beginLock, renewLock, releaseLock, number, put, read, watch };
 
-/// One call. Times are of one steady clock, in microseconds; only their order counts, and `holdMs` beside them.
+/// One call. Times are in microseconds on a common steady clock. Only their order matters, and their differences in
+/// relation to `holdMs`.
 struct Call {
   static constexpr std::int64_t kNever = std::numeric_limits<std::int64_t>::max();
 
   CallKind kind = CallKind::read;
-  std::string caller;  ///< the holder of locks
-  std::string name;    ///< of the lock, the number, the cell or the group
+  std::string caller;  ///< for locks also the holder
+  std::string name;    ///< of the lock, number, cell or group
   std::int64_t sentAt = 0;
   std::int64_t answeredAt = kNever;
-  int status = 0;                                       ///< of HTTP; 0: no answer
-  std::int64_t number = 0;                              ///< answered: the fence, the number, the revision
-  std::string value;                                    ///< put: sent; read: answered
-  std::int64_t fence = 0;                               ///< renew, release: sent
-  std::int64_t holdMs = 0;                              ///< begin, renew: sent
-  std::int64_t appliesTo = coordination::kAnyRevision;  ///< put: sent
-  std::int64_t after = 0;                               ///< watch: sent
-  std::vector<coordination::CellEvent> events;          ///< watch: answered
+  int status = 0;                                       ///< HTTP status; 0: no answer
+  std::int64_t number = 0;                              ///< response: the fence, number or revision
+  std::string value;                                    ///< put: request; read: response
+  std::int64_t fence = 0;                               ///< renew and release: request
+  std::int64_t holdMs = 0;                              ///< begin and renew: request
+  std::int64_t appliesTo = coordination::kAnyRevision;  ///< put: request
+  std::int64_t after = 0;                               ///< watch: request
+  std::vector<coordination::CellEvent> events;          ///< watch: response
 
   bool succeeded() const { return status == 200; }
 };
-/// What breaks a rule, a line each; empty: nothing does.
+/// Describes each violation of a rule in one line; empty if there is none.
 std::vector<std::string> violationsIn(const std::vector<Call>& calls);
 }  // namespace zinccleat::coordination_history
--- a/tests/coordination_state_test.cpp
+++ b/tests/coordination_state_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The replicated state of a shard: each promise of locks, numbers, cells and watches, and what a snapshot keeps.
+/// Unit tests of the replicated state of a shard: the guarantees for locks, numbers, cells and watches, and snapshots.
 #include <gtest/gtest.h>
 
 #include "coordination/shard_state.hpp"
@@ -62,7 +62,7 @@
     command.argument = count;
     return apply(0, {command}).front().number;
   }
-  /// The same after a restart from a snapshot.
+  /// Replaces the state with the one restored from its snapshot.
   void restart() {
     const auto snapshot = state.snapshot();
     state = ShardState();
@@ -81,12 +81,12 @@
   EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kLockTaken);
   shard.advanceTime(3000);
   EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kLockTaken)
-      << "a caller whose clock is slow still counts itself holder";
+      << "a holder with a slow clock may still rely on the lock";
   shard.advanceTime(100);
   const auto second = shard.acquire("l", "b", 3000);
   EXPECT_EQ(second.result(), kDone);
   EXPECT_GT(second.number, first.number);
-  EXPECT_EQ(shard.renew("l", "a", first.number, 3000).result(), kLockTaken) << "lost";
+  EXPECT_EQ(shard.renew("l", "a", first.number, 3000).result(), kLockTaken) << "the lock has expired";
 }
 TEST(CoordinationLocks, ARenewalKeepsTheLockAndNeverShortensTheHold) {
   Shard shard;
@@ -98,7 +98,7 @@
   shard.advanceTime(2900);
   EXPECT_EQ(shard.acquire("l", "b", 1).result(), kLockTaken);
 }
-// The race of a renewal with the end of its hold is decided by the order of the log.
+// A renewal may race with the expiry of its lock. The order of the log decides: a renewal after the expiry fails.
 TEST(CoordinationLocks, ARenewalAfterTheEndIsRefusedAlsoIfNobodyElseAsked) {
   Shard shard;
   const auto fence = shard.acquire("l", "a", 100).number;
@@ -106,13 +106,14 @@
   EXPECT_EQ(shard.renew("l", "a", fence, 3000).result(), kLockTaken);
   EXPECT_EQ(shard.acquire("l", "b", 100).result(), kDone);
 }
-// A holder that died keeps its name: a release that it had sent before must not free the lock under its new hold.
+// A holder that restarts keeps its name. A release from before the restart must not release the lock after the holder
+// has acquired it again.
 TEST(CoordinationLocks, AReleaseOfAnEarlierHoldFreesNothing) {
   Shard shard;
   const auto before = shard.acquire("l", "a", 3000).number;
   const auto again = shard.acquire("l", "a", 3000).number;
   EXPECT_GT(again, before);
-  EXPECT_EQ(shard.release("l", "a", before).result(), kDone) << "always answered as done";
+  EXPECT_EQ(shard.release("l", "a", before).result(), kDone) << "a release with an old fence succeeds without effect";
   EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kLockTaken);
   EXPECT_EQ(shard.release("l", "a", again).result(), kDone);
   EXPECT_EQ(shard.acquire("l", "b", 3000).result(), kDone);
@@ -130,7 +131,7 @@
       shard.advanceTime(5000);
     shard.restart();
   }
-  EXPECT_EQ(shard.state.lockCount(), 0U) << "locks that ended take no memory";
+  EXPECT_EQ(shard.state.lockCount(), 0U) << "expired locks are removed";
 }
 TEST(CoordinationNumbers, BlocksNeverOverlap) {
   Shard shard;
@@ -157,22 +158,24 @@
   shard.put("g.other", "v2");
   const auto late = shard.put("g.a", "v3", 0);
   EXPECT_EQ(late.result(), kRevisionMismatch);
-  EXPECT_EQ(late.number, 1) << "the cell's revision, not the group's";
+  EXPECT_EQ(late.number, 1) << "the outcome contains the revision of the cell, not of the group";
   EXPECT_EQ(shard.put("g.a", "v3", 1).number, 3);
   EXPECT_EQ(shard.put("g.new", "v4", 7).result(), kRevisionMismatch);
   EXPECT_EQ(shard.put("g.new", "v4", 7).number, 0);
 }
-// The value comes first and the comparison afterwards: a repeated put meets its own revision.
+// A repeated put is recognized by its value before its expected revision is compared. Otherwise it would fail with a
+// mismatch, because its first execution has already changed the revision.
 TEST(CoordinationCells, ARepeatedPutGetsItsFirstRevision) {
   Shard shard;
   shard.put("g.a", "v0");
   EXPECT_EQ(shard.put("g.a", "v1", 1).number, 2);
   EXPECT_EQ(shard.put("g.a", "v1", 1).number, 2);
   EXPECT_EQ(shard.put("g.a", "v2", 2).number, 3);
-  EXPECT_EQ(shard.put("g.a", "v1", 1).number, 2) << "after another put too";
+  EXPECT_EQ(shard.put("g.a", "v1", 1).number, 2) << "the put is also recognized after another put";
   EXPECT_EQ(shard.state.readCell("g.a").value, "v2");
   shard.restart();
-  EXPECT_EQ(shard.put("g.a", "v1").number, 2) << "without a revision to compare with, after a restart";
+  EXPECT_EQ(shard.put("g.a", "v1").number, 2)
+      << "the put is recognized after a restart and without an expected revision";
   EXPECT_EQ(shard.state.readCell("g.a").value, "v2");
   shard.advanceTime(kHistoryMs / 2);
   EXPECT_EQ(shard.put("g.a", "v1", 1).number, 2);
@@ -188,20 +191,21 @@
   EXPECT_EQ(all.revision, 6);
   const auto some = shard.state.eventsAfter("g.", 2, 10);
   EXPECT_EQ(some.events.size(), 2U);
-  EXPECT_EQ(some.revision, 4) << "an answer names the revision that it reaches";
-  EXPECT_EQ(shard.state.eventsAfter("g.", 2, 1).events.size(), 1U) << "one at least";
-  EXPECT_EQ(shard.state.eventsAfter("g.", 9, 1000).revision, 9) << "beyond the present: never lower than asked for";
+  EXPECT_EQ(some.revision, 4) << "the answer contains the last revision that it includes";
+  EXPECT_EQ(shard.state.eventsAfter("g.", 2, 1).events.size(), 1U) << "at least one event is returned";
+  EXPECT_EQ(shard.state.eventsAfter("g.", 9, 1000).revision, 9) << "the revision is never lower than the requested one";
   EXPECT_TRUE(shard.state.eventsAfter("none.", 3, 1000).events.empty());
 }
-// Found by a seeded world: a replica that lagged until the watch's time was up answered "none", below what had been
-// acknowledged before the watch was sent.
+// Guards against an outdated answer to a watch. When the time of the watch was up, a replica that lagged behind
+// answered without events, although puts had been acknowledged before the watch was sent. A seeded simulation found
+// this.
 TEST(CoordinationCells, AReplicaThatLagsUntilTheTimeIsUpDoesNotAnswerAWatch) {
   Shard shard;
   shard.put("g.a", "v1");
   shard.put("g.a", "v2");
   const WatchQuery behind{"g.", 1, shard.lastIndex + 1};
-  EXPECT_FALSE(answerWatch(shard.state, behind, false)) << "it waits";
-  EXPECT_FALSE(answerWatch(shard.state, behind, true).value().has_value()) << "and then says that it can't tell";
+  EXPECT_FALSE(answerWatch(shard.state, behind, false)) << "the watch waits until the replica has caught up";
+  EXPECT_FALSE(answerWatch(shard.state, behind, true).value().has_value()) << "the watch fails once its time is up";
   const WatchQuery present{"g.", 0, shard.lastIndex + 1};
   EXPECT_FALSE(answerWatch(shard.state, present, true).value().has_value());
   shard.advanceTime(10);
@@ -216,16 +220,16 @@
   shard.put("g.a", "v1");
   shard.advanceTime(kHistoryMs);
   shard.put("g.a", "v2");
-  EXPECT_FALSE(shard.state.eventsAfter("g.", 0, 1000).discarded) << "on the edge";
+  EXPECT_FALSE(shard.state.eventsAfter("g.", 0, 1000).discarded) << "the put has exactly the maximum age";
   shard.advanceTime(2000);
   EXPECT_TRUE(shard.state.eventsAfter("g.", 0, 1000).discarded);
-  EXPECT_FALSE(shard.state.eventsAfter("g.", 1, 1000).discarded) << "nothing above it is missing";
+  EXPECT_FALSE(shard.state.eventsAfter("g.", 1, 1000).discarded) << "all puts above revision 1 are in the history";
   EXPECT_EQ(shard.state.eventsAfter("g.", 1, 1000).events.size(), 1U);
   shard.restart();
   EXPECT_TRUE(shard.state.eventsAfter("g.", 0, 1000).discarded);
   EXPECT_EQ(shard.state.readCell("g.a").value, "v2");
   shard.advanceTime(2 * kHistoryMs);
-  EXPECT_EQ(shard.put("g.a", "v2").number, 2) << "a cell's present value is known however old it is";
+  EXPECT_EQ(shard.put("g.a", "v2").number, 2) << "the current value of a cell is recognized regardless of its age";
 }
 TEST(CoordinationState, LimitsRefuseWhatIsNewAndServeWhatIsThere) {
   Shard shard({.names = 2, .cellBytes = 40});
--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// The calls of applications for coordination, as the users' page on locks has them: each answer, and what bad input
-/// gets. Locks, numbers, puts, reads and watches were answered 404 once (docs/incidents/lost-short.md): at the end of a
-/// day everything is asked for again, for some seconds, at every controller, and each call must be answered.
+/// The coordination calls of the API as described on the users' page on locks: the answer to each call, and the
+/// rejection of invalid input. All calls for locks, numbers, puts, reads and watches were once answered with 404
+/// (docs/incidents/lost-short.md). At the end of a day every controller receives all of these calls again for some
+/// seconds, and each must be answered.
 #include <gtest/gtest.h>
 
 #include "fake_controller.hpp"
@@ -30,7 +31,8 @@
   EXPECT_EQ(statusOf(controller.post("/v1/Locks.Heartbeat/l1", R"({"holder":"b","fenceNumber":1,"holdMs":3000})")),
             409);
   EXPECT_EQ(statusOf(controller.post("/v1/Locks.Release/l1", R"({"holder":"a","fenceNumber":1})")), 200);
-  EXPECT_EQ(statusOf(controller.post("/v1/Locks.Release/l1", R"({"holder":"a","fenceNumber":1})")), 200) << "not taken";
+  EXPECT_EQ(statusOf(controller.post("/v1/Locks.Release/l1", R"({"holder":"a","fenceNumber":1})")), 200)
+      << "releasing a free lock succeeds";
   EXPECT_EQ(controller.post("/v1/Locks.Begin/l1", R"({"holder":"b","holdMs":3000})").body, R"({"fenceNumber":2})");
 }
 TEST(Coordination, NumbersCellsAndWatchesAnswerAsThePageSays) {
@@ -43,7 +45,7 @@
   EXPECT_EQ(statusOf(mismatch), 412);
   EXPECT_EQ(mismatch.body, R"({"revision":1})");
   EXPECT_EQ(controller.post("/v1/Cells.Replace/g1.3", R"({"value":"z"})").body, R"({"revision":2})")
-      << "on any revision";
+      << "the put applies to any revision";
   EXPECT_EQ(controller.get("/v1/Cells.Retrieve/g1.2d").body, R"({"value":"x","revision":1})");
   EXPECT_EQ(controller.get("/v1/watch/g1.?after=1&waitMs=2000").body,
             R"({"events":[{"label":"g1.3","value":"z","revision":2}],"revision":2})");
@@ -58,7 +60,7 @@
   controller.post("/v1/Cells.Replace/g.a", R"({"value":"3"})");
   EXPECT_EQ(statusOf(controller.get("/v1/watch/g.?after=1&waitMs=10")), 410);
 }
-// A 503 or 429 promises that nothing was done; where that is not known, no status is sent at all.
+// The status 503 or 429 guarantees that the call was not executed. If that is unknown, no response is sent.
 TEST(Coordination, WhatIsNotKnownIsNotAnswered) {
   FakeController controller;
   controller.outcomeGetsLost = true;
@@ -104,5 +106,5 @@
   for (const auto* query : {"?after=-1", "?after=x", "?after=1&waitMs=60001", "?after=99999999999999999999"})
     EXPECT_EQ(statusOf(controller.get("/v1/watch/g." + std::string(query))), 400) << query;
   EXPECT_EQ(statusOf(controller.get("/v1/Locks.Begin/l")), 405);
-  EXPECT_EQ(controller.lastIndex, 0) << "nothing reached the log";
+  EXPECT_EQ(controller.lastIndex, 0) << "rejected calls must not reach the log";
 }
--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -70,7 +70,7 @@
 std::string CoordinationWorld::snapshotOf(const Node& node) const {
   return members_.at(node.ip).state.snapshot();
 }
-// As `CoordinationShard::run` has it.
+// Drives the leaseholder in the same way as `CoordinationShard::run`.
 void CoordinationWorld::afterActions(Node& node) {
   auto& member = members_[node.ip];
   if (member.isRunning || !node.raft)
@@ -122,7 +122,7 @@
   schedule(kPausedRetryInterval, [this, ip, incarnation, task] { onProcess(ip, incarnation, task); });
 }
 
-// --- the service ---
+// --- coordination service ---
 
 void CoordinationWorld::acceptCall(const std::string& ip, const Command& command, Duration timeout, OnAnswer onAnswer) {
   attempt(std::make_shared<AcceptedCall>(
@@ -134,7 +134,7 @@
   const bool inContact = planted_ == PlantedFault::leaseIsNotChecked || node.raft->inContactWithMajority(now);
   if (leaderId.empty() || !inContact)
     return endAttempt(accepted, AttemptEnd::notSent);
-  // The attempt ends by its result, by another leader or by the time, whichever is first.
+  // The attempt ends with its result, a change of the leader or the deadline, whichever comes first.
   const auto ended = std::make_shared<bool>(false);
   const auto end = [this, accepted, ended](AttemptEnd how) {
     if (!std::exchange(*ended, true))
@@ -160,7 +160,7 @@
     return callLeaseholder(node, accepted->command, onResult);
   const auto leaderIp = addressOf(leaderId);
   if (isLost(accepted->ip, leaderIp))
-    return;  // sent, and lost on the way
+    return;  // the message was sent and got lost
   schedule(drawDelay(), [this, accepted, leaderIp, onResult] {
     auto* leader = reach(accepted->ip, leaderIp);
     if (!leader)
@@ -226,7 +226,7 @@
   });
 }
 
-// --- the applications ---
+// --- applications ---
 
 std::string CoordinationWorld::drawMachineIp() {
   return ips_[draw(ips_.size())];
@@ -313,14 +313,16 @@
     case 1: {
       call.name = lock;
       const auto fence = caller->fences.find(lock);
-      if (fence == caller->fences.end() || draw(6) == 0)  // also once more while it has the lock: it forgot
+      // Sometimes also while it has the lock, as if it had restarted.
+      if (fence == caller->fences.end() || draw(6) == 0)
         return beginLock(caller, lock);
       call.fence = fence->second;
       call.kind = draw(2) == 0 ? CallKind::renewLock : CallKind::releaseLock;
       call.holdMs = call.kind == CallKind::renewLock ? 100 + static_cast<std::int64_t>(draw(800)) : 0;
       if (call.kind == CallKind::releaseLock)
         caller->fences.erase(fence);
-      // It dies after it has sent the release, which is late, and comes back under its name.
+      // The caller restarts under the same name directly after it has sent a release. The release is delayed and may
+      // arrive after the caller has acquired the lock again.
       if (call.kind == CallKind::releaseLock && draw(3) == 0) {
         send(
             call, drawMachineIp(), [](const Call&) {}, Duration(20 + draw(200)));
@@ -374,7 +376,7 @@
     scheduleNextCall(caller);
   });
 }
-// A put without a clear answer is sent scheduleNext as it was; one that was refused is given up half of the time.
+// Repeats a put without a definite answer unchanged. After a refusal the caller gives up in half of the cases.
 void CoordinationWorld::putUntilAnswered(const std::shared_ptr<Caller>& caller, const Call& put, int attemptsLeft) {
   send(put, drawMachineIp(), [this, caller, put, attemptsLeft](const Call& ended) {
     const bool clear = ended.succeeded() || ended.status == kPreconditionFailed;
@@ -419,7 +421,7 @@
     call.after = 0;
   }
   runFor(within + kCallerTimeout * 2);
-  *ask = nullptr;  // it refers to itself
+  *ask = nullptr;  // breaks the reference cycle of the function with itself
   return {unanswered->begin(), unanswered->end()};
 }
 std::size_t CoordinationWorld::answered() const {
--- a/tests/coordination_world.hpp
+++ b/tests/coordination_world.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// A seeded world of one shard of the coordination service: controllers with a replicated log, a replica and a
-/// leaseholder each, over the simulated network, disks and processes of `SimulatedCluster`, and applications that call
-/// any of them. The applications stand outside all cuts. What they see is recorded for `violationsIn`.
+/// A seeded simulation ("world") of one shard of the coordination service. Each controller has a replicated log, a
+/// replica and a leaseholder, on top of the simulated network, disks and processes of `SimulatedCluster`. Applications
+/// call any of the controllers and are not affected by network partitions. Their calls and answers are recorded and
+/// checked by `coordination_history::violationsIn`.
 #pragma once
 #include "coordination/call_progress.hpp"
 #include "coordination/leaseholder.hpp"
@@ -10,15 +11,15 @@
 #include "simulated_cluster.hpp"
 
 namespace zinccleat::sim {
-/// Faults of the service itself, planted to show that the checks find them.
+/// Deliberate bugs in the service, which show that the checks detect them.
 enum class PlantedFault {
   nothing,
-  leaseIsNotChecked,    ///< reads and numbers are answered without a lease
-  timeRunsFast,         ///< the shard's time passes twice as fast as the clock
-  answersBeforeCommit,  ///< a write is answered once it is proposed
-  unknownIsRefused,     ///< a call without an outcome is answered 503
-  watchIsNotFresh,      ///< a watch is answered from whatever the replica has
-  releaseIgnoresFence,  ///< a release frees the lock whatever its fence
+  leaseIsNotChecked,    ///< reads and numbers are answered without a valid lease
+  timeRunsFast,         ///< the shard's time runs twice as fast as the clock
+  answersBeforeCommit,  ///< a write is answered as soon as it is proposed
+  unknownIsRefused,     ///< a call with an unknown outcome is answered with 503
+  watchIsNotFresh,      ///< a watch is answered even if the replica lags behind
+  releaseIgnoresFence,  ///< a release frees the lock regardless of its fence
 };
 
 class CoordinationWorld : public SimulatedCluster {
@@ -27,11 +28,11 @@
   using CallKind = coordination_history::CallKind;
 
   CoordinationWorld(std::uint64_t worldSeed, PlantedFault planted);
-  /// Founders start; callers call until `until`.
+  /// Starts all controllers as founding members.
   void startAll(const std::vector<std::string>& ips);
   void startCallers(int count, TimePoint until);
-  /// After the faults: locks, numbers, cells and watches are asked for until each has answered.
-  /// @return what did not answer within its time.
+  /// Calls each lock, number, cell and watch after the end of the faults, until each has been answered.
+  /// @return the names that were not answered in time.
   std::vector<std::string> readBack(Duration within);
   const std::vector<Call>& history() const { return history_; }
   std::size_t answered() const;
@@ -45,7 +46,7 @@
 
  private:
   using OnAnswer = std::function<void(int status, const coordination::Outcome&)>;
-  /// A call that a machine has accepted from an application or from another machine.
+  /// A call that a machine has accepted from an application.
   struct AcceptedCall {
     std::string ip;
     int incarnation = 0;
@@ -62,15 +63,15 @@
     std::vector<std::function<void()>> onNextApply;
     bool isRunning = false;
   };
-  /// An application: one call after the other, at machines drawn anew.
+  /// An application. It makes one call at a time, each to a randomly drawn machine.
   struct Caller {
     std::string name;
     std::map<std::string, std::int64_t> fences;   ///< by lock
-    std::map<std::string, std::int64_t> watched;  ///< by group, the revision to go on from
-    std::map<std::string, std::int64_t> read;     ///< by cell, the newest revision seen
+    std::map<std::string, std::int64_t> watched;  ///< by group, the revision from which to continue
+    std::map<std::string, std::int64_t> read;     ///< by cell, the latest revision that was read
   };
 
-  // --- the service, as the controller wires it ---
+  // --- coordination service, connected as in the controller ---
   void acceptCall(const std::string& ip, const coordination::Command& command, Duration timeout, OnAnswer onAnswer);
   void attempt(const AcceptedCallPtr& accepted);
   void endAttempt(const AcceptedCallPtr& accepted, coordination::AttemptEnd end);
@@ -79,12 +80,12 @@
   void watch(const std::string& ip, const std::string& group, std::int64_t after, TimePoint until,
              const OnAnswer& onAnswer, const std::function<void(const coordination::WatchedEvents&)>& onEvents);
   bool isAlive(const std::string& ip, int incarnation) { return nodes[ip].up && nodes[ip].incarnation == incarnation; }
-  /// Runs a task on a process, once that is not paused.
+  /// Runs a task in a process; waits while the process is paused.
   void onProcess(const std::string& ip, int incarnation, const std::function<void()>& task);
 
-  // --- the applications ---
+  // --- applications ---
   void issueCall(const std::shared_ptr<Caller>& caller);
-  /// @param extraDelay so much longer than usual is the call on its way.
+  /// @param extraDelay additional delay of the request.
   void send(Call call, const std::string& ip, const std::function<void(const Call&)>& onEnd,
             Duration extraDelay = Duration(0));
   void beginLock(const std::shared_ptr<Caller>& caller, const std::string& lock);
@@ -97,7 +98,7 @@
   static coordination::Command commandOf(const Call& call);
 
   PlantedFault planted_;
-  std::map<std::string, Member> members_;  // by IP
+  std::map<std::string, Member> members_;  // by IP address
   std::vector<std::string> ips_;
   std::vector<Call> history_;
   TimePoint callUntil_{};
--- a/tests/coordination_worlds_test.cpp
+++ b/tests/coordination_worlds_test.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// Seeded worlds of the coordination service under faults, checked by the rules of a history; and the same with faults
-/// planted in the service, each of which must be found.
+/// Seeded simulations of the coordination service under faults, checked against the rules in
+/// `coordination_history.hpp`. Further simulations contain a deliberate bug in the service, which the checks must
+/// detect.
 ///
-/// ZINCCLEAT_FROM and ZINCCLEAT_WORLDS in the environment choose other seeds and more of them.
+/// The environment variables ZINCCLEAT_FROM and ZINCCLEAT_WORLDS set the first seed and the number of seeds.
 #include <gtest/gtest.h>
 
 #include "coordination_world.hpp"
@@ -18,7 +19,7 @@
   const char* text = std::getenv(name);
   return text ? std::strtoull(text, nullptr, 10) : defaultValue;
 }
-/// FaultInjector in turn, some of which overlap, until the callers end.
+/// Injects random faults, some of which overlap, until the callers stop.
 class FaultInjector {
  public:
   explicit FaultInjector(CoordinationWorld& world) : world_(world) {}
@@ -26,12 +27,12 @@
     until_ = until;
     next();
   }
-  /// How many processes were frozen, for 100 to 2,600 ms each; a lease lasts 420.
+  /// Number of processes that were paused, each for 100 to 2,600 ms. A lease lasts 420 ms.
   std::size_t freezes() const { return freezes_; }
 
  private:
   std::string drawMachineIp() { return kMachines[world_.draw(kMachines.size())]; }
-  /// The leaseholder half of the time: what hits it matters most.
+  /// Returns the leader in half of the cases, because faults of the leaseholder have the largest effect.
   std::string drawTarget() {
     const auto leader = world_.leader();
     return leader.empty() || world_.draw(2) == 0 ? drawMachineIp() : leader;
@@ -55,17 +56,17 @@
     const auto ip = drawTarget();
     switch (world_.draw(10)) {
       case 0:
-      case 1:  // frozen, and thawed again, mostly past its lease
+      case 1:  // pause a process, usually for longer than its lease
         ++freezes_;
         world_.nodes[ip].paused = true;
         return scheduleAfter(drawFaultDuration(), [this, ip] { world_.nodes[ip].paused = false; });
       case 2:
-      case 3: {  // cut off, in one direction or both
+      case 3: {  // isolate a machine, in one or both directions
         const auto before = world_.cutLinks;
         world_.isolate(ip, world_.draw(2) == 0);
         return scheduleAfter(drawFaultDuration(), [this] { world_.cutLinks.clear(); });
       }
-      case 4:  // two halves
+      case 4:  // split the cluster in two
         for (const auto& one : {kMachines[0], kMachines[1]})
           for (const auto& other : {kMachines[2], kMachines[3], kMachines[4]}) {
             world_.cutLinks.insert({one, other});
@@ -76,7 +77,7 @@
         if (world_.nodes[ip].up)
           world_.crash(ip);
         return scheduleAfter(Duration(50 + world_.draw(800)), [this, ip] { restart(ip); });
-      case 6:  // power lost everywhere
+      case 6:  // power failure of all machines
         for (const auto& each : kMachines)
           if (world_.nodes[each].up)
             world_.crash(each);
@@ -84,7 +85,7 @@
           for (const auto& each : kMachines)
             restart(each);
         });
-      case 7:  // a disk lost; the next one only once this one is replaced
+      case 7:  // lose a disk, but only after the previously lost disk has been replaced
         if (world_.now - lastDiskLossAt_ < Duration(8000) || !world_.nodes[ip].up)
           return;
         lastDiskLossAt_ = world_.now;
@@ -99,7 +100,7 @@
     }
   }
 
-  /// The disk of one machine or of all is slow for a while.
+  /// Makes the disk of one machine or of all machines slow for some time.
   void slowDisks(const std::string& one) {
     const bool all = world_.draw(2) == 0;
     const Duration syncTime(50 + world_.draw(1500));
@@ -131,7 +132,7 @@
   faults.start(until);
   world.startCallers(6, until);
   world.runFor(kCallPeriod + Duration(3000));
-  // The faults are over: everything runs and is connected.
+  // End of the faults: all processes run and all links work.
   world.cutLinks.clear();
   for (const auto& ip : kMachines) {
     world.nodes[ip].paused = false;
@@ -142,7 +143,7 @@
   world.runFor(Duration(6000));
   SimulationResult result;
   for (const auto& name : world.readBack(kReadBackTimeout))
-    result.violations.push_back("LOST: at the end no answer for " + name);
+    result.violations.push_back("LOST: no answer after the end of the faults for " + name);
   for (auto& each : coordination_history::violationsIn(world.history()))
     result.violations.push_back(std::move(each));
   for (const auto& each : world.violations)
@@ -174,14 +175,14 @@
   }
   RecordProperty("answered", static_cast<int>(answered));
   RecordProperty("freezes", static_cast<int>(freezes));
-  EXPECT_GT(answered, count * 500) << "most calls are answered in between";
+  EXPECT_GT(answered, count * 500) << "most calls must be answered despite the faults";
 }
 
 namespace {
 struct PlantedFaultCase {
   PlantedFault fault;
   const char* name;
-  std::vector<std::string> rules;  ///< one of which it breaks
+  std::vector<std::string> rules;  ///< the simulation must violate one of these rules
 };
 const PlantedFaultCase kPlantedFaultCases[] = {
     {PlantedFault::leaseIsNotChecked, "leaseIsNotChecked", {"STALE", "ORDER", "LOST"}},
@@ -201,7 +202,7 @@
       for (const auto& rule : GetParam().rules)
         if (violation.starts_with(rule))
           return;
-  FAIL() << GetParam().name << " was not found";
+  FAIL() << GetParam().name << " was not detected";
 }
 INSTANTIATE_TEST_SUITE_P(CoordinationWorlds, PlantedFaults, testing::ValuesIn(kPlantedFaultCases),
                          [](const auto& info) { return std::string(info.param.name); });
--- a/tests/counter_world.cpp
+++ b/tests/counter_world.cpp
@@ -5,14 +5,14 @@
 using namespace replicated_counters;
 constexpr Duration kTick{50};
 constexpr Duration kCallTimeout{850};
-constexpr int kRoundCount = 3;  // of faults that overlap, each followed by a hasMerged time
+constexpr int kRoundCount = 3;  // periods of overlapping faults, each followed by a time without faults
 constexpr Duration kRoundLength{45'000};
-constexpr Duration kFaultPeriod{18'000};  // of a round
+constexpr Duration kFaultPeriod{18'000};  // part of each round
 constexpr Duration kFaultyRunLength = kRoundCount * kRoundLength;
-// A machine whose disk was lost counts as lost for so long, without another injectFault.
+// A machine counts as lost for this long after the loss of its disk, provided that no other problem occurs.
 constexpr Duration kDiskRecoveryTime{10'000};
 constexpr std::size_t kCounters = 4;
-constexpr Duration kFaultFreeRunLength{60'000};  // played without faults
+constexpr Duration kFaultFreeRunLength{60'000};  // length of a simulation without faults
 }  // namespace
 
 CounterWorld::CounterWorld(std::uint64_t seed, PlantedFault planted)
@@ -72,7 +72,8 @@
     return;
   machine.up = false;
   const auto incarnation = machine.incarnation;
-  // A record that was being written is there or not, whole: records are files, written aside and renamed.
+  // A record that was being written is either complete or absent, because records are files that are written under a
+  // temporary name and then renamed.
   if (machine.writing && drawOneIn(2)) {
     if (machine.writing->full)
       machine.disk.clear();
@@ -84,7 +85,7 @@
   });
 }
 bool CounterWorld::loseDisk(Machine& machine) {
-  // As many as are to be borne, until those are recovered.
+  // The number of disks that may be lost at the same time is limited to `copies_`.
   if (unrecoveredDisks_ >= copies_)
     return false;
   ++unrecoveredDisks_;
@@ -136,13 +137,13 @@
         if (range.increments.size() > 2)
           range.increments.erase(range.increments.begin() + 1);
   if (!isFaultFree_ && drawOneIn(200))
-    return;  // a link that was reset
+    return;  // the connection was reset
   const auto sentBy = from.incarnation;
   const auto* sender = &from;
   at(now_ + drawBetween(1, !isFaultFree_ && drawOneIn(20) ? 120 : 8),
      [this, sender, sentBy, to, message = std::move(message)] {
        auto* receiver = machineAt(to);
-       // What a cut holds up is lost with its connection.
+       // A message that is delayed by a partition is lost with its connection.
        if (!receiver || sender->incarnation != sentBy || !connected(*sender, *receiver))
          return;
        receiver->replica->receive(now_, sender->address, message);
@@ -214,7 +215,8 @@
   call->sentAt = now_;
   attempt(call);
 }
-// The nearest first, then any that the caller's zone reaches; the same id again where the answer was lost.
+// Calls a machine in the caller's own zone if possible, otherwise any machine that the zone can reach. The call is
+// repeated with the same id if its answer was lost.
 void CounterWorld::attempt(const std::shared_ptr<Call>& call) {
   if (++call->attempts > 6)
     return;
@@ -247,7 +249,7 @@
   run(machine);
   at(now_ + kCallTimeout, [this, callId, call, again] {
     if (calls_.erase(callId) == 0 && !drawOneIn(20))
-      return;  // it was answered; one in twenty answers is lost on its way
+      return;  // the call was answered; one in twenty answers is lost
     if (auto* asked = machineAt(call->machine); asked && asked->incarnation == call->incarnation)
       asked->replica->cancel(callId);
     again();
@@ -264,15 +266,15 @@
     machine.acknowledgedTotals[increment.counter] += increment.amount;
     acknowledgementTimes_.push_back(toDuration(now_ - found.mapped()->sentAt));
   }
-  // One of several acknowledgements is enough to owe it.
+  // If an id is acknowledged several times, one acknowledgement outside a partition is enough to require its increment.
   if (isNew || acknowledged.whileCutOff)
     acknowledged = {increment.counter, increment.amount, machine.address, isCutOff(machine), now_};
 }
 bool CounterWorld::mustSurvive(const Acknowledged& acknowledged) const {
   if (!acknowledged.whileCutOff)
     return true;
-  // The time in which it was acknowledged, and whether the machine's disk was lost until that had been over for a
-  // while.
+  // An increment that was acknowledged during a partition is not required if the machine's disk was lost before the
+  // increment had time to reach the other machines.
   for (const auto& machine : machines_) {
     if (machine->address != acknowledged.machine)
       continue;
@@ -294,7 +296,7 @@
 void CounterWorld::readAt(Machine& machine, bool final) {
   if (!machine.replica->mayRead() && planted_ != PlantedFault::readsBeforeCatchUp) {
     if (final)
-      reportViolation(machine.address + " answers no read in the end");
+      reportViolation(machine.address + " answers no reads at the end");
     return;
   }
   std::map<std::string, std::int64_t> requiredTotals;
@@ -324,12 +326,12 @@
     (drawOneIn(2) ? side : others).insert(zone);
   std::vector<std::pair<std::set<int>, std::set<int>>> cut;
   const auto shape = drawBelow(4);
-  if (shape == 0) {  // two zones, which a third reaches both
+  if (shape == 0) {  // two zones that cannot reach each other, but can reach the other zones
     const int one = static_cast<int>(drawBelow(static_cast<std::size_t>(zones_)));
     const int other = (one + 1) % zones_;
     cut = {{{one}, {other}}, {{other}, {one}}};
   } else if (shape == 1) {
-    cut = {{side, others}};  // one way
+    cut = {{side, others}};  // one direction only
   } else {
     cut = {{side, others}, {others, side}};
   }
@@ -346,7 +348,8 @@
   });
 }
 void CounterWorld::injectFault() {
-  // All are back and have been in touch for a while: before that, a cut may keep what was lost from being copied again.
+  // The lost disks count as recovered if there was no partition and no other problem for a while. Before that, a
+  // partition may have delayed the restoration of their copies.
   if (cuts_.empty() && now_ - faultFreeSince_ >= kDiskRecoveryTime)
     unrecoveredDisks_ = 0;
   faultFreeSince_ = now_;
@@ -424,7 +427,7 @@
   for (auto when = start_ + 2s; when < start_ + kFaultyRunLength + 30s; when += 150ms)
     at(when, [this] { readFromSome(false); });
   at(start_ + kFaultyRunLength, [this] { slowWriteTimes_.clear(); });
-  faultsUntil_ = start_ + kFaultyRunLength + 20s;  // the last cut has healed, all machines are back
+  faultsUntil_ = start_ + kFaultyRunLength + 20s;  // all partitions have ended and all machines are running
   runUntil(start_ + kFaultyRunLength + 35s);
   faultFreeSince_ = std::min(faultFreeSince_, now_ - kMergeBound);
   readFromSome(true);
@@ -437,7 +440,7 @@
       first = machine.get();
     for (const auto& [counter, sent] : sent_)
       if (machine->replica->state().total(counter) != first->replica->state().total(counter))
-        reportViolation(machine->address + " and " + first->address + " differ in the end");
+        reportViolation(machine->address + " and " + first->address + " differ at the end");
   }
 }
 }  // namespace zinccleat::counter_world
--- a/tests/counter_world.hpp
+++ b/tests/counter_world.hpp
@@ -1,16 +1,17 @@
 /// @file
-/// A seeded world of replicated counters: controllers in zones, each with the real `CounterReplica` over a simulated
-/// network, disk and process, and callers that stay in their zones. Partitions of any shape, kills, losses of power
-/// everywhere, lost disks and replaced machines come in series and overlap; what callers see is recorded and checked.
+/// A seeded simulation ("world") of replicated counters. Controllers in several zones run the real `CounterReplica` on
+/// a simulated network, disk and process. Callers belong to a zone. Several rounds of overlapping faults are injected:
+/// partitions of any shape, process crashes, power failures of all machines, lost disks and replaced machines. The
+/// answers to the callers are recorded and checked.
 ///
-/// The rules that `violations` checks:
-/// - a total is never above the sum of all increments that were sent by then (each id once);
-/// - a total at a machine holds what that incarnation has acknowledged before;
-/// - once all faults are over for `kMergeBound`, every total holds all that was acknowledged;
-/// - a machine that comes back with an empty disk answers no read before it holds all that was acknowledged;
-/// - in the end all replicas answer the same, and that is the sum over a set of ids with all acknowledged ones.
-/// Not requiredTotals: what a machine acknowledged while not all others could reach it, if its disk was lost before
-/// `kMergeBound` after that was over.
+/// The rules behind `violations`:
+/// - A total never exceeds the sum of all increments sent so far, each id counted once.
+/// - A total read from a machine includes everything that the same incarnation has acknowledged before.
+/// - `kMergeBound` after the end of all faults every total includes all acknowledged increments.
+/// - A machine that comes back with an empty disk answers no reads until it has all acknowledged increments.
+/// - At the end all replicas return the same totals.
+/// An increment is not required to survive if its machine acknowledged it during a partition and lost its disk before
+/// the partition had been over for `kMergeBound`.
 #pragma once
 #include <random>
 #include <set>
@@ -18,27 +19,28 @@
 #include "replicated_counters/counter_replica.hpp"
 
 namespace zinccleat::counter_world {
-/// Faults of the service itself, planted to show that the checks find them.
+/// Deliberate bugs in the service, which show that the checks detect them.
 enum class PlantedFault {
   nothing,
-  idsAreCountedPerMachine,  ///< each machine counts an id by itself
-  originIsReused,           ///< a process that starts again goes on under its old origin
-  transferDropsOne,         ///< a transfer of several increments lacks one in its middle
-  acknowledgesAlone,        ///< an increment is acknowledged on one disk
-  readsBeforeCatchUp,       ///< a replica answers as soon as it starts
+  idsAreCountedPerMachine,  ///< the same id is counted separately by each machine
+  originIsReused,           ///< a restarted process continues with its previous origin
+  transferDropsOne,         ///< a transfer of several increments omits one in the middle
+  acknowledgesAlone,        ///< an increment is acknowledged once it is on one disk
+  readsBeforeCatchUp,       ///< a replica answers reads immediately after its start
 };
 
 class CounterWorld {
  public:
-  /// By then after the end of all faults everything acknowledged is everywhere.
+  /// Within this time after the end of all faults, acknowledged increments reach all replicas.
   static constexpr Duration kMergeBound{3000};
 
   CounterWorld(std::uint64_t seed, PlantedFault planted);
-  /// Plays the faults and the callers, then reads everything back.
+  /// Runs the simulation with faults, then reads all counters back.
   void play();
-  /// Plays callers without faults, one disk of which takes `slowSync` a write (zero: none is slow), for a minute.
+  /// Runs the simulation for a minute without faults. If `slowSync` is positive, each write to one of the disks takes
+  /// that long.
   void playWithoutFaults(Duration slowSync);
-  /// The part of the increments that were acknowledged later than `target` after they were first sent, or never.
+  /// The share of increments that were acknowledged later than `target` after their first attempt, or not at all.
   double lateShare(Duration target) const;
   const std::vector<std::string>& violations() const { return violations_; }
   std::size_t acknowledged() const { return acknowledgedIds_.size(); }
@@ -47,7 +49,7 @@
 
  private:
   using Replica = replicated_counters::CounterReplica;
-  /// A time in which not all others could reach a machine, or it not them.
+  /// A period in which a partition separated a machine from some other machines, in at least one direction.
   struct CutOff {
     TimePoint begin{};
     std::optional<TimePoint> end;
@@ -55,16 +57,16 @@
   struct Machine {
     std::string address;
     int zone = 0;
-    bool isDeployed = true;  // else it was replaced
+    bool isDeployed = true;  // false: it was replaced
     bool up = true;
     int incarnation = 0;
     replicated_counters::OriginId origin = 0;
     std::unique_ptr<Replica> replica;
-    std::vector<replicated_counters::IncrementBatch> disk;  // of the newest snapshot on
+    std::vector<replicated_counters::IncrementBatch> disk;  // records starting with the latest snapshot
     std::optional<replicated_counters::PersistBatch> writing;
     std::vector<TimePoint> diskLosses;
-    std::vector<CutOff> cutOffs;                             // the last one may still last
-    std::map<std::string, std::int64_t> acknowledgedTotals;  // by counter, in this incarnation
+    std::vector<CutOff> cutOffs;                             // the last one may be ongoing
+    std::map<std::string, std::int64_t> acknowledgedTotals;  // by counter, for the current incarnation
   };
   struct Acknowledged {
     std::string counter;
@@ -91,13 +93,13 @@
 
   void start(Machine& machine);
   void kill(Machine& machine, Duration down);
-  /// @return whether it may be lost now.
+  /// @return false if the limit of lost disks is reached; nothing is lost then.
   bool loseDisk(Machine& machine);
   void replace(Machine& machine);
   void run(Machine& machine);
   void write(Machine& machine, replicated_counters::PersistBatch batch);
   Duration drawWriteTime(const Machine& machine);
-  /// The disk of a machine is slow for a while.
+  /// Makes the disk of a machine slow for some time.
   void slowDisk(const Machine& machine);
   template <class Message>
   void send(const Machine& from, const std::string& to, Message message);
@@ -110,7 +112,7 @@
   void startCall();
   void attempt(const std::shared_ptr<Call>& call);
   void acknowledge(Machine& machine, std::int64_t callId);
-  /// A machine comes back with an empty disk in a hasMerged time, and is read at once.
+  /// Restarts a machine with an empty disk after the faults and reads from it repeatedly.
   void readAfterDiskLoss();
   void readFromSome(bool final);
   void readAt(Machine& machine, bool final);
@@ -130,18 +132,19 @@
   std::vector<std::unique_ptr<Machine>> machines_;
   int copies_ = 2;
   int zones_ = 4;
-  std::vector<std::pair<std::set<int>, std::set<int>>> cuts_;  // from zones to zones, one way
+  std::vector<std::pair<std::set<int>, std::set<int>>> cuts_;  // pairs (from, to) of sets of zones, one direction each
   std::map<std::int64_t, std::shared_ptr<Call>> calls_;        // by call id
   std::int64_t lastCallId_ = 0;
   int lastIncrement_ = 0;
   std::map<std::string, std::int64_t> sent_;  // by counter
   std::map<std::string, replicated_counters::Increment> sentIds_;
-  std::map<std::string, Acknowledged> acknowledgedIds_;  // by id, the first acknowledgement
-  int unrecoveredDisks_ = 0;                             // that are not recovered
+  // By id, the first acknowledgement outside a partition if there is one.
+  std::map<std::string, Acknowledged> acknowledgedIds_;
+  int unrecoveredDisks_ = 0;  // lost disks that are not recovered yet
   std::size_t partitions_ = 0, lostDisks_ = 0;
-  bool isFaultFree_ = false;                        // played without faults
-  std::map<std::string, Duration> slowWriteTimes_;  // time of a write, by the address of a machine whose disk is slow
-  std::vector<Duration> acknowledgementTimes_;      // from the first attempt to the acknowledgement
+  bool isFaultFree_ = false;                        // simulation without faults
+  std::map<std::string, Duration> slowWriteTimes_;  // write time of each slow disk, by machine address
+  std::vector<Duration> acknowledgementTimes_;      // time from the first attempt to the acknowledgement
   std::vector<std::string> violations_;
 };
 }  // namespace zinccleat::counter_world
--- a/tests/counter_worlds_test.cpp
+++ b/tests/counter_worlds_test.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// Seeded worlds of replicated counters (`counter_world.hpp` says what they play and check), and faults planted in the
-/// service, each of which the checks must find.
+/// Seeded simulations of replicated counters under faults; `counter_world.hpp` describes the faults and the checks.
+/// Further simulations contain a deliberate bug in the service, which the checks must detect.
 ///
-/// More of them: `ZINCCLEAT_FROM=1000 ZINCCLEAT_WORLDS=1000 target/zinccleat_tests --gtest_filter='CounterWorlds.*'`
+/// To run more seeds: `ZINCCLEAT_FROM=1000 ZINCCLEAT_WORLDS=1000 target/zinccleat_tests
+/// --gtest_filter='CounterWorlds.*'`
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -63,9 +64,10 @@
 TEST(CounterWorlds, AReadBeforeCatchingUpIsFound) {
   EXPECT_TRUE(isFound(PlantedFault::readsBeforeCatchUp));
 }
-// With one controller's disk at 50 ms a sync (100 a write) a quarter of the increments were late on the whole fleet.
-// Causes: each waited for the disk of the machine that took it; peers were chosen by zone and hash alone; and a
-// transfer that came while a write was under way was reported up to a report's interval late.
+// Guards against one slow disk delaying increments of the whole fleet. With 50 ms per sync (100 ms per write) on one
+// controller's disk, a quarter of all increments were late, for three reasons: each increment waited for the disk of
+// the machine that accepted it, peers were chosen only by zone and hash, and a transfer that arrived during a write was
+// reported up to one report interval late.
 TEST(CounterWorlds, OneSlowDiskMakesNoMoreIncrementsLate) {
   constexpr Duration kTargetLatency{60};
   constexpr double kMaxLateShare = 0.02;
--- a/tests/leaseholder_test.cpp
+++ b/tests/leaseholder_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The leaseholder of a shard: what it answers, when, and what it never promises.
+/// Unit tests of the leaseholder of a shard: which calls it executes, when it answers them and what it guarantees.
 #include "coordination/leaseholder.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   command.argument = kAnyRevision;
   return command;
 }
-/// A leaseholder whose log the test commits, or does not.
+/// A leaseholder with a log that is committed by the test.
 struct LeaseholderFixture {
   ShardState state;
   bool hasLease = true;
@@ -46,7 +46,7 @@
     entry.index = ++lastIndex;
     leaseholder.onApplied(entry, state.apply(entry));
   }
-  /// Commits all that is queued.
+  /// Proposes and commits batches until no call is queued.
   void commitAll() {
     while (auto entry = propose())
       commit(*entry);
@@ -66,7 +66,7 @@
   EXPECT_TRUE(holder.results().empty());
   const auto entry = holder.propose();
   ASSERT_TRUE(entry);
-  EXPECT_TRUE(holder.results().empty()) << "proposed is not committed";
+  EXPECT_TRUE(holder.results().empty()) << "the entry is proposed but not committed";
   holder.commit(*entry);
   const auto result = holder.onlyResult();
   EXPECT_EQ(result.status, CallStatus::executed);
@@ -78,7 +78,7 @@
   const auto first = holder.propose();
   for (int i = 2; i <= 9; ++i)
     holder.leaseholder.call(i, putOf("g.a", "v" + std::to_string(i)));
-  EXPECT_FALSE(holder.propose()) << "one batch at a time";
+  EXPECT_FALSE(holder.propose()) << "only one batch may be in flight";
   holder.commit(*first);
   const auto second = holder.propose();
   ASSERT_TRUE(second);
@@ -98,12 +98,12 @@
   EXPECT_EQ(ended[1], CallStatus::unknown);
   EXPECT_EQ(ended[2], CallStatus::notExecuted);
   EXPECT_EQ(ended[3], CallStatus::notExecuted);
-  // The entry of the lost term is committed by its successor all the same: nobody is answered twice.
+  // The new term commits the entry of the previous term, but the calls of that entry must not be answered again.
   holder.leaseholder.startTerm(holder.now);
   holder.commit(*inFlight);
   EXPECT_TRUE(holder.results().empty());
   holder.commitAll();
-  EXPECT_EQ(holder.state.readCell("g.a").value, "v1") << "what was called not executed never is";
+  EXPECT_EQ(holder.state.readCell("g.a").value, "v1") << "a call that was reported as not executed must have no effect";
 }
 TEST(Leaseholder, WithoutALeaseNothingIsExecuted) {
   LeaseholderFixture holder;
@@ -118,8 +118,8 @@
     EXPECT_EQ(result.status, CallStatus::notExecuted);
   EXPECT_FALSE(holder.propose());
 }
-// A process that is stopped after it has looked at its lease and goes on long after the lease is over has an old value
-// in hand. The lease must be looked at once more, after the evaluation.
+// Guards against stale reads. A process may be suspended after it has checked its lease and resume long after the lease
+// has expired, with an outdated value. The lease must therefore be checked again after the evaluation.
 TEST(Leaseholder, AReadIsNotAnsweredIfTheLeaseEndsDuringItsEvaluation) {
   LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
@@ -157,7 +157,7 @@
     const auto number = holder.onlyResult().outcome.number;
     EXPECT_GT(number, newest);
     newest = number;
-    if (i == 150)  // a new term knows nothing of the rest of the block
+    if (i == 150)  // a new term does not use the rest of the block
       holder.leaseholder.startTerm(holder.now);
   }
   EXPECT_LT(entries, 10);
@@ -180,8 +180,8 @@
     numbers.insert(result.outcome.number);
   EXPECT_EQ(numbers.size(), 200U);
 }
-// The shard's time never runs faster than a true clock, whatever the rhythm of the batches, and stands still between
-// two terms: a hold is never shorter than promised.
+// The shard's time never runs faster than real time, regardless of the timing of the batches, and does not advance
+// between two terms. A lock is therefore never kept for less than the requested duration.
 TEST(Leaseholder, TheShardsTimeNeverRunsAheadOfTheClock) {
   LeaseholderFixture holder;
   const auto begun = holder.now;
@@ -199,13 +199,13 @@
   }
   const auto totalElapsedMs = toDuration(holder.now - begun).count();
   EXPECT_LE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs);
-  EXPECT_GE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs - 3) << "rounding does not add up";
+  EXPECT_GE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs - 3) << "rounding errors must not accumulate";
 }
 TEST(Leaseholder, TimeIsStampedWhileLocksAreTaken) {
   LeaseholderFixture holder;
   holder.now += 10s;
   holder.leaseholder.tick(holder.now);
-  EXPECT_FALSE(holder.propose()) << "no lock, no need";
+  EXPECT_FALSE(holder.propose()) << "no lock is taken, so the time need not be recorded";
   holder.leaseholder.call(1, commandOf(CommandKind::acquireLock, "l"));
   holder.commitAll();
   holder.now += 100ms;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the platform's functions, each by itself: time, counting, calls, orders, and what the log keeps of them.
+// Unit tests of the platform functions: clock, usage counts, call schedule, scaling orders, and their data in the log.
 #include <gtest/gtest.h>
 
 #include "config/configuration.hpp"
@@ -15,13 +15,13 @@
 constexpr TimePoint kStart{1000s};
 constexpr Duration kWindow{5000};
 constexpr std::int64_t kFirstWindow = 353445120;
-// True time is this much ahead of the steady clock.
+// Difference between the true time and the steady clock.
 const Duration kOffset = kWindow * kFirstWindow - toDuration(kStart.time_since_epoch());
 
 FleetTime trueTime(TimePoint now) {
   return FleetTime(toDuration(now.time_since_epoch()) + kOffset);
 }
-/// One round of a proxy with its leader. @return what the leader got.
+/// Sends one report of a proxy to its leader and usually delivers the answer. @return the report.
 transport::PlatformReport exchangeReport(UsageRecorder& proxy, UsageCollector& leader, const std::string& machine,
                                          TimePoint now, std::int64_t reportedThrough = 0, bool responseArrives = true) {
   transport::PlatformReport report;
@@ -47,11 +47,11 @@
   FleetClock clock;
   for (int i = 0; i < 7; ++i)
     clock.record("m" + std::to_string(i), trueTime(kStart) + Duration(i < 3 ? 4000 : i), kStart);
-  EXPECT_FALSE(clock.timeAt(kStart + 900ms)) << "the first few may all be wrong";
+  EXPECT_FALSE(clock.timeAt(kStart + 900ms)) << "the first few samples may all be wrong";
   const auto time = clock.timeAt(kStart + 1s);
   ASSERT_TRUE(time);
   EXPECT_LE(std::abs((*time - trueTime(kStart + 1s)).count()), 10);
-  EXPECT_EQ(*clock.timeAt(kStart + 61s) - *time, 60s) << "without samples it goes on with the steady clock";
+  EXPECT_EQ(*clock.timeAt(kStart + 61s) - *time, 60s) << "without samples the clock advances with the steady clock";
 }
 
 TEST(UsageRecorder, RepeatsABatchUntilTheLeaderHasItAndItCountsOnce) {
@@ -63,11 +63,12 @@
   proxy.recordRequest("t", kStart + 200ms);
   proxy.recordRequest("", kStart + 200ms);
   EXPECT_EQ(exchangeReport(proxy, leader, "m", kStart + 1100ms, 0, false).batches.size(), 1U);
-  EXPECT_EQ(exchangeReport(proxy, leader, "m", kStart + 1500ms).batches.size(), 1U) << "the answer was lost";
+  EXPECT_EQ(exchangeReport(proxy, leader, "m", kStart + 1500ms).batches.size(), 1U)
+      << "the answer to the first report was lost";
   EXPECT_TRUE(exchangeReport(proxy, leader, "m", kStart + 1900ms).batches.empty());
   exchangeReport(proxy, leader, "m", kStart + 5100ms);
   const auto reports = leader.ready({}, trueTime(kStart + 6600ms), kStart + 6600ms);
-  ASSERT_EQ(reports.size(), 3U) << "and the two before it, of which nobody has counted anything";
+  ASSERT_EQ(reports.size(), 3U) << "the first window and the two empty windows before it";
   EXPECT_EQ(reports.back().window, kFirstWindow);
   EXPECT_EQ(requestsIn(reports, kFirstWindow, "t"), 2);
 }
@@ -108,9 +109,9 @@
  protected:
   UsageCollectorWaits() {
     leader_.startTerm(kStart - 60s);
-    EXPECT_EQ(readyAt(Duration(0)), 0U) << "it has just ended";
+    EXPECT_EQ(readyAt(Duration(0)), 0U) << "the window has only just ended";
   }
-  /// All proxies but some report until a moment of the window after the first one.
+  /// Reports from all proxies. Those with an index below `silent` do not report their counts for the first window.
   void reportUntil(int proxies, int silent) {
     for (int i = 0; i < proxies; ++i) {
       transport::PlatformReport report{.incarnation = i + 1, .firstBatch = 1};
@@ -120,7 +121,7 @@
       leader_.report("m" + std::to_string(i), report, kStart + (i >= silent ? 5200ms : 2s));
     }
   }
-  /// Of the first window.
+  /// Number of reports of the first window that are ready.
   std::size_t readyAt(Duration sinceEnd, const state_machine::UsageReports& known = {}) {
     const auto now = kStart + kWindow + sinceEnd;
     const auto reports = leader_.ready(known, trueTime(now), now);
@@ -137,11 +138,11 @@
 }
 TEST_F(UsageCollectorWaits, ForMany) {
   reportUntil(200, 40);
-  EXPECT_EQ(readyAt(9s), 0U) << "they may be cut off, and have counted";
+  EXPECT_EQ(readyAt(9s), 0U) << "the silent proxies may be partitioned and have counts";
   for (int i = 0; i < 40; ++i)
     leader_.report("m" + std::to_string(i),
                    {.incarnation = 1000 + i, .firstBatch = 1, .batches = {{1, kFirstWindow, {}}}}, kStart + 14s);
-  EXPECT_EQ(readyAt(9s), 1U) << "their successors on the same machines say that they are gone";
+  EXPECT_EQ(readyAt(9s), 1U) << "newer proxies on the same machines have superseded the silent ones";
 }
 TEST_F(UsageCollectorWaits, ForThoseThatOnlyTheLeaderBeforeKnew) {
   reportUntil(100, 0);
@@ -198,7 +199,7 @@
   EXPECT_TRUE(schedule.mayCall("usage", kStart + 3100ms));
   schedule.started("usage", kStart + 4s);
   schedule.startTerm(kStart + 5s);
-  EXPECT_FALSE(schedule.mayCall("usage", kStart + 8s)) << "that call may still be carried out";
+  EXPECT_FALSE(schedule.mayCall("usage", kStart + 8s)) << "the unanswered call may still be executed";
 }
 TEST(CallSchedule, AStaleFenceIsNotUsedAgain) {
   CallSchedule schedule(50, 3s);
@@ -206,7 +207,7 @@
   schedule.started("usage", kStart);
   schedule.ended("usage", schedule.term(), CallOutcome::staleFence, kStart);
   EXPECT_FALSE(schedule.mayCall("usage", kStart + 600s));
-  EXPECT_TRUE(schedule.mayCall("scaling/s/z", kStart + 1s)) << "another subject has fences of its own";
+  EXPECT_TRUE(schedule.mayCall("scaling/s/z", kStart + 1s)) << "fences of different subjects are independent";
 }
 TEST(CallSchedule, PausesGrowAndTheRateIsKept) {
   CallSchedule schedule(4, 3s);
@@ -245,7 +246,8 @@
     std::erase_if(orders, [](const auto& order) { return order.zone != "z"; });
     return orders;
   }
-  // The demand that calls for so many runners of ten places: 0.45 of them in a burst of 1.8 with one zone of two lost.
+  // The demand that needs this number of runners with ten slots each: target utilization 0.45 in a burst of factor 1.8,
+  // after the loss of one of two zones.
   static int demandForRunners(int runners) { return runners * 10 / 8; }
   std::shared_ptr<const config::Configuration> configuration_;
   state_machine::StateContents state_;
@@ -260,18 +262,18 @@
   EXPECT_TRUE(ordersAt(32s, 1).empty());
   orders = ordersAt(34s, 1);
   ASSERT_EQ(orders.size(), 1U);
-  EXPECT_EQ(orders[0].desiredCount, 2) << "never below min";
-  EXPECT_EQ(ordersAt(35s, 4000)[0].desiredCount, 6) << "never above max";
+  EXPECT_EQ(orders[0].desiredCount, 2) << "the count never falls below min";
+  EXPECT_EQ(ordersAt(35s, 4000)[0].desiredCount, 6) << "the count never exceeds max";
 }
 TEST_F(Scaling, NeverGoesDownBlindOrWhileAZoneIsEvacuatedOrRolledOut) {
-  EXPECT_TRUE(ordersAt(10s, 1).empty()) << "what the day is like is not known yet";
-  EXPECT_TRUE(ordersAt(25s, 1, 0, 10).empty()) << "nine of ten proxies are silent";
+  EXPECT_TRUE(ordersAt(10s, 1).empty()) << "the observation period is too short";
+  EXPECT_TRUE(ordersAt(25s, 1, 0, 10).empty()) << "nine of ten proxies have not reported";
   state_.evacuatedZones = {"z"};
   EXPECT_TRUE(ordersAt(35s, 1).empty());
   state_.evacuatedZones.clear();
   state_.rollouts.push_back({.service = "s", .revision = "v2"});
   EXPECT_TRUE(ordersAt(50s, 1).empty());
-  EXPECT_EQ(ordersAt(65s, demandForRunners(5)).size(), 1U) << "but up";
+  EXPECT_EQ(ordersAt(65s, demandForRunners(5)).size(), 1U) << "scaling up is permitted during a rollout";
   state_.rollouts.clear();
   EXPECT_EQ(ordersAt(80s, 1).size(), 1U);
 }
@@ -303,8 +305,9 @@
   ASSERT_TRUE(good) << good.error().message;
   EXPECT_TRUE(good->platform->usageReporting);
   EXPECT_FALSE(good->platform->scaling);
-  EXPECT_FALSE(settingsWith(R"({"functions":["scaling"]})")) << "no address";
-  EXPECT_FALSE(settingsWith(R"({"address":"platform.example","functions":["scaling"]})")) << "no IP number";
+  EXPECT_FALSE(settingsWith(R"({"functions":["scaling"]})")) << "the address is missing";
+  EXPECT_FALSE(settingsWith(R"({"address":"platform.example","functions":["scaling"]})"))
+      << "the host is not an IP address";
   EXPECT_FALSE(settingsWith(R"({"address":"10.9.0.1:80","functions":[7]})"));
   ASSERT_TRUE(settingsWith(R"({"address":"","functions":["other"]})"));
   EXPECT_FALSE(settingsWith(R"({"address":"","functions":["other"]})")->platform);
--- a/tests/platform_worlds_test.cpp
+++ b/tests/platform_worlds_test.cpp
@@ -1,9 +1,10 @@
-// Worlds of the platform's functions: proxies that count, controllers that actAsLeader in turn, and a stand-in of the
-// platform that refuses lower fences, loses answers and carries calls out late. Recorder, collector, clock, reports and
-// call schedule are the real code; the log is one that commits late or, of a deposed leader, not at all. Machines
-// freeze, are cut off and restart, clocks are stepped.
+// Seeded simulations ("worlds") of the platform functions. Proxies count requests, controllers become leader in turn,
+// and a fake platform rejects lower fences, loses answers and executes calls late. Usage recorder, usage collector,
+// fleet clock, usage reports and call schedule are the real code. The log is simulated: it commits with a delay, and
+// entries of a deposed leader possibly not at all. Machines are paused, isolated and restarted, and their clocks are
+// changed.
 //
-// ZINCCLEAT_FROM and ZINCCLEAT_WORLDS choose the seeds.
+// The environment variables ZINCCLEAT_FROM and ZINCCLEAT_WORLDS set the first seed and the number of seeds.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -27,11 +28,11 @@
 constexpr int kTenants = 6;
 constexpr std::int64_t kFirstWindow = 353445120;
 constexpr TimePoint kStart{500s};
-constexpr auto kWarmup = 16s;       // machines start so long before their traffic
-constexpr auto kFaultPeriod = 60s;  // then the world is calm
+constexpr auto kWarmup = 16s;       // time from the start of the machines to their first requests
+constexpr auto kFaultPeriod = 60s;  // there are no faults after this period
 constexpr auto kRunLength = 100s;
 
-/// Faults of the code under test, each of which the checks must find.
+/// Deliberate bugs in the code under test, which the checks must detect.
 enum class PlantedFault : std::uint8_t {
   none,
   sendsUncommittedReport,
@@ -48,10 +49,10 @@
 constexpr int kOk = 200;
 constexpr int kConflict = 409;
 
-/// One subject at the platform: its fences and who has acted.
+/// A subject as seen by the platform: its fences and the order in which holders made calls.
 class Subject {
  public:
-  /// @return false: a higher fence was seen.
+  /// Accepts or rejects a call. @return false if the subject has seen a higher fence.
   bool admit(int holder, std::int64_t fence, TimePoint now, std::vector<std::string>& violations) {
     const auto [known, isNew] = holderOf_.try_emplace(fence, holder);
     if (!isNew && known->second != holder)
@@ -65,17 +66,18 @@
     const auto last = holderTurns_.size() - 1;
     if (holderTurns_.size() >= 3 && holderTurns_[last - 2].first == holder &&
         now - holderTurns_[last - 2].second < kLease)
-      violations.emplace_back("A, B, A within the lease");
+      violations.emplace_back("a holder returned before its lease time had passed");
     return true;
   }
 
  private:
   std::map<std::int64_t, int> holderOf_;
   std::int64_t highest_ = 0;
-  std::vector<std::pair<int, TimePoint>> holderTurns_;  // holders in turn, with their last act
+  // Holders in the order of their turns, with the time of their last call.
+  std::vector<std::pair<int, TimePoint>> holderTurns_;
 };
 
-/// The platform: what it accepted, and what broke a rule.
+/// The platform: records accepted reports and violated rules.
 class FakePlatform {
  public:
   struct Accepted {
@@ -83,7 +85,7 @@
     std::map<std::string, std::int64_t> counts;
     TimePoint at{};
   };
-  /// @return HTTP status.
+  /// @return the HTTP status.
   int execute(int holder, std::int64_t fence, const state_machine::UsageReport& report, TimePoint now) {
     if (!usage_.admit(holder, fence, now, violations))
       return kConflict;
@@ -145,7 +147,7 @@
     UsageRecorder recorder;
     Duration clockStep{0};
     TimePoint cutUntil{};
-    TimePoint lastAnswer{};  // none: it serves nothing yet
+    TimePoint lastAnswer{};  // the proxy serves no requests before its first answer
   };
   struct Controller {
     UsageCollector collector;
@@ -156,7 +158,7 @@
   };
   struct Proposal {
     TimePoint at{};
-    std::optional<state_machine::UsageReport> report;  // else the confirmation of a window
+    std::optional<state_machine::UsageReport> report;  // none: the proposal confirms a window
     std::int64_t window = 0;
   };
   struct LateCall {
@@ -179,7 +181,7 @@
     leader().clock = {};
     leader().schedule.startTerm(now);
     leader().proposed.clear();
-    // What a deposed leader proposed is committed or not.
+    // Entries proposed by a deposed leader may or may not be committed.
     std::erase_if(log_, [this](const auto&) { return chance(0.5); });
   }
   void injectFault(TimePoint now) {
@@ -195,7 +197,7 @@
     else
       proxies_[rng_() % kProxies].clockStep = drawStep();
   }
-  /// Half of the time the actAsLeader comes back soon.
+  /// Elects another leader. In half of the cases the previous leader is elected again soon.
   void depose(TimePoint now) {
     returnLeadershipTo_ = leader_;
     returnLeadershipAt_ = chance(0.5) ? now + between(300, 2500) : TimePoint::max();
@@ -283,7 +285,7 @@
     if (!reports_.unconfirmed().empty() && planted_ != PlantedFault::sendsUncommittedReport)
       send(reports_.unconfirmed().front(), now);
   }
-  /// What a collector that waits for nobody would report.
+  /// The report of a collector that waits for no proxy.
   std::vector<state_machine::UsageReport> reportsWithoutWaiting(FleetTime time) {
     const auto window = windowOf(time, kWindow) - 1;
     if (!reports_.mayCommit(window))
@@ -296,7 +298,7 @@
       return;
     schedule.started("usage", now);
     const auto fence = planted_ == PlantedFault::reusesFence ? 7 : term_;
-    if (chance(0.15)) {  // no answer, and carried out late or never
+    if (chance(0.15)) {  // The call gets no answer, and is executed late or never.
       if (chance(0.7))
         lateCalls_.push_back({now + between(100, 8000), leader_, fence, report});
       return schedule.ended("usage", schedule.term(), CallOutcome::unanswered, now);
@@ -306,7 +308,7 @@
     if (status == kOk)
       log_.push_back({now + between(0, 300), std::nullopt, report.window});
   }
-  /// Orders are sent all the time, so that each change of the leader meets some.
+  /// Sends an order whenever the schedule permits it, so that every change of the leader coincides with some order.
   void order(TimePoint now) {
     auto& schedule = leader().schedule;
     if (!schedule.mayCall("order", now))
@@ -332,10 +334,11 @@
       checkCounts(window, report->second);
       const auto due = kStart + (window - kFirstWindow + 1) * kWindow + kDelay;
       if (window > kFirstWindow + (kFaultPeriod + 15s) / kWindow && report->second.at > due)
-        violations_.push_back("a late report in calm times of window " + std::to_string(window - kFirstWindow));
+        violations_.push_back("a late report after the fault period for window " +
+                              std::to_string(window - kFirstWindow));
     }
   }
-  // A proxy that hasRestartedProxy costs what it had counted since its last report.
+  // The counts since the last report of a restarted proxy are lost, so windows with a restart are not checked.
   void checkCounts(std::int64_t window, const FakePlatform::Accepted& report) {
     std::int64_t total = 0;
     std::int64_t off = 0;
@@ -360,13 +363,13 @@
   std::vector<Controller> controllers_;
   int leader_ = 0;
   std::int64_t term_ = 0;
-  state_machine::UsageReports reports_;  // committed
+  state_machine::UsageReports reports_;  // committed reports
   std::vector<Proposal> log_;
   FakePlatform platform_;
   std::vector<LateCall> lateCalls_;
   std::map<std::int64_t, std::map<std::string, std::int64_t>> expectedCounts_;
   std::vector<TimePoint> restartedAt_;
-  TimePoint returnLeadershipAt_ = TimePoint::max();  // then the actAsLeader goes back to the one before
+  TimePoint returnLeadershipAt_ = TimePoint::max();  // when the previous leader is elected again
   int returnLeadershipTo_ = 0;
   std::vector<std::string> violations_;
 };
--- a/tests/replicated_counters_test.cpp
+++ b/tests/replicated_counters_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The state of replicated counters (merging, duplicates, folding) and one replica's decisions (copies, catching up,
-/// transfers, forgetting ids), by hand and without a network.
+/// Unit tests of the replicated counters, without a network: the state (merging, duplicates, folding) and the decisions
+/// of one replica (copies, catching up, transfers, discarding ids).
 #include <gtest/gtest.h>
 
 #include <random>
@@ -46,7 +46,7 @@
 }
 }  // namespace
 
-// --- the state ---
+// --- CounterState ---
 
 TEST(CounterState, AnIdCountsOnceHoweverOftenItComes) {
   CounterState state;
@@ -65,7 +65,7 @@
   EXPECT_EQ(state.merge(rangeOf(kA, 1, {incrementOf("x", 1), incrementOf("y", 1)})).ranges.size(), 1U);
   const auto overlapping = state.merge(rangeOf(kA, 2, {incrementOf("y", 1), incrementOf("z", 1)}));
   ASSERT_EQ(overlapping.ranges.size(), 1U);
-  EXPECT_EQ(overlapping.ranges[0].firstSequence, 3) << "only what is new is to be persisted";
+  EXPECT_EQ(overlapping.ranges[0].firstSequence, 3) << "only new increments are persisted";
   EXPECT_EQ(state.total("t"), 3);
 }
 TEST(CounterState, ReplicasThatMergedTheSameInAnyOrderAnswerTheSame) {
@@ -73,7 +73,7 @@
   for (int round = 0; round < 200; ++round) {
     CounterState source;
     for (int i = 0; i < 40; ++i)
-      // Ids are repeated, some with another amount or for another counter.
+      // Some ids occur several times, some of these with a different amount or counter.
       source.append(static_cast<OriginId>(1 + random() % 4),
                     incrementOf("id" + std::to_string(random() % 25), static_cast<std::int64_t>(random() % 5) - 2,
                                 random() % 6 == 0 ? "u" : "t"));
@@ -91,9 +91,9 @@
   state.merge(rangeOf(kA, 1, {incrementOf("x", 4), incrementOf("y", 5)}));
   state.merge(rangeOf(kB, 1, {incrementOf("y", 5), incrementOf("z", 6)}));
   state.fold(kA, 1);
-  state.fold(kB, 1);  // the repetition of "y", which does not count
+  state.fold(kB, 1);  // the repetition of "y", which is not counted
   EXPECT_EQ(state.total("t"), 15);
-  EXPECT_FALSE(state.find("x")) << "its id is forgotten";
+  EXPECT_FALSE(state.find("x")) << "the id of a folded increment is no longer kept";
   EXPECT_EQ(state.retainedIncrements(), 2U);
   CounterState restored;
   restored.merge(avro::decode<IncrementBatch>(avro::encode(state.snapshot())).value());
@@ -130,10 +130,10 @@
   EXPECT_EQ(state.total("t"), std::numeric_limits<std::int64_t>::max());
   for (int i = 0; i < 2000; ++i)
     state.append(kA, incrementOf("down" + std::to_string(i), -config::kMaxIncrementAmount));
-  EXPECT_EQ(state.total("t"), 0) << "nothing was lost at the limit";
+  EXPECT_EQ(state.total("t"), 0) << "clamping the total does not change the sum";
 }
 
-// --- one replica ---
+// --- CounterReplica ---
 
 TEST(CounterReplica, AnIncrementIsAcknowledgedOnceItIsOnEnoughDisks) {
   auto replica = replicaOf(kA, 2, {"b", "c", "d"});
@@ -143,7 +143,7 @@
   EXPECT_FALSE(acknowledges(replica, 1));
   replica.persisted(kStart);
   replica.receive(kStart, "b", reportOf("z2", {{kA, 1}}));
-  EXPECT_FALSE(acknowledges(replica, 1)) << "two disks of three";
+  EXPECT_FALSE(acknowledges(replica, 1)) << "the increment is on two of three required disks";
   replica.receive(kStart, "d", reportOf("z2", {{kA, 1}}));
   EXPECT_TRUE(acknowledges(replica, 1));
 }
@@ -159,7 +159,7 @@
   auto replica = replicaOf(kA, 1, {"b", "c", "d"});
   ASSERT_TRUE(replica.add(kStart, 1, incrementOf("x", 4)));
   replica.receive(kStart, "b", reportOf("z2", {{kA, 1}}));
-  EXPECT_FALSE(acknowledges(replica, 1)) << "one disk could be lost";
+  EXPECT_FALSE(acknowledges(replica, 1)) << "one copy is not enough without the local disk";
   replica.receive(kStart, "c", reportOf("z2", {{kA, 1}}));
   EXPECT_TRUE(acknowledges(replica, 1));
 }
@@ -168,7 +168,8 @@
   ASSERT_TRUE(replica.add(kStart, 1, incrementOf("x", 4)));
   replica.receive(kStart, "b", reportOf("z2", {{kA, 1}}));
   replica.tick(kStart + 10s);
-  EXPECT_FALSE(acknowledges(replica, 1)) << "nobody is reachable, and its only copy is on the other side";
+  EXPECT_FALSE(acknowledges(replica, 1))
+      << "no peer is reachable and the only copy is on the other side of the partition";
   replica.persisted(kStart + 10s);
   EXPECT_TRUE(acknowledges(replica, 1));
 }
@@ -183,19 +184,20 @@
   auto pushed = actionsOf<SendTransfer>(replica);
   ASSERT_EQ(pushed.size(), 1U);
   const auto first = pushed[0].to;
-  hear(kStart + 100ms);  // and no word of the increment
+  hear(kStart + 100ms);  // neither peer reports the increment
   ASSERT_TRUE(replica.add(kStart + 100ms, 2, incrementOf("x2", 1)));
   pushed = actionsOf<SendTransfer>(replica);
-  ASSERT_EQ(pushed.size(), 2U) << "its own disk is slow too: one more is asked";
+  ASSERT_EQ(pushed.size(), 2U) << "the local disk is slow too, so one additional peer is asked";
   EXPECT_NE(pushed[0].to, first);
-  EXPECT_EQ(pushed[0].message.batch.ranges.at(0).increments.size(), 2U) << "without a gap";
+  EXPECT_EQ(pushed[0].message.batch.ranges.at(0).increments.size(), 2U)
+      << "the transfer continues the peer's progress without a gap";
 }
 TEST(CounterReplica, ATransferDuringAWriteIsReportedAfterTheNextOne) {
   auto replica = replicaOf(kB, 1, {"a"});
   replica.receive(kStart, "a", IncrementTransfer{true, rangeOf(kA, 1, {incrementOf("x", 4)})});
   replica.receive(kStart, "a", IncrementTransfer{true, rangeOf(kA, 2, {incrementOf("y", 4)})});
   replica.persisted(kStart);
-  EXPECT_TRUE(actionsOf<SendReport>(replica).empty()) << "the second is on its way to the disk";
+  EXPECT_TRUE(actionsOf<SendReport>(replica).empty()) << "the second transfer is not durable yet";
   replica.persisted(kStart);
   const auto reports = actionsOf<SendReport>(replica);
   ASSERT_EQ(reports.size(), 1U);
@@ -210,7 +212,7 @@
   replica.receive(later - 10ms, "b", reportOf("z1", {}));
   ASSERT_TRUE(replica.add(later - 20ms, 1, incrementOf("x", 4)));
   replica.persisted(later);
-  EXPECT_FALSE(acknowledges(replica, 1)) << "b is reachable";
+  EXPECT_FALSE(acknowledges(replica, 1)) << "peer b is reachable, so its copy is required";
   replica.receive(later, "b", reportOf("z1", {{kA, 1}}));
   EXPECT_TRUE(acknowledges(replica, 1));
 }
@@ -219,7 +221,7 @@
   ASSERT_TRUE(replica.add(kStart, 1, incrementOf("x", 4)));
   replica.persisted(kStart);
   replica.tick(kStart + CounterReplica::kStartGrace - 1ms);
-  EXPECT_FALSE(acknowledges(replica, 1)) << "the others may only not have been heard yet";
+  EXPECT_FALSE(acknowledges(replica, 1)) << "the peers may not have sent a message yet";
   replica.tick(kStart + CounterReplica::kStartGrace);
   EXPECT_TRUE(acknowledges(replica, 1));
 }
@@ -244,7 +246,7 @@
   pushed = actionsOf<SendTransfer>(replica);
   ASSERT_EQ(pushed.size(), 2U);
   replica.tick(kStart + 250ms);
-  EXPECT_TRUE(actionsOf<SendTransfer>(replica).empty()) << "once";
+  EXPECT_TRUE(actionsOf<SendTransfer>(replica).empty()) << "the increment is pushed only once";
 }
 TEST(CounterReplica, AnUrgentTransferIsReportedOnceItIsOnTheDisk) {
   auto replica = replicaOf(kB, 1, {"a"});
@@ -255,7 +257,7 @@
   ASSERT_EQ(reports.size(), 1U);
   EXPECT_EQ(reports[0].to, "a");
   EXPECT_EQ(reports[0].message.progress, (std::vector<OriginProgress>{{kA, 1}}));
-  // The same once more: nothing to write, and its sender waits all the same.
+  // A repeated transfer leaves nothing to write, but its sender still waits for a report.
   replica.receive(kStart, "a", IncrementTransfer{true, rangeOf(kA, 1, {incrementOf("x", 4)})});
   EXPECT_EQ(actionsOf<SendReport>(replica).size(), 1U);
 }
@@ -264,7 +266,7 @@
   replica.receive(kStart, "a", IncrementTransfer{true, rangeOf(kA, 1, {incrementOf("x", 4)})});
   ASSERT_TRUE(replica.add(kStart, 9, incrementOf("x", 4)));
   replica.persisted(kStart);
-  EXPECT_FALSE(acknowledges(replica, 9)) << "no other disk is known to have it";
+  EXPECT_FALSE(acknowledges(replica, 9)) << "no other disk is known to store the increment";
   replica.receive(kStart, "a", reportOf("z2", {{kA, 1}}));
   EXPECT_TRUE(acknowledges(replica, 9));
   EXPECT_EQ(replica.state().total("t"), 4);
@@ -276,20 +278,20 @@
   ASSERT_EQ(requests.size(), 1U);
   EXPECT_EQ(requests[0].message.after, (std::vector<OriginProgress>{{kA, 0}}));
   replica.receive(kStart, "c", reportOf("z2", {{kA, 2}}));
-  EXPECT_TRUE(actionsOf<SendRequest>(replica).empty()) << "it is on its way";
+  EXPECT_TRUE(actionsOf<SendRequest>(replica).empty()) << "the increments are already requested from another peer";
   replica.receive(kStart, "a", IncrementTransfer{false, rangeOf(kA, 1, {incrementOf("x", 4)})});
   requests = actionsOf<SendRequest>(replica);
-  ASSERT_EQ(requests.size(), 1U) << "the next part";
+  ASSERT_EQ(requests.size(), 1U) << "the rest is requested";
   EXPECT_EQ(requests[0].message.after, (std::vector<OriginProgress>{{kA, 1}}));
   replica.receive(kStart + 1s, "c", reportOf("z2", {{kA, 2}}));
-  EXPECT_EQ(actionsOf<SendRequest>(replica).size(), 1U) << "the first one asked is silent";
+  EXPECT_EQ(actionsOf<SendRequest>(replica).size(), 1U) << "the first peer did not answer in time";
 }
 TEST(CounterReplica, AfterAStartItReadsOnlyOnceItHasCaughtUpWithAMajority) {
   auto replica = replicaOf(kB, 2, {"a", "c", "d", "e"});
   replica.receive(kStart, "a", reportOf("z2", {{kA, 1}}));
   EXPECT_FALSE(replica.mayRead());
   replica.receive(kStart, "c", reportOf("z2", {}));
-  EXPECT_FALSE(replica.mayRead()) << "three of five, but one has more";
+  EXPECT_FALSE(replica.mayRead()) << "a majority has reported, but one peer has an increment that is missing here";
   replica.receive(kStart, "a", IncrementTransfer{false, rangeOf(kA, 1, {incrementOf("x", 4)})});
   EXPECT_TRUE(replica.mayRead());
 }
@@ -346,14 +348,14 @@
   ASSERT_EQ(actionsOf<PersistBatch>(replica).size(), 1U);
   replica.persisted(now);
   tickFor(CounterReplica::kIdRetention * 2, {"b"});
-  EXPECT_TRUE(replica.state().find("x")) << "c may hold a repetition of it";
+  EXPECT_TRUE(replica.state().find("x")) << "peer c may have an increment with the same id";
   tickFor(5min, {"b", "c"});
   EXPECT_FALSE(replica.state().find("x"));
   EXPECT_EQ(replica.state().total("t"), 4);
   EXPECT_EQ(replica.state().retainedIncrements(), 0U);
 }
-// A core of three in which one machine is replaced a minute after the start; it had reported an increment that went
-// with it. Then half a day of five increments a second.
+// Guards against a replaced machine blocking the folding of ids. One of three machines is replaced a minute after the
+// start, and an increment that it had reported is lost with it. Five increments a second follow for half a day.
 TEST(CounterReplica, AReplacedMachineDoesNotStopTheFolding) {
   constexpr int kPerStep = 150;
   constexpr OriginId kReplaced = 33;
@@ -381,7 +383,7 @@
   EXPECT_EQ(refused, 0);
   const auto half = static_cast<std::size_t>(CounterReplica::kIdRetention / 30s) * kPerStep;
   EXPECT_LE(mostKept, 4 * half)
-      << "ids are kept twice their time at the most, and once more while the machine is awaited";
+      << "ids are kept for at most twice their retention time, and longer only until the replaced machine times out";
 }
 TEST(CounterReplica, AMemberThatIsSilentIsAwaitedForADay) {
   auto replica = replicaOf(kA, 2, {"b", "c"});
@@ -421,7 +423,7 @@
   EXPECT_LE(full, 4);
 }
 
-// --- the calls ---
+// --- counter requests of the API ---
 
 TEST(CounterCalls, AnIncrementIsAddedAndReadBack) {
   controller_testing::FakeController controller;
@@ -437,7 +439,7 @@
   controller.counters.lacksCopies = true;
   const auto answer = controller.post("/v1/Tallies.Modify/t3", R"({"instanceId":"a","actor":4})");
   EXPECT_TRUE(answer.silent);
-  EXPECT_LE(controller.waited, 900ms) << "the caller has given up after a second";
+  EXPECT_LE(controller.waited, 900ms) << "the caller gives up after one second";
 }
 TEST(CounterCalls, AReplicaThatIsCatchingUpSendsReadersElsewhere) {
   controller_testing::FakeController controller;
