--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -322,7 +322,7 @@
       if (call.kind == CallKind::releaseLock)
         caller->fences.erase(fence);
       // The caller restarts under the same name directly after it has sent a release. The release is delayed and may
-      // arrive after the caller has acquired the lock again.
+      // arrive after the caller has reacquired the lock.
       if (call.kind == CallKind::releaseLock && draw(3) == 0) {
         send(
             call, drawMachineIp(), [](const Call&) {}, Duration(20 + draw(200)));
--- a/tests/counter_world.hpp
+++ b/tests/counter_world.hpp
@@ -5,7 +5,7 @@
 /// answers to the callers are recorded and checked.
 ///
 /// The rules behind `violations`:
-/// - A total never exceeds the sum of all increments sent so far, each id counted once.
+/// - A total never exceeds the sum of all increments sent until then, each id counted once.
 /// - A total read from a machine includes everything that the same incarnation has acknowledged before.
 /// - `kMergeBound` after the end of all faults every total includes all acknowledged increments.
 /// - A machine that comes back with an empty disk answers no reads until it has all acknowledged increments.
@@ -93,7 +93,7 @@
 
   void start(Machine& machine);
   void kill(Machine& machine, Duration down);
-  /// @return false if the limit of lost disks is reached; nothing is lost then.
+  /// @return false if the limit of lost disks is reached; the disk is kept in that case.
   bool loseDisk(Machine& machine);
   void replace(Machine& machine);
   void run(Machine& machine);
--- a/tests/replicated_counters_test.cpp
+++ b/tests/replicated_counters_test.cpp
@@ -355,7 +355,7 @@
   EXPECT_EQ(replica.state().retainedIncrements(), 0U);
 }
 // Guards against a replaced machine blocking the folding of ids. One of three machines is replaced a minute after the
-// start, and an increment that it had reported is lost with it. Five increments a second follow for half a day.
+// start, and an increment that it had reported is lost with it. Five increments a second follow for 12 hours.
 TEST(CounterReplica, AReplacedMachineDoesNotStopTheFolding) {
   constexpr int kPerStep = 150;
   constexpr OriginId kReplaced = 33;
