--- a/libs/coordination/src/shard_state.cpp
+++ b/libs/coordination/src/shard_state.cpp
@@ -137,8 +137,8 @@
   return it == locks_.end() || it->second.endsAtMs <= timeMs_ ? nullptr : &it->second;
 }
 std::int64_t ShardState::fenceOf(const std::string& lock) const {
-  const auto* taken = findActiveLock(lock);
-  return taken ? taken->fence : 0;
+  const auto* activeLock = findActiveLock(lock);
+  return activeLock ? activeLock->fence : 0;
 }
 // The caller measures the duration from a moment before it sent the call, when the shard's time was not later than now.
 // With allowances for the drift of the caller's clock and for rounding, the lock expires here no earlier than at the
@@ -149,18 +149,18 @@
 // The holder gets a new fence even if it already has the lock, so that a delayed release from its previous incarnation
 // does not release the new lock.
 Outcome ShardState::acquireLock(const Command& command) {
-  const auto* taken = findActiveLock(command.name);
-  if (taken && taken->holder != command.holder)
+  const auto* activeLock = findActiveLock(command.name);
+  if (activeLock && activeLock->holder != command.holder)
     return makeOutcome(OutcomeKind::lockTaken);
-  if (!taken && locks_.size() >= limits_.names && !locks_.contains(command.name))
+  if (!activeLock && locks_.size() >= limits_.names && !locks_.contains(command.name))
     return makeOutcome(OutcomeKind::limitReached);
-  const auto endsAt = std::max(lockExpiryMs(command.holdMs), taken ? taken->endsAtMs : 0);
+  const auto endsAt = std::max(lockExpiryMs(command.holdMs), activeLock ? activeLock->endsAtMs : 0);
   locks_[command.name] = {command.holder, ++lastFence_, endsAt};
   return makeOutcome(OutcomeKind::done, lastFence_);
 }
 Outcome ShardState::renewLock(const Command& command) {
-  const auto* taken = findActiveLock(command.name);
-  if (!taken || taken->holder != command.holder || taken->fence != command.fence)
+  const auto* activeLock = findActiveLock(command.name);
+  if (!activeLock || activeLock->holder != command.holder || activeLock->fence != command.fence)
     return makeOutcome(OutcomeKind::lockTaken);
   auto& renewed = locks_[command.name];
   renewed.endsAtMs = std::max(renewed.endsAtMs, lockExpiryMs(command.holdMs));
--- a/libs/platform/include/platform/scaling_policy.hpp
+++ b/libs/platform/include/platform/scaling_policy.hpp
@@ -73,8 +73,8 @@
     const char* reason = "";
   };
   std::map<ServiceZone, Load> sumLoads(TimePoint now, std::size_t& reporting);
-  static void recordNeededRunners(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now);
-  std::optional<ScalingOrder> decideForZone(const ServiceZone& name, ServiceZoneState& zoneState,
+  static void recordNeededRunners(ServiceZoneState& zoneState, int runners, Duration retention, TimePoint now);
+  std::optional<ScalingOrder> decideForZone(const ServiceZone& serviceZone, ServiceZoneState& zoneState,
                                             const config::Scaling& scaling, bool mayScaleDown, TimePoint now);
   static bool repeatIsDue(ServiceZoneState& zoneState, TimePoint now);
 
--- a/libs/platform/src/scaling_policy.cpp
+++ b/libs/platform/src/scaling_policy.cpp
@@ -23,8 +23,8 @@
 }
 /// The share of the slots that the current demand may use.
 double targetUtilization(std::size_t zones) {
-  const double left = zones > 1 ? static_cast<double>(zones - 1) / static_cast<double>(zones) : 1;
-  return kBurstUtilization / kBurstFactor * left;
+  const double remainingShare = zones > 1 ? static_cast<double>(zones - 1) / static_cast<double>(zones) : 1;
+  return kBurstUtilization / kBurstFactor * remainingShare;
 }
 bool hasActiveRollout(const state_machine::StateContents& state, const std::string& service) {
   return std::any_of(state.rollouts.begin(), state.rollouts.end(), [&](const state_machine::Rollout& rollout) {
@@ -56,12 +56,12 @@
   }
   return sums;
 }
-void ScalingPolicy::recordNeededRunners(ServiceZoneState& zoneState, int runners, Duration kept, TimePoint now) {
+void ScalingPolicy::recordNeededRunners(ServiceZoneState& zoneState, int runners, Duration retention, TimePoint now) {
   auto& wanted = zoneState.wanted;
   while (!wanted.empty() && wanted.back().runners <= runners)
     wanted.pop_back();
   wanted.push_back({now, runners});
-  while (now - wanted.front().seenAt > kept)
+  while (now - wanted.front().seenAt > retention)
     wanted.pop_front();
 }
 std::vector<ScalingOrder> ScalingPolicy::decide(const config::Configuration& configuration,
@@ -84,35 +84,36 @@
       slots += static_cast<int>(runner.capacity);
     }
     const auto turnedAway = loads.find({service.label, ""});
-    const double refused = turnedAway == loads.end() ? 0 : turnedAway->second.turnedAway * kRejectedRequestDurationS;
+    const double rejectedDemand =
+        turnedAway == loads.end() ? 0 : turnedAway->second.turnedAway * kRejectedRequestDurationS;
     for (const auto& [zone, present] : zones) {
-      const ServiceZone name{service.label, zone};
-      auto& zoneState = serviceZones_[name];
-      const auto load = loads.find(name);
+      const ServiceZone serviceZone{service.label, zone};
+      auto& zoneState = serviceZones_[serviceZone];
+      const auto load = loads.find(serviceZone);
       zoneState.present = present.first;
       zoneState.demand = (load == loads.end() ? 0 : load->second.inFlight) +
-                         static_cast<int>(std::ceil(refused / static_cast<double>(zones.size())));
+                         static_cast<int>(std::ceil(rejectedDemand / static_cast<double>(zones.size())));
       const double slotsPerRunner = std::max(1.0, static_cast<double>(present.second) / present.first);
       const int wanted =
           static_cast<int>(std::ceil(zoneState.demand / (slotsPerRunner * targetUtilization(zones.size()))));
       recordNeededRunners(zoneState, std::clamp(wanted, service.scaling->min, service.scaling->max),
                           service.scaling->startup, now);
       const bool mayScaleDown = loadIsKnown && !isEvacuated(state, zone) && !hasActiveRollout(state, service.label);
-      if (auto order = decideForZone(name, zoneState, *service.scaling, mayScaleDown, now))
+      if (auto order = decideForZone(serviceZone, zoneState, *service.scaling, mayScaleDown, now))
         orders.push_back(std::move(*order));
     }
   }
   return orders;
 }
-std::optional<ScalingOrder> ScalingPolicy::decideForZone(const ServiceZone& name, ServiceZoneState& zoneState,
+std::optional<ScalingOrder> ScalingPolicy::decideForZone(const ServiceZone& serviceZone, ServiceZoneState& zoneState,
                                                          const config::Scaling& scaling, bool mayScaleDown,
                                                          TimePoint now) {
   if (now - termStartedAt_ < kInitialReportingTime)
     return std::nullopt;
   const int current = zoneState.ordered.value_or(zoneState.present);
   const int wanted = zoneState.wanted.front().runners;
-  const int inRange = std::clamp(current, scaling.min, scaling.max);
-  const int desired = wanted < inRange && !mayScaleDown ? inRange : wanted;
+  const int clampedCount = std::clamp(current, scaling.min, scaling.max);
+  const int desired = wanted < clampedCount && !mayScaleDown ? clampedCount : wanted;
   zoneState.reason = desired > current ? "demand" : desired < current ? "idle" : "steady";
   const bool isRepeated = repeatIsDue(zoneState, now);
   if (desired == current && !isRepeated)
@@ -120,7 +121,7 @@
   const bool tooSoon = zoneState.ordered && now - zoneState.orderedAt < kMinOrderInterval;
   if (tooSoon && !isRepeated)
     return std::nullopt;
-  return ScalingOrder{name.first, name.second, desired, isRepeated ? "repeated" : zoneState.reason};
+  return ScalingOrder{serviceZone.first, serviceZone.second, desired, isRepeated ? "repeated" : zoneState.reason};
 }
 bool ScalingPolicy::repeatIsDue(ServiceZoneState& zoneState, TimePoint now) {
   return std::any_of(zoneState.repeatAt.begin(), zoneState.repeatAt.end(), [now](TimePoint at) { return now >= at; });
@@ -139,10 +140,10 @@
 }
 std::vector<ScalingStatus> ScalingPolicy::status() const {
   std::vector<ScalingStatus> all;
-  for (const auto& [name, zoneState] : serviceZones_) {
+  for (const auto& [serviceZone, zoneState] : serviceZones_) {
     const int wanted = zoneState.wanted.empty() ? 0 : zoneState.wanted.front().runners;
-    all.push_back({name.first, name.second, zoneState.present, zoneState.demand, wanted, zoneState.ordered.value_or(-1),
-                   zoneState.reason});
+    all.push_back({serviceZone.first, serviceZone.second, zoneState.present, zoneState.demand, wanted,
+                   zoneState.ordered.value_or(-1), zoneState.reason});
   }
   return all;
 }
--- a/libs/replicated_counters/src/counter_replica.cpp
+++ b/libs/replicated_counters/src/counter_replica.cpp
@@ -44,14 +44,14 @@
   return missing;
 }
 std::size_t bytesOf(const IncrementBatch& batch) {
-  constexpr std::size_t kFixed = 16;
-  std::size_t bytes = kFixed;
+  constexpr std::size_t kFixedBytes = 16;
+  std::size_t bytes = kFixedBytes;
   for (const auto& range : batch.ranges)
     for (const auto& increment : range.increments)
-      bytes += kFixed + increment.counter.size() + increment.instanceId.size();
+      bytes += kFixedBytes + increment.counter.size() + increment.instanceId.size();
   for (const auto& folded : batch.folded)
     for (const auto& amount : folded.amounts)
-      bytes += kFixed + amount.counter.size();
+      bytes += kFixedBytes + amount.counter.size();
   return bytes;
 }
 /// Appends a batch to another one. A range that continues the last range of the same origin is joined to it.
@@ -181,15 +181,15 @@
   const auto addresses = peersByPreference(now);
   const auto copyTime = expectedCopyTime(now);
   const bool ownDiskIsSlow = isSlow(ownDiskTime_, copyTime, now);
-  auto wanted = options_.copies + (ownDiskIsSlow ? 1 : 0);
+  auto remainingPushes = options_.copies + (ownDiskIsSlow ? 1 : 0);
   bool mayProbe = true;
   for (const auto& address : addresses) {
     const auto& disk = peers_[address].diskTime;
     const bool probed = mayProbe && isSlow(disk, copyTime, now) && disk.isOutdated(now, kProbeInterval);
-    if ((wanted == 0 && !probed) || !pushTo(address, sequence, now))
+    if ((remainingPushes == 0 && !probed) || !pushTo(address, sequence, now))
       continue;
-    if (wanted > 0)
-      --wanted;
+    if (remainingPushes > 0)
+      --remainingPushes;
     else
       mayProbe = false;
   }
@@ -287,9 +287,9 @@
   updateCaughtUp(now);
 }
 void CounterReplica::mergeReceived(const IncrementBatch& batch) {
-  auto fresh = state_.merge(batch);
-  if (!fresh.empty())
-    appendBatch(unpersisted_, std::move(fresh));
+  auto newIncrements = state_.merge(batch);
+  if (!newIncrements.empty())
+    appendBatch(unpersisted_, std::move(newIncrements));
 }
 // Data that arrives during a write is part of the next write. Its sender gets the report after that write has finished.
 void CounterReplica::sendDeferredReports() {
@@ -386,9 +386,9 @@
   // `copies` machines.
   const auto members = std::max(peers_.size() + 1, static_cast<std::size_t>(2 * options_.copies + 1));
   const bool hasMajority = reported + 1 > members / 2;
-  const bool waitedLong =
+  const bool gracePeriodIsOver =
       hadRecords_ ? now - startedAt_ >= kCatchUpGrace : now - startedAt_ >= kEmptyCatchUpGrace && reported > 0;
-  caughtUp_ = hasMajority || waitedLong;
+  caughtUp_ = hasMajority || gracePeriodIsOver;
 }
 
 // --- discarding ids ---
--- a/libs/replicated_counters/src/counter_state.cpp
+++ b/libs/replicated_counters/src/counter_state.cpp
@@ -96,8 +96,8 @@
   if (!merged.folded.empty())
     merged.foldedIds = batch.foldedIds;
   for (const auto& range : batch.ranges)
-    if (auto fresh = mergeRange(range))
-      merged.ranges.push_back(std::move(*fresh));
+    if (auto newRange = mergeRange(range))
+      merged.ranges.push_back(std::move(*newRange));
   return merged;
 }
 void CounterState::mergeFoldedIds(const std::vector<std::string>& ids) {
@@ -132,10 +132,10 @@
   const auto skipped = next - range.firstSequence;
   if (skipped < 0 || skipped >= static_cast<std::int64_t>(range.increments.size()))
     return std::nullopt;
-  IncrementRange fresh{range.origin, next, {range.increments.begin() + skipped, range.increments.end()}};
-  for (const auto& increment : fresh.increments)
+  IncrementRange newRange{range.origin, next, {range.increments.begin() + skipped, range.increments.end()}};
+  for (const auto& increment : newRange.increments)
     append(range.origin, increment);
-  return fresh;
+  return newRange;
 }
 
 // --- batches for other replicas ---
--- a/tests/coordination_world.hpp
+++ b/tests/coordination_world.hpp
@@ -13,7 +13,7 @@
 namespace zinccleat::sim {
 /// Deliberate bugs in the service, which show that the checks detect them.
 enum class PlantedFault {
-  nothing,
+  noFault,
   leaseIsNotChecked,    ///< reads and numbers are answered without a valid lease
   timeRunsFast,         ///< the shard's time runs twice as fast as the clock
   answersBeforeCommit,  ///< a write is answered as soon as it is proposed
--- a/tests/coordination_worlds_test.cpp
+++ b/tests/coordination_worlds_test.cpp
@@ -166,7 +166,7 @@
   std::size_t answered = 0;
   std::size_t freezes = 0;
   for (auto seed = from; seed < from + count; ++seed) {
-    const auto result = runSimulation(seed, PlantedFault::nothing);
+    const auto result = runSimulation(seed, PlantedFault::noFault);
     EXPECT_TRUE(result.violations.empty())
         << "seed " << seed << ", replay with ZINCCLEAT_FROM=" << seed << " ZINCCLEAT_WORLDS=1\n"
         << textOf(result.violations);
--- a/tests/counter_world.hpp
+++ b/tests/counter_world.hpp
@@ -21,7 +21,7 @@
 namespace zinccleat::counter_world {
 /// Deliberate bugs in the service, which show that the checks detect them.
 enum class PlantedFault {
-  nothing,
+  noFault,
   idsAreCountedPerMachine,  ///< the same id is counted separately by each machine
   originIsReused,           ///< a restarted process continues with its previous origin
   transferDropsOne,         ///< a transfer of several increments omits one in the middle
--- a/tests/counter_worlds_test.cpp
+++ b/tests/counter_worlds_test.cpp
@@ -35,7 +35,7 @@
   std::size_t partitions = 0;
   std::size_t lostDisks = 0;
   for (auto seed = from; seed < from + count; ++seed) {
-    CounterWorld world(seed, PlantedFault::nothing);
+    CounterWorld world(seed, PlantedFault::noFault);
     world.play();
     acknowledged += world.acknowledged();
     partitions += world.partitions();
@@ -73,9 +73,9 @@
   constexpr double kMaxLateShare = 0.02;
   for (const auto slowSync : {50ms, 100ms, 400ms, 3000ms})
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      CounterWorld healthy(seed, PlantedFault::nothing);
+      CounterWorld healthy(seed, PlantedFault::noFault);
       healthy.playWithoutFaults(Duration(0));
-      CounterWorld slow(seed, PlantedFault::nothing);
+      CounterWorld slow(seed, PlantedFault::noFault);
       slow.playWithoutFaults(slowSync);
       EXPECT_LE(slow.lateShare(kTargetLatency), healthy.lateShare(kTargetLatency) + kMaxLateShare)
           << slowSync.count() << " ms, seed " << seed << ", with healthy disks " << healthy.lateShare(kTargetLatency);
--- a/tests/platform_worlds_test.cpp
+++ b/tests/platform_worlds_test.cpp
@@ -146,7 +146,7 @@
   struct Proxy {
     UsageRecorder recorder;
     Duration clockStep{0};
-    TimePoint cutUntil{};
+    TimePoint isolatedUntil{};
     TimePoint lastAnswer{};  // the proxy serves no requests before its first answer
   };
   struct Controller {
@@ -169,10 +169,10 @@
   };
 
   bool chance(double p) { return static_cast<double>(rng_() % 1000000) < p * 1e6; }
-  Duration between(int from, int to) {
+  Duration drawBetween(int from, int to) {
     return Duration(from + static_cast<int>(rng_() % static_cast<unsigned>(to - from)));
   }
-  Duration drawStep() { return chance(0.3) ? between(-9000, 9000) : between(-20, 20); }
+  Duration drawStep() { return chance(0.3) ? drawBetween(-9000, 9000) : drawBetween(-20, 20); }
   Controller& leader() { return controllers_[static_cast<std::size_t>(leader_)]; }
   void elect(int next, TimePoint now) {
     leader_ = next;
@@ -189,23 +189,23 @@
     if (kind == 0)
       depose(now);
     else if (kind == 1)
-      cut(1 + rng_() % (kProxies / 2), now + between(500, 9000));
+      isolateProxies(1 + rng_() % (kProxies / 2), now + drawBetween(500, 9000));
     else if (kind == 2)
       restart(1 + rng_() % 3, now);
     else if (kind == 3)
-      leader().frozenUntil = now + between(100, 4000);
+      leader().frozenUntil = now + drawBetween(100, 4000);
     else
       proxies_[rng_() % kProxies].clockStep = drawStep();
   }
   /// Elects another leader. In half of the cases the previous leader is elected again soon.
   void depose(TimePoint now) {
     returnLeadershipTo_ = leader_;
-    returnLeadershipAt_ = chance(0.5) ? now + between(300, 2500) : TimePoint::max();
+    returnLeadershipAt_ = chance(0.5) ? now + drawBetween(300, 2500) : TimePoint::max();
     elect(static_cast<int>(rng_() % kControllers), now);
   }
-  void cut(std::uint64_t count, TimePoint until) {
+  void isolateProxies(std::uint64_t count, TimePoint until) {
     for (std::uint64_t i = 0; i < count; ++i)
-      proxies_[i].cutUntil = until;
+      proxies_[i].isolatedUntil = until;
   }
   void restart(std::uint64_t count, TimePoint now) {
     for (std::uint64_t i = 0; i < count; ++i) {
@@ -234,7 +234,7 @@
         continue;
       transport::PlatformReport report;
       proxy.recorder.fill(report, trueTime(now) + proxy.clockStep, now, false);
-      if (!reachable || now < proxy.cutUntil || chance(0.05))
+      if (!reachable || now < proxy.isolatedUntil || chance(0.05))
         continue;
       const auto answer = answerTo(i, report, now);
       if (chance(0.05))
@@ -280,7 +280,7 @@
         continue;
       if (planted_ == PlantedFault::sendsUncommittedReport)
         send(report, now);
-      log_.push_back({now + between(0, 300), std::move(report), 0});
+      log_.push_back({now + drawBetween(0, 300), std::move(report), 0});
     }
     if (!reports_.unconfirmed().empty() && planted_ != PlantedFault::sendsUncommittedReport)
       send(reports_.unconfirmed().front(), now);
@@ -300,13 +300,13 @@
     const auto fence = planted_ == PlantedFault::reusesFence ? 7 : term_;
     if (chance(0.15)) {  // The call gets no answer, and is executed late or never.
       if (chance(0.7))
-        lateCalls_.push_back({now + between(100, 8000), leader_, fence, report});
+        lateCalls_.push_back({now + drawBetween(100, 8000), leader_, fence, report});
       return schedule.ended("usage", schedule.term(), CallOutcome::unanswered, now);
     }
     const int status = platform_.execute(leader_, fence, report, now);
     schedule.ended("usage", schedule.term(), status == kOk ? CallOutcome::accepted : CallOutcome::staleFence, now);
     if (status == kOk)
-      log_.push_back({now + between(0, 300), std::nullopt, report.window});
+      log_.push_back({now + drawBetween(0, 300), std::nullopt, report.window});
   }
   /// Sends an order whenever the schedule permits it, so that every change of the leader coincides with some order.
   void order(TimePoint now) {
--- a/tests/replicated_counters_test.cpp
+++ b/tests/replicated_counters_test.cpp
@@ -175,16 +175,16 @@
 }
 TEST(CounterReplica, ADiskThatIsSlowIsAskedLastAndProbedNowAndThen) {
   auto replica = replicaOf(kA, 1, {"b", "c"});
-  const auto hear = [&replica](TimePoint now) {
+  const auto receiveReports = [&replica](TimePoint now) {
     for (const auto* peer : {"b", "c"})
       replica.receive(now, peer, reportOf("z2", {}));
   };
-  hear(kStart);
+  receiveReports(kStart);
   ASSERT_TRUE(replica.add(kStart, 1, incrementOf("x1", 1)));
   auto pushed = actionsOf<SendTransfer>(replica);
   ASSERT_EQ(pushed.size(), 1U);
   const auto first = pushed[0].to;
-  hear(kStart + 100ms);  // neither peer reports the increment
+  receiveReports(kStart + 100ms);  // neither peer reports the increment
   ASSERT_TRUE(replica.add(kStart + 100ms, 2, incrementOf("x2", 1)));
   pushed = actionsOf<SendTransfer>(replica);
   ASSERT_EQ(pushed.size(), 2U) << "the local disk is slow too, so one additional peer is asked";
@@ -205,15 +205,15 @@
 }
 TEST(CounterReplica, OnASideWithFewerDisksAsManyAsThereAreSuffice) {
   auto replica = replicaOf(kA, 2, {"b", "c", "d"});
-  const auto cut = kStart + 10s;
+  const auto partitionStart = kStart + 10s;
   for (const auto* peer : {"b", "c", "d"})
-    replica.receive(cut, peer, reportOf("z2", {}));
-  const auto later = cut + CounterReplica::kReachabilityTimeout;
-  replica.receive(later - 10ms, "b", reportOf("z1", {}));
-  ASSERT_TRUE(replica.add(later - 20ms, 1, incrementOf("x", 4)));
-  replica.persisted(later);
+    replica.receive(partitionStart, peer, reportOf("z2", {}));
+  const auto partitionDetected = partitionStart + CounterReplica::kReachabilityTimeout;
+  replica.receive(partitionDetected - 10ms, "b", reportOf("z1", {}));
+  ASSERT_TRUE(replica.add(partitionDetected - 20ms, 1, incrementOf("x", 4)));
+  replica.persisted(partitionDetected);
   EXPECT_FALSE(acknowledges(replica, 1)) << "peer b is reachable, so its copy is required";
-  replica.receive(later, "b", reportOf("z1", {{kA, 1}}));
+  replica.receive(partitionDetected, "b", reportOf("z1", {{kA, 1}}));
   EXPECT_TRUE(acknowledges(replica, 1));
 }
 TEST(CounterReplica, AloneItAcknowledgesByItsOwnDiskButNotSoonAfterItsStart) {
@@ -335,9 +335,9 @@
 TEST(CounterReplica, OldIdsAreForgottenOnceAllPeersHaveThemAndNotWhileOneIsSilent) {
   auto replica = replicaOf(kA, 0, {"b", "c"});
   auto now = kStart;
-  const auto tickFor = [&](Duration duration, const std::vector<std::string>& heard) {
+  const auto tickFor = [&](Duration duration, const std::vector<std::string>& respondingPeers) {
     for (const auto until = now + duration; now < until; now += 30s) {
-      for (const auto& peer : heard)
+      for (const auto& peer : respondingPeers)
         replica.receive(now, peer, reportOf("z2", {{kA, 1}}));
       replica.tick(now);
       if (!actionsOf<PersistBatch>(replica).empty())
@@ -357,17 +357,17 @@
 // Guards against a replaced machine blocking the folding of ids. One of three machines is replaced a minute after the
 // start, and an increment that it had reported is lost with it. Five increments a second follow for 12 hours.
 TEST(CounterReplica, AReplacedMachineDoesNotStopTheFolding) {
-  constexpr int kPerStep = 150;
+  constexpr int kIncrementsPerStep = 150;
   constexpr OriginId kReplaced = 33;
   auto replica = replicaOf(kA, 2, {"b", "c"});
   replica.receive(kStart, "c", reportOf("z3", {{kReplaced, 1}}));
-  std::size_t mostKept = 0;
+  std::size_t maxRetained = 0;
   int refused = 0;
   for (auto now = kStart + 1s; now < kStart + 12h; now += 30s) {
     const bool isReplaced = now > kStart + 1min;
     const std::set<std::string> peers{"b", isReplaced ? "d" : "c"};
     replica.setPeers(peers, peers);
-    for (int i = 0; i < kPerStep; ++i)
+    for (int i = 0; i < kIncrementsPerStep; ++i)
       refused += replica.add(now, i, incrementOf(std::to_string(now.time_since_epoch().count() + i), 1)) ? 0 : 1;
     while (!actionsOf<PersistBatch>(replica).empty())
       replica.persisted(now);
@@ -376,13 +376,13 @@
     replica.tick(now);
     while (!actionsOf<PersistBatch>(replica).empty())
       replica.persisted(now);
-    for (int i = 0; i < kPerStep; ++i)
+    for (int i = 0; i < kIncrementsPerStep; ++i)
       replica.cancel(i);
-    mostKept = std::max(mostKept, replica.state().retainedIncrements());
+    maxRetained = std::max(maxRetained, replica.state().retainedIncrements());
   }
   EXPECT_EQ(refused, 0);
-  const auto half = static_cast<std::size_t>(CounterReplica::kIdRetention / 30s) * kPerStep;
-  EXPECT_LE(mostKept, 4 * half)
+  const auto incrementsPerRetention = static_cast<std::size_t>(CounterReplica::kIdRetention / 30s) * kIncrementsPerStep;
+  EXPECT_LE(maxRetained, 4 * incrementsPerRetention)
       << "ids are kept for at most twice their retention time, and longer only until the replaced machine times out";
 }
 TEST(CounterReplica, AMemberThatIsSilentIsAwaitedForADay) {
