--- a/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
+++ b/libs/replicated_counters/include/replicated_counters/counter_replica.hpp
@@ -95,8 +95,8 @@
   static constexpr std::size_t kMaxRetainedIncrements = 200'000;
   /// A peer that has been silent for this long no longer blocks the folding of ids.
   static constexpr Duration kSilentPeerTimeout{std::chrono::hours(24)};
-  /// The same timeout for a machine that is no longer among the voters of the fleet's log, because another machine has
-  /// replaced it.
+  /// A peer that is no longer among the voters of the fleet's log, because another machine has replaced it, stops
+  /// blocking the folding of ids once it has been silent for this long.
   static constexpr Duration kRemovedPeerTimeout = kIdRetention;
 
   CounterReplica(Options options, TimePoint now) : options_(std::move(options)), startedAt_(now) {}
--- a/tests/counter_world.hpp
+++ b/tests/counter_world.hpp
@@ -9,7 +9,8 @@
 /// - A total read from a machine includes everything that the same incarnation has acknowledged before.
 /// - `kMergeBound` after the end of all faults every total includes all acknowledged increments.
 /// - A machine that comes back with an empty disk answers no reads until it has all acknowledged increments.
-/// - At the end all replicas return the same totals.
+/// - At the end all replicas return the same totals: the sums over a set of increments that includes all acknowledged
+///   ones.
 /// An increment is not required to survive if its machine acknowledged it during a partition and lost its disk before
 /// the partition had been over for `kMergeBound`.
 #pragma once
--- a/tests/platform_worlds_test.cpp
+++ b/tests/platform_worlds_test.cpp
@@ -35,11 +35,11 @@
 /// Deliberate bugs in the code under test, which the checks must detect.
 enum class PlantedFault : std::uint8_t {
   none,
-  sendsUncommittedReport,
-  reusesFence,
-  callsBeforeLeaseEnds,
-  trustsOneClock,
-  ignoresSilentProxies
+  sendsUncommittedReport,  ///< a leader sends its counts before they are committed
+  reusesFence,             ///< all holders use the same fence
+  callsBeforeLeaseEnds,    ///< a returning holder does not wait for the end of the lease
+  trustsOneClock,          ///< the fleet clock uses the clock of a single machine
+  ignoresSilentProxies     ///< reports do not wait for any proxy
 };
 
 FleetTime trueTime(TimePoint now) {
@@ -197,7 +197,7 @@
     else
       proxies_[rng_() % kProxies].clockStep = drawStep();
   }
-  /// Elects another leader. In half of the cases the previous leader is elected again soon.
+  /// Elects a random controller as leader. In half of the cases the previous leader is elected again soon.
   void depose(TimePoint now) {
     returnLeadershipTo_ = leader_;
     returnLeadershipAt_ = chance(0.5) ? now + drawBetween(300, 2500) : TimePoint::max();
