--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -179,9 +179,9 @@
   });
 }
 void CoordinationWorld::endAttempt(const AcceptedCallPtr& accepted, AttemptEnd end) {
-  const auto pause = accepted->progress.retryDelayAfter(end, now);
-  if (pause)
-    return schedule(*pause, [this, accepted] {
+  const auto retryDelay = accepted->progress.retryDelayAfter(end, now);
+  if (retryDelay)
+    return schedule(*retryDelay, [this, accepted] {
       onProcess(accepted->ip, accepted->incarnation, [this, accepted] { attempt(accepted); });
     });
   const bool refused =
--- a/tests/platform_worlds_test.cpp
+++ b/tests/platform_worlds_test.cpp
@@ -154,7 +154,7 @@
     FleetClock clock;
     CallSchedule schedule;
     std::set<std::int64_t> proposed;
-    TimePoint frozenUntil{};
+    TimePoint pausedUntil{};
   };
   struct Proposal {
     TimePoint at{};
@@ -193,7 +193,7 @@
     else if (kind == 2)
       restart(1 + rng_() % 3, now);
     else if (kind == 3)
-      leader().frozenUntil = now + drawBetween(100, 4000);
+      leader().pausedUntil = now + drawBetween(100, 4000);
     else
       proxies_[rng_() % kProxies].clockStep = drawStep();
   }
@@ -226,7 +226,7 @@
     }
   }
   void sendProxyReports(TimePoint now) {
-    const bool reachable = now >= leader().frozenUntil;
+    const bool reachable = now >= leader().pausedUntil;
     for (std::size_t i = 0; i < proxies_.size(); ++i) {
       auto& proxy = proxies_[i];
       const bool due = (now - kStart) / kStep % 8 == static_cast<int>(i % 8);
@@ -266,7 +266,7 @@
     std::erase_if(log_, [now](const auto& proposal) { return now >= proposal.at; });
   }
   void actAsLeader(TimePoint now) {
-    if (now < leader().frozenUntil)
+    if (now < leader().pausedUntil)
       return;
     order(now);
     const auto time = leader().clock.timeAt(now);
