--- a/libs/coordination/src/leaseholder.cpp
+++ b/libs/coordination/src/leaseholder.cpp
@@ -4,21 +4,22 @@
 
 namespace zinccleat::coordination {
 namespace {
-constexpr std::int64_t kNumberBlock = 64;
+constexpr std::int64_t kNumberBlockSize = 64;
 constexpr std::size_t kMaxQueuedCalls = 4096;
 constexpr std::size_t kMaxBatchCommands = 512;
-// While locks are taken, a leader that is lost takes at most so much of the shard's time with it.
-constexpr Duration kTimeStampInterval{200};
+// While locks are taken, the elapsed time is committed at least this often. This limits how much of the shard's time is
+// lost with a leader.
+constexpr Duration kTimeEntryInterval{200};
 }  // namespace
 
 void Leaseholder::startTerm(TimePoint now) {
   endTerm();
   leading_ = true;
-  stampedAt_ = now;
+  timeRecordedUpTo_ = now;
 }
 void Leaseholder::endTerm() {
   leading_ = false;
-  tickDue_ = false;
+  timeEntryIsDue_ = false;
   for (const auto& queued : std::exchange(queue_, {}))
     reject(queued.callId);
   for (const auto& proposed : std::exchange(inFlight_, {}))
@@ -37,9 +38,9 @@
   if (callId != 0)
     results_.push_back({callId, CallStatus::notExecuted, {}});
 }
-// The process may have been stopped since the lease was looked at before: only a lease that stands after the evaluation
-// says that nobody else could have written meanwhile.
-void Leaseholder::finishUnderLease(std::int64_t callId, Outcome outcome) {
+// The process may have been suspended since the previous check of the lease. Only a lease that is valid after the
+// evaluation proves that no other leaseholder has written in the meantime.
+void Leaseholder::finishIfLeaseHolds(std::int64_t callId, Outcome outcome) {
   if (hasLease_())
     finish(callId, std::move(outcome));
   else
@@ -50,17 +51,17 @@
     return reject(callId);
   switch (command.op()) {
     case CommandKind::nextNumber:
-      return callNumber(callId, command.name);
+      return requestNumber(callId, command.name);
     case CommandKind::getCell:
-      return finishUnderLease(callId, state_.readCell(command.name));
+      return finishIfLeaseHolds(callId, state_.readCell(command.name));
     case CommandKind::readIndex:
-      return finishUnderLease(callId, makeOutcome(OutcomeKind::done, state_.index()));
+      return finishIfLeaseHolds(callId, makeOutcome(OutcomeKind::done, state_.index()));
     case CommandKind::acquireLock:
     case CommandKind::renewLock:
     case CommandKind::releaseLock:
     case CommandKind::putCell:
       return enqueue(callId, command);
-    case CommandKind::reserveNumbers:  // the leaseholder's own
+    case CommandKind::reserveNumbers:  // issued only by the leaseholder itself
       break;
   }
   reject(callId);
@@ -73,16 +74,16 @@
 
 // --- numbers ---
 
-void Leaseholder::callNumber(std::int64_t callId, const std::string& name) {
+void Leaseholder::requestNumber(std::int64_t callId, const std::string& name) {
   auto& block = numbers_[name];
   block.waiting.push_back(callId);
-  drawNumbers(name, block);
+  assignNumbers(name, block);
 }
-void Leaseholder::drawNumbers(const std::string& name, NumberBlock& block) {
+void Leaseholder::assignNumbers(const std::string& name, NumberBlock& block) {
   while (!block.waiting.empty() && !block.empty()) {
     const auto callId = block.waiting.front();
     block.waiting.pop_front();
-    finishUnderLease(callId, makeOutcome(OutcomeKind::done, block.next++));
+    finishIfLeaseHolds(callId, makeOutcome(OutcomeKind::done, block.next++));
   }
   if (block.waiting.empty() || block.reserving)
     return;
@@ -90,7 +91,7 @@
   Command reserve;
   reserve.kind = static_cast<std::int32_t>(CommandKind::reserveNumbers);
   reserve.name = name;
-  reserve.argument = kNumberBlock;
+  reserve.argument = kNumberBlockSize;
   queue_.push_back({0, reserve});
 }
 void Leaseholder::onReserved(const Command& command, const Outcome& outcome) {
@@ -103,28 +104,28 @@
   }
   block.next = outcome.number + 1;
   block.last = outcome.number + command.argument;
-  drawNumbers(command.name, block);
+  assignNumbers(command.name, block);
 }
 
 // --- batches ---
 
 void Leaseholder::tick(TimePoint now) {
-  tickDue_ = leading_ && state_.hasLocks() && now - stampedAt_ >= kTimeStampInterval;
+  timeEntryIsDue_ = leading_ && state_.hasLocks() && now - timeRecordedUpTo_ >= kTimeEntryInterval;
 }
-// One batch at a time: what comes while it is synced goes along in the next one.
+// Only one batch is in flight at a time. Calls that arrive while it is being written go into the next batch.
 std::optional<transport::LogEntry> Leaseholder::nextBatch(TimePoint now, const std::string& operationId) {
-  if (!leading_ || !inFlightId_.empty() || (queue_.empty() && !tickDue_))
+  if (!leading_ || !inFlightId_.empty() || (queue_.empty() && !timeEntryIsDue_))
     return std::nullopt;
   const auto count = std::min(queue_.size(), kMaxBatchCommands);
   const auto end = queue_.begin() + static_cast<std::ptrdiff_t>(count);
   inFlight_.assign(std::make_move_iterator(queue_.begin()), std::make_move_iterator(end));
   queue_.erase(queue_.begin(), end);
   inFlightId_ = operationId;
-  tickDue_ = false;
+  timeEntryIsDue_ = false;
   CommandBatch batch;
-  batch.elapsedMs = toDuration(now - stampedAt_).count();
+  batch.elapsedMs = toDuration(now - timeRecordedUpTo_).count();
   batch.historyMs = history_.count();
-  stampedAt_ += Duration(batch.elapsedMs);  // what rounding left out goes into the next one
+  timeRecordedUpTo_ += Duration(batch.elapsedMs);  // the rounded-off remainder goes into the next batch
   for (const auto& proposed : inFlight_)
     batch.commands.push_back(proposed.command);
   transport::LogEntry entry;
--- a/tests/coordination_history.cpp
+++ b/tests/coordination_history.cpp
@@ -9,7 +9,7 @@
 constexpr int kPreconditionFailed = 412, kTooManyRequests = 429, kUnavailable = 503;
 constexpr std::int64_t kMicrosecondsPerMs = 1000;
 
-bool promisesNothingDone(int status) {
+bool guaranteesNotExecuted(int status) {
   return status == kPreconditionFailed || status == kTooManyRequests || status == kUnavailable;
 }
 std::string describe(const Call& call) {
@@ -22,27 +22,28 @@
          (call.answeredAt == Call::kNever ? "?" : std::to_string(call.answeredAt)) + " -> " +
          std::to_string(call.status) + " " + std::to_string(call.number) + " " + call.value;
 }
-/// A value that was answered, with the time from which on everybody may rely on it.
-struct Given {
+/// A number that was returned to a caller, with the time of the answer.
+struct AnsweredNumber {
   std::int64_t at = 0;
   std::int64_t number = 0;
 };
-/// The highest number that was given before a moment.
-class GivenNumbers {
+/// Finds the highest number that was returned before a point in time.
+class AnsweredNumbers {
  public:
   void add(std::int64_t at, std::int64_t number) { all_.push_back({at, number}); }
   void sort() {
-    std::sort(all_.begin(), all_.end(), [](const Given& a, const Given& b) { return a.at < b.at; });
+    std::sort(all_.begin(), all_.end(), [](const AnsweredNumber& a, const AnsweredNumber& b) { return a.at < b.at; });
     for (std::size_t i = 1; i < all_.size(); ++i)
       all_[i].number = std::max(all_[i].number, all_[i - 1].number);
   }
   std::int64_t highestBefore(std::int64_t moment) const {
-    const auto end = std::partition_point(all_.begin(), all_.end(), [&](const Given& g) { return g.at < moment; });
+    const auto end =
+        std::partition_point(all_.begin(), all_.end(), [&](const AnsweredNumber& g) { return g.at < moment; });
     return end == all_.begin() ? 0 : std::prev(end)->number;
   }
 
  private:
-  std::vector<Given> all_;
+  std::vector<AnsweredNumber> all_;
 };
 
 class Checker {
@@ -59,11 +60,11 @@
  private:
   void report(const std::string& rule, const std::string& what) { violations_.push_back(rule + ": " + what); }
 
-  // --- locks: one holder at a moment, rising fences ---
+  // --- locks: at most one holder at a time, ascending fences ---
 
   struct Hold {
     const Call* begin = nullptr;
-    std::int64_t from = 0, until = 0;  // as the caller counts
+    std::int64_t from = 0, until = 0;  // according to the caller's clock
   };
   void checkLocks() {
     std::map<std::string, std::vector<const Call*>> byLock;
@@ -82,17 +83,18 @@
         holds.push_back(holdOf(*call, calls));
     return holds;
   }
-  // From the answer until the time of the last good call is over, or the release is sent.
+  // A hold lasts from its first answer until the duration of the last successful call has passed or a release is sent.
   static Hold holdOf(const Call& begin, const std::vector<const Call*>& calls) {
     Hold hold{&begin, begin.answeredAt, begin.sentAt + begin.holdMs * kMicrosecondsPerMs};
-    std::vector<const Call*> own;
+    std::vector<const Call*> callsOfHold;
     for (const auto* call : calls) {
       const bool afterBegin = call->caller == begin.caller && call->sentAt > begin.sentAt;
       if (afterBegin && (call->kind == CallKind::releaseLock || call->fence == begin.number))
-        own.push_back(call);
+        callsOfHold.push_back(call);
     }
-    std::sort(own.begin(), own.end(), [](const Call* a, const Call* b) { return a->sentAt < b->sentAt; });
-    for (const auto* call : own) {
+    std::sort(callsOfHold.begin(), callsOfHold.end(),
+              [](const Call* a, const Call* b) { return a->sentAt < b->sentAt; });
+    for (const auto* call : callsOfHold) {
       if (call->kind == CallKind::releaseLock)
         hold.until = std::min(hold.until, call->sentAt);
       else if (call->succeeded() && call->answeredAt <= hold.until)
@@ -119,48 +121,48 @@
     for (const auto* call : calls)
       if (call->kind == CallKind::beginLock && call->succeeded())
         granted.push_back(call);
-    GivenNumbers given;
+    AnsweredNumbers answeredBefore;
     for (const auto* call : granted) {
       const auto [known, added] = byFence.emplace(call->number, call);
       if (!added && known->second->caller != call->caller)
-        report("ONE", "one fence for two: " + describe(*known->second) + " and " + describe(*call));
-      given.add(call->answeredAt, call->number);
+        report("ONE", "two holders with the same fence: " + describe(*known->second) + " and " + describe(*call));
+      answeredBefore.add(call->answeredAt, call->number);
     }
-    given.sort();
+    answeredBefore.sort();
     for (const auto* call : granted)
-      if (call->number <= given.highestBefore(call->sentAt))
-        report("ONE", "a fence not above an earlier one: " + describe(*call));
+      if (call->number <= answeredBefore.highestBefore(call->sentAt))
+        report("ONE", "a fence that is not above an earlier one: " + describe(*call));
   }
 
   // --- numbers ---
 
   void checkNumbers() {
-    std::map<std::string, GivenNumbers> given;
+    std::map<std::string, AnsweredNumbers> answeredBefore;
     std::set<std::pair<std::string, std::int64_t>> seen;
     for (const auto& call : calls_)
       if (call.kind == CallKind::number && call.succeeded()) {
-        given[call.name].add(call.answeredAt, call.number);
+        answeredBefore[call.name].add(call.answeredAt, call.number);
         if (!seen.insert({call.name, call.number}).second)
-          report("ORDER", "a number twice: " + describe(call));
+          report("ORDER", "a number was returned twice: " + describe(call));
       }
-    for (auto& [name, numbers] : given)
+    for (auto& [name, numbers] : answeredBefore)
       numbers.sort();
     for (const auto& call : calls_)
       if (call.kind == CallKind::number && call.succeeded() &&
-          call.number <= given[call.name].highestBefore(call.sentAt))
-        report("ORDER", "a number not above an earlier one: " + describe(call));
+          call.number <= answeredBefore[call.name].highestBefore(call.sentAt))
+        report("ORDER", "a number that is not above an earlier one: " + describe(call));
   }
 
-  // --- cells: puts, reads, what watches show ---
+  // --- cells: puts, reads and events of watches ---
 
-  /// A put with all its copies.
+  /// A put with all its repetitions.
   struct Put {
     std::int64_t firstSentAt = Call::kNever;
-    std::int64_t revision = 0;  ///< 0: none is known
-    bool refused = false;       ///< the answer to its only copy promises that it was not done
+    std::int64_t revision = 0;  ///< 0: unknown
+    bool refused = false;       ///< an answer to the put guarantees that it was not executed
     int copies = 0;
   };
-  using PutKey = std::pair<std::string, std::string>;  // cell, value
+  using PutKey = std::pair<std::string, std::string>;  // cell and value
 
   void collectPuts() {
     for (const auto& call : calls_) {
@@ -169,75 +171,75 @@
       auto& put = puts_[{call.name, call.value}];
       put.firstSentAt = std::min(put.firstSentAt, call.sentAt);
       ++put.copies;
-      put.refused |= promisesNothingDone(call.status);
+      put.refused |= guaranteesNotExecuted(call.status);
     }
   }
-  /// A revision of a cell that an answer shows.
-  void show(const std::string& cell, const std::string& value, std::int64_t revision, const Call& by) {
+  /// Records the revision of a cell's value as it occurs in an answer.
+  void recordRevision(const std::string& cell, const std::string& value, std::int64_t revision, const Call& by) {
     const auto put = puts_.find({cell, value});
     if (put == puts_.end() || put->second.firstSentAt > by.answeredAt)
-      return report("MIXED", "a value that nobody had put: " + describe(by));
+      return report("MIXED", "a value that was never put: " + describe(by));
     if (put->second.refused && put->second.copies == 1)
-      report("REFUSED", "a value whose put was turned away: " + describe(by));
+      report("REFUSED", "a value whose put was refused: " + describe(by));
     if (put->second.revision != 0 && put->second.revision != revision)
-      report("MIXED", "one put under two revisions: " + describe(by));
+      report("MIXED", "a put with two revisions: " + describe(by));
     put->second.revision = revision;
     const auto group = std::string(coordination::groupOf(cell));
     const auto [known, added] = revisions_[group].emplace(revision, PutKey{cell, value});
     if (!added && known->second != PutKey{cell, value})
-      report("ORDER", "one revision for two puts: " + describe(by));
+      report("ORDER", "a revision of two puts: " + describe(by));
   }
   void checkCells() {
     collectPuts();
-    std::map<std::string, GivenNumbers> ofCell;
-    std::map<std::string, GivenNumbers> ofGroup;
+    std::map<std::string, AnsweredNumbers> ofCell;
+    std::map<std::string, AnsweredNumbers> ofGroup;
     for (const auto& call : calls_) {
       const bool cellCall = call.kind == CallKind::put || call.kind == CallKind::read;
       if (cellCall && call.succeeded())
-        show(call.name, call.value, call.number, call);
+        recordRevision(call.name, call.value, call.number, call);
       if (call.kind == CallKind::put && call.succeeded())
         ofCell[call.name].add(call.answeredAt, call.number);
       if (cellCall && call.succeeded())
         ofGroup[std::string(coordination::groupOf(call.name))].add(call.answeredAt, call.number);
       for (const auto& event : call.events)
-        show(event.cell, event.value, event.revision, call);
+        recordRevision(event.cell, event.value, event.revision, call);
     }
-    for (auto* given : {&ofCell, &ofGroup})
-      for (auto& [name, numbers] : *given)
+    for (auto* answeredBefore : {&ofCell, &ofGroup})
+      for (auto& [name, numbers] : *answeredBefore)
         numbers.sort();
     for (const auto& call : calls_) {
       if (call.kind == CallKind::read && (call.succeeded() || call.status == 404) &&
           call.number < ofCell[call.name].highestBefore(call.sentAt))
-        report("STALE", "a read below an acknowledged put: " + describe(call));
+        report("STALE", "a read that misses an acknowledged put: " + describe(call));
       if (call.kind == CallKind::put)
         checkPut(call, ofGroup[std::string(coordination::groupOf(call.name))]);
     }
   }
-  void checkPut(const Call& call, const GivenNumbers& given) {
+  void checkPut(const Call& call, const AnsweredNumbers& answeredBefore) {
     if (call.status == kPreconditionFailed && call.number != 0 && !isRevisionOf(call.name, call.number))
       report("MIXED", "a 412 with a revision that the cell never had: " + describe(call));
     if (!call.succeeded())
       return;
     const auto& put = puts_.at({call.name, call.value});
-    if (call.number <= given.highestBefore(put.firstSentAt))
-      report("ORDER", "a revision not above an earlier one: " + describe(call));
+    if (call.number <= answeredBefore.highestBefore(put.firstSentAt))
+      report("ORDER", "a revision that is not above an earlier one: " + describe(call));
     if (call.appliesTo == coordination::kAnyRevision)
       return;
     for (const auto& [revision, other] : revisions_[std::string(coordination::groupOf(call.name))])
       if (other.first == call.name && revision > call.appliesTo && revision < call.number)
-        report("ORDER", "a put over a later revision: " + describe(call));
+        report("ORDER", "a put that overwrites a later revision than expected: " + describe(call));
   }
   bool isRevisionOf(const std::string& cell, std::int64_t revision) {
     const auto& revisions = revisions_[std::string(coordination::groupOf(cell))];
     const auto known = revisions.find(revision);
-    // A put whose answer was lost may have given it.
+    // A revision that no answer contains may belong to a put whose answer was lost.
     return known == revisions.end() || known->second.first == cell;
   }
 
-  // --- watches: rising, complete, never behind ---
+  // --- watches: ascending, complete and up to date ---
 
   void checkWatches() {
-    std::map<std::string, GivenNumbers> acknowledged;
+    std::map<std::string, AnsweredNumbers> acknowledged;
     for (const auto& call : calls_)
       if (call.kind == CallKind::put && call.succeeded())
         acknowledged[std::string(coordination::groupOf(call.name))].add(call.answeredAt, call.number);
@@ -247,25 +249,25 @@
       if (call.kind == CallKind::watch && call.succeeded()) {
         checkEvents(call);
         if (call.number < acknowledged[call.name].highestBefore(call.sentAt))
-          report("LOST", "a watch behind an acknowledged put: " + describe(call));
+          report("LOST", "a watch that misses an acknowledged put: " + describe(call));
       }
   }
   void checkEvents(const Call& call) {
     std::int64_t last = call.after;
-    std::set<std::int64_t> shown;
+    std::set<std::int64_t> shownRevisions;
     for (const auto& event : call.events) {
       if (event.revision <= last)
-        report("ORDER", "events that do not rise: " + describe(call));
+        report("ORDER", "events that are not in ascending order: " + describe(call));
       last = event.revision;
-      shown.insert(event.revision);
+      shownRevisions.insert(event.revision);
     }
     if (call.number < call.after)
-      report("ORDER", "a watch that goes back: " + describe(call));
+      report("ORDER", "a watch whose revision decreases: " + describe(call));
     if (call.after == 0)
       return;
     const auto& revisions = revisions_[call.name];
     for (auto it = revisions.upper_bound(call.after); it != revisions.end() && it->first <= call.number; ++it)
-      if (!shown.contains(it->first))
+      if (!shownRevisions.contains(it->first))
         report("ORDER", "a watch that skips revision " + std::to_string(it->first) + ": " + describe(call));
   }
 
--- a/tests/counter_worlds_test.cpp
+++ b/tests/counter_worlds_test.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// Seeded worlds of replicated counters (`counter_world.hpp` says what they play and check), and faults planted in the
-/// service, each of which the checks must find.
+/// Seeded simulations of replicated counters under faults; `counter_world.hpp` describes the faults and the checks.
+/// Further simulations contain a deliberate bug in the service, which the checks must detect.
 ///
-/// More of them: `ZINCCLEAT_FROM=1000 ZINCCLEAT_WORLDS=1000 target/zinccleat_tests --gtest_filter='CounterWorlds.*'`
+/// To run more seeds: `ZINCCLEAT_FROM=1000 ZINCCLEAT_WORLDS=1000 target/zinccleat_tests
+/// --gtest_filter='CounterWorlds.*'`
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -12,9 +13,9 @@
 using namespace zinccleat;
 using namespace zinccleat::counter_world;
 namespace {
-std::uint64_t numberFrom(const char* name, std::uint64_t otherwise) {
+std::uint64_t fromEnvironment(const char* name, std::uint64_t defaultValue) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : defaultValue;
 }
 bool isFound(PlantedFault planted) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
@@ -28,13 +29,13 @@
 }  // namespace
 
 TEST(CounterWorlds, KeepTheRules) {
-  const auto from = numberFrom("ZINCCLEAT_FROM", 1);
-  const auto count = numberFrom("ZINCCLEAT_WORLDS", 40);
+  const auto from = fromEnvironment("ZINCCLEAT_FROM", 1);
+  const auto count = fromEnvironment("ZINCCLEAT_WORLDS", 40);
   std::size_t acknowledged = 0;
   std::size_t partitions = 0;
   std::size_t lostDisks = 0;
   for (auto seed = from; seed < from + count; ++seed) {
-    CounterWorld world(seed, PlantedFault::nothing);
+    CounterWorld world(seed, PlantedFault::noFault);
     world.play();
     acknowledged += world.acknowledged();
     partitions += world.partitions();
@@ -49,7 +50,7 @@
               static_cast<unsigned long long>(count));
 }
 TEST(CounterWorlds, AnIdThatIsNotKeptIsFound) {
-  EXPECT_TRUE(isFound(PlantedFault::idIsNotKept));
+  EXPECT_TRUE(isFound(PlantedFault::idsAreCountedPerMachine));
 }
 TEST(CounterWorlds, AnOriginThatIsReusedIsFound) {
   EXPECT_TRUE(isFound(PlantedFault::originIsReused));
@@ -63,20 +64,21 @@
 TEST(CounterWorlds, AReadBeforeCatchingUpIsFound) {
   EXPECT_TRUE(isFound(PlantedFault::readsBeforeCatchUp));
 }
-// With one controller's disk at 50 ms a sync (100 a write) a quarter of the increments were late on the whole fleet.
-// Causes: each waited for the disk of the machine that took it; peers were chosen by zone and hash alone; and a
-// transfer that came while a write was under way was reported up to a report's interval late.
+// Guards against one slow disk delaying increments of the whole fleet. With 50 ms per sync (100 ms per write) on one
+// controller's disk, a quarter of all increments were late, for three reasons: each increment waited for the disk of
+// the machine that accepted it, peers were chosen only by zone and hash, and a transfer that arrived during a write was
+// reported up to one report interval late.
 TEST(CounterWorlds, OneSlowDiskMakesNoMoreIncrementsLate) {
   constexpr Duration kTargetLatency{60};
-  constexpr double kMostMore = 0.02;
+  constexpr double kMaxLateShare = 0.02;
   for (const auto slowSync : {50ms, 100ms, 400ms, 3000ms})
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      CounterWorld sound(seed, PlantedFault::nothing);
-      sound.playCalm(Duration(0));
-      CounterWorld slow(seed, PlantedFault::nothing);
-      slow.playCalm(slowSync);
-      EXPECT_LE(slow.lateShare(kTargetLatency), sound.lateShare(kTargetLatency) + kMostMore)
-          << slowSync.count() << " ms, seed " << seed << ", with sound disks " << sound.lateShare(kTargetLatency);
-      EXPECT_LE(sound.lateShare(kTargetLatency), kMostMore) << "seed " << seed;
+      CounterWorld healthy(seed, PlantedFault::noFault);
+      healthy.playWithoutFaults(Duration(0));
+      CounterWorld slow(seed, PlantedFault::noFault);
+      slow.playWithoutFaults(slowSync);
+      EXPECT_LE(slow.lateShare(kTargetLatency), healthy.lateShare(kTargetLatency) + kMaxLateShare)
+          << slowSync.count() << " ms, seed " << seed << ", with healthy disks " << healthy.lateShare(kTargetLatency);
+      EXPECT_LE(healthy.lateShare(kTargetLatency), kMaxLateShare) << "seed " << seed;
     }
 }
--- a/tests/leaseholder_test.cpp
+++ b/tests/leaseholder_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The leaseholder of a shard: what it answers, when, and what it never promises.
+/// Unit tests of the leaseholder of a shard: which calls it executes, when it answers them and what it guarantees.
 #include "coordination/leaseholder.hpp"
 
 #include <gtest/gtest.h>
@@ -23,20 +23,20 @@
   command.argument = kAnyRevision;
   return command;
 }
-/// A leaseholder whose log the test commits, or does not.
-struct Holder {
+/// A leaseholder with a log that is committed by the test.
+struct LeaseholderFixture {
   ShardState state;
-  bool leased = true;
+  bool hasLease = true;
   std::function<void()> beforeLeaseCheck = [] {};
   Leaseholder leaseholder{state, [this] {
                             beforeLeaseCheck();
-                            return leased;
+                            return hasLease;
                           }};
   TimePoint now{std::chrono::seconds(100)};
   int proposals = 0;
   std::int64_t lastIndex = 0;
 
-  Holder() { leaseholder.startTerm(now); }
+  LeaseholderFixture() { leaseholder.startTerm(now); }
   std::optional<transport::LogEntry> propose() {
     auto entry = leaseholder.nextBatch(now, "op" + std::to_string(proposals + 1));
     proposals += entry ? 1 : 0;
@@ -46,7 +46,7 @@
     entry.index = ++lastIndex;
     leaseholder.onApplied(entry, state.apply(entry));
   }
-  /// Commits all that is queued.
+  /// Proposes and commits batches until no call is queued.
   void commitAll() {
     while (auto entry = propose())
       commit(*entry);
@@ -61,24 +61,24 @@
 }  // namespace
 
 TEST(Leaseholder, AnswersAWriteOnlyOnceItIsApplied) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
   EXPECT_TRUE(holder.results().empty());
   const auto entry = holder.propose();
   ASSERT_TRUE(entry);
-  EXPECT_TRUE(holder.results().empty()) << "proposed is not committed";
+  EXPECT_TRUE(holder.results().empty()) << "the entry is proposed but not committed";
   holder.commit(*entry);
   const auto result = holder.onlyResult();
   EXPECT_EQ(result.status, CallStatus::executed);
   EXPECT_EQ(result.outcome.number, 1);
 }
 TEST(Leaseholder, GathersWhatComesWhileABatchIsInFlight) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v1"));
   const auto first = holder.propose();
   for (int i = 2; i <= 9; ++i)
     holder.leaseholder.call(i, putOf("g.a", "v" + std::to_string(i)));
-  EXPECT_FALSE(holder.propose()) << "one batch at a time";
+  EXPECT_FALSE(holder.propose()) << "only one batch may be in flight";
   holder.commit(*first);
   const auto second = holder.propose();
   ASSERT_TRUE(second);
@@ -86,7 +86,7 @@
   EXPECT_FALSE(holder.propose());
 }
 TEST(Leaseholder, ALostTermLeavesProposedCallsUnknownAndTheOthersNotExecuted) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v1"));
   const auto inFlight = holder.propose();
   holder.leaseholder.call(2, putOf("g.a", "v2"));
@@ -98,16 +98,16 @@
   EXPECT_EQ(ended[1], CallStatus::unknown);
   EXPECT_EQ(ended[2], CallStatus::notExecuted);
   EXPECT_EQ(ended[3], CallStatus::notExecuted);
-  // The entry of the lost term is committed by its successor all the same: nobody is answered twice.
+  // The new term commits the entry of the previous term, but the calls of that entry must not be answered again.
   holder.leaseholder.startTerm(holder.now);
   holder.commit(*inFlight);
   EXPECT_TRUE(holder.results().empty());
   holder.commitAll();
-  EXPECT_EQ(holder.state.readCell("g.a").value, "v1") << "what was called not executed never is";
+  EXPECT_EQ(holder.state.readCell("g.a").value, "v1") << "a call that was reported as not executed must have no effect";
 }
 TEST(Leaseholder, WithoutALeaseNothingIsExecuted) {
-  Holder holder;
-  holder.leased = false;
+  LeaseholderFixture holder;
+  holder.hasLease = false;
   int callId = 0;
   for (const auto kind : {CommandKind::acquireLock, CommandKind::renewLock, CommandKind::releaseLock,
                           CommandKind::nextNumber, CommandKind::putCell, CommandKind::getCell, CommandKind::readIndex})
@@ -118,15 +118,15 @@
     EXPECT_EQ(result.status, CallStatus::notExecuted);
   EXPECT_FALSE(holder.propose());
 }
-// A process that is stopped after it has looked at its lease and goes on long after the lease is over has an old value
-// in hand. The lease must be looked at once more, after the evaluation.
+// Guards against stale reads. A process may be suspended after it has checked its lease and resume long after the lease
+// has expired, with an outdated value. The lease must therefore be checked again after the evaluation.
 TEST(Leaseholder, AReadIsNotAnsweredIfTheLeaseEndsDuringItsEvaluation) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
   holder.commitAll();
   (void)holder.results();
   int checks = 0;
-  holder.beforeLeaseCheck = [&] { holder.leased = ++checks == 1; };
+  holder.beforeLeaseCheck = [&] { holder.hasLease = ++checks == 1; };
   holder.leaseholder.call(2, commandOf(CommandKind::getCell, "g.a"));
   EXPECT_EQ(holder.onlyResult().status, CallStatus::notExecuted);
   checks = 0;
@@ -134,7 +134,7 @@
   EXPECT_EQ(holder.onlyResult().status, CallStatus::notExecuted);
 }
 TEST(Leaseholder, ReadsComeFromMemory) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, putOf("g.a", "v"));
   holder.commitAll();
   (void)holder.results();
@@ -145,7 +145,7 @@
   EXPECT_FALSE(holder.propose());
 }
 TEST(Leaseholder, NumbersComeFromABlockAndNeverTwice) {
-  Holder holder;
+  LeaseholderFixture holder;
   std::int64_t newest = 0;
   int entries = 0;
   for (int i = 1; i <= 300; ++i) {
@@ -157,21 +157,21 @@
     const auto number = holder.onlyResult().outcome.number;
     EXPECT_GT(number, newest);
     newest = number;
-    if (i == 150)  // a new term knows nothing of the rest of the block
+    if (i == 150)  // a new term does not use the rest of the block
       holder.leaseholder.startTerm(holder.now);
   }
   EXPECT_LT(entries, 10);
 }
 TEST(Leaseholder, ANumberDrawnWhenTheLeaseIsOverIsDropped) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.leaseholder.call(1, commandOf(CommandKind::nextNumber, "n"));
   const auto reservation = holder.propose();
-  holder.leased = false;
+  holder.hasLease = false;
   holder.commit(*reservation);
   EXPECT_EQ(holder.onlyResult().status, CallStatus::notExecuted);
 }
 TEST(Leaseholder, ManyNumbersAtOnceWaitForAsManyBlocks) {
-  Holder holder;
+  LeaseholderFixture holder;
   for (int i = 1; i <= 200; ++i)
     holder.leaseholder.call(i, commandOf(CommandKind::nextNumber, "n"));
   holder.commitAll();
@@ -180,12 +180,12 @@
     numbers.insert(result.outcome.number);
   EXPECT_EQ(numbers.size(), 200U);
 }
-// The shard's time never runs faster than a true clock, whatever the rhythm of the batches, and stands still between
-// two terms: a hold is never shorter than promised.
+// The shard's time never runs faster than real time, regardless of the timing of the batches, and does not advance
+// between two terms. A lock is therefore never kept for less than the requested duration.
 TEST(Leaseholder, TheShardsTimeNeverRunsAheadOfTheClock) {
-  Holder holder;
+  LeaseholderFixture holder;
   const auto begun = holder.now;
-  std::int64_t missed = 0;
+  std::int64_t timeBetweenTermsMs = 0;
   for (int i = 1; i <= 500; ++i) {
     holder.now += std::chrono::microseconds(100 + (i * 7919) % 9000);
     holder.leaseholder.call(i, putOf("g.a", "v" + std::to_string(i)));
@@ -194,18 +194,18 @@
       const auto at = holder.now;
       holder.now += 3s;
       holder.leaseholder.startTerm(holder.now);
-      missed = toDuration(holder.now - at).count();
+      timeBetweenTermsMs = toDuration(holder.now - at).count();
     }
   }
-  const auto passed = toDuration(holder.now - begun).count();
-  EXPECT_LE(holder.state.timeMs(), passed - missed);
-  EXPECT_GE(holder.state.timeMs(), passed - missed - 3) << "rounding does not add up";
+  const auto totalElapsedMs = toDuration(holder.now - begun).count();
+  EXPECT_LE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs);
+  EXPECT_GE(holder.state.timeMs(), totalElapsedMs - timeBetweenTermsMs - 3) << "rounding errors must not accumulate";
 }
 TEST(Leaseholder, TimeIsStampedWhileLocksAreTaken) {
-  Holder holder;
+  LeaseholderFixture holder;
   holder.now += 10s;
   holder.leaseholder.tick(holder.now);
-  EXPECT_FALSE(holder.propose()) << "no lock, no need";
+  EXPECT_FALSE(holder.propose()) << "no lock is taken, so the time need not be recorded";
   holder.leaseholder.call(1, commandOf(CommandKind::acquireLock, "l"));
   holder.commitAll();
   holder.now += 100ms;
@@ -218,7 +218,7 @@
   EXPECT_EQ(avro::decode<CommandBatch>(stamp->body)->elapsedMs, 200);
 }
 TEST(Leaseholder, AFullQueueRefuses) {
-  Holder holder;
+  LeaseholderFixture holder;
   for (int i = 1; i <= 5000; ++i)
     holder.leaseholder.call(i, putOf("g.a", "v" + std::to_string(i)));
   const auto refused = holder.results();
