--- a/libs/agent/include/agent/followed_replica.hpp
+++ b/libs/agent/include/agent/followed_replica.hpp
@@ -16,7 +16,7 @@
   /// Queues an entry, which may arrive in any order and more than once.
   void offer(transport::LogEntry entry) { queue_.offer(std::move(entry)); }
   /// Keeps the body of a large write for its entry, which follows without it.
-  void offerBody(const std::string& digest, std::string body) { queue_.body(digest, std::move(body)); }
+  void offerBody(const std::string& digest, std::string body) { queue_.addBody(digest, std::move(body)); }
   /// Applies the next entry. Its change says whether the replica is corrupted now.
   /// @return none if the next entry has not arrived yet.
   std::optional<Applied> applyNext();
@@ -31,7 +31,7 @@
   /// Index of the last entry that was applied or that the last snapshot covered.
   std::int64_t lastApplied() const { return queue_.applied(); }
   /// Whether entries are queued behind one that is missing.
-  bool hasGap() const { return queue_.gap(); }
+  bool hasGap() const { return queue_.hasGap(); }
   const state_machine::StateContents& state() const { return replica_.state(); }
   /// A snapshot for a receiver that has the configuration with this digest; see `ReplicatedState::snapshotFor`.
   transport::FeedSnapshot snapshotFor(const std::string& cachedDigest) const;
--- a/libs/agent/src/followed_replica.cpp
+++ b/libs/agent/src/followed_replica.cpp
@@ -14,7 +14,7 @@
 Result<void> FollowedReplica::restore(const transport::FeedSnapshot& snapshot) {
   if (auto restored = replica_.restore(snapshot.state); !restored)
     return restored;
-  queue_.restart(snapshot.lastIncludedIndex);
+  queue_.resumeAfter(snapshot.lastIncludedIndex);
   return {};
 }
 transport::FeedSnapshot FollowedReplica::snapshotFor(const std::string& cachedDigest) const {
--- a/libs/consensus/include/consensus/entry_queue.hpp
+++ b/libs/consensus/include/consensus/entry_queue.hpp
@@ -9,16 +9,16 @@
   /// Queues an entry. One at or below `applied()` is dropped; of two with one index the one with its body wins.
   void offer(transport::LogEntry entry);
   /// Keeps the body of a large write for an entry that was sent without it. Only the newest few are kept.
-  void body(const std::string& digest, std::string content);
+  void addBody(const std::string& digest, std::string content);
   /// Removes the entry after `applied()` and counts it as applied.
   /// @return nothing if that entry, or its body, has not arrived.
   std::optional<transport::LogEntry> next();
   /// Continues after a snapshot that covers the entries up to `applied`.
-  void restart(std::int64_t applied);
+  void resumeAfter(std::int64_t applied);
   /// The index of the last entry that was taken out or covered by a snapshot.
   std::int64_t applied() const { return applied_; }
   /// Whether entries are queued: once `next` returns nothing, they wait for an entry or body that is missing.
-  bool gap() const { return !queued_.empty(); }
+  bool hasGap() const { return !queued_.empty(); }
 
  private:
   struct SentAheadBody {
--- a/libs/consensus/include/consensus/messages.hpp
+++ b/libs/consensus/include/consensus/messages.hpp
@@ -32,7 +32,7 @@
 };
 /// What later versions have added to AppendEntries.
 struct AppendEntriesExtension {
-  std::int64_t leaseMs = 0;  ///< how long the promise of the leader's lease is to last; 0: `RaftOptions::longestLease`
+  std::int64_t leaseMs = 0;  ///< how long the promise of the leader's lease is to last; 0: `RaftOptions::maxLease`
   bool empty() const { return leaseMs == 0; }
   template <class V>
   void fields(V& v) {
--- a/libs/consensus/include/consensus/raft_node.hpp
+++ b/libs/consensus/include/consensus/raft_node.hpp
@@ -17,15 +17,15 @@
   bool commitWithoutMajority = false;
   bool voteBeforeSync = false;
   bool leaseOutlivesStepDown = false;
-  bool separateMajorities = false;  ///< a change of voters skips the joint configuration
+  bool skipJointConfig = false;  ///< a change of voters skips the joint configuration
   /// A newcomer only replaces an unreachable voter or is added; an unreachable voter is never removed.
-  bool newcomerIsAddedOnly = false;
+  bool voterSetNeverShrinks = false;
 };
 /// Timers and limits; equal on all members of a cluster.
 struct RaftOptions {
   Duration heartbeatInterval{90};  ///< at the second tick, as ticks go
   Duration lease{400};             ///< as a leader: followers are asked to elect nobody else for so long
-  Duration longestLease{500};      ///< that a leader of any version asks for; those before the extension name none
+  Duration maxLease{500};          ///< that a leader of any version asks for; those before the extension name none
   Duration leaseMargin{67};        ///< the leader stops relying on the promise so much sooner: a sixth
   Duration electionTimeout{430};   ///< longer than the lease
   Duration electionTimeoutSpread{200};
@@ -131,7 +131,7 @@
   Duration lastSyncTime() const;
   const MemberId& self() const;
   /// How many snapshots could not be installed, see `RaftOptions::snapshotIsValid`.
-  std::int64_t snapshotsRefused() const;
+  std::int64_t rejectedSnapshotCount() const;
   /// All that decides the further behaviour of this member, with times relative to `now`: equal texts behave alike. For
   /// tests.
   std::string fingerprint(TimePoint now) const;
--- a/libs/consensus/src/cluster_config.cpp
+++ b/libs/consensus/src/cluster_config.cpp
@@ -2,24 +2,24 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr char kHalves = '|', kNames = ' ';
+constexpr char kVoterSetSeparator = '|', kMemberSeparator = ' ';
 
 bool contains(const std::vector<MemberId>& members, const MemberId& member) {
   return std::find(members.begin(), members.end(), member) != members.end();
 }
-std::string joinNames(const std::vector<MemberId>& names) {
+std::string joinMembers(const std::vector<MemberId>& names) {
   std::string text;
   for (const auto& name : names) {
     if (!text.empty())
-      text += kNames;
+      text += kMemberSeparator;
     text += name;
   }
   return text;
 }
-std::vector<MemberId> splitNames(std::string_view text) {
+std::vector<MemberId> splitMembers(std::string_view text) {
   std::vector<MemberId> names;
   while (!text.empty()) {
-    const auto end = std::min(text.find(kNames), text.size());
+    const auto end = std::min(text.find(kMemberSeparator), text.size());
     if (end > 0)
       names.emplace_back(text.substr(0, end));
     text.remove_prefix(std::min(end + 1, text.size()));
@@ -54,17 +54,17 @@
   return !joint() || majorityAgrees(nextVoters, agrees);
 }
 std::string encodeConfig(const ClusterConfig& config) {
-  auto text = joinNames(config.voters);
+  auto text = joinMembers(config.voters);
   if (config.joint())
-    text += kHalves + joinNames(config.nextVoters);
+    text += kVoterSetSeparator + joinMembers(config.nextVoters);
   return text;
 }
 ClusterConfig decodeConfig(std::string_view text) {
-  const auto split = text.find(kHalves);
+  const auto split = text.find(kVoterSetSeparator);
   ClusterConfig config;
-  config.voters = splitNames(text.substr(0, split));
+  config.voters = splitMembers(text.substr(0, split));
   if (split != text.npos)
-    config.nextVoters = splitNames(text.substr(split + 1));
+    config.nextVoters = splitMembers(text.substr(split + 1));
   return config;
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::consensus {
 // Looks at this member's own timers only; that a leader's lease still binds the others is theirs to say
-// (`boundByLease`).
+// (`leaseForbidsVote`).
 void RaftCore::tickElection(TimePoint now) {
   const bool awaitingPreVotes = role == Role::candidate && election.preVoting;
   const bool retryDue = now - election.lastVoteRequestAt >= options.voteRetryInterval;
@@ -24,7 +24,7 @@
 // disturbs no leader when it comes back.
 void RaftCore::startPreVote(TimePoint now) {
   resetElectionTimer(now);
-  if (!isVoter() || diskStuck())
+  if (!isVoter() || diskMakesNoProgress())
     return;
   election.transferredTerm = 0;
   election.preVoting = true;
@@ -32,16 +32,16 @@
   setRole(Role::candidate);
   election.lastVoteRequestAt = now;
   requestVotes(0);
-  winIfElected(now);
+  advanceElection(now);
 }
 void RaftCore::startElection(TimePoint now) {
   resetElectionTimer(now);
   const bool transferred = std::exchange(election.transferAccepted, false);
-  if (!isVoter() || diskStuck())
+  if (!isVoter() || diskMakesNoProgress())
     return;
   // The requests claim the log as it is. Where all of it is on the disk they need not wait for the vote's record: a
   // member that forgets its candidacy in a restart has promised nothing to anybody, and it leads only once its own vote
-  // is on the disk (`winIfElected`).
+  // is on the disk (`advanceElection`).
   const bool logIsPersisted = log.persistedIndex() >= log.lastLogIndex();
   election.transferredTerm = transferred ? term.current : 0;
   election.preVoting = false;
@@ -69,7 +69,7 @@
     if (voter != self)
       send(voter, request, after);
 }
-void RaftCore::winIfElected(TimePoint now) {
+void RaftCore::advanceElection(TimePoint now) {
   if (role != Role::candidate)
     return;
   const auto hasQuorumOf = [this](const std::set<MemberId>& votes) {
@@ -97,7 +97,7 @@
   appendAsLeader(now, std::move(noOp));
   sendHeartbeats(now);
 }
-bool RaftCore::boundByLease(TimePoint now, const VoteRequest& request) const {
+bool RaftCore::leaseForbidsVote(TimePoint now, const VoteRequest& request) const {
   if (role == Role::leader)
     return leaseValid(now);
   if (now >= follower.leasePromisedUntil)
@@ -115,7 +115,7 @@
     return sendCurrentTerm(from);
   // A vote that is on its way to the disk may still decide its election: until the candidate has heard of it, nobody
   // else should make that election void. On slow disks no term would be won otherwise.
-  if (boundByLease(now, request) || awaitingOwnVoteRecord())
+  if (leaseForbidsVote(now, request) || awaitingOwnVoteRecord())
     return;
   if (log.isUpToDate(request.lastLogTerm, request.lastLogIndex))
     send(from, VoteResponse{request.term, true});
@@ -129,7 +129,7 @@
     return onPreVoteRequest(now, from, request);
   if (request.term < term.current)
     return sendCurrentTerm(from);
-  if (boundByLease(now, request))
+  if (leaseForbidsVote(now, request))
     return;
   const bool upToDate = log.isUpToDate(request.lastLogTerm, request.lastLogIndex);
   if (request.term > term.current)
@@ -156,10 +156,10 @@
     return;
   auto& votes = inPreVote ? election.preVotes : election.votes;
   votes.insert(from);
-  winIfElected(now);
+  advanceElection(now);
 }
 void RaftCore::onTransferLeadership(TimePoint now, const TransferLeadership& message) {
-  if (message.term != term.current || role != Role::follower || diskStuck())
+  if (message.term != term.current || role != Role::follower || diskMakesNoProgress())
     return;
   follower.leasePromisedUntil = {};
   election.transferAccepted = true;
--- a/libs/consensus/src/entry_queue.cpp
+++ b/libs/consensus/src/entry_queue.cpp
@@ -13,7 +13,7 @@
   if (!added && queued->second.omitted && !entry.omitted)
     queued->second = std::move(entry);
 }
-void EntryQueue::body(const std::string& digest, std::string content) {
+void EntryQueue::addBody(const std::string& digest, std::string content) {
   bodies_.push_back({digest, std::move(content)});
   if (bodies_.size() > kMaxBodies)
     bodies_.pop_front();
@@ -38,7 +38,7 @@
   ++applied_;
   return entry;
 }
-void EntryQueue::restart(std::int64_t applied) {
+void EntryQueue::resumeAfter(std::int64_t applied) {
   applied_ = applied;
   queued_.erase(queued_.begin(), queued_.upper_bound(applied));
 }
--- a/libs/consensus/src/fingerprint.cpp
+++ b/libs/consensus/src/fingerprint.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr Duration kIrrelevantAge{6000};  // beyond this, how long ago something was makes no difference
+constexpr Duration kMaxRelevantAge{6000};  // beyond this, how long ago something was makes no difference
 
 class FingerprintWriter {
  public:
@@ -21,7 +21,7 @@
   }
   // Relative to the present.
   FingerprintWriter& operator()(TimePoint at) {
-    const auto relative = at == TimePoint{} ? -kIrrelevantAge : std::max(-kIrrelevantAge, toDuration(at - now_));
+    const auto relative = at == TimePoint{} ? -kMaxRelevantAge : std::max(-kMaxRelevantAge, toDuration(at - now_));
     return (*this)(static_cast<std::int64_t>(relative.count()));
   }
   // A time that makes no difference once it has passed.
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -25,7 +25,7 @@
 }
 Duration RaftCore::promiseFor(const AppendEntries& message) const {
   const Duration asked(message.extension.leaseMs);
-  return asked > Duration(0) && asked < options.longestLease ? asked : options.longestLease;
+  return asked > Duration(0) && asked < options.maxLease ? asked : options.maxLease;
 }
 // The answer is a promise to this leader which a restart must not forget: callers wait for the term's record.
 void RaftCore::acknowledge(std::int64_t heartbeatId, PersistTicket after) {
@@ -124,7 +124,7 @@
     log::debug("snapshot_rejected", {{"member", self}, {"peer", from}, {"index", message.lastIncludedIndex}});
     return;
   }
-  if (!followLeader(now, from, message.term, follower.leaderHadLease, options.longestLease))
+  if (!followLeader(now, from, message.term, follower.leaderHadLease, options.maxLease))
     return;
   // A log that agrees with the snapshot stays: entries above it may already count for a commit.
   const bool agrees = log.termAt(message.lastIncludedIndex) == message.lastIncludedTerm;
--- a/libs/consensus/src/join_leave.cpp
+++ b/libs/consensus/src/join_leave.cpp
@@ -3,18 +3,18 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr int kJoinAfterHeartbeats = 4;        // a learner without a leader for so long asks again
-constexpr int kJoinAfterElectionTimeouts = 3;  // so does a voter after so long
-constexpr int kLeaveRequestIntervals = 10;     // how long one leave request counts
+constexpr int kLearnerJoinDelayHeartbeats = 4;      // a learner without a leader for so long asks again
+constexpr int kVoterJoinDelayElectionTimeouts = 3;  // so does a voter after so long
+constexpr int kLeaveRequestValidityIntervals = 10;  // how long one leave request counts
 }  // namespace
 
 // A learner asks for the log. So does a voter without a leader for long: it may have been removed, and all members that
 // its configuration names may be gone.
 void RaftCore::tickJoin(TimePoint now) {
-  const auto patience = role == Role::learner ? options.heartbeatInterval * kJoinAfterHeartbeats
-                                              : options.electionTimeout * kJoinAfterElectionTimeouts;
-  const bool askedLately = now - membership.lastJoinRequestAt < options.joinInterval;
-  if (askedLately || now - follower.leaderHeardAt < patience)
+  const auto joinDelay = role == Role::learner ? options.heartbeatInterval * kLearnerJoinDelayHeartbeats
+                                               : options.electionTimeout * kVoterJoinDelayElectionTimeouts;
+  const bool requestedRecently = now - membership.lastJoinRequestAt < options.joinInterval;
+  if (requestedRecently || now - follower.leaderHeardAt < joinDelay)
     return;
   membership.lastJoinRequestAt = now;
   std::set<std::string> addresses(seedAddresses.begin(), seedAddresses.end());
@@ -55,7 +55,7 @@
     membership.exitAllowed = true;
 }
 Duration RaftCore::leaveRequestValidity() const {
-  return options.leaveInterval * kLeaveRequestIntervals;
+  return options.leaveInterval * kLeaveRequestValidityIntervals;
 }
 bool RaftCore::isLeaving(TimePoint now, const PeerProgress& progress) const {
   const bool asked = progress.lastLeaveRequestAt != TimePoint{};
@@ -70,22 +70,22 @@
   progress.lastLeaveRequestAt = now;
   if (first) {
     progress.firstLeaveRequestAt = now;
-    sendHeartbeats(now);  // whose answers show which other disks are there: see `holdsCommitted`
+    sendHeartbeats(now);  // whose answers show which other disks are there: see `hasCommittedLog`
   }
   tickMembership(now);
-  if (!canDoWithout(now, from))
+  if (!canGrantLeave(now, from))
     return;
   progress.leaveGrantedAt = now;
   send(from, LeaveResponse{term.current, request.requestId});
 }
-bool RaftCore::canDoWithout(TimePoint now, const MemberId& member) const {
+bool RaftCore::canGrantLeave(TimePoint now, const MemberId& member) const {
   if (!mayChangeConfig(now) || log.config().joint())
     return false;
   if (!log.config().isVoter(member))
     return true;
-  return !learnerCatchingUp(now) && othersHoldCommitted(member);
+  return !learnerCatchingUp(now) && remainingVotersHaveCommittedLog(member);
 }
-bool RaftCore::othersHoldCommitted(const MemberId& leavingMember) const {
+bool RaftCore::remainingVotersHaveCommittedLog(const MemberId& leavingMember) const {
   const auto& voters = log.config().voters;
   const auto* leavingPeer = leading.find(leavingMember);
   std::size_t others = 0;
@@ -97,14 +97,14 @@
     if (voter == self)
       holding += log.persistedIndex() >= log.commitIndex();
     else
-      holding += leavingPeer && holdsCommitted(voter, *leavingPeer);
+      holding += leavingPeer && hasCommittedLog(voter, *leavingPeer);
   }
   return holding >= std::min(majorityOf(voters.size()), others);
 }
 // A voter counts only if it has answered a heartbeat sent since the leaving member asked: one whose disk was lost a
 // moment ago, unknown here, answers under that identity no more. One that was itself allowed to exit counts again only
 // if it answers when it should have exited: then it was restarted.
-bool RaftCore::holdsCommitted(const MemberId& voter, const PeerProgress& leavingPeer) const {
+bool RaftCore::hasCommittedLog(const MemberId& voter, const PeerProgress& leavingPeer) const {
   const auto* peer = leading.find(voter);
   if (!peer)
     return false;
--- a/libs/consensus/src/leader.cpp
+++ b/libs/consensus/src/leader.cpp
@@ -4,8 +4,8 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr int kRecentlyHeardHeartbeats = 4;     // a peer unheard for longer is not in contact
-constexpr int kSuppressedElectionTimeouts = 3;  // a leader that hands over starts no election for so long
+constexpr int kRecentlyHeardWithinHeartbeats = 4;  // a peer unheard for longer is not in contact
+constexpr int kSuppressedElectionTimeouts = 3;     // a leader that hands over starts no election for so long
 }  // namespace
 
 void RaftCore::tickLeader(TimePoint now) {
@@ -73,7 +73,7 @@
     stepDown(now);  // removed from the voters while leading them
 }
 bool RaftCore::recentlyHeard(TimePoint now, const PeerProgress& progress) const {
-  return now - progress.lastHeardAt < options.heartbeatInterval * kRecentlyHeardHeartbeats;
+  return now - progress.lastHeardAt < options.heartbeatInterval * kRecentlyHeardWithinHeartbeats;
 }
 void RaftCore::trackCommitAheadOfDisk(TimePoint now) {
   if (log.commitIndex() <= log.persistedIndex())
@@ -84,9 +84,9 @@
 bool RaftCore::commitsMuchFasterThanOwnDisk(TimePoint now) const {
   if (leading.commitAheadOfDiskSince == TimePoint{})
     return false;
-  constexpr int kTimesFaster = 3;
+  constexpr int kMinSpeedRatio = 3;
   const auto ahead = toDuration(now - leading.commitAheadOfDiskSince);
-  return persistence.oldestFailed() || ahead * kTimesFaster >= persistence.oldestAge() * (kTimesFaster - 1);
+  return persistence.oldestFailed() || ahead * kMinSpeedRatio >= persistence.oldestAge() * (kMinSpeedRatio - 1);
 }
 MemberId RaftCore::bestSuccessor(TimePoint now) const {
   MemberId best;
--- a/libs/consensus/src/membership_policy.cpp
+++ b/libs/consensus/src/membership_policy.cpp
@@ -5,7 +5,7 @@
 constexpr std::size_t kMinVoters = 3;  // with fewer, a single lost disk could lose acknowledged writes
 
 // Unhealthy voters that may be kept to make up an odd number, the most likely to come back first.
-std::vector<MemberId> unhealthyInOrder(const std::vector<VoterStatus>& voters) {
+std::vector<MemberId> unhealthyByLikelihoodOfReturn(const std::vector<VoterStatus>& voters) {
   std::vector<MemberId> ordered;
   for (const auto health : {VoterHealth::unreachable, VoterHealth::leaving, VoterHealth::superseded})
     for (const auto& voter : voters)
@@ -13,12 +13,12 @@
         ordered.push_back(voter.id);
   return ordered;
 }
-std::size_t oddAtMost(std::size_t count) {
+std::size_t largestOddUpTo(std::size_t count) {
   return count % 2 == 1 ? count : count - 1;
 }
 // With an even number of healthy machines, one unhealthy voter kept beside them tolerates as much as one machine fewer,
 // and a voter that only restarts then needs no change of the configuration.
-std::size_t targetSize(std::size_t healthy, std::size_t present, bool anyUnhealthy) {
+std::size_t targetVoterCount(std::size_t healthy, std::size_t present, bool anyUnhealthy) {
   if (healthy % 2 == 1)
     return healthy;
   if (anyUnhealthy && healthy + 1 <= present)
@@ -34,10 +34,10 @@
     if (voter.health == VoterHealth::healthy)
       candidates.push_back(voter.id);
   candidates.insert(candidates.end(), learners.begin(), learners.end());
-  const auto unhealthy = unhealthyInOrder(voters);
+  const auto unhealthy = unhealthyByLikelihoodOfReturn(voters);
 
-  auto target = targetSize(candidates.size(), voters.size(), !unhealthy.empty());
-  target = std::min(target, oddAtMost(maxVoters));
+  auto target = targetVoterCount(candidates.size(), voters.size(), !unhealthy.empty());
+  target = std::min(target, largestOddUpTo(maxVoters));
   target = std::max(target, std::min(kMinVoters, voters.size()));
 
   auto chosen = candidates;
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr Duration kSlowSync{200};  // elections and commits take noticeably longer from here on
+constexpr Duration kSlowSyncThreshold{200};  // elections and commits take noticeably longer from here on
 }
 
 DiskRecord RaftCore::emptyRecord() const {
@@ -29,11 +29,11 @@
 }
 PersistTicket RaftCore::enqueueRecord(DiskRecord record) {
   const auto ticket = persistence.add(std::move(record), log.lastLogIndex(), log.lastLogTerm());
-  handOverRecord();
+  startNextWrite();
   return ticket;
 }
-void RaftCore::handOverRecord() {
-  if (const auto* pending = persistence.handOver())
+void RaftCore::startNextWrite() {
+  if (const auto* pending = persistence.beginOldestWrite())
     actions.emplace_back(PersistRecord{pending->ticket, pending->record});
 }
 PersistTicket RaftCore::persist(std::int64_t fromIndex, std::vector<transport::LogEntry> entries) {
@@ -56,11 +56,11 @@
 bool RaftCore::diskStalled() const {
   return persistence.oldestFailed() || persistence.oldestAge() > options.syncStallTimeout;
 }
-bool RaftCore::diskStuck() const {
-  constexpr int kSyncsOfPatience = 3;  // a record may wait for the one before it, and syncs differ
-  const bool moves =
-      !persistence.oldestFailed() && persistence.oldestAge() <= persistence.lastSyncTime() * kSyncsOfPatience;
-  return diskStalled() && !moves;
+bool RaftCore::diskMakesNoProgress() const {
+  constexpr int kMaxSyncTimes = 3;  // a record may wait for the one before it, and syncs differ
+  const bool progressing =
+      !persistence.oldestFailed() && persistence.oldestAge() <= persistence.lastSyncTime() * kMaxSyncTimes;
+  return diskStalled() && !progressing;
 }
 // Only the oldest record is retried, since the disk takes them in order. Whatever was queued behind it goes along in
 // one full record: a backlog of single records would take longer to write than it took to gather.
@@ -77,8 +77,8 @@
   const auto synced = persistence.complete(ticket);
   if (!synced)
     return;
-  handOverRecord();
-  if (const auto syncTime = persistence.lastSyncTime(); syncTime >= kSlowSync)
+  startNextWrite();
+  if (const auto syncTime = persistence.lastSyncTime(); syncTime >= kSlowSyncThreshold)
     log::debug("sync_slow", {{"member", self}, {"sync_ms", syncTime}, {"term", term.current}});
   // Only now does the vote, or the request for votes, leave: the election has its full time from here.
   if (awaitedVote && !awaitingOwnVoteRecord() && role != Role::leader)
@@ -89,7 +89,7 @@
   for (auto& deferred : persistence.releaseMessages())
     if (deferred.term == term.current)  // a vote or a request of an earlier term is void
       actions.emplace_back(SendMessage{std::move(deferred.to), std::move(deferred.message)});
-  winIfElected(now);
+  advanceElection(now);
   if (role == Role::leader) {
     leading.commitAheadOfDiskSince = {};  // counted anew for the next record
     return advanceCommit(now);
--- a/libs/consensus/src/persistence_queue.cpp
+++ b/libs/consensus/src/persistence_queue.cpp
@@ -3,7 +3,7 @@
 namespace zinccleat::consensus {
 namespace {
 /// One record with the effect of two that follow each other: replayed, it leaves the same term, vote and log.
-DiskRecord combine(DiskRecord earlier, DiskRecord later) {
+DiskRecord mergeRecords(DiskRecord earlier, DiskRecord later) {
   if (later.full)
     return later;
   earlier.term = later.term;
@@ -21,9 +21,9 @@
 }  // namespace
 
 PersistTicket PersistenceQueue::add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm) {
-  const bool gathers = !pending_.empty() && !pending_.back().inFlight && !pending_.back().failed;
-  if (gathers)
-    pending_.back().record = combine(std::move(pending_.back().record), std::move(record));
+  const bool canMerge = !pending_.empty() && !pending_.back().inFlight && !pending_.back().failed;
+  if (canMerge)
+    pending_.back().record = mergeRecords(std::move(pending_.back().record), std::move(record));
   else
     pending_.push_back({.firstTicket = lastTicket_ + 1, .record = std::move(record)});
   auto& newest = pending_.back();
@@ -32,7 +32,7 @@
   newest.lastLogTerm = lastLogTerm;
   return newest.ticket;
 }
-const PendingRecord* PersistenceQueue::handOver() {
+const PendingRecord* PersistenceQueue::beginOldestWrite() {
   if (pending_.empty() || pending_.front().inFlight || pending_.front().failed)
     return nullptr;
   auto& oldest = pending_.front();
--- a/libs/consensus/src/persistence_queue.hpp
+++ b/libs/consensus/src/persistence_queue.hpp
@@ -42,7 +42,7 @@
   PersistTicket add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
   /// Hands the oldest record over if the disk has none and the oldest has not failed.
   /// @return the record that the disk is to be given now; null: none.
-  const PendingRecord* handOver();
+  const PendingRecord* beginOldestWrite();
   PersistTicket newestTicket() const { return lastTicket_; }
   /// Keeps a message until its record is on the disk, moving from `message` only then.
   /// @return false if the record is there already: the message may be sent now.
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -68,7 +68,7 @@
   PersistTicket persistAll();
   PersistTicket enqueueRecord(DiskRecord record);
   /// Gives the disk the next record, if it has none.
-  void handOverRecord();
+  void startNextWrite();
   DiskRecord emptyRecord() const;
   DiskRecord fullRecord() const;
   void agePendingRecords(TimePoint now);
@@ -76,7 +76,7 @@
   bool diskStalled() const;
   /// Whether the disk is stalled, and for much longer than its newest sync took: a disk that is slow but moves is not
   /// stuck, and its member may vote and lead.
-  bool diskStuck() const;
+  bool diskMakesNoProgress() const;
   void retryPersist(TimePoint now);
   void onPersisted(TimePoint now, PersistTicket ticket);
 
@@ -96,10 +96,10 @@
   void startPreVote(TimePoint now);
   void startElection(TimePoint now);
   void requestVotes(PersistTicket after);
-  void winIfElected(TimePoint now);
+  void advanceElection(TimePoint now);
   void becomeLeader(TimePoint now);
   /// Whether a lease promise forbids this member to help the candidate.
-  bool boundByLease(TimePoint now, const VoteRequest& request) const;
+  bool leaseForbidsVote(TimePoint now, const VoteRequest& request) const;
   void onVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request);
   void onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request);
   void grantVote(TimePoint now, const MemberId& candidate);
@@ -195,9 +195,9 @@
   bool isLeaving(TimePoint now, const PeerProgress& progress) const;
   /// Whether a member may exit: it is out of the committed configuration, or removing it would bear no more losses
   /// than keeping it; and a majority without it has on disk all that is committed.
-  bool canDoWithout(TimePoint now, const MemberId& member) const;
-  bool othersHoldCommitted(const MemberId& leavingMember) const;
-  bool holdsCommitted(const MemberId& voter, const PeerProgress& leavingPeer) const;
+  bool canGrantLeave(TimePoint now, const MemberId& member) const;
+  bool remainingVotersHaveCommittedLog(const MemberId& leavingMember) const;
+  bool hasCommittedLog(const MemberId& voter, const PeerProgress& leavingPeer) const;
 
   // --- fingerprint.cpp ---
 
--- a/libs/consensus/src/raft_node.cpp
+++ b/libs/consensus/src/raft_node.cpp
@@ -129,7 +129,7 @@
 const MemberId& RaftNode::self() const {
   return core_->self;
 }
-std::int64_t RaftNode::snapshotsRefused() const {
+std::int64_t RaftNode::rejectedSnapshotCount() const {
   return core_->rejectedSnapshots;
 }
 std::string RaftNode::fingerprint(TimePoint now) const {
--- a/libs/consensus/src/recovery.cpp
+++ b/libs/consensus/src/recovery.cpp
@@ -36,7 +36,7 @@
   updatePassiveRole();
   restoreFromSnapshot();
   // A lease promised before the restart is not on the disk: it is kept by waiting it out.
-  follower.leasePromisedUntil = now + options.longestLease;
+  follower.leasePromisedUntil = now + options.maxLease;
   term.restarted = true;
   const auto jitter = [&](Duration delay, Duration spread) {
     return delay + Duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(spread.count())));
--- a/libs/consensus/src/replication.cpp
+++ b/libs/consensus/src/replication.cpp
@@ -5,7 +5,7 @@
 namespace {
 constexpr std::size_t kMaxBytesPerMessage = 1U << 20;
 constexpr std::size_t kEntryOverheadBytes = 100;  // of an entry besides its body, roughly
-constexpr int kSnapshotResendFactor = 4;          // times `resendTimeout`: a snapshot takes longer than entries
+constexpr int kSnapshotResendTimeoutFactor = 4;   // times `resendTimeout`: a snapshot takes longer than entries
 }  // namespace
 
 void RaftCore::sendHeartbeats(TimePoint now) {
@@ -25,7 +25,7 @@
     progress.lastSentAt = now;
   }
   if (progress.nextIndex <= log.snapshot().lastIncludedIndex) {
-    const auto snapshotTimeout = options.resendTimeout * kSnapshotResendFactor;
+    const auto snapshotTimeout = options.resendTimeout * kSnapshotResendTimeoutFactor;
     if (!progress.snapshotInFlight || now - progress.lastSentAt >= snapshotTimeout)
       return sendSnapshot(now, peer, progress);
     if (heartbeatDue)
--- a/libs/consensus/src/voter_changes.cpp
+++ b/libs/consensus/src/voter_changes.cpp
@@ -5,12 +5,13 @@
 
 namespace zinccleat::consensus {
 namespace {
-constexpr std::int64_t kCaughtUpWithinEntries = 8;  // what a learner may lack and still become a voter
+constexpr std::int64_t kMaxCaughtUpLagEntries = 8;  // what a learner may lack and still become a voter
 constexpr int kLearnerTimeoutFactor = 2;            // times `unreachableAfter`: then a learner is forgotten
 constexpr int kSupersededAfterHeartbeats = 3;       // a voter unheard for so long may be superseded
 
-// For `InjectedFaults::newcomerIsAddedOnly`.
-std::vector<MemberId> addNewcomersOnly(const std::vector<VoterStatus>& voters, const std::vector<MemberId>& learners) {
+// For `InjectedFaults::voterSetNeverShrinks`.
+std::vector<MemberId> chooseVotersWithoutShrinking(const std::vector<VoterStatus>& voters,
+                                                   const std::vector<MemberId>& learners) {
   std::vector<MemberId> chosen;
   std::vector<MemberId> unreachable;
   for (const auto& voter : voters) {
@@ -39,8 +40,8 @@
     return proposeConfig(now, {log.config().nextVoters, {}});
   const auto status = voterStatus(now);
   const auto learners = readyLearners(now);
-  auto chosen = options.faults.newcomerIsAddedOnly ? addNewcomersOnly(status, learners)
-                                                   : chooseVoters(status, learners, options.maxVoters);
+  auto chosen = options.faults.voterSetNeverShrinks ? chooseVotersWithoutShrinking(status, learners)
+                                                    : chooseVoters(status, learners, options.maxVoters);
   auto present = log.config().voters;
   std::sort(chosen.begin(), chosen.end());
   std::sort(present.begin(), present.end());
@@ -48,7 +49,7 @@
     changeVoters(now, chosen);
 }
 void RaftCore::changeVoters(TimePoint now, const std::vector<MemberId>& voters) {
-  if (options.faults.separateMajorities)
+  if (options.faults.skipJointConfig)
     return proposeConfig(now, {voters, {}});
   proposeConfig(now, {log.config().voters, voters});
 }
@@ -87,7 +88,7 @@
   });
 }
 bool RaftCore::caughtUp(const PeerProgress& progress) const {
-  return progress.matchIndex > 0 && progress.matchIndex + kCaughtUpWithinEntries >= log.lastLogIndex();
+  return progress.matchIndex > 0 && progress.matchIndex + kMaxCaughtUpLagEntries >= log.lastLogIndex();
 }
 std::vector<MemberId> RaftCore::readyLearners(TimePoint now) const {
   std::vector<MemberId> returned;
--- a/libs/controller/src/status_report.cpp
+++ b/libs/controller/src/status_report.cpp
@@ -54,7 +54,7 @@
   const auto* hints = sources.hints.table();
   const auto& outliers = sources.requests.outliers();
   report.number("agents", sources.agents.count()).number("waitingBytes", sources.agents.backlogBytes());
-  report.number("snapshotsDeclined", sources.context.raft->snapshotsRefused());
+  report.number("snapshotsDeclined", sources.context.raft->rejectedSnapshotCount());
   report.number("seedsDeclined", sources.context.seedsDeclined);
   report.number("framesDeclined", traffic.framesDeclined);
   report.number("framesOfOtherFormats", traffic.framesOfOtherFormats);
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -739,7 +739,7 @@
   snapshot.state = "bad";
   node.receive(now, "10.2.0.1#0", snapshot);
   EXPECT_EQ(node.commitIndex(), 0);
-  EXPECT_EQ(node.snapshotsRefused(), 1);
+  EXPECT_EQ(node.rejectedSnapshotCount(), 1);
   EXPECT_TRUE(node.takeActions().empty());
   snapshot.state = "good";
   node.receive(now, "10.2.0.1#0", snapshot);
--- a/tests/entry_queue_test.cpp
+++ b/tests/entry_queue_test.cpp
@@ -20,16 +20,16 @@
   queue.offer(entryAt(3));
   queue.offer(entryAt(2));
   EXPECT_FALSE(queue.next());
-  EXPECT_TRUE(queue.gap());
+  EXPECT_TRUE(queue.hasGap());
 
   queue.offer(entryAt(1));
   for (int i = 1; i <= 3; ++i)
     EXPECT_EQ(queue.next()->index, i);
-  EXPECT_FALSE(queue.gap());
+  EXPECT_FALSE(queue.hasGap());
 
   queue.offer(entryAt(2));
   EXPECT_FALSE(queue.next()) << "an applied entry is not returned again";
-  EXPECT_FALSE(queue.gap());
+  EXPECT_FALSE(queue.hasGap());
 }
 TEST(EntryQueue, LargeEntryWaitsForItsBody) {
   EntryQueue queue;
@@ -38,9 +38,9 @@
   entry.digest = "d1";
   queue.offer(entry);
   EXPECT_FALSE(queue.next());
-  EXPECT_TRUE(queue.gap()) << "requested again if the body never arrives";
+  EXPECT_TRUE(queue.hasGap()) << "requested again if the body never arrives";
 
-  queue.body("d1", "the body");
+  queue.addBody("d1", "the body");
   EXPECT_EQ(queue.next()->body, "the body");
 
   entry.index = 2;
@@ -55,7 +55,7 @@
   queue.offer(entryAt(5));
   queue.offer(entryAt(6));
 
-  queue.restart(5);
+  queue.resumeAfter(5);
 
   EXPECT_EQ(queue.next()->index, 6);
 }
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -166,7 +166,7 @@
 }
 TEST(ModelChecker, FindsSeparateMajorities) {
   InjectedFaults faults;
-  faults.separateMajorities = true;
+  faults.skipJointConfig = true;
   auto world = ledWithSpare(faults);
   world.budgets = allFaults();
   expectFound("separate majorities", search(world, {kStatesToFind, 0}),
@@ -175,7 +175,7 @@
 // Point A of issue 14: the newcomer is added, the member that left stays in the configuration for good.
 TEST(ModelChecker, FindsTheDeadMemberThatIsNeverRemoved) {
   InjectedFaults faults;
-  faults.newcomerIsAddedOnly = true;
+  faults.voterSetNeverShrinks = true;
   auto world = ledWithSpare(faults);
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -57,7 +57,7 @@
   options.tickInterval = kTimeStep;
   options.heartbeatInterval = kTimeStep;
   options.lease = kTimeStep * 3;
-  options.longestLease = options.lease;
+  options.maxLease = options.lease;
   options.leaseMargin = kTimeStep / 2;
   options.electionTimeout = kTimeStep * 4;
   options.electionTimeoutSpread = Duration(1);
