--- a/libs/storage/include/storage/storage.hpp
+++ b/libs/storage/include/storage/storage.hpp
@@ -48,10 +48,10 @@
   /// `append` in three steps, for storages of one folder that share the sync of the folder. Writes the record and gives
   /// it its name; it is not durable yet.
   /// @return as `append`, which may be called instead, or this again, after an error.
-  Result<void> place(const consensus::DiskRecord& record);
-  /// Makes the names of all records durable that were placed in the folder, by whichever storage.
+  Result<void> stage(const consensus::DiskRecord& record);
+  /// Makes the names of all records durable that were staged in the folder, by whichever storage.
   Result<void> syncFolder() { return files_->syncFolder(); }
-  /// The folder was synced after `record` was placed: it is the newest one now.
+  /// The folder was synced after `record` was staged: it is the newest one now.
   void confirm(const consensus::DiskRecord& record);
 
   /// Removes up to `limit` files that a full record made obsolete. Nothing depends on its success: a file that stays is
--- a/libs/storage/src/record_format.cpp
+++ b/libs/storage/src/record_format.cpp
@@ -18,8 +18,8 @@
 }  // namespace
 
 std::string encodeRecordAs(int format, const consensus::DiskRecord& record) {
-  const auto checked = zeroPadded(format, kVersionDigits) + avro::encode(record);
-  return std::string(kMagic) + digestOf(checked) + checked;
+  const auto checksummed = zeroPadded(format, kVersionDigits) + avro::encode(record);
+  return std::string(kMagic) + digestOf(checksummed) + checksummed;
 }
 std::string encodeRecord(const consensus::DiskRecord& record) {
   return encodeRecordAs(kRecordFormat, record);
@@ -29,14 +29,14 @@
   if (content.size() < kEnvelopeBytes || !content.starts_with(kMagic))
     return makeError(ErrorCode::corruption, "is no record");
   const auto checksum = content.substr(kMagic.size(), kChecksumDigits);
-  const auto checked = content.substr(kMagic.size() + kChecksumDigits);
-  if (digestOf(checked) != checksum)
+  const auto checksummed = content.substr(kMagic.size() + kChecksumDigits);
+  if (digestOf(checksummed) != checksum)
     return makeError(ErrorCode::corruption, "fails its checksum");
-  const auto version = checked.substr(0, kVersionDigits);
+  const auto version = checksummed.substr(0, kVersionDigits);
   if (version != zeroPadded(kRecordFormat, kVersionDigits))
     return makeError(ErrorCode::incompatibleFormat,
                      "is in format " + std::string(version) + " of another version of this program");
-  auto record = avro::decode<consensus::DiskRecord>(checked.substr(kVersionDigits));
+  auto record = avro::decode<consensus::DiskRecord>(checksummed.substr(kVersionDigits));
   if (!record)
     return makeError(ErrorCode::corruption, "does not parse");
   return record;
--- a/libs/storage/src/storage.cpp
+++ b/libs/storage/src/storage.cpp
@@ -113,7 +113,7 @@
 // --- Appending ---
 
 Result<void> Storage::append(const consensus::DiskRecord& record) {
-  auto appended = place(record);
+  auto appended = stage(record);
   if (appended)
     appended = syncFolder();
   if (appended)
@@ -121,7 +121,7 @@
   return appended;
 }
 
-Result<void> Storage::place(const consensus::DiskRecord& record) {
+Result<void> Storage::stage(const consensus::DiskRecord& record) {
   if (!loaded_ || record.seq != lastSequence_ + 1)
     return makeError(ErrorCode::outOfOrder, recordName(record.seq) + " is out of order");
   if (auto written = write(record); !written) {
@@ -149,14 +149,14 @@
   const auto temporary = temporaryName(name);
   if (auto removed = files_->remove(temporary); !removed)
     return removed;
-  auto placed = writeSynced(temporary, encodeRecord(record));
-  if (placed)
-    placed = files_->rename(temporary, name);
-  if (!placed) {
+  auto staged = writeSynced(temporary, encodeRecord(record));
+  if (staged)
+    staged = files_->rename(temporary, name);
+  if (!staged) {
     // Only to release its space; the retry would remove it as well.
     (void)files_->remove(temporary);
   }
-  return placed;
+  return staged;
 }
 
 Result<void> Storage::writeSynced(const std::string& name, std::string_view content) {
--- a/tests/append_queue_test.cpp
+++ b/tests/append_queue_test.cpp
@@ -26,15 +26,15 @@
   /// @return how many syncs it took.
   int run() {
     int syncs = 0;
-    disk.fate = [&](Operation operation, int) {
+    disk.operationResult = [&](Operation operation, int) {
       const bool syncsFile = operation == Operation::syncFile;
       syncs += syncsFile || operation == Operation::syncFolder;
-      return syncsFile && syncs == failingFileSync ? Fate::failsBefore : Fate::succeeds;
+      return syncsFile && syncs == failingFileSync ? OperationResult::failsBefore : OperationResult::succeeds;
     };
     appendedNames.clear();
     failedNames.clear();
     (void)queue.runNext();
-    disk.fate = nullptr;
+    disk.operationResult = nullptr;
     return syncs;
   }
 
@@ -102,11 +102,11 @@
   const auto fleet = folder.open("");
   folder.queue.add(
       {fleet, recordOf(1, false), AppendUrgency::consensus, {}, [](const auto& appended) { EXPECT_FALSE(appended); }});
-  folder.disk.fate = [](Operation operation, int) {
-    return operation == Operation::syncFolder ? Fate::failsBefore : Fate::succeeds;
+  folder.disk.operationResult = [](Operation operation, int) {
+    return operation == Operation::syncFolder ? OperationResult::failsBefore : OperationResult::succeeds;
   };
   (void)folder.queue.runNext();
-  folder.disk.fate = nullptr;
+  folder.disk.operationResult = nullptr;
   EXPECT_TRUE(fleet->append(recordOf(1, false)));
 }
 TEST(AppendQueue, AStateIsEncodedAsItIsWritten) {
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -21,7 +21,7 @@
 struct SimulatedDisk {
   enum class Operation { lock, list, read, create, write, syncFile, rename, remove, syncFolder };
   /// What happens to an operation.
-  enum class Fate {
+  enum class OperationResult {
     succeeds,
     powerLoss,      // the process ends before the operation has any effect
     failsBefore,    // an error, no effect
@@ -44,7 +44,7 @@
     bool dropped = false;
   };
   using Content = std::map<std::string, std::string>;
-  static constexpr std::size_t kMostUnsynced = 12;
+  static constexpr std::size_t kMaxUnsyncedChanges = 12;
 
   std::vector<File> files;
   std::map<std::string, int> names, durableNames;
@@ -52,10 +52,10 @@
   bool locked = false;
 
   // How the disk behaves, to be set by the test.
-  std::function<Fate(Operation, int number)> fate;  // number: operations so far
+  std::function<OperationResult(Operation, int number)> operationResult;  // number: operations so far
   int operations = 0;
   int errorCode = EIO;
-  std::size_t longestWrite = std::string::npos;
+  std::size_t maxBytesPerWrite = std::string::npos;
   std::size_t capacity = std::string::npos;  // bytes in all named files
 
   SimulatedDisk() = default;
@@ -80,10 +80,10 @@
       bytes += files[static_cast<std::size_t>(file)].content.size();
     return bytes;
   }
-  Fate begin(Operation operation) {
+  OperationResult begin(Operation operation) {
     const auto number = operations++;
-    const auto outcome = fate ? fate(operation, number) : Fate::succeeds;
-    if (outcome == Fate::powerLoss)
+    const auto outcome = operationResult ? operationResult(operation, number) : OperationResult::succeeds;
+    if (outcome == OperationResult::powerLoss)
       throw PowerLoss{};
     return outcome;
   }
@@ -115,7 +115,7 @@
   /// Every content that the folder may have after a power loss at this moment. Throws std::length_error if too much is
   /// unsynced to enumerate it: the code under test does not sync.
   std::set<Content> afterPowerLoss() const {
-    if (changes.size() > kMostUnsynced)
+    if (changes.size() > kMaxUnsyncedChanges)
       throw std::length_error(std::to_string(changes.size()) + " changes of names are not synced");
     std::set<std::map<std::string, int>> folders;
     for (std::uint64_t kept = 0; kept < (1ULL << changes.size()); ++kept) {
@@ -146,7 +146,7 @@
   }
   // Each unsynced write complete, torn or missing by itself.
   static std::set<std::string> variantsOf(const File& file) {
-    if (file.unsynced.size() > kMostUnsynced)
+    if (file.unsynced.size() > kMaxUnsyncedChanges)
       throw std::length_error(std::to_string(file.unsynced.size()) + " writes of a file are not synced");
     std::set<std::string> variants{file.durable};
     for (auto& write : file.unsynced) {
@@ -170,7 +170,7 @@
 class SimulatedFolder : public FileSystem {
  public:
   using Operation = SimulatedDisk::Operation;
-  using Fate = SimulatedDisk::Fate;
+  using OperationResult = SimulatedDisk::OperationResult;
   explicit SimulatedFolder(SimulatedDisk& disk) : disk_(disk) {}
   ~SimulatedFolder() override {
     if (holdsLock_)
@@ -199,49 +199,49 @@
     return disk_.files[static_cast<std::size_t>(disk_.names[name])].content;
   }
   Result<std::unique_ptr<WritableFile>> create(const std::string& name) override {
-    const auto fate = disk_.begin(Operation::create);
-    if (fate == Fate::failsBefore)
+    const auto operationResult = disk_.begin(Operation::create);
+    if (operationResult == OperationResult::failsBefore)
       return error("create");
     if (disk_.names.contains(name))
       return makeError(ErrorCode::ioError, "exists", EEXIST);
     disk_.files.emplace_back();
     const int number = static_cast<int>(disk_.files.size()) - 1;
     disk_.change(name, number);
-    if (failed(fate))
+    if (failed(operationResult))
       return error("create");
     return std::make_unique<OpenFile>(disk_, static_cast<std::size_t>(number));
   }
   Result<void> rename(const std::string& from, const std::string& to) override {
-    const auto fate = disk_.begin(Operation::rename);
-    if (fate == Fate::failsBefore)
+    const auto operationResult = disk_.begin(Operation::rename);
+    if (operationResult == OperationResult::failsBefore)
       return error("rename");
     if (!disk_.names.contains(from))
       return makeError(ErrorCode::ioError, "no such file", ENOENT);
     const int number = disk_.names[from];
     disk_.change(from, -1);
     disk_.change(to, number);
-    if (failed(fate))
+    if (failed(operationResult))
       return error("rename");
     return {};
   }
   Result<void> remove(const std::string& name) override {
-    const auto fate = disk_.begin(Operation::remove);
-    if (fate == Fate::failsBefore)
+    const auto operationResult = disk_.begin(Operation::remove);
+    if (operationResult == OperationResult::failsBefore)
       return error("remove");
     if (disk_.names.contains(name))
       disk_.change(name, -1);
-    if (failed(fate))
+    if (failed(operationResult))
       return error("remove");
     return {};
   }
   Result<void> syncFolder() override {
-    const auto fate = disk_.begin(Operation::syncFolder);
-    if (fate == Fate::failsAndDrops)
+    const auto operationResult = disk_.begin(Operation::syncFolder);
+    if (operationResult == OperationResult::failsAndDrops)
       for (auto& change : disk_.changes)
         change.dropped = true;
-    if (fate == Fate::succeeds || fate == Fate::failsAfter)
+    if (operationResult == OperationResult::succeeds || operationResult == OperationResult::failsAfter)
       disk_.makeNamesDurable();
-    if (failed(fate))
+    if (failed(operationResult))
       return error("sync folder");
     return {};
   }
@@ -251,30 +251,31 @@
    public:
     OpenFile(SimulatedDisk& disk, std::size_t number) : disk_(disk), number_(number) {}
     Result<std::size_t> write(std::string_view bytes) override {
-      const auto fate = disk_.begin(Operation::write);
-      if (fate == Fate::failsBefore)
+      const auto operationResult = disk_.begin(Operation::write);
+      if (operationResult == OperationResult::failsBefore)
         return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       const auto used = disk_.used();
       const auto space = disk_.capacity > used ? disk_.capacity - used : 0;
       if (space == 0)
         return makeError(ErrorCode::ioError, "write: no space", ENOSPC);
       auto& file = disk_.files[number_];
-      const std::string written(bytes.substr(0, std::min(space, disk_.longestWrite)));
+      const std::string written(bytes.substr(0, std::min(space, disk_.maxBytesPerWrite)));
       file.unsynced.push_back({file.content.size(), written});
       file.content += written;
-      if (failed(fate))
+      if (failed(operationResult))
         return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       return written.size();
     }
     Result<void> sync() override {
-      const auto fate = disk_.begin(Operation::syncFile);
+      const auto operationResult = disk_.begin(Operation::syncFile);
       auto& file = disk_.files[number_];
-      file.dropped = file.dropped || fate == Fate::failsAndDrops;
-      if ((fate == Fate::succeeds || fate == Fate::failsAfter) && !file.dropped) {
+      file.dropped = file.dropped || operationResult == OperationResult::failsAndDrops;
+      if ((operationResult == OperationResult::succeeds || operationResult == OperationResult::failsAfter) &&
+          !file.dropped) {
         file.durable = file.content;
         file.unsynced.clear();
       }
-      if (failed(fate))
+      if (failed(operationResult))
         return makeError(ErrorCode::ioError, "sync", disk_.errorCode);
       return {};
     }
@@ -284,7 +285,7 @@
     std::size_t number_;
   };
 
-  static bool failed(Fate fate) { return fate != Fate::succeeds; }
+  static bool failed(OperationResult operationResult) { return operationResult != OperationResult::succeeds; }
   tl::unexpected<Error> error(const char* operation) const {
     return makeError(ErrorCode::ioError, operation, disk_.errorCode);
   }
--- a/tests/storage_faults_test.cpp
+++ b/tests/storage_faults_test.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 const char* const kShapes[] = {"fiiifififi", "iifiif", "ffif"};
-constexpr Fate kErrors[] = {Fate::failsBefore, Fate::failsAfter, Fate::failsAndDrops};
+constexpr OperationResult kErrors[] = {OperationResult::failsBefore, OperationResult::failsAfter,
+                                       OperationResult::failsAndDrops};
 
-/// The fate of an operation that is to fail in this way; only syncs can drop what is unsynced.
-Fate errorOf(Fate fate, Operation operation) {
+/// The operationResult of an operation that is to fail in this way; only syncs can drop what is unsynced.
+OperationResult errorOf(OperationResult operationResult, Operation operation) {
   const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
-  return fate == Fate::failsAndDrops && !sync ? Fate::failsBefore : fate;
+  return operationResult == OperationResult::failsAndDrops && !sync ? OperationResult::failsBefore : operationResult;
 }
 
 /// An operation that fails once.
 struct InjectedError {
-  Fate fate;
+  OperationResult operationResult;
   int code;    // errno
   int number;  // of the operation
 };
@@ -34,12 +35,12 @@
   History history;
   RunResult result;
   disk.errorCode = error.code;
-  disk.fate = [&](Operation operation, int number) {
+  disk.operationResult = [&](Operation operation, int number) {
     if (number == error.number) {
       result.failed = true;
-      return errorOf(error.fate, operation);
+      return errorOf(error.operationResult, operation);
     }
-    return number == powerLossAt ? Fate::powerLoss : Fate::succeeds;
+    return number == powerLossAt ? OperationResult::powerLoss : OperationResult::succeeds;
   };
   const auto check = [&] {
     if (result.violation.empty())
@@ -132,13 +133,14 @@
   constexpr int kFirstOfAppend = 2;  // 0 and 1: the load of an empty folder
   Checker checker;
   int runs = 0;
-  for (const auto fate : kErrors)
+  for (const auto operationResult : kErrors)
     for (const int code : {EIO, ENOSPC})
       for (const std::string shape : {"fiifi", "iif"}) {
         bool failed = true;
         for (int failing = kFirstOfAppend; failed; ++failing)
           for (int lostAfter = 1; lostAfter <= 12; ++lostAfter, ++runs) {
-            const auto run = runWithErrorThenPowerLoss(checker, shape, {fate, code, failing}, failing + lostAfter);
+            const auto run =
+                runWithErrorThenPowerLoss(checker, shape, {operationResult, code, failing}, failing + lostAfter);
             ASSERT_EQ(run.violation, "") << shape << " operation " << failing << " failed, power lost " << lostAfter
                                          << " later";
             failed = run.failed;
@@ -149,13 +151,13 @@
 }
 TEST(StorageFaults, TwoErrorsAtEachPairOfOperations) {
   Checker checker;
-  for (const auto fate : kErrors)
+  for (const auto operationResult : kErrors)
     for (int first = 2; first < 40; ++first)
       for (int second = first + 1; second < first + 14; ++second) {
         Disk disk;
         History history;
-        disk.fate = [&](Operation operation, int number) {
-          return number == first || number == second ? errorOf(fate, operation) : Fate::succeeds;
+        disk.operationResult = [&](Operation operation, int number) {
+          return number == first || number == second ? errorOf(operationResult, operation) : OperationResult::succeeds;
         };
         auto storage = storageOn(disk);
         ASSERT_TRUE(storage.load());
@@ -168,7 +170,7 @@
   for (const std::size_t longest : {std::size_t{1}, std::size_t{7}, size / 2, size - 1}) {
     Disk disk;
     History history;
-    disk.longestWrite = longest;
+    disk.maxBytesPerWrite = longest;
     auto storage = storageOn(disk);
     ASSERT_TRUE(storage.load());
     ASSERT_TRUE(appendAll(storage, "fiif", history, 1));
@@ -181,7 +183,7 @@
   for (int operation = 0; lost; ++operation) {
     Disk disk;
     History history;
-    disk.longestWrite = 60;
+    disk.maxBytesPerWrite = 60;
     losePowerAt(disk, operation);
     lost = runIncarnation(disk, "fif", history);
     ASSERT_EQ(checker.check(disk, history), "") << operation;
@@ -225,9 +227,9 @@
 TEST(StorageFaults, RecoverySucceedsOnAFullDisk) {
   Disk disk(folderOf("f-i-fi"));
   disk.errorCode = ENOSPC;
-  disk.fate = [](Operation operation, int) {
+  disk.operationResult = [](Operation operation, int) {
     const bool looks = operation == Operation::list || operation == Operation::read;
-    return looks || operation == Operation::syncFolder ? Fate::succeeds : Fate::failsBefore;
+    return looks || operation == Operation::syncFolder ? OperationResult::succeeds : OperationResult::failsBefore;
   };
   auto storage = storageOn(disk);
   const auto recovery = recoverStorage(storage, [](const Error&) { return false; });
@@ -235,29 +237,29 @@
   EXPECT_EQ(sequencesOf(recovery->records), (Sequences{5, 6}));
   EXPECT_EQ(recovery->warnings.size(), 1U) << "the folder could not be locked";
   EXPECT_FALSE(storage.append(recordOf(7, false)));
-  disk.fate = {};
+  disk.operationResult = {};
   EXPECT_TRUE(storage.append(recordOf(7, false)));
 }
 TEST(StorageFaults, FailedRemovalsAreRetriedLater) {
   Disk disk;
   History history;
-  disk.fate = [](Operation operation, int) {
-    return operation == Operation::remove ? Fate::failsBefore : Fate::succeeds;
+  disk.operationResult = [](Operation operation, int) {
+    return operation == Operation::remove ? OperationResult::failsBefore : OperationResult::succeeds;
   };
   auto storage = storageOn(disk);
   ASSERT_TRUE(storage.load());
   // The removal of a left-over temporary file before a write is the only one whose failure must fail the write.
   EXPECT_FALSE(storage.append(recordOf(1, true)));
-  disk.fate = {};
+  disk.operationResult = {};
   ASSERT_TRUE(appendAll(storage, "fii", history, 1));
   begin(history, recordOf(4, true));
   ASSERT_TRUE(storage.append(recordOf(4, true)));
   history.acknowledged = 4;
-  disk.fate = [](Operation, int) { return Fate::failsBefore; };
+  disk.operationResult = [](Operation, int) { return OperationResult::failsBefore; };
   while (storage.removeObsolete(1)) {
   }
   EXPECT_EQ(disk.names.size(), 4U);
-  disk.fate = {};
+  disk.operationResult = {};
   ASSERT_TRUE(appendAll(storage, "if", history, 1));
   EXPECT_EQ(disk.names.size(), 1U) << "removed after the next full record";
 }
@@ -268,7 +270,9 @@
   const auto folder = folderOf("f-i-fii");
   for (int failing = 0; failing < 5; ++failing) {  // the list, three reads, the sync of the folder
     Disk disk(folder);
-    disk.fate = [failing](Operation, int number) { return number == failing ? Fate::failsBefore : Fate::succeeds; };
+    disk.operationResult = [failing](Operation, int number) {
+      return number == failing ? OperationResult::failsBefore : OperationResult::succeeds;
+    };
     auto storage = storageOn(disk);
     const auto records = storage.load();
     ASSERT_FALSE(records) << failing;
@@ -281,8 +285,8 @@
 }
 TEST(StorageFaults, RecoveryRetriesTransientErrors) {
   Disk disk(folderOf("fii"));
-  disk.fate = [](Operation operation, int) {
-    return operation == Operation::read ? Fate::failsBefore : Fate::succeeds;
+  disk.operationResult = [](Operation operation, int) {
+    return operation == Operation::read ? OperationResult::failsBefore : OperationResult::succeeds;
   };
   auto storage = storageOn(disk);
   int waits = 0;
@@ -290,7 +294,7 @@
     EXPECT_EQ(error.subcode, EIO);
     EXPECT_EQ(error.message, "record-000000000003 can't be read: read");
     if (++waits == 100)
-      disk.fate = {};
+      disk.operationResult = {};
     return true;
   });
   ASSERT_TRUE(recovery);
@@ -302,8 +306,8 @@
   for (const int code : {EIO, EACCES}) {
     Disk disk(folderOf("fii"));
     disk.errorCode = code;
-    disk.fate = [](Operation operation, int) {
-      return operation == Operation::read ? Fate::failsBefore : Fate::succeeds;
+    disk.operationResult = [](Operation operation, int) {
+      return operation == Operation::read ? OperationResult::failsBefore : OperationResult::succeeds;
     };
     auto storage = storageOn(disk);
     int asked = 0;
--- a/tests/storage_fixtures.hpp
+++ b/tests/storage_fixtures.hpp
@@ -14,7 +14,7 @@
 using namespace zinccleat::consensus;
 using namespace zinccleat::storage;
 using Disk = SimulatedDisk;
-using Fate = SimulatedDisk::Fate;
+using OperationResult = SimulatedDisk::OperationResult;
 using Operation = SimulatedDisk::Operation;
 
 inline DiskRecord recordOf(std::int64_t sequence, bool full, const std::string& vote = "10.1.0.1#0") {
@@ -166,7 +166,9 @@
 };
 
 inline void losePowerAt(Disk& disk, int operation) {
-  disk.fate = [operation](Operation, int number) { return number == operation ? Fate::powerLoss : Fate::succeeds; };
+  disk.operationResult = [operation](Operation, int number) {
+    return number == operation ? OperationResult::powerLoss : OperationResult::succeeds;
+  };
 }
 /// One incarnation: loads, then appends records of this shape.
 /// @return whether power was lost on the way.
--- a/tests/storage_quarantine_test.cpp
+++ b/tests/storage_quarantine_test.cpp
@@ -77,16 +77,16 @@
 }
 TEST(StorageQuarantine, ErrorAtEachOperationIsRetried) {
   const auto folder = folderOf("fixi");
-  for (const auto fate : {Fate::failsBefore, Fate::failsAfter}) {
+  for (const auto operationResult : {OperationResult::failsBefore, OperationResult::failsAfter}) {
     bool failed = true;
     for (int failing = 0; failed; ++failing) {
       Disk disk(folder);
       failed = false;
-      disk.fate = [&](Operation, int number) {
+      disk.operationResult = [&](Operation, int number) {
         if (number != failing)
-          return Fate::succeeds;
+          return OperationResult::succeeds;
         failed = true;
-        return fate;
+        return operationResult;
       };
       auto storage = storageOn(disk);
       const auto recovery = recoverStorage(storage, retry);
