--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -10,8 +10,8 @@
 using namespace zinccleat::consensus;
 using namespace zinccleat::storage;
 using namespace zinccleat::transport;
-using zinccleat::sim::kUsualMaxDelayMs;
-using zinccleat::sim::kUsualSyncTime;
+using zinccleat::sim::kDefaultMaxDelayMs;
+using zinccleat::sim::kDefaultSyncTime;
 using zinccleat::sim::SimulatedCluster;
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
@@ -49,7 +49,7 @@
   cluster.crash(ip);
   cluster.nodes[ip].disk.clear();
 }
-std::string inLines(const std::vector<std::string>& lines) {
+std::string joinLines(const std::vector<std::string>& lines) {
   std::string text;
   for (const auto& line : lines)
     text += line + "\n";
@@ -82,7 +82,7 @@
   for (auto& [ip, node] : cluster.nodes) {
     node.paused = false;
     node.diskFull = false;
-    node.syncTime = kUsualSyncTime;
+    node.syncTime = kDefaultSyncTime;
     restartIfDown(cluster, ip);
   }
 }
@@ -120,13 +120,13 @@
     EXPECT_NE(allCommitted.find("|" + operation + "|"), std::string::npos)
         << operation << " lost (seed " << cluster.seed << ")";
   EXPECT_GE(cluster.nodes[leader].raft->commitIndex(), cluster.committed.rbegin()->first) << "seed " << cluster.seed;
-  EXPECT_TRUE(cluster.violations.empty()) << inLines(cluster.violations);
+  EXPECT_TRUE(cluster.violations.empty()) << joinLines(cluster.violations);
 }
 
 // --- the troubles of a seeded world ---
 
 bool isHealthy(const SimulatedCluster::Node& node, const RaftNode& leader) {
-  const bool runs = node.up && !node.paused && !node.diskFull && node.syncTime == kUsualSyncTime;
+  const bool runs = node.up && !node.paused && !node.diskFull && node.syncTime == kDefaultSyncTime;
   return runs && node.raft->commitIndex() + 2 >= leader.commitIndex();
 }
 // Everything is healthy: each machine votes, but for one that would make the number even; nobody lags or is cut off.
@@ -170,7 +170,7 @@
 }
 void slowDiskForAWhile(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].syncTime = Duration(cluster.draw(2) ? 100 : 2500);
-  cluster.schedule(4000ms, [&cluster, ip] { cluster.nodes[ip].syncTime = kUsualSyncTime; });
+  cluster.schedule(4000ms, [&cluster, ip] { cluster.nodes[ip].syncTime = kDefaultSyncTime; });
 }
 void slowDisksForAWhile(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   const Duration syncTime(100 + cluster.draw(2000));
@@ -178,7 +178,7 @@
     cluster.nodes[ip].syncTime = syncTime;
   cluster.schedule(Duration(2000 + cluster.draw(6000)), [&cluster, machines] {
     for (const auto& ip : machines)
-      cluster.nodes[ip].syncTime = kUsualSyncTime;
+      cluster.nodes[ip].syncTime = kDefaultSyncTime;
   });
 }
 void fullDiskForAWhile(SimulatedCluster& cluster, const std::string& ip) {
@@ -190,7 +190,7 @@
   cluster.maxDelayMs = 120;
   cluster.schedule(2500ms, [&cluster] {
     cluster.lossRate = 0;
-    cluster.maxDelayMs = kUsualMaxDelayMs;
+    cluster.maxDelayMs = kDefaultMaxDelayMs;
   });
 }
 void transferLeadership(SimulatedCluster& cluster, SimulatedCluster::Node& node) {
@@ -245,7 +245,7 @@
   const auto machines = presentMachines(cluster);
   const auto& ip = machines[cluster.draw(machines.size())];
   const bool healthy = isHealthy(cluster, machines);
-  cluster.healthyDraws += healthy;
+  cluster.faultsDrawnWhileHealthy += healthy;
   switch (static_cast<FaultKind>(cluster.draw(static_cast<std::uint64_t>(FaultKind::count)))) {
     case FaultKind::crash:
       return crashForAWhile(cluster, ip);
@@ -280,7 +280,7 @@
   }
 }
 // Returns how often all was healthy when a trouble was drawn: only then disks are lost and machines replaced.
-int playSeededWorld(std::uint64_t seed) {
+int runSeededScenario(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   if (seed % 4 == 1)
     startMany(cluster, 6);
@@ -299,7 +299,7 @@
     cluster.runFor(Duration(200 + cluster.draw(2500)));
   }
   expectRecoveryAfterFaults(cluster);
-  return cluster.healthyDraws;
+  return cluster.faultsDrawnWhileHealthy;
 }
 std::uint64_t numberFromEnvironment(const char* name, std::uint64_t otherwise) {
   const char* text = std::getenv(name);
@@ -309,14 +309,14 @@
 // --- one node by itself ---
 
 // A founder of three whose disk syncs at once and whose peers answer everything at once.
-class NodeAmongAgreeingPeers {
+class NodeWithAgreeingPeers {
  public:
   TimePoint now{100s};
   RaftNode node{"10.1.0.1#0", RaftOptions{}, 1, now};
   bool transferredLeadership = false;
-  bool diskSilent = false;
+  bool diskUnresponsive = false;
 
-  NodeAmongAgreeingPeers() { node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now); }
+  NodeWithAgreeingPeers() { node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now); }
   void carryOutActions() {
     for (auto actions = node.takeActions(); !actions.empty(); actions = node.takeActions())
       for (const auto& action : actions)
@@ -330,7 +330,7 @@
 
  private:
   struct PeerAnswer {
-    NodeAmongAgreeingPeers& self;
+    NodeWithAgreeingPeers& self;
     const MemberId& peer;
     void operator()(const VoteRequest& request) {
       self.node.receive(self.now, peer, VoteResponse{request.term, request.preVote});
@@ -347,7 +347,7 @@
     void operator()(const Other&) {}
   };
   void carryOut(const RaftAction& action) {
-    if (const auto* record = std::get_if<PersistRecord>(&action); record && !diskSilent)
+    if (const auto* record = std::get_if<PersistRecord>(&action); record && !diskUnresponsive)
       node.persisted(now, record->ticket, true);
     if (const auto* sent = std::get_if<SendMessage>(&action))
       std::visit(PeerAnswer{*this, sent->to}, sent->message);
@@ -370,7 +370,7 @@
     cluster.write(ip);
   cluster.runFor(1000ms);
   EXPECT_EQ(cluster.acknowledged.size(), 3U);
-  EXPECT_TRUE(cluster.violations.empty()) << inLines(cluster.violations);
+  EXPECT_TRUE(cluster.violations.empty()) << joinLines(cluster.violations);
 }
 TEST(Consensus, AnotherLeaderIsElectedAfterTheLeaderCrashes) {
   SimulatedCluster cluster(2);
@@ -387,7 +387,7 @@
   return std::count_if(cluster.nodes.begin(), cluster.nodes.end(),
                        [&](const auto& node) { return node.second.raft->hasLease(cluster.now); });
 }
-void playIsolatedLeader(std::uint64_t seed) {
+void runIsolatedLeader(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   startFounders(cluster);
   const auto first = cluster.leader();
@@ -403,7 +403,7 @@
 }  // namespace
 TEST(Consensus, AnIsolatedLeaderLosesItsLeaseBeforeAnotherGetsOne) {
   for (std::uint64_t seed = 10; seed < 30 && !HasFatalFailure(); ++seed)
-    playIsolatedLeader(seed);
+    runIsolatedLeader(seed);
 }
 TEST(Consensus, AnEmptyDiskIsANewMemberThatReplacesTheOldOne) {
   SimulatedCluster cluster(3);
@@ -440,7 +440,7 @@
   const auto leader = cluster.leader();
   ASSERT_FALSE(leader.empty());
   const auto voters = cluster.nodes[leader].raft->voters();
-  EXPECT_EQ(std::count(voters.begin(), voters.end(), cluster.nodes["10.9.0.9"].id), 1) << inLines(voters);
+  EXPECT_EQ(std::count(voters.begin(), voters.end(), cluster.nodes["10.9.0.9"].id), 1) << joinLines(voters);
   EXPECT_EQ(voters.size(), 3U);
   expectRecoveryAfterFaults(cluster);
 }
@@ -467,7 +467,7 @@
 }
 // A snapshot may arrive late at a member whose log already reaches beyond it: that log may count for a commit.
 TEST(Consensus, ALateSnapshotKeepsSyncedEntries) {
-  NodeAmongAgreeingPeers self;
+  NodeWithAgreeingPeers self;
   self.carryOutActions();
   const MemberId leader = "10.2.0.1#0";
   AppendEntries append;
@@ -491,7 +491,7 @@
 }
 namespace {
 // Every second seed all others crash too.
-void playTwoDisksLost(int size, std::uint64_t seed) {
+void runTwoDisksLost(int size, std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, size);
   writeAtAnyOf(cluster, machines, 10);
@@ -514,7 +514,7 @@
 TEST(Consensus, TwoOfSixOrEightDisksLostWhileAllOthersCrash) {
   for (const int size : {6, 8})
     for (std::uint64_t seed = 400; seed < 430 && !HasFailure(); ++seed)
-      playTwoDisksLost(size, seed);
+      runTwoDisksLost(size, seed);
 }
 namespace {
 // Cuts all links between three machines and the rest. Returns the three.
@@ -544,7 +544,7 @@
 }
 namespace {
 // Cuts the machines into two halves while clients reach both.
-void playTwoHalves(std::uint64_t seed) {
+void runEvenPartition(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, seed % 2 ? 6 : 5);
   for (std::size_t from = 0; from < machines.size(); ++from)
@@ -559,7 +559,7 @@
   expectRecoveryAfterFaults(cluster);
 }
 // Losses of power that overlap beyond what is tolerated, with all disks kept.
-void playOverlappingLosses(std::uint64_t seed) {
+void runOverlappingCrashes(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, 5);
   for (const auto& ip : machines) {
@@ -578,20 +578,20 @@
 // At most one half may go on; neither takes two changes on the same base, and nothing acknowledged is lost.
 TEST(Consensus, TwoHalvesThatCannotReachEachOther) {
   for (std::uint64_t seed = 1000; seed < 1040 && !HasFailure(); ++seed)
-    playTwoHalves(seed);
+    runEvenPartition(seed);
 }
 TEST(Consensus, LossesThatOverlapBeyondWhatIsToleratedLoseNothing) {
   for (std::uint64_t seed = 1100; seed < 1140 && !HasFailure(); ++seed)
-    playOverlappingLosses(seed);
+    runOverlappingCrashes(seed);
 }
 namespace {
 // A leader's disk does not answer for a second of ticks, regular ones or a few late ones.
-void playSilentDisk(bool loopIsLate) {
-  NodeAmongAgreeingPeers self;
+void runUnresponsiveDisk(bool loopIsLate) {
+  NodeWithAgreeingPeers self;
   for (int i = 0; i < 100 && self.node.role() != Role::leader; ++i)
     self.tickAfter(50ms);
   ASSERT_EQ(self.node.role(), Role::leader);
-  self.diskSilent = true;
+  self.diskUnresponsive = true;
   LogEntry entry;
   entry.operationId = "w";
   ASSERT_TRUE(self.node.submit(self.now, entry));
@@ -606,8 +606,8 @@
 }  // namespace
 // A late event loop reads the answers of its disk late: that is no stalled disk.
 TEST(Consensus, ADelayedEventLoopDoesNotTransferLeadership) {
-  playSilentDisk(true);
-  playSilentDisk(false);
+  runUnresponsiveDisk(true);
+  runUnresponsiveDisk(false);
 }
 TEST(Consensus, NoTransferToAMemberThatHasSyncedNoMore) {
   SimulatedCluster cluster(7);
@@ -623,7 +623,7 @@
 }
 namespace {
 // Returns whether there is a leader 300 ms after all processes have started again.
-bool leadsSoonAfterRestartOfAll(std::uint64_t seed) {
+bool hasLeaderSoonAfterRestartOfAll(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = seed % 2 ? startMany(cluster, 8) : kSeeds;
   if (seed % 2 == 0)
@@ -644,7 +644,7 @@
 TEST(Consensus, ARestartOfAllTakesLessThanALease) {
   int inTime = 0;
   for (std::uint64_t seed = 600; seed < 640 && !HasFailure(); ++seed)
-    inTime += leadsSoonAfterRestartOfAll(seed);
+    inTime += hasLeaderSoonAfterRestartOfAll(seed);
   EXPECT_GE(inTime, 36) << "of 40";
 }
 TEST(Consensus, LeadershipTransferTakesEffectAtOnce) {
@@ -683,7 +683,7 @@
 }
 namespace {
 /// The first leader is lost while each sync of all disks takes `syncTime`.
-void playElectionOnSlowDisks(std::uint64_t seed, Duration syncTime) {
+void runElectionOnSlowDisks(std::uint64_t seed, Duration syncTime) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, 5);
   for (auto& [ip, node] : cluster.nodes)
@@ -698,10 +698,10 @@
 TEST(Consensus, ALeaderIsElectedWhileEachSyncIsSlow) {
   for (const auto syncTime : {200ms, 250ms, 300ms, 400ms, 500ms, 600ms})
     for (std::uint64_t seed = 900; seed < 920 && !HasFailure(); ++seed)
-      playElectionOnSlowDisks(seed, syncTime);
+      runElectionOnSlowDisks(seed, syncTime);
 }
 namespace {
-void playFullDisk(std::uint64_t seed) {
+void runFullDisk(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   startFounders(cluster);
   const auto leader = cluster.leader();
@@ -724,7 +724,7 @@
 // for up to half a minute after it had room again the member could neither vote nor lead.
 TEST(Consensus, AMemberWhoseDiskWasFullServesAgainAtOnce) {
   for (std::uint64_t seed = 700; seed < 720 && !HasFailure(); ++seed)
-    playFullDisk(seed);
+    runFullDisk(seed);
 }
 TEST(Consensus, ASnapshotThatCannotBeRestoredIsNotInstalled) {
   const TimePoint now{100s};
@@ -756,13 +756,13 @@
 TEST(Consensus, SeededWorlds) {
   const auto from = numberFromEnvironment("ZINCCLEAT_FROM", 1000);
   const auto count = numberFromEnvironment("ZINCCLEAT_WORLDS", 300);
-  std::uint64_t healthyDraws = 0;
+  std::uint64_t faultsDrawnWhileHealthy = 0;
   for (auto seed = from; seed < from + count; ++seed) {
-    healthyDraws += static_cast<std::uint64_t>(playSeededWorld(seed));
+    faultsDrawnWhileHealthy += static_cast<std::uint64_t>(runSeededScenario(seed));
     if (HasFailure()) {
       std::printf("replay: ZINCCLEAT_FROM=%llu ZINCCLEAT_WORLDS=1\n", static_cast<unsigned long long>(seed));
       return;
     }
   }
-  EXPECT_GE(healthyDraws, count * 2) << "disks were hardly ever lost";
+  EXPECT_GE(faultsDrawnWhileHealthy, count * 2) << "disks were hardly ever lost";
 }
--- a/tests/coordination_worlds_test.cpp
+++ b/tests/coordination_worlds_test.cpp
@@ -108,7 +108,7 @@
         world_.nodes[ip].syncTime = syncTime;
     later(drawSpan(), [this] {
       for (const auto& ip : kMachines)
-        world_.nodes[ip].syncTime = kUsualSyncTime;
+        world_.nodes[ip].syncTime = kDefaultSyncTime;
     });
   }
 
@@ -135,7 +135,7 @@
   world.cutLinks.clear();
   for (const auto& ip : kMachines) {
     world.nodes[ip].paused = false;
-    world.nodes[ip].syncTime = kUsualSyncTime;
+    world.nodes[ip].syncTime = kDefaultSyncTime;
     if (!world.nodes[ip].up)
       world.start(ip, kMachines, false);
   }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -170,7 +170,7 @@
   }
   return lost;
 }
-void playLossAtRest(const ToleranceRow& row, std::size_t first, std::size_t second) {
+void runLossAtRest(const ToleranceRow& row, std::size_t first, std::size_t second) {
   SimulatedCluster cluster(2000 + first * 16 + second);
   const auto ips = startMachines(cluster, row.machines);
   for (const auto lost : lostTogether(row, first, second))
@@ -185,11 +185,11 @@
     for (std::size_t first = 0; first < row.machines; ++first) {
       const auto end = row.tolerated == 1 ? first + 2 : std::max(row.machines, first + 2);
       for (auto second = first + 1; second < end && !HasFatalFailure(); ++second)
-        playLossAtRest(row, first, second);
+        runLossAtRest(row, first, second);
     }
 }
 namespace {
-void playLossesInSequence(std::size_t machines, std::size_t losses, std::uint64_t seed) {
+void runLossesInSequence(std::size_t machines, std::size_t losses, std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   auto ips = startMachines(cluster, machines);
   for (std::size_t lost = 0; lost < losses; ++lost) {
@@ -209,7 +209,7 @@
   // From three machines one may be lost; from more, all but two, as long as each loss gives the rest time.
   for (const auto& [machines, losses] : {Row{3, 1}, Row{5, 3}, Row{6, 4}, Row{8, 6}})
     for (std::uint64_t seed = 2500; seed < 2506; ++seed)
-      ASSERT_NO_FATAL_FAILURE(playLossesInSequence(machines, losses, seed));
+      ASSERT_NO_FATAL_FAILURE(runLossesInSequence(machines, losses, seed));
 }
 // Found under load: the newcomer became a fourth voter, the one that had exited was never removed, and one more loss
 // left no majority, in 60 of 60 seeds.
@@ -231,7 +231,7 @@
   }
 }
 namespace {
-void playReplacements(std::size_t machines, std::uint64_t seed) {
+void runReplacements(std::size_t machines, std::uint64_t seed) {
   SimulatedCluster cluster(4000 + seed);
   auto ips = startMachines(cluster, machines);
   for (int round = 0; round < 3; ++round) {
@@ -257,7 +257,7 @@
 TEST(Membership, ReplacementsInSequenceThenAWipeOrAPartition) {
   for (const std::size_t machines : {3U, 5U, 6U, 8U})
     for (std::uint64_t seed = 0; seed < 12; ++seed)
-      ASSERT_NO_FATAL_FAILURE(playReplacements(machines, seed));
+      ASSERT_NO_FATAL_FAILURE(runReplacements(machines, seed));
 }
 // A crash at any moment of leaving is as safe as the leave.
 TEST(Membership, ACrashWhileLeaving) {
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -16,7 +16,7 @@
   World world;
 };
 // Leaders of each term are remembered when they are first seen.
-void rememberLeaders(World& world) {
+void recordLeaders(World& world) {
   for (const auto& machine : world.machines) {
     if (!machine->raft || machine->raft->role() != Role::leader)
       continue;
@@ -28,7 +28,7 @@
     world.history = std::move(extended);
   }
 }
-bool beyondTerms(const World& world) {
+bool exceedsMaxTerm(const World& world) {
   return std::any_of(world.machines.begin(), world.machines.end(), [&](const auto& machine) {
     return machine->raft && machine->raft->term() > world.budgets.maxTerms;
   });
@@ -38,7 +38,7 @@
   for (const auto& action : actions) {
     trace.push_back(world.describe(action));
     world.apply(action);
-    rememberLeaders(world);
+    recordLeaders(world);
   }
   return trace;
 }
@@ -51,7 +51,7 @@
 }
 // Plays the actions of a trace that are possible, then ends the trouble. Returns the first invariant broken.
 std::string replay(World world, const std::vector<std::string>& trace) {
-  rememberLeaders(world);
+  recordLeaders(world);
   for (const auto& wanted : trace) {
     const auto actions = world.possibleActions();
     const auto found = std::find_if(actions.begin(), actions.end(),
@@ -59,15 +59,16 @@
     if (found == actions.end())
       continue;
     world.apply(*found);
-    auto violated = brokenInvariant(world);
+    auto violated = violatedInvariant(world);
     if (!violated.empty())
       return violated;
-    rememberLeaders(world);
+    recordLeaders(world);
   }
-  return brokenAfterRecovery(world);
+  return violationAfterRecovery(world);
 }
 // Leaves out whatever the violation does not need, in smaller and smaller pieces.
-std::vector<std::string> shortened(const World& start, std::vector<std::string> trace, const std::string& violation) {
+std::vector<std::string> minimizeTrace(const World& start, std::vector<std::string> trace,
+                                       const std::string& violation) {
   for (auto piece = trace.size() / 2; piece > 0; piece /= 2)
     for (std::size_t at = 0; at < trace.size();) {
       auto shorter = trace;
@@ -114,18 +115,18 @@
          std::to_string(depth) + (exhausted ? ", exhausted" : ", not exhausted");
 }
 World worldAfter(World world, const std::vector<std::string>& trace) {
-  rememberLeaders(world);
+  recordLeaders(world);
   for (const auto& wanted : trace) {
     const auto actions = world.possibleActions();
     const auto found = std::find_if(actions.begin(), actions.end(),
                                     [&](const Action& action) { return world.describe(action) == wanted; });
     checkInvariant(found != actions.end(), "each action of a written prefix is possible");
     world.apply(*found);
-    rememberLeaders(world);
+    recordLeaders(world);
   }
   return world;
 }
-std::string playTrace(const World& start, const std::vector<std::string>& trace) {
+std::string replayTrace(const World& start, const std::vector<std::string>& trace) {
   return replay(start, trace);
 }
 namespace {
@@ -134,7 +135,7 @@
  public:
   Search(const World& start, const SearchLimits& limits) : start_(start), limits_(limits), seen_{start.hash()} {
     frontier_.push_back({0, start});
-    rememberLeaders(frontier_.front().world);
+    recordLeaders(frontier_.front().world);
   }
   SearchResult run() {
     while (!frontier_.empty() && !finished_) {
@@ -160,8 +161,8 @@
     }
   }
   void visit(std::size_t parent, const Action& action, World next) {
-    const auto violated = brokenInvariant(next);
-    rememberLeaders(next);
+    const auto violated = violatedInvariant(next);
+    recordLeaders(next);
     if (violated.empty() && !seen_.insert(next.hash()).second)
       return;
     visited_.push_back({parent, action, visited_[parent].depth + 1});
@@ -169,11 +170,11 @@
     result_.violation = violated;
     const bool checkRecovery = limits_.recoveryCheckEvery > 0 && visited_.size() % limits_.recoveryCheckEvery == 0;
     if (violated.empty() && checkRecovery)
-      result_.violation = brokenAfterRecovery(next);
+      result_.violation = violationAfterRecovery(next);
     if (!result_.violation.empty()) {
       result_.trace = describeActions(start_, pathTo(visited_, visited_.size() - 1));
       finished_ = true;
-    } else if (!beyondTerms(next)) {
+    } else if (!exceedsMaxTerm(next)) {
       frontier_.push_back({visited_.size() - 1, std::move(next)});
     }
   }
@@ -187,24 +188,24 @@
   bool finished_ = false;  // by a violation or by the limit
 };
 // One walk; adds to the result.
-std::vector<Action> takeWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
-                             std::unordered_set<std::uint64_t>& seen) {
+std::vector<Action> runWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
+                            std::unordered_set<std::uint64_t>& seen) {
   std::mt19937_64 random(seed);
   std::vector<Action> path;
-  while (path.size() < limits.steps && result.violation.empty() && !beyondTerms(world)) {
+  while (path.size() < limits.steps && result.violation.empty() && !exceedsMaxTerm(world)) {
     const auto actions = world.possibleActions();
     if (actions.empty())
       break;
     path.push_back(drawAction(actions, random));
     world.apply(path.back());
     ++result.transitions;
-    result.violation = brokenInvariant(world);
-    rememberLeaders(world);
+    result.violation = violatedInvariant(world);
+    recordLeaders(world);
     seen.insert(world.hash());
   }
   result.depth = std::max(result.depth, path.size());
   if (result.violation.empty())
-    result.violation = brokenAfterRecovery(world);
+    result.violation = violationAfterRecovery(world);
   return path;
 }
 }  // namespace
@@ -217,10 +218,10 @@
   std::unordered_set<std::uint64_t> seen;
   for (std::size_t walkIndex = 0; walkIndex < limits.walks; ++walkIndex) {
     auto world = start;
-    rememberLeaders(world);
-    const auto path = takeWalk(world, limits, limits.seed + walkIndex, result, seen);
+    recordLeaders(world);
+    const auto path = runWalk(world, limits, limits.seed + walkIndex, result, seen);
     if (!result.violation.empty()) {
-      result.trace = shortened(start, describeActions(start, path), result.violation);
+      result.trace = minimizeTrace(start, describeActions(start, path), result.violation);
       break;
     }
   }
--- a/tests/model_checker.hpp
+++ b/tests/model_checker.hpp
@@ -5,14 +5,14 @@
 
 namespace zinccleat::model {
 /// The name of an invariant that the world breaks; empty: none.
-std::string brokenInvariant(const World& world);
+std::string violatedInvariant(const World& world);
 /// Ends all faults and lets the world run: a leader with a lease must be elected, a write must commit, and any loss of
 /// one machine must be tolerated. Returns the first invariant that is broken; empty: none.
-std::string brokenAfterRecovery(World world);
+std::string violationAfterRecovery(World world);
 
 struct SearchLimits {
   std::size_t states = 10000;          ///< distinct ones
-  std::size_t recoveryCheckEvery = 0;  ///< in states: every so many, `brokenAfterRecovery` is checked; 0: never
+  std::size_t recoveryCheckEvery = 0;  ///< in states: every so many, `violationAfterRecovery` is checked; 0: never
 };
 struct WalkLimits {
   std::size_t walks = 100, steps = 200;
@@ -34,5 +34,5 @@
 World worldAfter(World world, const std::vector<std::string>& trace);
 /// Plays a trace as `SearchResult` gives it, skipping actions that are not possible (fixed code may no longer send such
 /// a message); returns the invariant broken on the way or after recovery.
-std::string playTrace(const World& start, const std::vector<std::string>& trace);
+std::string replayTrace(const World& start, const std::vector<std::string>& trace);
 }  // namespace zinccleat::model
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -20,7 +20,7 @@
   const char* text = std::getenv("ZINCCLEAT_MODEL_STATES");
   return text ? static_cast<std::size_t>(std::strtoull(text, nullptr, 10)) : kStatesInCi;
 }
-std::size_t walksToTake() {
+std::size_t walksToRun() {
   return statesToVisit() * kWalksInCi / kStatesInCi;
 }
 // The founders, one step of time before their first election.
@@ -32,7 +32,7 @@
   return world;
 }
 // Machine a leads, an entry is committed everywhere.
-World led(const InjectedFaults& faults = {}) {
+World worldWithLeader(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
   World world(options);
@@ -42,8 +42,8 @@
   return world;
 }
 // The same, with the spare up for so long that it follows the log.
-World ledWithSpare(const InjectedFaults& faults = {}) {
-  auto world = led(faults);
+World worldWithLeaderAndSpare(const InjectedFaults& faults = {}) {
+  auto world = worldWithLeader(faults);
   world.budgets.spares = 1;
   world.apply({ActionKind::startSpare, kFounders});
   world.runFairly(kElectionTime);
@@ -57,11 +57,11 @@
   for (const auto& action : result.trace)
     std::printf("    %s\n", action.c_str());
 }
-void expectSound(const char* what, const SearchResult& result) {
+void expectNoViolation(const char* what, const SearchResult& result) {
   print(what, result);
   EXPECT_EQ(result.violation, "") << what;
 }
-void expectFound(const char* what, const SearchResult& result, const std::string& violation) {
+void expectViolation(const char* what, const SearchResult& result, const std::string& violation) {
   print(what, result);
   EXPECT_EQ(result.violation, violation) << what;
 }
@@ -90,71 +90,71 @@
   world.budgets.timeSteps = 6;
   world.budgets.maxTerms = 2;
   world.budgets.maxInFlight = 6;
-  expectSound("first election", search(world, {statesToVisit(), 500}));
+  expectNoViolation("first election", search(world, {statesToVisit(), 500}));
 }
 TEST(ModelChecker, CrashesUnderALeader) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = Budgets{};
   world.budgets.crashes = 2;
   world.budgets.writes = 1;
   world.budgets.timeSteps = 6;
   world.budgets.maxInFlight = 6;
-  expectSound("crashes under a leader", search(world, {statesToVisit(), 500}));
+  expectNoViolation("crashes under a leader", search(world, {statesToVisit(), 500}));
 }
 // Small enough for every order of everything.
 TEST(ModelChecker, ExhaustsAWrite) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = Budgets{};
   world.budgets.writes = 1;
   world.budgets.maxInFlight = 3;
   const auto result = search(world, {kStatesToFind / 4, 500});
-  expectSound("a write", result);
+  expectNoViolation("a write", result);
   EXPECT_TRUE(result.exhausted);
 }
 TEST(ModelChecker, PlannedLeaveAndSpare) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
   world.budgets.spares = 1;
   world.budgets.crashes = 1;
   world.budgets.timeSteps = 8;
   world.budgets.maxInFlight = 6;
-  expectSound("planned leave and spare", search(world, {statesToVisit(), 200}));
+  expectNoViolation("planned leave and spare", search(world, {statesToVisit(), 200}));
 }
 TEST(ModelChecker, WalksThroughAllFaults) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = allFaults();
-  expectSound("walks through all faults", walk(world, {walksToTake(), kStatesPerWalk, 1}));
+  expectNoViolation("walks through all faults", walk(world, {walksToRun(), kStatesPerWalk, 1}));
 }
 TEST(ModelChecker, WalksWithTheSpareRunning) {
-  auto world = ledWithSpare();
+  auto world = worldWithLeaderAndSpare();
   world.budgets = allFaults();
-  expectSound("walks with the spare running", walk(world, {walksToTake(), kStatesPerWalk, 1000000}));
+  expectNoViolation("walks with the spare running", walk(world, {walksToRun(), kStatesPerWalk, 1000000}));
 }
 TEST(ModelChecker, WalksThroughAChangeOfVoters) {
-  auto world = ledWithSpare();
+  auto world = worldWithLeaderAndSpare();
   world.budgets = allFaults();
   world = worldAfter(world, {"leave b", "deliver b#0 -> a LeaveRequest", "sync a"});
-  expectSound("walks through a change of voters", walk(world, {walksToTake(), kStatesPerWalk, 2000000}));
+  expectNoViolation("walks through a change of voters", walk(world, {walksToRun(), kStatesPerWalk, 2000000}));
 }
 // Found by the walks. A disk is lost, and right after it another member leaves: it must stay until the machine whose
 // disk was lost is caught up, or be killed; it may not be told that it can go.
 TEST(ModelChecker, AMemberStaysWhileALostDiskIsNotReplaced) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = allFaults();
-  EXPECT_EQ(playTrace(world, {"lose the disk of c", "leave b", "deliver b#0 -> a LeaveRequest",
-                              "deliver a#0 -> b LeaveResponse"}),
+  EXPECT_EQ(replayTrace(world, {"lose the disk of c", "leave b", "deliver b#0 -> a LeaveRequest",
+                                "deliver a#0 -> b LeaveResponse"}),
             "");
 }
 // Found by the walks. Of two voters that are left one has the newer term and the other one the longer log: the first
 // may not win, and the second must learn of the term that it lags behind.
 TEST(ModelChecker, ALongerLogWithAnOlderTermStillWins) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = allFaults();
   EXPECT_EQ(
-      playTrace(world, {"lose the disk of c", "write", "lose a#0 -> b AppendEntries term 1, 1 after 1, committed 1",
-                        "sync a", "leave a", "crash a", "deliver a#0 -> b TransferLeadership", "sync b",
-                        "deliver b#0 -> a VoteRequest term 2"}),
+      replayTrace(world, {"lose the disk of c", "write", "lose a#0 -> b AppendEntries term 1, 1 after 1, committed 1",
+                          "sync a", "leave a", "crash a", "deliver a#0 -> b TransferLeadership", "sync b",
+                          "deliver b#0 -> a VoteRequest term 2"}),
       "");
 }
 TEST(ModelChecker, FindsACommitWithoutMajority) {
@@ -162,21 +162,21 @@
   faults.commitWithoutMajority = true;
   auto world = beforeElection(faults);
   world.budgets.timeSteps = 6;
-  expectFound("commit without majority", search(world, {kStatesToFind, 0}), "committed without a quorum's disks");
+  expectViolation("commit without majority", search(world, {kStatesToFind, 0}), "committed without a quorum's disks");
 }
 TEST(ModelChecker, FindsSeparateMajorities) {
   InjectedFaults faults;
   faults.skipJointConfig = true;
-  auto world = ledWithSpare(faults);
+  auto world = worldWithLeaderAndSpare(faults);
   world.budgets = allFaults();
-  expectFound("separate majorities", search(world, {kStatesToFind, 0}),
-              "two configurations without overlapping majorities");
+  expectViolation("separate majorities", search(world, {kStatesToFind, 0}),
+                  "two configurations without overlapping majorities");
 }
 // Point A of issue 14: the newcomer is added, the member that left stays in the configuration for good.
 TEST(ModelChecker, FindsTheDeadMemberThatIsNeverRemoved) {
   InjectedFaults faults;
   faults.voterSetNeverShrinks = true;
-  auto world = ledWithSpare(faults);
+  auto world = worldWithLeaderAndSpare(faults);
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
   world.budgets.maxInFlight = 16;
@@ -187,12 +187,12 @@
 TEST(ModelChecker, FindsALeaseThatOutlivesTheLeadership) {
   InjectedFaults faults;
   faults.leaseOutlivesStepDown = true;
-  auto world = led(faults);
+  auto world = worldWithLeader(faults);
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
   world.budgets.maxInFlight = 6;
-  expectFound("a lease that outlives the leadership", search(world, {kStatesToFind, 0}),
-              "a lease whose owner lacks what is committed");
+  expectViolation("a lease that outlives the leadership", search(world, {kStatesToFind, 0}),
+                  "a lease whose owner lacks what is committed");
 }
 // From the moment at which a vote is on its way and not on the disk: the voter is killed, and the candidate stands
 // still from then on.
@@ -210,5 +210,6 @@
   world.budgets.timeSteps = 5;
   world.budgets.maxInFlight = 5;
   world.budgets.maxTerms = 1;
-  expectFound("a vote sent before its sync", search(world, {kStatesToFind, 0}), "two votes of one member in a term");
+  expectViolation("a vote sent before its sync", search(world, {kStatesToFind, 0}),
+                  "two votes of one member in a term");
 }
--- a/tests/model_invariants.cpp
+++ b/tests/model_invariants.cpp
@@ -108,7 +108,7 @@
 }
 }  // namespace
 
-std::string brokenInvariant(const World& world) {
+std::string violatedInvariant(const World& world) {
   if (!world.violation.empty())
     return world.violation;
   for (const auto check : {checkLeases, checkLeaders, checkLogs, checkConfigs}) {
@@ -118,10 +118,10 @@
   }
   return {};
 }
-std::string brokenAfterRecovery(World world) {
-  world.healAll();
+std::string violationAfterRecovery(World world) {
+  world.endAllFaults();
   world.runFairly(kRecoveryTime);
-  auto violated = brokenInvariant(world);
+  auto violated = violatedInvariant(world);
   if (!violated.empty())
     return violated;
   const auto leader = world.leaderWithLease();
@@ -134,6 +134,6 @@
   if (world.machines[leader]->raft && world.machines[leader]->raft->commitIndex() <= before)
     return "no write commits after recovery";
   const auto tolerance = checkTolerance(world, leader);
-  return tolerance.empty() ? brokenInvariant(world) : tolerance;
+  return tolerance.empty() ? violatedInvariant(world) : tolerance;
 }
 }  // namespace zinccleat::model
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -22,7 +22,7 @@
     ids.push_back(identityOf(kAddresses[machine], 0));
   return ids;
 }
-std::uint64_t mix(std::uint64_t hash, const std::string& text) {
+std::uint64_t combineHash(std::uint64_t hash, const std::string& text) {
   return hash64(text, hash);
 }
 // What a restart would make of a disk.
@@ -494,7 +494,7 @@
   for (const auto& machine : machines)
     hash = hash * 0x9E3779B97F4A7C15ULL + machine->hash(now);
   for (const auto& message : inFlight)
-    hash = mix(hash, message->bytes);
+    hash = combineHash(hash, message->bytes);
   std::string rest = std::to_string(ticked) + "," + std::to_string(cutMachine) + "," + std::to_string(cut.size());
   for (const auto& [sender, receiver] : cut)
     rest += std::to_string(sender) + std::to_string(receiver);
@@ -510,9 +510,9 @@
     rest += key.first + std::to_string(key.second) + candidate;
   for (const auto& lost : history->lostIdentities)
     rest += lost;
-  return mix(hash, rest);
+  return combineHash(hash, rest);
 }
-void World::healAll() {
+void World::endAllFaults() {
   budgets = Budgets{};
   budgets.maxInFlight = 1000;
   cut.clear();
--- a/tests/model_world.hpp
+++ b/tests/model_world.hpp
@@ -116,7 +116,7 @@
   std::string describe(const Action& action) const;
   std::uint64_t hash() const;
   /// Ends all faults; then, with `runFairly`, everything that can happen does, in a fixed order, for so long.
-  void healAll();
+  void endAllFaults();
   void runFairly(Duration duration);
   /// The member that leads with a valid lease; `kMachines`: none.
   std::size_t leaderWithLease() const;
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -15,8 +15,8 @@
 using namespace zinccleat::storage;
 using namespace zinccleat::transport;
 
-constexpr Duration kUsualSyncTime{4};
-constexpr int kUsualMaxDelayMs = 3;
+constexpr Duration kDefaultSyncTime{4};
+constexpr int kDefaultMaxDelayMs = 3;
 
 class SimulatedCluster {
  public:
@@ -31,7 +31,7 @@
     std::vector<std::string> disk;  ///< encoded records that a sync has covered
     int incarnation = 0;            ///< rises with each start and end of the process
     bool up = false, paused = false, diskFull = false;
-    Duration syncTime = kUsualSyncTime;
+    Duration syncTime = kDefaultSyncTime;
     std::deque<PendingRecord> pendingRecords;  ///< handed to the disk, not synced
     std::int64_t lastApplied = 0;
   };
@@ -44,7 +44,7 @@
   std::map<std::string, Node> nodes;  ///< by IP
   std::set<Link> cutLinks;
   double lossRate = 0.0;
-  int maxDelayMs = kUsualMaxDelayMs;
+  int maxDelayMs = kDefaultMaxDelayMs;
   RaftOptions options;
   std::size_t toleratedLosses = 1;  ///< machines that may be lost at once with their disks
 
@@ -54,7 +54,7 @@
   std::map<std::string, std::int64_t> acknowledged;                  ///< operation id -> index when acknowledged
   std::vector<std::string> violations;
   int operationCount = 0;
-  int healthyDraws = 0;  ///< how often everything was healthy when the next trouble was drawn
+  int faultsDrawnWhileHealthy = 0;  ///< how often everything was healthy when the next trouble was drawn
 
   explicit SimulatedCluster(std::uint64_t clusterSeed) : random(clusterSeed), seed(clusterSeed) {}
   virtual ~SimulatedCluster() = default;
--- a/tests/slow_disk_test.cpp
+++ b/tests/slow_disk_test.cpp
@@ -90,7 +90,7 @@
   return id;
 }
 /// Plays a case, with a write at some machine every 200 ms.
-Observed play(const SlowDisks& disks, std::uint64_t seed) {
+Observed runCase(const SlowDisks& disks, std::uint64_t seed) {
   constexpr Duration kStep{20};
   constexpr int kStepsPerWrite = 10;
   SimulatedCluster cluster(seed);
@@ -135,7 +135,7 @@
   for (const auto& disks : kCases)
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
       SCOPED_TRACE(testing::Message() << disks.name << ", seed " << seed);
-      const auto observed = play(disks, seed);
+      const auto observed = runCase(disks, seed);
       EXPECT_LE(observed.longestWithoutLeader, disks.leaderBound);
       EXPECT_LE(observed.newTerms, disks.termBound);
       EXPECT_LE(observed.ninetiethPercentile(), disks.writeBound);
