--- a/libs/consensus/include/consensus/messages.hpp
+++ b/libs/consensus/include/consensus/messages.hpp
@@ -1,18 +1,19 @@
-/// The messages between members of the replicated log, one type for each kind. The sender's identity travels beside
-/// the message, in the frame. The names in the `fields` lists are the serializer's: they stay when a member is renamed.
+/// The messages between members of the replicated log. The frame around a message carries the identity of the sender.
+/// The quoted names in the `fields` lists are part of the wire format: a quoted name stays when its member is renamed.
 #pragma once
 #include <variant>
 
 #include "consensus/cluster_config.hpp"
 #include "transport/messages.hpp"
 namespace zinccleat::consensus {
-/// Raft's RequestVote: a candidate requests a vote, or (pre-vote) asks whether it would get one.
+/// Raft's RequestVote: a candidate requests a vote. With `preVote`, it asks whether the receiver would vote for it.
 struct VoteRequest {
-  std::int64_t term = 0;  ///< the candidate's term; in a pre-vote the one that it would enter
+  std::int64_t term = 0;  ///< the candidate's term; in a pre-vote the term that the candidate would enter
   bool preVote = false;
-  /// The leader of this term has given up its lease and told the candidate to stand; 0: no transfer.
+  /// The leader of this term has given up its lease and transferred the leadership to the candidate; 0: no transfer.
   std::int64_t transferredTerm = 0;
-  /// The candidate led this term before its process restarted, so that term's lease is void; 0: it did not.
+  /// The candidate was the leader of this term before its process restarted, so the lease of this term is void; 0: the
+  /// candidate was not the leader of the term before `term`.
   std::int64_t endedLeaseTerm = 0;
   std::int64_t lastLogIndex = 0, lastLogTerm = 0;  ///< the last entry of the candidate's log
   template <class V>
@@ -21,30 +22,31 @@
     v("endedLeaseTerm", endedLeaseTerm), v("lastLogIndex", lastLogIndex), v("lastTerm", lastLogTerm);
   }
 };
-/// A vote granted. A refusal is not answered.
+/// A granted vote. A member that refuses its vote sends no response.
 struct VoteResponse {
-  std::int64_t term = 0;  ///< the request's
+  std::int64_t term = 0;  ///< the term of the request
   bool preVote = false;
   template <class V>
   void fields(V& v) {
     v("term", term), v("preVote", preVote);
   }
 };
-/// What later versions have added to AppendEntries.
+/// The fields that later versions of the program have added to AppendEntries.
 struct AppendEntriesExtension {
-  std::int64_t leaseMs = 0;  ///< how long the promise of the leader's lease is to last; 0: `RaftOptions::maxLease`
+  std::int64_t leaseMs = 0;  ///< duration of the lease promise that the leader asks for; 0: `RaftOptions::maxLease`
   bool empty() const { return leaseMs == 0; }
   template <class V>
   void fields(V& v) {
     v("leaseMs", leaseMs);
   }
 };
-/// Entries after `prevLogIndex`, or none: a heartbeat. Whoever accepts it promises the leader its lease.
+/// The entries after `prevLogIndex`; a heartbeat has none. A member that accepts the message promises the leader a
+/// lease: not to help elect another leader while the lease lasts.
 struct AppendEntries {
   std::int64_t term = 0;
-  std::int64_t prevLogIndex = 0, prevLogTerm = 0;  ///< the entry before the first one here
-  std::int64_t commitIndex = 0;                    ///< the leader's
-  std::int64_t heartbeatId = 0;                    ///< echoed in the answer: tells the leader which one was answered
+  std::int64_t prevLogIndex = 0, prevLogTerm = 0;  ///< the log entry before the first of `entries`
+  std::int64_t commitIndex = 0;                    ///< the commit index of the leader
+  std::int64_t heartbeatId = 0;                    ///< echoed in the response to identify the answered message
   bool leaderHasLease = false;
   std::vector<transport::LogEntry> entries;
   AppendEntriesExtension extension;
@@ -55,13 +57,14 @@
     v("entries", entries);
   }
 };
-/// The answer to AppendEntries and InstallSnapshot, also sent when a sync completes, and to any message of an older
-/// term.
+/// The response to AppendEntries and InstallSnapshot. It is also sent when a sync completes, and as the response to a
+/// message of an older term.
 struct AppendEntriesResponse {
   std::int64_t term = 0;
-  std::int64_t heartbeatId = 0;  ///< of the message answered; 0: none
-  /// Up to here the log equals the leader's and is on the disk. With `mismatch`: send what comes after this index;
-  /// below 0 the sender has no configuration yet and needs a snapshot.
+  std::int64_t heartbeatId = 0;  ///< the `heartbeatId` of the AppendEntries that is answered; 0: none
+  /// The sender's log equals the leader's up to this index, and that part is on the sender's disk. With `mismatch`:
+  /// the leader is to send the entries after this index; a negative value means that the sender has no configuration
+  /// yet and needs a snapshot.
   std::int64_t matchIndex = 0;
   bool mismatch = false;
   template <class V>
@@ -69,20 +72,20 @@
     v("term", term), v("heartbeatId", heartbeatId), v("matchIndex", matchIndex), v("mismatch", mismatch);
   }
 };
-/// A snapshot in place of entries that the leader no longer has.
+/// Raft's InstallSnapshot: replaces entries that the leader's log no longer contains.
 struct InstallSnapshot {
   std::int64_t term = 0;
   std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0;  ///< the last entry that the snapshot covers
   std::string config;                                        ///< see `encodeConfig`
   std::string state;
-  std::int64_t commitIndex = 0;  ///< not read any more; kept for the wire format
+  std::int64_t commitIndex = 0;  ///< ignored by receivers; part of the wire format
   template <class V>
   void fields(V& v) {
     v("term", term), v("lastLogIndex", lastIncludedIndex), v("lastTerm", lastIncludedTerm), v("config", config);
     v("state", state), v("commitIndex", commitIndex);
   }
 };
-/// The leader of `term` has given up its lease: the receiver stands for election at once.
+/// Raft's TimeoutNow: the leader of `term` has given up its lease, and the receiver starts an election at once.
 struct TransferLeadership {
   std::int64_t term = 0;
   template <class V>
@@ -90,35 +93,37 @@
     v("term", term);
   }
 };
-/// A member asks to receive the log. A follower forwards it once to the leader, if it knows one.
+/// A member asks to receive the log. A follower that knows the leader forwards the request to the leader; a forwarded
+/// request is not forwarded again.
 struct JoinRequest {
-  std::string member;      ///< who wants to join
-  bool forwarded = false;  ///< sent by a follower in its place
+  std::string member;      ///< the member that wants to join
+  bool forwarded = false;  ///< a follower sent this request on behalf of `member`
   template <class V>
   void fields(V& v) {
     v("member", member), v("forwarded", forwarded);
   }
 };
-/// A member is about to exit for good or for a restart, and asks whether the others can do without it.
+/// A member that is about to exit, permanently or for a restart, asks the leader whether the exit is safe.
 struct LeaveRequest {
   std::int64_t term = 0;
-  std::int64_t requestId = 0;  ///< drawn for each leave, so that the answer to an earlier process does not count
+  std::int64_t requestId = 0;  ///< random for each leave: a response to an earlier process has another id
   template <class V>
   void fields(V& v) {
     v("term", term), v("requestId", requestId);
   }
 };
-/// The member may exit: it is out of the committed configuration or the change would help nobody, and a majority
-/// without it has on disk all that is committed. A refusal is not answered.
+/// Allows the member to exit. Either the member is out of the committed configuration, or removing it would improve
+/// nothing and a majority without it has all committed entries on disk. A leader that refuses sends no response.
 struct LeaveResponse {
   std::int64_t term = 0;
-  std::int64_t requestId = 0;  ///< the request's
+  std::int64_t requestId = 0;  ///< the `requestId` of the request
   template <class V>
   void fields(V& v) {
     v("term", term), v("requestId", requestId);
   }
 };
-/// The body of a large write, sent ahead by the node that accepted it; entries then name its digest only.
+/// The body of a large write, which the node that accepted the write sends ahead of the log entry. The entry then
+/// contains only the digest of the body.
 struct EntryBody {
   std::string digest, body;
   template <class V>
@@ -126,12 +131,13 @@
     v("digest", digest), v("body", body);
   }
 };
-/// Any of them. The order is the wire's: a message's index here is its type.
+/// Any consensus message. The order is part of the wire format: the index of an alternative is its type byte.
 using ConsensusMessage = std::variant<VoteRequest, VoteResponse, AppendEntries, AppendEntriesResponse, InstallSnapshot,
                                       TransferLeadership, JoinRequest, LeaveRequest, LeaveResponse, EntryBody>;
 
-/// One byte for the type, then the Avro record.
+/// Encodes a message as one type byte followed by the Avro record.
 std::string encodeMessage(const ConsensusMessage& message);
+/// Decodes the result of `encodeMessage`.
 /// @return `ErrorCode::corruption` for an unknown type or a record that does not parse.
 Result<ConsensusMessage> decodeMessage(std::string_view bytes);
 }  // namespace zinccleat::consensus
--- a/libs/consensus/include/consensus/raft_node.hpp
+++ b/libs/consensus/include/consensus/raft_node.hpp
@@ -1,52 +1,54 @@
-/// One member of the replicated log as a pure state machine: events in, actions out, the clock passed in. It touches
-/// no socket, no file and no clock. Design, invariants and what differs from published Raft: docs/consensus.md.
+/// One member of the replicated log as a pure state machine: the caller passes in events and the time, and carries out
+/// the actions that come out. The state machine uses no sockets, files or clocks. docs/consensus.md describes the
+/// design, the invariants and the differences from published Raft.
 ///
-/// A caller feeds it events (`tick`, `receive`, `submit`, `persisted`, ...) and after each one carries out what
-/// `takeActions` returns, in order. All times are the steady clock's.
+/// After each event (`tick`, `receive`, `submit`, `persisted`, ...) the caller carries out the actions that
+/// `takeActions` returns, in order. All time points are of the steady clock.
 #pragma once
 #include "consensus/disk_record.hpp"
 #include "consensus/messages.hpp"
 namespace zinccleat::consensus {
-/// A learner receives the log without a vote; it becomes a follower once the configuration names it a voter.
+/// A learner receives the log but has no vote. It becomes a follower once the configuration lists it as a voter.
 enum class Role { learner, follower, candidate, leader };
-/// The role as reports and log lines have it.
+/// The name of a role in reports and log lines.
 std::string_view nameOf(Role role);
 
-/// Faults that a test injects to show that its checks would find them. Never set outside of tests.
+/// Faults that tests inject to verify that their checks detect them. Never set outside tests.
 struct InjectedFaults {
   bool commitWithoutMajority = false;
   bool voteBeforeSync = false;
   bool leaseOutlivesStepDown = false;
-  bool skipJointConfig = false;  ///< a change of voters skips the joint configuration
-  /// A newcomer only replaces an unreachable voter or is added; an unreachable voter is never removed.
+  bool skipJointConfig = false;  ///< a change of voters goes directly to the new configuration
+  /// A new member replaces an unreachable voter or is added to the voters; no voter is removed without a replacement.
   bool voterSetNeverShrinks = false;
 };
-/// Timers and limits; equal on all members of a cluster.
+/// Timers and limits. The values are equal on all members of a cluster.
 struct RaftOptions {
-  Duration heartbeatInterval{90};  ///< at the second tick, as ticks go
-  Duration lease{400};             ///< as a leader: followers are asked to elect nobody else for so long
-  Duration maxLease{500};          ///< that a leader of any version asks for; those before the extension name none
-  Duration leaseMargin{67};        ///< the leader stops relying on the promise so much sooner: a sixth
-  Duration electionTimeout{430};   ///< longer than the lease
+  Duration heartbeatInterval{90};  ///< less than two ticks, so a heartbeat is sent at every second tick
+  Duration lease{400};             ///< how long the leader asks followers not to help elect another leader
+  Duration maxLease{500};         ///< longest lease of a leader of any version; assumed if AppendEntries names no lease
+  Duration leaseMargin{67};       ///< the leader's lease ends this much earlier than the promise, a sixth of `lease`
+  Duration electionTimeout{430};  ///< longer than the lease
   Duration electionTimeoutSpread{200};
   Duration tickInterval{50};           ///< how often `tick` is called
-  Duration syncStallTimeout{700};      ///< a leader with a sync this old hands over if a quorum syncs much faster
-  Duration unreachableAfter{2500};     ///< a voter not heard for so long may be replaced or removed
-  Duration voteRetryInterval{100};     ///< between two pre-vote requests without a majority
-  Duration resendTimeout{400};         ///< entries without an acknowledgement are sent again
+  Duration syncStallTimeout{700};      ///< a leader whose sync takes longer steps down if a quorum syncs much faster
+  Duration unreachableAfter{2500};     ///< a voter that is silent for longer may be replaced or removed
+  Duration voteRetryInterval{100};     ///< between two pre-vote requests while a majority is missing
+  Duration resendTimeout{400};         ///< unacknowledged entries are sent again after this time
   Duration joinInterval{500};          ///< between two join requests
   Duration leaveInterval{100};         ///< between two leave requests
-  Duration persistRetryInterval{300};  ///< a record that the disk refused is handed to it again
+  Duration persistRetryInterval{300};  ///< delay before a record that the disk failed to write is written again
   std::size_t largeBodyBytes = 16384;  ///< larger bodies are sent ahead by the node that accepted the write
-  std::size_t maxVoters = 9;           ///< further machines stay learners: each write would wait for more syncs
-  /// Whether the applied state could be restored from a snapshot's text; a snapshot that fails it is not installed.
+  std::size_t maxVoters = 9;  ///< further machines stay learners, since each write waits for the syncs of a majority
+  /// Whether the applied state can be restored from the state text of a snapshot. A snapshot for which this function
+  /// returns false is not installed.
   std::function<bool(const std::string&)> snapshotIsValid;
   InjectedFaults faults;
 };
 
-/// Send a message. Losing it is allowed.
+/// Send a message. The network may lose the message.
 struct SendMessage {
-  MemberId to;  ///< or an address alone, for a join request
+  MemberId to;  ///< for a join request, an address without a nonce
   ConsensusMessage message;
 };
 /// Write the record to the disk, after all earlier ones, then call `persisted` with the ticket.
@@ -54,70 +56,75 @@
   std::int64_t ticket = 0;
   DiskRecord record;
 };
-/// Apply a committed entry. Entries come in the order of their indexes, each once in a process, after the snapshot
-/// below them.
+/// Apply a committed entry. Entries follow the snapshot below them in the order of their indexes, and each entry is
+/// applied once per process.
 struct ApplyEntry {
   transport::LogEntry entry;
 };
-/// Replace the applied state by a snapshot's.
+/// Replace the applied state by the state of a snapshot.
 struct RestoreSnapshot {
   std::int64_t index = 0, term = 0;  ///< the last entry that the state covers
   std::string state;
 };
-/// What a caller has to do after an event.
+/// An action that the caller carries out after an event.
 using RaftAction = std::variant<SendMessage, PersistRecord, ApplyEntry, RestoreSnapshot>;
 
 struct RaftCore;
 
-/// A value: a copy behaves like the original from then on.
+/// Copyable: a copy behaves like the original when it receives the same events.
 class RaftNode {
  public:
   /// @param self this disk's identity.
-  /// @param seed of the election jitter.
+  /// @param seed the random seed of the election jitter.
   RaftNode(MemberId self, RaftOptions options, std::uint64_t seed, TimePoint now);
   ~RaftNode();
   RaftNode(const RaftNode& other);
   RaftNode& operator=(const RaftNode& other);
 
-  // A node starts with exactly one of `bootstrap` and `recover`, or with neither on an empty disk: as a learner.
+  // Call `bootstrap` or `recover` at most once, after construction. A node with an empty disk that joins an existing
+  // cluster calls neither and starts as a learner.
 
-  /// The first start of the whole cluster: the founders are its voters.
+  /// Starts a new cluster, whose first voters are the founders.
   void bootstrap(const std::vector<MemberId>& founders, TimePoint now);
-  /// A restart.
-  /// @param records what the disk held, from a full record on, in the order in which it was written.
+  /// Restores the state after a restart.
+  /// @param records the records on the disk in the order of their sequence numbers, starting with a full record or with
+  ///        record 1.
   void recover(const std::vector<DiskRecord>& records, TimePoint now);
-  /// Sets the addresses to send join requests to, besides those of the known voters.
+  /// Sets the addresses that receive join requests in addition to the known voters.
   void setSeedAddresses(std::vector<std::string> addresses);
 
-  /// Timers; to be called every `RaftOptions::tickInterval`.
+  /// Runs the timers. The caller must call it every `RaftOptions::tickInterval`.
   void tick(TimePoint now);
   void receive(TimePoint now, const MemberId& from, ConsensusMessage message);
-  /// Appends a write.
-  /// @return false if this member is not the leader or does not have the write's large body.
+  /// Appends a write to the log.
+  /// @return false if this member is not the leader, or if the entry lacks its large body and the body has not arrived.
   bool submit(TimePoint now, transport::LogEntry entry);
-  /// The disk has synced a record, or has refused it; a refused record will be handed over again.
+  /// Reports that the disk has synced a record or failed to write it. A failed record is written again later.
+  /// @param ticket of the `PersistRecord` action.
+  /// @param synced whether the record is durable.
   void persisted(TimePoint now, std::int64_t ticket, bool synced);
-  /// Log compaction: replaces the log up to `index`, which must be applied, by the state at that index.
+  /// Log compaction: replaces the log up to `index`, which must be applied, by the applied state at that index.
   void compact(std::int64_t index, std::string state, TimePoint now);
-  /// Gives the leadership away, if there is a member to take it.
+  /// Transfers the leadership to another member. Does nothing if this member is not the leader or has no successor.
   void transferLeadership(TimePoint now);
-  /// Starts to leave: hands the leadership over and asks the leader until `mayExit`.
+  /// Starts a graceful exit: transfers the leadership and sends leave requests to the leader until `mayExit`.
   void leave(TimePoint now);
-  /// Removes and returns the actions that are due, to be carried out in this order.
+  /// Removes and returns the pending actions, in the order in which they must be carried out.
   std::vector<RaftAction> takeActions();
 
   Role role() const;
   std::int64_t term() const;
-  /// The leader of the current term; empty: unknown.
+  /// The leader of the current term; empty if unknown.
   MemberId leader() const;
   std::int64_t commitIndex() const;
-  /// The oldest entry still in the log.
+  /// The index of the first entry after the snapshot.
   std::int64_t firstIndex() const;
   /// Whether this member is the leader, holds a valid lease and has committed an entry of its own term.
   bool hasLease(TimePoint now) const;
-  /// Whether a majority has been in touch within the lease: the leader by its own lease, others by their leader's.
+  /// Whether a majority of the voters was in contact within the lease. A leader reports its own lease, any other member
+  /// the lease state that its leader sent last.
   bool inContactWithMajority(TimePoint now) const;
-  /// Whether the others can do without this member, after `leave`.
+  /// Whether this member may exit. Always false before `leave`.
   bool mayExit() const;
   /// The newest configuration in the log, committed or not.
   const ClusterConfig& config() const;
@@ -125,15 +132,17 @@
   std::vector<MemberId> voters() const;
   /// @return null if the entry is not in the log.
   const transport::LogEntry* entryAt(std::int64_t index) const;
-  /// Whether the disk has refused a record or has not answered for `RaftOptions::syncStallTimeout`.
+  /// Whether the disk failed to write the oldest pending record, or has not completed it within
+  /// `RaftOptions::syncStallTimeout`.
   bool diskStalled() const;
-  /// How long the newest sync took, to one or two ticks; 0: less than that, or none yet.
+  /// The duration of the newest sync, with a resolution of one or two ticks; 0 if shorter or if there was no sync yet.
   Duration lastSyncTime() const;
   const MemberId& self() const;
-  /// How many snapshots could not be installed, see `RaftOptions::snapshotIsValid`.
+  /// The number of snapshots that were not installed, because they had no configuration or failed
+  /// `RaftOptions::snapshotIsValid`.
   std::int64_t rejectedSnapshotCount() const;
-  /// All that decides the further behaviour of this member, with times relative to `now`: equal texts behave alike. For
-  /// tests.
+  /// A text of all state that affects the further behaviour of this member, with times relative to `now`. Two members
+  /// with equal fingerprints behave alike. For tests.
   std::string fingerprint(TimePoint now) const;
 
  private:
--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -1,9 +1,9 @@
-// Elections: pre-vote, votes that are on the disk before they are sent, lease promises that bind voters, and
-// leadership transfer to this member.
+// Elections: pre-votes, votes, which are durable before they are sent, lease promises, which prevent voters from
+// voting, and the receiving side of a leadership transfer.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
-// Looks at this member's own timers only; that a leader's lease still binds the others is theirs to say
+// Checks only this member's own timers. Each voter checks by itself whether a lease that it promised forbids a vote
 // (`leaseForbidsVote`).
 void RaftCore::tickElection(TimePoint now) {
   const bool awaitingPreVotes = role == Role::candidate && election.preVoting;
@@ -15,13 +15,13 @@
   if (now >= election.timeoutAt && now >= election.suppressedUntil && !awaitingOwnVoteRecord())
     startPreVote(now);
 }
-// While its vote is on the way to the disk a member has not been able to say it to anybody: to give that election up
-// for the next one, on every member in turn, would leave a cluster of slow disks without a leader for ever.
+// A vote is sent only after its record is synced. If members started the next election before that, a cluster with slow
+// disks would never elect a leader: each election would be abandoned before its votes were sent.
 bool RaftCore::awaitingOwnVoteRecord() const {
   return persistence.isPending(election.voteTicket);
 }
-// Finds out whether an election would be won, without entering a new term: a member that was cut off from the others
-// disturbs no leader when it comes back.
+// Asks whether an election would succeed, without entering a new term. A member that returns from a network partition
+// therefore does not force the current leader to step down.
 void RaftCore::startPreVote(TimePoint now) {
   resetElectionTimer(now);
   if (!isVoter() || diskMakesNoProgress())
@@ -39,9 +39,9 @@
   const bool transferred = std::exchange(election.transferAccepted, false);
   if (!isVoter() || diskMakesNoProgress())
     return;
-  // The requests claim the log as it is. Where all of it is on the disk they need not wait for the vote's record: a
-  // member that forgets its candidacy in a restart has promised nothing to anybody, and it leads only once its own vote
-  // is on the disk (`advanceElection`).
+  // The vote requests state the last entry of the log, so the log must be durable before they are sent. If it is, the
+  // requests do not wait for the record of this member's own vote: a candidate that forgets its candidacy in a restart
+  // has made no promise, and it becomes leader only once its own vote is durable (`advanceElection`).
   const bool logIsPersisted = log.persistedIndex() >= log.lastLogIndex();
   election.transferredTerm = transferred ? term.current : 0;
   election.preVoting = false;
@@ -49,7 +49,7 @@
   term.votedFor = self;
   follower.leader.clear();
   follower.matchIndex = 0;
-  election.votes.clear();  // its own vote counts once it is on the disk
+  election.votes.clear();  // this member's own vote is added once its record is synced
   setRole(Role::candidate);
   term.ticket = persist(0, {});
   election.ownVoteTicket = term.ticket;
@@ -75,7 +75,7 @@
   const auto hasQuorumOf = [this](const std::set<MemberId>& votes) {
     return log.config().hasQuorum([&](const MemberId& voter) { return votes.contains(voter); });
   };
-  // A member that leads has its term on its disk.
+  // The own vote is required, so the term of a leader is always on the leader's disk.
   if (election.votes.contains(self) && hasQuorumOf(election.votes))
     return becomeLeader(now);
   if (election.preVoting && hasQuorumOf(election.preVotes))
@@ -90,7 +90,8 @@
   for (const auto& voter : log.config().allVoters())
     if (voter != self)
       trackPeer(now, voter);
-  // An entry of its own term: once it is committed, all entries of earlier terms are.
+  // Entries of earlier terms are committed only together with an entry of the leader's own term. The no-op entry is
+  // such an entry.
   transport::LogEntry noOp;
   noOp.kind = static_cast<std::int32_t>(transport::OperationKind::noOp);
   noOp.body = self;
@@ -102,29 +103,30 @@
     return leaseValid(now);
   if (now >= follower.leasePromisedUntil)
     return false;
-  // A lease that was given up by a leadership transfer binds nobody.
+  // The leader gave up this lease when it transferred the leadership.
   if (request.transferredTerm > 0 && request.transferredTerm >= term.current)
     return false;
-  // Nor does the lease of a candidate that led this very term and has restarted: it has no memory of that lease. Safe,
-  // since a promise to a later leader is sent only once that later term is on the disk (`acknowledge`); then the terms
-  // differ.
+  // The lease is void if the candidate was the leader of the current term and has restarted, since a restart ends the
+  // lease. A promise to a leader of a later term cannot be void by mistake: it is sent only once that later term is on
+  // this member's disk (`acknowledge`), and then `term.current` differs from `endedLeaseTerm`.
   return !(request.endedLeaseTerm > 0 && request.endedLeaseTerm == term.current);
 }
 void RaftCore::onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
   if (request.term <= term.current)
     return sendCurrentTerm(from);
-  // A vote that is on its way to the disk may still decide its election: until the candidate has heard of it, nobody
-  // else should make that election void. On slow disks no term would be won otherwise.
+  // A vote whose record is not synced yet may still decide the current election. A new term would make that election
+  // void before the vote is sent, so no pre-vote is granted meanwhile. Otherwise no election would succeed on slow
+  // disks.
   if (leaseForbidsVote(now, request) || awaitingOwnVoteRecord())
     return;
   if (log.isUpToDate(request.lastLogTerm, request.lastLogIndex))
     send(from, VoteResponse{request.term, true});
 }
-// A vote does not depend on what this member's configuration says of the candidate or of itself: that configuration
-// may be the older one, and only the candidate's decides whose votes count.
+// A vote does not depend on whether this member's configuration lists the candidate or this member as a voter: that
+// configuration may be outdated. The candidate's configuration decides whose votes count.
 void RaftCore::onVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
   if (role == Role::leader && !log.config().isVoter(from))
-    trackPeer(now, from);  // a removed member that has not learned of its removal
+    trackPeer(now, from);  // a former voter that does not know of its removal yet
   if (request.preVote)
     return onPreVoteRequest(now, from, request);
   if (request.term < term.current)
@@ -145,7 +147,8 @@
   }
   election.voteTicket = persistence.newestTicket();
   resetElectionTimer(now);
-  // The vote is on the disk before it is sent: a restart must not cast it again for another candidate.
+  // The vote must be durable before it is sent: otherwise this member could restart and vote for another candidate in
+  // the same term.
   const auto after = options.faults.voteBeforeSync ? 0 : persistence.newestTicket();
   send(candidate, VoteResponse{term.current, false}, after);
 }
--- a/libs/consensus/src/entry_queue.cpp
+++ b/libs/consensus/src/entry_queue.cpp
@@ -9,7 +9,7 @@
   if (entry.index <= applied_)
     return;
   const auto [queued, added] = queued_.try_emplace(entry.index, entry);
-  // An entry with its body can be applied, one without it cannot.
+  // An entry can be applied only with its body, so a complete copy replaces one without a body.
   if (!added && queued->second.omitted && !entry.omitted)
     queued->second = std::move(entry);
 }
--- a/libs/consensus/src/fingerprint.cpp
+++ b/libs/consensus/src/fingerprint.cpp
@@ -1,10 +1,11 @@
-// The fingerprint of a member: a text of all that decides its further behaviour. The model checker treats two states as
-// one if their fingerprints are equal, so each field of `RaftCore` that a transition reads belongs here.
+// The fingerprint of a member: a text of all state that affects its further behaviour. The model checker treats two
+// states with equal fingerprints as the same state, so the fingerprint must include each field of `RaftCore` that a
+// transition reads.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr Duration kMaxRelevantAge{6000};  // beyond this, how long ago something was makes no difference
+constexpr Duration kMaxRelevantAge{6000};  // ages above this limit have the same effect, so they are written alike
 
 class FingerprintWriter {
  public:
@@ -19,12 +20,12 @@
     text_ += ',';
     return *this;
   }
-  // Relative to the present.
+  // Writes a time relative to the present.
   FingerprintWriter& operator()(TimePoint at) {
     const auto relative = at == TimePoint{} ? -kMaxRelevantAge : std::max(-kMaxRelevantAge, toDuration(at - now_));
     return (*this)(static_cast<std::int64_t>(relative.count()));
   }
-  // A time that makes no difference once it has passed.
+  // Writes a time that has no effect any more once it has passed.
   FingerprintWriter& deadline(TimePoint at) { return (*this)(std::max(at, now_)); }
   std::string text() { return std::move(text_); }
 
@@ -46,12 +47,12 @@
 void writeLeading(FingerprintWriter& writer, const LeaderState& leading) {
   for (const auto& [peer, progress] : leading.peers)
     writePeer(writer, peer, progress);
-  writer(leading.heartbeatId);  // absolute: answers in flight name a heartbeat by its id
+  writer(leading.heartbeatId);  // absolute, because responses in flight contain heartbeat ids
   for (const auto& [id, sentAt] : leading.heartbeatSentAt)
     writer(id)(sentAt);
   writer(leading.firstIndexOfTerm)(leading.lastHeartbeatAt)(leading.lastQuorumAt)(leading.commitAheadOfDiskSince);
 }
-// Tickets relative to the newest one: their absolute values make no difference.
+// Writes tickets relative to the newest ticket, since the absolute values of tickets affect nothing.
 void writePersistence(FingerprintWriter& writer, const RaftCore& core) {
   const auto newest = core.persistence.newestTicket();
   writer(static_cast<std::int64_t>(core.syncAllowance().count()));
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -1,10 +1,10 @@
-// The follower: entries and snapshots of a leader, and the promise of its lease.
+// The follower: accepts entries and snapshots from a leader and promises the leader its lease.
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-// The matchIndex that asks for a snapshot: the sender has no configuration yet.
+// The matchIndex of a mismatch response that requests a snapshot, since this member has no configuration yet.
 constexpr std::int64_t kNeedsSnapshot = -1;
 }  // namespace
 
@@ -27,7 +27,8 @@
   const Duration asked(message.extension.leaseMs);
   return asked > Duration(0) && asked < options.maxLease ? asked : options.maxLease;
 }
-// The answer is a promise to this leader which a restart must not forget: callers wait for the term's record.
+// The response promises the leader its lease in this term. A restart must not forget that term, so callers pass the
+// ticket of the record that contains the term as `after`.
 void RaftCore::acknowledge(std::int64_t heartbeatId, PersistTicket after) {
   if (follower.leader.empty())
     return;
@@ -54,8 +55,8 @@
     return rejectEntries(message, from, kNeedsSnapshot);
   skipBelowSnapshot(message);
   if (log.termAt(message.prevLogIndex) != message.prevLogTerm) {
-    // Beyond the end of this log: continue from its end. Another term there: continue from what is committed and
-    // therefore equal.
+    // If this log is too short, the leader continues from its end. If the terms differ, the leader continues from the
+    // commit index: committed entries are equal on all members.
     const bool beyondEnd = message.prevLogIndex > log.lastLogIndex();
     return rejectEntries(message, from, beyondEnd ? log.lastLogIndex() : log.commitIndex());
   }
@@ -126,7 +127,8 @@
   }
   if (!followLeader(now, from, message.term, follower.leaderHadLease, options.maxLease))
     return;
-  // A log that agrees with the snapshot stays: entries above it may already count for a commit.
+  // A log that contains the last entry of the snapshot is kept: the leader may already have counted this member's copy
+  // of later entries towards a commit.
   const bool agrees = log.termAt(message.lastIncludedIndex) == message.lastIncludedTerm;
   if (!log.isUninitialized() && (message.lastIncludedIndex <= log.commitIndex() || agrees)) {
     follower.matchIndex = std::max({follower.matchIndex, log.commitIndex(), message.lastIncludedIndex});
--- a/libs/consensus/src/follower_state.hpp
+++ b/libs/consensus/src/follower_state.hpp
@@ -1,14 +1,15 @@
-/// What a member keeps of the leader that it follows.
+/// The state of a member as the follower of a leader.
 #pragma once
 #include "consensus/cluster_config.hpp"
 namespace zinccleat::consensus {
-/// Invariants: `leader` and `matchIndex` belong to the current term and are cleared when a new one is entered.
-/// Until `leasePromisedUntil` this member helps nobody else into the leadership.
+/// Invariants: `leader` and `matchIndex` belong to the current term and are cleared when a new term is entered.
+/// Until `leasePromisedUntil` this member grants no vote or pre-vote to another candidate, unless the lease is void
+/// (`RaftCore::leaseForbidsVote`).
 struct FollowerState {
-  MemberId leader;                 ///< the leader of the current term, also this member itself; empty: unknown
-  std::int64_t matchIndex = 0;     ///< up to here the log is known to equal the leader's
-  TimePoint leaderHeardAt{};       ///< the newest message of a leader
-  bool leaderHadLease = false;     ///< whether the leader held a valid lease when it sent that message
-  TimePoint leasePromisedUntil{};  ///< the end of the promise on which the leader's lease rests
+  MemberId leader;                 ///< the leader of the current term, possibly this member; empty: unknown
+  std::int64_t matchIndex = 0;     ///< the log is known to equal the leader's log up to this index
+  TimePoint leaderHeardAt{};       ///< when the newest message of a leader arrived
+  bool leaderHadLease = false;     ///< whether the leader had a valid lease when it sent its newest message
+  TimePoint leasePromisedUntil{};  ///< when this member's lease promise to the leader ends
 };
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/join_leave.cpp
+++ b/libs/consensus/src/join_leave.cpp
@@ -1,15 +1,15 @@
-// Joining and leaving: a member's own requests, and the leader's answers to those of others.
+// Joining and leaving: the requests that a member sends, and the leader's handling of requests from other members.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr int kLearnerJoinDelayHeartbeats = 4;      // a learner without a leader for so long asks again
-constexpr int kVoterJoinDelayElectionTimeouts = 3;  // so does a voter after so long
-constexpr int kLeaveRequestValidityIntervals = 10;  // how long one leave request counts
+constexpr int kLearnerJoinDelayHeartbeats = 4;      // a learner without a leader for longer sends a join request
+constexpr int kVoterJoinDelayElectionTimeouts = 3;  // a voter without a leader for longer sends a join request
+constexpr int kLeaveRequestValidityIntervals = 10;  // a member counts as leaving for this many times `leaveInterval`
 }  // namespace
 
-// A learner asks for the log. So does a voter without a leader for long: it may have been removed, and all members that
-// its configuration names may be gone.
+// A learner sends join requests to receive the log. A voter that has had no leader for a long time does the same: it
+// may have been removed from the voters, and all members in its configuration may no longer exist.
 void RaftCore::tickJoin(TimePoint now) {
   const auto joinDelay = role == Role::learner ? options.heartbeatInterval * kLearnerJoinDelayHeartbeats
                                                : options.electionTimeout * kVoterJoinDelayElectionTimeouts;
@@ -70,7 +70,7 @@
   progress.lastLeaveRequestAt = now;
   if (first) {
     progress.firstLeaveRequestAt = now;
-    sendHeartbeats(now);  // whose answers show which other disks are there: see `hasCommittedLog`
+    sendHeartbeats(now);  // `hasCommittedLog` counts only members that answer a heartbeat sent from now on
   }
   tickMembership(now);
   if (!canGrantLeave(now, from))
@@ -101,9 +101,10 @@
   }
   return holding >= std::min(majorityOf(voters.size()), others);
 }
-// A voter counts only if it has answered a heartbeat sent since the leaving member asked: one whose disk was lost a
-// moment ago, unknown here, answers under that identity no more. One that was itself allowed to exit counts again only
-// if it answers when it should have exited: then it was restarted.
+// A voter counts only if it has answered a heartbeat that was sent after the first leave request of the leaving member.
+// A voter whose disk was lost shortly before does not answer under its old identity any more, although the leader may
+// not have noticed the loss. A voter that was itself allowed to exit counts only if it answers a heartbeat that was
+// sent after the time by which it should have exited: it has then been restarted.
 bool RaftCore::hasCommittedLog(const MemberId& voter, const PeerProgress& leavingPeer) const {
   const auto* peer = leading.find(voter);
   if (!peer)
--- a/libs/consensus/src/leader.cpp
+++ b/libs/consensus/src/leader.cpp
@@ -1,11 +1,11 @@
-// The leader: writes, the commit rule, its lease, and giving the leadership away.
+// The leader: writes, the commit rule, the lease, and the sending side of a leadership transfer.
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr int kRecentlyHeardWithinHeartbeats = 4;  // a peer unheard for longer is not in contact
-constexpr int kSuppressedElectionTimeouts = 3;     // a leader that hands over starts no election for so long
+constexpr int kRecentlyHeardWithinHeartbeats = 4;  // a peer that is silent for longer is not in contact
+constexpr int kSuppressedElectionTimeouts = 3;     // after a transfer, a former leader starts no election for this long
 }  // namespace
 
 void RaftCore::tickLeader(TimePoint now) {
@@ -28,7 +28,7 @@
 bool RaftCore::submit(TimePoint now, transport::LogEntry entry) {
   if (role != Role::leader || !bodies.restoreBody(entry))
     return false;
-  // A retry of a write that is not committed yet is that write.
+  // An uncommitted write with the same operation id is the same write, sent again.
   for (auto index = log.commitIndex() + 1; index <= log.lastLogIndex(); ++index)
     if (log.at(index)->operationId == entry.operationId)
       return true;
@@ -58,8 +58,9 @@
   const bool mayLead = role == Role::leader || options.faults.leaseOutlivesStepDown;
   return mayLead && now < leaseEnd();
 }
-// Commits what a quorum has on disk, as far as it ends in an entry of the current term: an entry of an earlier term
-// counts only together with a later one of this term, since until then another leader could still replace it.
+// Commits all entries that a quorum has on disk, provided that the last of them is of the current term. An entry of an
+// earlier term is committed only together with a later entry of the current term; until then another leader could
+// still replace the earlier entry (Raft paper, section 5.4.2).
 void RaftCore::advanceCommit(TimePoint now) {
   auto index = leading.indexOnQuorum(log.config(), self, log.persistedIndex());
   if (options.faults.commitWithoutMajority)
@@ -67,10 +68,10 @@
   if (index <= log.commitIndex() || log.termAt(index) != term.current)
     return;
   commitUpTo(index);
-  sendHeartbeats(now);  // they carry the commit index, so that followers apply the entries at once
+  sendHeartbeats(now);  // heartbeats contain the commit index, so followers apply the entries at once
   const bool configCommitted = log.configIndex() <= log.commitIndex();
   if (configCommitted && !isVoter())
-    stepDown(now);  // removed from the voters while leading them
+    stepDown(now);  // the committed configuration has removed this leader from the voters
 }
 bool RaftCore::recentlyHeard(TimePoint now, const PeerProgress& progress) const {
   return now - progress.lastHeardAt < options.heartbeatInterval * kRecentlyHeardWithinHeartbeats;
@@ -104,7 +105,7 @@
   const auto successor = bestSuccessor(now);
   if (successor.empty())
     return;
-  stepDown(now);  // the lease ends here, before the successor may start one
+  stepDown(now);  // ends this leader's lease before the successor can obtain one
   election.suppressedUntil = now + options.electionTimeout * kSuppressedElectionTimeouts;
   election.timeoutAt += options.electionTimeout;
   send(successor, TransferLeadership{term.current});
--- a/libs/consensus/src/membership_policy.cpp
+++ b/libs/consensus/src/membership_policy.cpp
@@ -4,7 +4,8 @@
 namespace {
 constexpr std::size_t kMinVoters = 3;  // with fewer, a single lost disk could lose acknowledged writes
 
-// Unhealthy voters that may be kept to make up an odd number, the most likely to come back first.
+// The unhealthy voters, any of which may be kept to reach an odd number of voters. The voters that are most likely to
+// return come first.
 std::vector<MemberId> unhealthyByLikelihoodOfReturn(const std::vector<VoterStatus>& voters) {
   std::vector<MemberId> ordered;
   for (const auto health : {VoterHealth::unreachable, VoterHealth::leaving, VoterHealth::superseded})
@@ -16,8 +17,8 @@
 std::size_t largestOddUpTo(std::size_t count) {
   return count % 2 == 1 ? count : count - 1;
 }
-// With an even number of healthy machines, one unhealthy voter kept beside them tolerates as much as one machine fewer,
-// and a voter that only restarts then needs no change of the configuration.
+// With an even number of healthy machines, adding one unhealthy voter tolerates as many losses as removing one healthy
+// machine. The unhealthy voter is preferred: if it is only restarting, the configuration need not change.
 std::size_t targetVoterCount(std::size_t healthy, std::size_t present, bool anyUnhealthy) {
   if (healthy % 2 == 1)
     return healthy;
--- a/libs/consensus/src/membership_state.hpp
+++ b/libs/consensus/src/membership_state.hpp
@@ -1,4 +1,4 @@
-/// A member's own requests to join the cluster or to leave it.
+/// The state of a member's own requests to join or to leave the cluster.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::consensus {
@@ -7,7 +7,7 @@
   TimePoint lastJoinRequestAt{};
   TimePoint lastLeaveRequestAt{};
   bool leaving = false;             ///< `RaftNode::leave` was called
-  bool exitAllowed = false;         ///< the others can do without this member
-  std::int64_t leaveRequestId = 0;  ///< drawn for each leave, so that a response to an earlier process does not count
+  bool exitAllowed = false;         ///< the leader has allowed the exit, or this member is the only voter
+  std::int64_t leaveRequestId = 0;  ///< random for each leave: a response to an earlier process has another id
 };
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -1,10 +1,10 @@
-// Persistence: which records go to the disk, how a refused one is retried, and what a synced one allows.
+// Persistence: which records are written to the disk, how a failed write is retried, and what happens after a sync.
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr Duration kSlowSyncThreshold{200};  // elections and commits take noticeably longer from here on
+constexpr Duration kSlowSyncThreshold{200};  // syncs this slow noticeably delay elections and commits
 }
 
 DiskRecord RaftCore::emptyRecord() const {
@@ -45,9 +45,9 @@
 PersistTicket RaftCore::persistAll() {
   return enqueueRecord(fullRecord());
 }
-// A pending record ages by the ticks of this process, each counted as two regular ones at most. Where the event loop
-// itself is late, the answer of a healthy disk waits unread; by the clock alone the leadership would go round among
-// members that are all equally busy.
+// The age of a pending record is measured in ticks of this process; a late tick counts as two tick intervals at most.
+// If the event loop is late, a healthy disk's completion is processed late too. With the age measured by the clock,
+// members that are all equally busy would transfer the leadership to each other again and again.
 void RaftCore::agePendingRecords(TimePoint now) {
   const auto sinceTick = lastTickAt == TimePoint{} ? Duration(0) : toDuration(now - lastTickAt);
   lastTickAt = now;
@@ -57,13 +57,14 @@
   return persistence.oldestFailed() || persistence.oldestAge() > options.syncStallTimeout;
 }
 bool RaftCore::diskMakesNoProgress() const {
-  constexpr int kMaxSyncTimes = 3;  // a record may wait for the one before it, and syncs differ
+  constexpr int kMaxSyncTimes = 3;  // a record may wait for the sync of the record before it, and sync times vary
   const bool progressing =
       !persistence.oldestFailed() && persistence.oldestAge() <= persistence.lastSyncTime() * kMaxSyncTimes;
   return diskStalled() && !progressing;
 }
-// Only the oldest record is retried, since the disk takes them in order. Whatever was queued behind it goes along in
-// one full record: a backlog of single records would take longer to write than it took to gather.
+// Only the oldest record is retried, since the disk writes records in order. If more records are queued behind it, all
+// of them are replaced by one full record: writing a backlog of single records would take longer than the
+// records took to accumulate.
 void RaftCore::retryPersist(TimePoint now) {
   if (!persistence.retryDue(now))
     return;
@@ -80,18 +81,18 @@
   startNextWrite();
   if (const auto syncTime = persistence.lastSyncTime(); syncTime >= kSlowSyncThreshold)
     log::debug("sync_slow", {{"member", self}, {"sync_ms", syncTime}, {"term", term.current}});
-  // Only now does the vote, or the request for votes, leave: the election has its full time from here.
+  // The vote or the vote requests are sent only now, so the election timeout starts again from here.
   if (awaitedVote && !awaitingOwnVoteRecord() && role != Role::leader)
     resetElectionTimer(now);
   log.markPersisted(synced->lastLogIndex, synced->lastLogTerm);
   if (role == Role::candidate && term.votedFor == self && ticket >= election.ownVoteTicket)
     election.votes.insert(self);
   for (auto& deferred : persistence.releaseMessages())
-    if (deferred.term == term.current)  // a vote or a request of an earlier term is void
+    if (deferred.term == term.current)  // a message of an earlier term is void
       actions.emplace_back(SendMessage{std::move(deferred.to), std::move(deferred.message)});
   advanceElection(now);
   if (role == Role::leader) {
-    leading.commitAheadOfDiskSince = {};  // counted anew for the next record
+    leading.commitAheadOfDiskSince = {};  // measured again for the next record
     return advanceCommit(now);
   }
   if (std::min(follower.matchIndex, log.persistedIndex()) > 0)
--- a/libs/consensus/src/persistence_queue.cpp
+++ b/libs/consensus/src/persistence_queue.cpp
@@ -2,7 +2,7 @@
 
 namespace zinccleat::consensus {
 namespace {
-/// One record with the effect of two that follow each other: replayed, it leaves the same term, vote and log.
+/// Merges two consecutive records. Replaying the result restores the same term, vote and log as replaying both records.
 DiskRecord mergeRecords(DiskRecord earlier, DiskRecord later) {
   if (later.full)
     return later;
--- a/libs/consensus/src/persistence_queue.hpp
+++ b/libs/consensus/src/persistence_queue.hpp
@@ -1,74 +1,76 @@
-/// Records on their way to the disk, and the messages that may only be sent once a record is there.
+/// The queue of records that are not on the disk yet, and of the messages that may be sent only after a record is
+/// synced.
 #pragma once
 #include "consensus/disk_record.hpp"
 #include "consensus/messages.hpp"
 namespace zinccleat::consensus {
-/// Names a record that was handed to the disk; tickets rise. 0: no record.
+/// Identifies a record that is to be written to the disk. Tickets increase; 0 means no record.
 using PersistTicket = std::int64_t;
 
-/// A message that waits until all records up to `after` are on the disk.
+/// A message that is sent once all records up to `after` are on the disk.
 struct DeferredMessage {
   MemberId to;
   ConsensusMessage message;
-  std::int64_t term = 0;    ///< the sender's term when it was written; in a later term the message is void
-  PersistTicket after = 0;  ///< the newest record that it depends on
+  std::int64_t term = 0;    ///< the sender's term when the message was created; in a later term the message is void
+  PersistTicket after = 0;  ///< the newest record that the message depends on
 };
 
 /// A record that is not on the disk yet.
 struct PendingRecord {
-  PersistTicket ticket = 0;       ///< of the newest that was gathered into it; what the disk answers with
-  PersistTicket firstTicket = 0;  ///< of the oldest
+  PersistTicket ticket = 0;       ///< the ticket of the newest record merged into this one; identifies the completion
+  PersistTicket firstTicket = 0;  ///< the ticket of the oldest record merged into this one
   DiskRecord record;
-  std::int64_t lastLogIndex = 0, lastLogTerm = 0;  ///< the end of the log that the record makes durable
-  bool inFlight = false;                           ///< handed to the disk and not answered yet
-  bool failed = false;                             ///< refused by the disk
-  TimePoint retryAt{};                             ///< not handed over again before
-  Duration pendingFor{0};                          ///< its age, see `RaftCore::agePendingRecords`
+  std::int64_t lastLogIndex = 0, lastLogTerm = 0;  ///< the last log entry that the record makes durable
+  bool inFlight = false;                           ///< the disk is writing the record
+  bool failed = false;                             ///< the last write of the record failed
+  TimePoint retryAt{};                             ///< when a failed record may be written again
+  Duration pendingFor{0};                          ///< the age of the record, see `RaftCore::agePendingRecords`
 };
 
-/// The pending records, oldest first: at most one that the disk has, and one behind it that gathers whatever is added
-/// meanwhile. So each sync makes durable all that came during the one before it (group commit), and the time that an
-/// entry waits does not grow with the number of entries.
+/// The pending records, oldest first. At most one record is being written; all records that are added meanwhile are
+/// merged into one record behind it (group commit). Each sync thus makes durable everything that arrived during the
+/// sync before, and the waiting time of an entry does not grow with the number of entries.
 ///
-/// Guarantees: records reach the disk in the order of their sequence numbers, without gaps; once a record has failed,
-/// none behind it is handed over before the oldest one succeeds; a deferred message is released only when no record up
+/// Guarantees: records reach the disk in the order of their sequence numbers, without gaps. After a record has failed,
+/// no later record is written before the oldest record succeeds. A deferred message is released only when no record up
 /// to its ticket is pending.
 class PersistenceQueue {
  public:
-  /// Continues behind a sequence number that was read back from the disk.
+  /// Continues after a sequence number that was read from the disk.
   void recoverSequence(std::int64_t sequence) { lastSequence_ = std::max(lastSequence_, sequence); }
-  /// Queues a record; its sequence number is assigned when it is handed over.
-  /// @return its ticket.
+  /// Queues a record. The sequence number is assigned when the write begins.
+  /// @return the ticket of the record.
   PersistTicket add(DiskRecord record, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
-  /// Hands the oldest record over if the disk has none and the oldest has not failed.
-  /// @return the record that the disk is to be given now; null: none.
+  /// Begins the write of the oldest record, unless a write is in progress or the oldest record has failed.
+  /// @return the record to write; null if there is none.
   const PendingRecord* beginOldestWrite();
   PersistTicket newestTicket() const { return lastTicket_; }
-  /// Keeps a message until its record is on the disk, moving from `message` only then.
-  /// @return false if the record is there already: the message may be sent now.
+  /// Stores a message until its record is on the disk.
+  /// @param message is moved from only if the message is stored.
+  /// @return false if the record is on the disk already, so the message may be sent now.
   bool defer(DeferredMessage& message);
   /// Whether the record with this ticket, or an older one, is not on the disk yet.
   bool isPending(PersistTicket ticket) const { return !pending_.empty() && pending_.front().firstTicket <= ticket; }
-  /// The disk has synced a record.
-  /// @return the record, no longer pending; nothing for an unknown ticket.
+  /// Removes a record that the disk has synced.
+  /// @return the record; nothing for an unknown ticket.
   std::optional<PendingRecord> complete(PersistTicket ticket);
   /// Removes and returns the messages whose records are all on the disk.
   std::vector<DeferredMessage> releaseMessages();
-  /// The disk has refused a record.
+  /// Marks a record that the disk failed to write.
   void fail(PersistTicket ticket, TimePoint retryAt);
-  /// Whether the oldest record failed, its retry is due, and nothing is in flight.
+  /// Whether the oldest record has failed, its retry is due, and no write is in progress.
   bool retryDue(TimePoint now) const;
-  /// Hands the oldest record to the disk once more.
+  /// Begins another write of the oldest record.
   const PendingRecord& retryOldest();
-  /// Replaces all pending records by one full record, under the sequence number of the oldest and the ticket of the
-  /// newest: what was queued while the disk refused to write becomes durable by a single write.
+  /// Replaces all pending records by one full record with the sequence number of the oldest record and the ticket of
+  /// the newest record. A single write then makes everything durable that was queued while writes failed.
   const PendingRecord& replaceAll(DiskRecord fullRecord, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
   /// Adds `step` to the age of all pending records.
   void age(Duration step);
   bool oldestFailed() const { return !pending_.empty() && pending_.front().failed; }
   /// The age of the oldest pending record.
   Duration oldestAge() const { return pending_.empty() ? Duration(0) : pending_.front().pendingFor; }
-  /// How long the newest synced record took, by the ticks that passed meanwhile (`age`).
+  /// The age of the newest synced record when its sync completed, measured in ticks (`age`).
   Duration lastSyncTime() const { return lastSyncTime_; }
   const std::deque<PendingRecord>& pending() const { return pending_; }
   const std::vector<DeferredMessage>& deferred() const { return deferred_; }
--- a/libs/consensus/src/raft_core.cpp
+++ b/libs/consensus/src/raft_core.cpp
@@ -38,8 +38,9 @@
     return;
   actions.emplace_back(SendMessage{std::move(outgoing.to), std::move(outgoing.message)});
 }
-// Needed for progress: of two voters that are left, one with the newer term and one with the longer log, only the
-// second can win, and its requests are in vain until it stands for a term above the first one's.
+// Required for progress. If the two remaining voters are one with the newer term and one with the longer log, only the
+// voter with the longer log can be elected. Its vote requests are rejected until it starts an election in a term above
+// the newer one, so it must learn of the newer term.
 void RaftCore::sendCurrentTerm(const MemberId& to) {
   AppendEntriesResponse response;
   response.term = term.current;
@@ -61,8 +62,9 @@
   const Duration jitter(static_cast<std::int64_t>(random() % spread));
   election.timeoutAt = now + options.electionTimeout + jitter + syncAllowance();
 }
-// A vote passes two disks before it counts. What another member's sync takes is not known here; it is taken to be like
-// the last one of this member. Syncs of up to two ticks are the usual ones, which the election timeout covers.
+// An election waits for a sync on the voter's disk and for one on the candidate's. The sync time of other members is
+// unknown; it is assumed to equal this member's last sync time. The election timeout covers usual syncs of up to two
+// ticks without an allowance.
 Duration RaftCore::syncAllowance() const {
   const auto lastSync = persistence.lastSyncTime();
   return lastSync <= options.tickInterval * 2 ? Duration(0) : std::min(lastSync, options.syncStallTimeout);
--- a/libs/consensus/src/raft_log.hpp
+++ b/libs/consensus/src/raft_log.hpp
@@ -1,62 +1,63 @@
-/// The replicated log in memory: a snapshot, the entries after it, the configurations that they name, and how far the
-/// log is on this member's disk and committed.
+/// The replicated log in memory: a snapshot, the entries after the snapshot, the configurations in both, and the
+/// indexes up to which the log is committed and is on this member's disk.
 #pragma once
 #include "consensus/cluster_config.hpp"
 #include "transport/messages.hpp"
 namespace zinccleat::consensus {
-/// The applied state up to and with one entry.
+/// The applied state after a prefix of the log.
 struct Snapshot {
-  std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0;  ///< the last entry covered
-  ClusterConfig config;  ///< the newest one at `lastIncludedIndex`; empty: this member has no configuration yet
+  std::int64_t lastIncludedIndex = 0, lastIncludedTerm = 0;  ///< the last entry that the snapshot covers
+  ClusterConfig config;  ///< the configuration at `lastIncludedIndex`; empty: this member has no configuration yet
   std::string state;
 };
-/// A configuration and the entry that holds it.
+/// A configuration and the index of the entry that contains it.
 struct IndexedConfig {
   std::int64_t index = 0;
   ClusterConfig config;
 };
-/// Invariants: indexes follow one another without a gap, from the snapshot on;
+/// Invariants: indexes are consecutive, starting after the snapshot;
 /// `snapshot().lastIncludedIndex <= commitIndex() <= lastLogIndex()`; `persistedIndex() <= lastLogIndex()`.
 class RaftLog {
  public:
-  /// Replaces everything by a snapshot, which counts as committed and not as persisted.
+  /// Replaces the complete log by a snapshot. The snapshot counts as committed but not as persisted.
   void reset(Snapshot snapshot);
-  /// Adds the entry after the last one; aborts if its index leaves a gap.
+  /// Appends an entry. Aborts if its index is not `lastLogIndex() + 1`.
   void append(transport::LogEntry entry);
-  /// Drops the entries at and after `index`, which must not be committed.
+  /// Removes the entries at and after `index`, which must not be committed.
   void truncateFrom(std::int64_t index);
-  /// Replaces the entries up to `index`, all committed, by the state that they lead to.
+  /// Replaces the entries up to `index`, all of which must be committed, by a snapshot.
+  /// @param state the applied state after the entry at `index`.
   void compact(std::int64_t index, std::string state);
 
   /// Whether this member has no configuration yet: an empty disk that has not received a snapshot.
   bool isUninitialized() const { return snapshot_.config.empty(); }
   std::int64_t lastLogIndex() const { return snapshot_.lastIncludedIndex + static_cast<std::int64_t>(entries_.size()); }
   std::int64_t lastLogTerm() const { return termAt(lastLogIndex()); }
-  /// @return -1 if the entry is not in the log and not the snapshot's last one.
+  /// @return -1 if the entry is neither in the log nor the last entry that the snapshot covers.
   std::int64_t termAt(std::int64_t index) const;
   /// @return null if the entry is not in the log.
   const transport::LogEntry* at(std::int64_t index) const;
   const Snapshot& snapshot() const { return snapshot_; }
   const std::deque<transport::LogEntry>& entries() const { return entries_; }
-  /// The newest configuration, in force from when it is in the log, committed or not.
+  /// The newest configuration. A configuration takes effect when it is appended to the log, before it is committed.
   const ClusterConfig& config() const { return configs_.back().config; }
-  /// The index of the entry that holds `config()`.
+  /// The index of the entry that contains `config()`.
   std::int64_t configIndex() const { return configs_.back().index; }
-  /// The Raft election restriction: whether a log with this last entry is at least as up to date as this one.
+  /// Raft's election restriction: whether a log with this last entry is at least as up to date as this log.
   bool isUpToDate(std::int64_t lastTerm, std::int64_t lastIndex) const;
 
   std::int64_t commitIndex() const { return commitIndex_; }
   /// Commits the next entry and returns it.
   const transport::LogEntry& commitNext();
-  /// Up to here the log is on this member's disk.
+  /// The index up to which the log is on this member's disk.
   std::int64_t persistedIndex() const { return persistedIndex_; }
-  /// The disk holds a log that ends with this entry. Ignored if the entry has been replaced since.
+  /// Records that the log up to this entry is on the disk. Ignored if the entry has been replaced in the meantime.
   void markPersisted(std::int64_t index, std::int64_t term);
 
  private:
   Snapshot snapshot_;
   std::deque<transport::LogEntry> entries_;
-  std::vector<IndexedConfig> configs_{{}};  // in the order of their indexes, the snapshot's first
+  std::vector<IndexedConfig> configs_{{}};  // ordered by index; the first is the configuration of the snapshot
   std::int64_t commitIndex_ = 0;
   std::int64_t persistedIndex_ = 0;
 };
--- a/libs/consensus/src/raft_node.cpp
+++ b/libs/consensus/src/raft_node.cpp
@@ -1,11 +1,11 @@
-// `RaftNode`: hands each event to the state machine and answers questions about it.
+// `RaftNode`: passes events to `RaftCore` and reports the state of `RaftCore`.
 #include "consensus/raft_node.hpp"
 
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-// Hands each type of message to its handler.
+// Calls the handler for each message type.
 struct MessageDispatch {
   RaftCore& core;
   TimePoint now;
--- a/libs/consensus/src/recovery.cpp
+++ b/libs/consensus/src/recovery.cpp
@@ -1,9 +1,9 @@
-// Recovery: the first start of a cluster, the restart from a disk, and compaction of the log.
+// Recovery: the first start of a cluster, the restart from the records on the disk, and compaction of the log.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-// How long a restarted member waits before it starts an election: a delay and a random part on top of it.
+// How long a restarted member waits before it starts an election: a fixed delay plus a random jitter.
 constexpr Duration kFormerLeaderDelay{20}, kFormerLeaderJitter{30};
 constexpr Duration kRestartDelay{20}, kRestartJitter{200};
 }  // namespace
@@ -35,14 +35,16 @@
   log.markPersisted(log.lastLogIndex(), log.lastLogTerm());
   updatePassiveRole();
   restoreFromSnapshot();
-  // A lease promised before the restart is not on the disk: it is kept by waiting it out.
+  // Lease promises are not on the disk. The member may have promised a lease just before the restart, so it grants no
+  // votes until the longest possible lease has ended.
   follower.leasePromisedUntil = now + options.maxLease;
   term.restarted = true;
   const auto jitter = [&](Duration delay, Duration spread) {
     return delay + Duration(static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(spread.count())));
   };
-  // Sooner than an election timeout: after a restart of all members there is no leader to wait for. The leader of the
-  // newest term that this member knows of need not wait at all: the lease was its own, and it is void.
+  // The first election starts earlier than after a regular election timeout, since no member is leader after a restart
+  // of all members. A member that was itself the leader of the newest term that it knows need not wait for the end of a
+  // lease: that lease was its own and ended with its process.
   const bool ledNewestTerm = term.lastLed > 0 && term.lastLed == term.current;
   election.timeoutAt = ledNewestTerm ? now + jitter(kFormerLeaderDelay, kFormerLeaderJitter)
                                      : follower.leasePromisedUntil + jitter(kRestartDelay, kRestartJitter);
--- a/libs/consensus/src/replication.cpp
+++ b/libs/consensus/src/replication.cpp
@@ -1,11 +1,11 @@
-// Replication: what the leader sends to each peer, and what it learns from the answers.
+// Replication: what the leader sends to each peer, and how it processes the responses.
 #include "raft_core.hpp"
 
 namespace zinccleat::consensus {
 namespace {
 constexpr std::size_t kMaxBytesPerMessage = 1U << 20;
-constexpr std::size_t kEntryOverheadBytes = 100;  // of an entry besides its body, roughly
-constexpr int kSnapshotResendTimeoutFactor = 4;   // times `resendTimeout`: a snapshot takes longer than entries
+constexpr std::size_t kEntryOverheadBytes = 100;  // approximate encoded size of an entry without its body
+constexpr int kSnapshotResendTimeoutFactor = 4;   // multiplies `resendTimeout`, since sending a snapshot takes longer
 }  // namespace
 
 void RaftCore::sendHeartbeats(TimePoint now) {
@@ -53,7 +53,8 @@
   progress.lastSentAt = now;
   send(peer, std::move(message));
 }
-// The node that accepted a large write from its client has sent the body to all members ahead of the entry.
+// The node that accepts a large write from a client sends the body to all members ahead of the log entry. A write that
+// the leader itself accepted is sent as an entry with its body.
 bool RaftCore::bodyWasSentAhead(const transport::LogEntry& entry) const {
   const bool acceptedElsewhere = entry.operationId.rfind(self + "/", 0) != 0;
   return entry.body.size() > options.largeBodyBytes && !entry.digest.empty() && acceptedElsewhere;
@@ -80,7 +81,7 @@
   message.prevLogTerm = log.termAt(prevLogIndex);
   message.commitIndex = log.commitIndex();
   message.heartbeatId = leading.heartbeatId;
-  message.leaderHasLease = leaseValid(lastTickAt);  // exact to a tick, which is enough for followers
+  message.leaderHasLease = leaseValid(lastTickAt);  // accurate to one tick, which is sufficient for followers
   message.entries = std::move(entries);
   message.extension.leaseMs = options.lease.count();
   send(peer, std::move(message));
@@ -121,7 +122,7 @@
     sendTo(now, from, progress, false);
 }
 void RaftCore::onMismatch(TimePoint now, const MemberId& from, PeerProgress& progress, std::int64_t matchIndex) {
-  // A snapshot that was just sent will resolve it.
+  // A snapshot that was sent recently will resolve the mismatch.
   if (progress.snapshotInFlight && now - progress.lastSentAt < options.resendTimeout)
     return;
   progress.snapshotInFlight = false;
--- a/libs/consensus/src/voter_changes.cpp
+++ b/libs/consensus/src/voter_changes.cpp
@@ -1,15 +1,16 @@
-// Voter changes: who should vote, and the leader's way there. Every change passes through a joint configuration,
-// begins only once the last one and an entry of the leader's own term are committed, and only under a valid lease.
+// Voter changes: the leader compares the voters with the result of `chooseVoters` and proposes changes. Every change
+// passes through a joint configuration. A change begins only under a valid lease, once the previous configuration and
+// an entry of the leader's own term are committed.
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr std::int64_t kMaxCaughtUpLagEntries = 8;  // what a learner may lack and still become a voter
-constexpr int kLearnerTimeoutFactor = 2;            // times `unreachableAfter`: then a learner is forgotten
-constexpr int kSupersededAfterHeartbeats = 3;       // a voter unheard for so long may be superseded
+constexpr std::int64_t kMaxCaughtUpLagEntries = 8;  // largest lag of a learner that may become a voter
+constexpr int kLearnerTimeoutFactor = 2;       // multiplies `unreachableAfter`: learners silent for longer are dropped
+constexpr int kSupersededAfterHeartbeats = 3;  // a voter that is silent for longer may be superseded
 
-// For `InjectedFaults::voterSetNeverShrinks`.
+// Replaces `chooseVoters` if `InjectedFaults::voterSetNeverShrinks` is set.
 std::vector<MemberId> chooseVotersWithoutShrinking(const std::vector<VoterStatus>& voters,
                                                    const std::vector<MemberId>& learners) {
   std::vector<MemberId> chosen;
--- a/libs/storage/src/posix_file_system.cpp
+++ b/libs/storage/src/posix_file_system.cpp
@@ -16,7 +16,7 @@
 constexpr mode_t kFileMode = 0644;
 constexpr mode_t kFolderMode = 0755;
 
-/// The error of the system call that has just failed.
+/// Creates an error from `errno`, right after a failed system call.
 tl::unexpected<Error> systemError(const std::string& operation) {
   const int code = errno;
   return makeError(ErrorCode::ioError, operation + ": " + std::strerror(code), code);
@@ -93,7 +93,7 @@
     if (!folder)
       return systemError("open the folder");
     std::vector<std::string> names;
-    errno = 0;  // the only way to tell the end of the list from an error
+    errno = 0;  // readdir returns null at the end and on an error; only an error sets errno
     while (const auto* entry = ::readdir(folder.get())) {
       const std::string name = entry->d_name;
       if (name != "." && name != "..")
@@ -153,7 +153,7 @@
 
  private:
   std::string pathOf(const std::string& name) const { return path_ + "/" + name; }
-  // An error is reported by the use of the folder that follows.
+  // Ignores errors: the next operation on the folder reports them.
   void makeFolder() { ::mkdir(path_.c_str(), kFolderMode); }
 
   std::string path_;
--- a/libs/storage/src/record_format.cpp
+++ b/libs/storage/src/record_format.cpp
@@ -7,7 +7,7 @@
 
 namespace zinccleat::storage {
 namespace {
-// Layout: magic, checksum of all that follows, format version as text, Avro record.
+// Layout: magic, checksum of everything after the checksum, format version as decimal text, Avro record.
 constexpr std::string_view kMagic = "zcrecord";
 constexpr std::size_t kChecksumDigits = 32;  // 128 bits in hexadecimal
 constexpr std::size_t kVersionDigits = 4;
@@ -52,7 +52,7 @@
   const auto digits = text.substr(kNamePrefix.size());
   std::int64_t sequence = 0;
   std::from_chars(digits.data(), digits.data() + digits.size(), sequence);
-  // Only the exact name that `recordName` gives: no sign, no other number of digits, nothing behind them.
+  // Accepts only the exact result of `recordName`: no sign, no other number of digits, no trailing characters.
   if (sequence < 1 || recordName(sequence) != name)
     return std::nullopt;
   return sequence;
--- a/libs/storage/src/recovery.cpp
+++ b/libs/storage/src/recovery.cpp
@@ -1,11 +1,11 @@
-// The recovery of a data folder at start.
+// The recovery of a data folder at process start.
 #include <cerrno>
 
 #include "storage/storage.hpp"
 
 namespace zinccleat::storage {
 namespace {
-/// Whether a retry may succeed. It can't where the folder or its rights are set up wrongly.
+/// Whether a retry may succeed. A retry cannot succeed if the path or the permissions of the folder are wrong.
 bool isTransient(const Error& error) {
   switch (error.subcode) {
     case ENOENT:
@@ -41,7 +41,8 @@
   if (auto locked = storage.lock(); !locked) {
     if (locked.error().code == ErrorCode::locked)
       return tl::unexpected(locked.error());
-    // A full disk, or a file system without locks. The lock only guards against an operator's mistake.
+    // The disk may be full, or the file system may not support locks. Recovery continues, since the lock only protects
+    // against operators who start a second process on the folder by mistake.
     recovery.warnings.push_back("no lock on the data folder: " + locked.error().message);
   }
   for (;;) {
--- a/libs/storage/src/storage.cpp
+++ b/libs/storage/src/storage.cpp
@@ -1,23 +1,28 @@
-// Crash safety: why appended records survive, and what recovery follows from it.
+// Crash safety: why appended records survive, and how recovery relies on this.
 //
-// Record N is written under a temporary name, synced, renamed to `record-N`, and the folder is synced. Only then is it
-// acknowledged, and only then is N + 1 started. Storages of one folder may share the sync of the folder. A folder sync
-// covers all earlier changes of names. Files below a full record are removed once it is acknowledged, without a sync of
-// their own. So after any power loss, in which each unsynced change of a name is kept or lost by itself:
-//  - Every acknowledged record from the newest acknowledged full one on exists and is complete.
-//  - At most one record above them, which was never acknowledged, may exist too. It was synced before it got its name,
-//    so it is complete, and it may be used: it is what the member was about to promise.
-//  - Any subset of the removed files below may exist again, in any condition.
-// Hence recovery starts at the newest record, walks down to the first full one, and reads nothing below it. Record 1 is
-// a base as well, full or not: a new member writes increments before its first snapshot.
+// Record N is written under a temporary name, synced and renamed to `record-N`; then the folder is synced. Only after
+// that is record N acknowledged, and only then is record N + 1 started. Storages of one folder may share the sync of
+// the folder, since a folder sync covers all earlier creations, renames and removals. Files of records below a full
+// record are removed once the full record is acknowledged, without another sync. After any power loss, in which each
+// unsynced creation, rename or removal is kept or lost independently, the following holds:
+//  - Every acknowledged record from the newest acknowledged full record on exists and is complete.
+//  - At most one later record, which was never acknowledged, may exist. Its content was synced before the rename, so
+//  the
+//    record is complete. Recovery may use it, since its content is what the member was about to acknowledge.
+//  - Any subset of the removed files of earlier records may exist again, with any content.
+// Recovery therefore starts at the newest record, reads downwards to the first full record, and ignores all files below
+// that record. Record 1 also ends the search, even if it is not full: a new member writes increments before its first
+// snapshot.
 //
-// On the way down to the base, a missing number, a wrong checksum, or no base at all can't result from a power loss: a
-// record gets its number only when all lower ones are durable, and its name only when its content is. Something that
-// may have been acknowledged is lost, so the disk is corrupted. This holds for the topmost record too: nothing tells
-// whether it was acknowledged. What can't be detected: acknowledged files that vanish from the top without a trace.
+// A missing sequence number, a wrong checksum or a missing base cannot result from a power loss: record N is started
+// only when all lower records are durable, and its file is renamed only when the content is durable. A record that may
+// have been acknowledged is lost in such a case, so recovery reports corruption. The same applies to the newest record,
+// because it is unknown whether that record was acknowledged. Recovery cannot detect the loss of the newest
+// acknowledged files if no trace of them is left.
 //
-// A file that the operating system can't read (EIO, EACCES) says nothing about its content. It is no corruption: giving
-// up an identity over a transient error would empty a whole cluster whose disks stall at the same time.
+// A file that the operating system cannot read (EIO, EACCES) is not a corruption, since the content of the file is
+// unknown. If members gave up their identities after transient errors, a cluster whose disks all stall at the same time
+// would lose all its data.
 #include "storage/storage.hpp"
 
 #include <cerrno>
@@ -49,8 +54,8 @@
   auto run = readNewestRun(sequencesNewestFirst(*names));
   if (!run)
     return run;
-  // The process before may have ended between a rename and the sync of the folder. What the member relies on from here
-  // on must not vanish at the next power loss.
+  // An earlier process may have ended between a rename and the sync of the folder. The records that are returned here
+  // must survive the next power loss.
   if (auto synced = files_->syncFolder(); !synced)
     return tl::unexpected(synced.error());
   classifyFiles(*names, *run);
@@ -141,9 +146,9 @@
   currentFiles_.push_back(recordName(record.seq));
 }
 
-// Each step may fail; a retry begins at the first. A temporary file that was left behind is removed, never reused: its
-// content is undefined once a write or sync has failed. A `record-N` that was left behind, renamed but perhaps not
-// durable, is replaced by a new file with a new rename, which the next sync of the folder must write again.
+// Each step may fail; a retry begins with the first step. A temporary file that a failed attempt left is removed and
+// never reused, because its content is undefined once a write or sync has failed. A `record-N` that a failed attempt
+// left may not be durable. It is replaced by a new file with a new rename, which the next sync of the folder covers.
 Result<void> Storage::write(const consensus::DiskRecord& record) {
   const auto name = recordName(record.seq);
   const auto temporary = temporaryName(name);
@@ -153,7 +158,7 @@
   if (staged)
     staged = files_->rename(temporary, name);
   if (!staged) {
-    // Only to release its space; the retry would remove it as well.
+    // Releases the space of the temporary file. The error is ignored, since a retry removes the file first.
     (void)files_->remove(temporary);
   }
   return staged;
@@ -189,9 +194,10 @@
   removeObsolete(obsoleteFiles_.size());
   removeOldestQuarantine();
 }
-// Called only when a write finds no space: a quarantined disk is the operators' evidence, and may be all that is left
-// of what was acknowledged. The oldest set is removed, one for each failed write, but never the newest: a member that
-// can't write is one lost member, its last quarantined set may be the only copy.
+// Called only when a write fails because the disk is full. Operators need quarantined records for the diagnosis, and
+// the records may be the last copy of acknowledged entries. Each failed write removes the oldest quarantine set, but
+// never the newest set: a member that cannot write costs the cluster one member, while the newest set may be the only
+// copy of its data.
 void Storage::removeOldestQuarantine() {
   const auto names = files_->list();
   if (!names)
@@ -208,10 +214,10 @@
 
 // --- Quarantine ---
 
-// The records are renamed in rising order, with a sync after each: whatever subset of the renames survives a power
-// loss, the files that still have a record's name must not look like a complete, older state. In rising order the base
-// goes first, so the corruption stays detectable until there is no base at all. It uses renames in the same folder
-// only: they need no space on a full disk, and a new folder can't be created everywhere.
+// The records are renamed in ascending order, and the folder is synced after each rename. After a power loss, the files
+// that still have the name of a record must not look like a complete, older state. In ascending order the base is
+// renamed first, so `load` keeps reporting corruption until no record is left. The files stay in the same folder: a
+// rename needs no space on a full disk, and a new folder cannot be created in every environment.
 Result<std::string> Storage::quarantine() {
   loaded_ = false;
   auto names = files_->list();
--- a/libs/storage/src/zero_padded.hpp
+++ b/libs/storage/src/zero_padded.hpp
@@ -1,11 +1,11 @@
 /// @file
-/// Numbers of fixed width in file names and formats.
+/// Formats numbers with a fixed width for file names and record envelopes.
 #pragma once
 #include <cstdint>
 #include <string>
 
 namespace zinccleat::storage {
-/// A number in decimal, with zeros in front up to `width` digits. Negative numbers are not padded sensibly.
+/// Formats a number in decimal with leading zeros up to `width` digits. The number must not be negative.
 inline std::string zeroPadded(std::int64_t number, std::size_t width) {
   auto digits = std::to_string(number);
   if (digits.size() < width)
