--- a/libs/storage/src/storage.cpp
+++ b/libs/storage/src/storage.cpp
@@ -7,8 +7,7 @@
 // unsynced creation, rename or removal is kept or lost independently, the following holds:
 //  - Every acknowledged record from the newest acknowledged full record on exists and is complete.
 //  - At most one later record, which was never acknowledged, may exist. Its content was synced before the rename, so
-//  the
-//    record is complete. Recovery may use it, since its content is what the member was about to acknowledge.
+//    the record is complete. Recovery may use it, since it contains what the member was about to acknowledge.
 //  - Any subset of the removed files of earlier records may exist again, with any content.
 // Recovery therefore starts at the newest record, reads downwards to the first full record, and ignores all files below
 // that record. Record 1 also ends the search, even if it is not full: a new member writes increments before its first
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -1,5 +1,5 @@
-/// Consensus on simulated clusters: elections, leases, replication and disks, in written scenarios and in seeded worlds
-/// full of trouble. A failing world names its seed.
+/// Tests of the consensus code on simulated clusters: elections, leases, replication and disks, in fixed scenarios and
+/// in seeded scenarios with random faults. A failing seeded scenario prints its seed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -16,14 +16,14 @@
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 constexpr std::size_t kSmallWriteBytes = 10, kLargeWriteBytes = 40000;
-constexpr int kNeverRestarts = 5000;  // the incarnation of a machine that never comes back
+constexpr int kNeverRestarts = 5000;  // the incarnation that marks a machine as permanently lost
 
 void startFounders(SimulatedCluster& cluster) {
   for (const auto& ip : kSeeds)
     cluster.start(ip, kSeeds, true);
   cluster.runFor(4000ms);
 }
-// A cluster of `count` machines, founded by the first three of them; two may be lost at once.
+// Starts a cluster of `count` machines, whose first three are the founders. Two machines may be lost at the same time.
 std::vector<std::string> startMany(SimulatedCluster& cluster, int count) {
   cluster.toleratedLosses = 2;
   std::vector<std::string> machines = kSeeds;
@@ -65,7 +65,7 @@
       machines.push_back(ip);
   return machines;
 }
-// Three machines of the present ones: what a settings file names when a process starts.
+// Three of the present machines, as the seeds that the settings file names when a process starts.
 std::vector<std::string> presentSeeds(const SimulatedCluster& cluster) {
   auto machines = presentMachines(cluster);
   machines.resize(std::min<std::size_t>(machines.size(), 3));
@@ -103,7 +103,7 @@
       text += describe(node);
   return text;
 }
-// Once the trouble ends, the cluster serves again and has lost nothing that was acknowledged.
+// Ends all faults and checks that the cluster has a leader, commits a write, and has lost no acknowledged write.
 void expectRecoveryAfterFaults(SimulatedCluster& cluster) {
   endAllFaults(cluster);
   cluster.runFor(12000ms);
@@ -123,13 +123,14 @@
   EXPECT_TRUE(cluster.violations.empty()) << joinLines(cluster.violations);
 }
 
-// --- the troubles of a seeded world ---
+// --- the faults of a seeded scenario ---
 
 bool isHealthy(const SimulatedCluster::Node& node, const RaftNode& leader) {
   const bool runs = node.up && !node.paused && !node.diskFull && node.syncTime == kDefaultSyncTime;
   return runs && node.raft->commitIndex() + 2 >= leader.commitIndex();
 }
-// Everything is healthy: each machine votes, but for one that would make the number even; nobody lags or is cut off.
+// Whether the cluster is healthy: each machine votes, except for one if the number of machines is even; no machine lags
+// behind or is cut off.
 bool isHealthy(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   const auto leaderIp = cluster.leader();
   if (leaderIp.empty() || !cluster.cutLinks.empty())
@@ -150,7 +151,7 @@
   cluster.crash(ip);
   cluster.schedule(Duration(300 + cluster.draw(3000)), [&cluster, ip] { restartIfDown(cluster, ip); });
 }
-// As many disks as the deployment tolerates, one machine after the other from `ip` on.
+// Loses as many disks as the deployment tolerates, of consecutive machines starting with `ip`.
 void loseDisks(SimulatedCluster& cluster, const std::vector<std::string>& machines, const std::string& ip) {
   const auto first = static_cast<std::size_t>(std::find(machines.begin(), machines.end(), ip) - machines.begin());
   for (std::size_t i = 0; i < cluster.toleratedLosses; ++i) {
@@ -207,7 +208,7 @@
     cluster.schedule(Duration(200 + cluster.draw(900)), [&cluster, ip] { restartIfDown(cluster, ip); });
   }
 }
-// One step of a rolling restart.
+// Restarts one machine, as in a rolling restart.
 void restartGracefully(SimulatedCluster& cluster, const std::string& ip) {
   if (!cluster.nodes[ip].up || cluster.nodes[ip].paused)
     return;
@@ -215,7 +216,7 @@
   cluster.runFor(Duration(500 + cluster.draw(1500)));
   cluster.schedule(Duration(cluster.draw(800)), [&cluster, ip] { restartIfDown(cluster, ip); });
 }
-// Planned: a newcomer starts, then the old machine shuts down gracefully and never comes back.
+// Planned replacement: a new machine starts, then the old machine shuts down gracefully and does not return.
 void replaceMachine(SimulatedCluster& cluster, const std::string& old) {
   const auto newcomer = "10.9.1." + std::to_string(++cluster.operationCount);
   cluster.start(newcomer, presentSeeds(cluster), false);
@@ -249,7 +250,7 @@
   switch (static_cast<FaultKind>(cluster.draw(static_cast<std::uint64_t>(FaultKind::count)))) {
     case FaultKind::crash:
       return crashForAWhile(cluster, ip);
-    case FaultKind::loseDisks:  // only while all others are healthy, as the deployment promises
+    case FaultKind::loseDisks:  // only in a healthy cluster: deployments must tolerate only such losses
       if (healthy)
         loseDisks(cluster, machines, ip);
       return;
@@ -279,7 +280,7 @@
       return;
   }
 }
-// Returns how often all was healthy when a trouble was drawn: only then disks are lost and machines replaced.
+// Returns how often the cluster was healthy when a fault was drawn. Disks are lost and machines are replaced only then.
 int runSeededScenario(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   if (seed % 4 == 1)
@@ -306,9 +307,9 @@
   return text ? std::strtoull(text, nullptr, 10) : otherwise;
 }
 
-// --- one node by itself ---
+// --- a single node with scripted peers ---
 
-// A founder of three whose disk syncs at once and whose peers answer everything at once.
+// One of three founders. The disk syncs at once, and the two peers accept every request at once.
 class NodeWithAgreeingPeers {
  public:
   TimePoint now{100s};
@@ -444,7 +445,8 @@
   EXPECT_EQ(voters.size(), 3U);
   expectRecoveryAfterFaults(cluster);
 }
-// First one member is wiped and replaced, later another one, and then all others crash at the same moment.
+// One member loses its disk and is replaced. Later another member loses its disk while all others crash at the same
+// time.
 TEST(Consensus, AWipedMemberAndACrashOfAllOthersAtOnce) {
   for (std::uint64_t seed = 100; seed < 130; ++seed) {
     SimulatedCluster cluster(seed);
@@ -465,7 +467,8 @@
     expectRecoveryAfterFaults(cluster);
   }
 }
-// A snapshot may arrive late at a member whose log already reaches beyond it: that log may count for a commit.
+// A delayed snapshot may arrive at a member whose log already extends beyond the snapshot. The member must keep its
+// log, since the leader may have counted those entries towards a commit.
 TEST(Consensus, ALateSnapshotKeepsSyncedEntries) {
   NodeWithAgreeingPeers self;
   self.carryOutActions();
@@ -490,7 +493,7 @@
   EXPECT_EQ(self.node.commitIndex(), 3);
 }
 namespace {
-// Every second seed all others crash too.
+// Two machines lose their disks. With an even seed, all other machines crash at the same time.
 void runTwoDisksLost(int size, std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, size);
@@ -510,14 +513,14 @@
   expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
-// Found on six machines of which two may be lost: only the three founders were members.
+// Guards against clusters in which only the three founders are voters: six machines must tolerate two lost disks.
 TEST(Consensus, TwoOfSixOrEightDisksLostWhileAllOthersCrash) {
   for (const int size : {6, 8})
     for (std::uint64_t seed = 400; seed < 430 && !HasFailure(); ++seed)
       runTwoDisksLost(size, seed);
 }
 namespace {
-// Cuts all links between three machines and the rest. Returns the three.
+// Cuts all links between three random machines and the rest. Returns the three machines.
 std::set<std::string> partitionMinority(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   std::set<std::string> minority;
   while (minority.size() < 3)
@@ -529,7 +532,7 @@
   return minority;
 }
 }  // namespace
-// The majority must be able to continue, whichever machines were there first.
+// The majority must be able to continue, regardless of which machines are the founders.
 TEST(Consensus, APartitionLeavesALeaderInTheMajority) {
   for (std::uint64_t seed = 500; seed < 540 && !HasFailure(); ++seed) {
     SimulatedCluster cluster(seed);
@@ -543,7 +546,7 @@
   }
 }
 namespace {
-// Cuts the machines into two halves while clients reach both.
+// Partitions the machines into two halves, while clients reach both halves.
 void runEvenPartition(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, seed % 2 ? 6 : 5);
@@ -558,7 +561,7 @@
   }
   expectRecoveryAfterFaults(cluster);
 }
-// Losses of power that overlap beyond what is tolerated, with all disks kept.
+// More machines lose power at the same time than the cluster tolerates, but all disks are kept.
 void runOverlappingCrashes(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, 5);
@@ -575,7 +578,7 @@
   expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
-// At most one half may go on; neither takes two changes on the same base, and nothing acknowledged is lost.
+// At most one half may continue, conflicting writes must not both commit, and no acknowledged write may be lost.
 TEST(Consensus, TwoHalvesThatCannotReachEachOther) {
   for (std::uint64_t seed = 1000; seed < 1040 && !HasFailure(); ++seed)
     runEvenPartition(seed);
@@ -585,7 +588,7 @@
     runOverlappingCrashes(seed);
 }
 namespace {
-// A leader's disk does not answer for a second of ticks, regular ones or a few late ones.
+// The leader's disk does not complete a write for about a second, in which ticks are regular or few and late.
 void runUnresponsiveDisk(bool loopIsLate) {
   NodeWithAgreeingPeers self;
   for (int i = 0; i < 100 && self.node.role() != Role::leader; ++i)
@@ -604,7 +607,7 @@
   EXPECT_EQ(self.transferredLeadership, !loopIsLate);
 }
 }  // namespace
-// A late event loop reads the answers of its disk late: that is no stalled disk.
+// A delayed event loop processes the completions of its disk late. The disk must not count as stalled in that case.
 TEST(Consensus, ADelayedEventLoopDoesNotTransferLeadership) {
   runUnresponsiveDisk(true);
   runUnresponsiveDisk(false);
@@ -622,7 +625,7 @@
   EXPECT_EQ(cluster.nodes[leader].raft->term(), term);
 }
 namespace {
-// Returns whether there is a leader 300 ms after all processes have started again.
+// Returns whether there is a leader 300 ms after the restart of all processes.
 bool hasLeaderSoonAfterRestartOfAll(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = seed % 2 ? startMany(cluster, 8) : kSeeds;
@@ -640,7 +643,8 @@
   return leads;
 }
 }  // namespace
-// The old leader's lease ended with its process, and it may say so: nobody waits the lease out for it.
+// The lease of the former leader ended with its process. The former leader states this in its vote requests, so the
+// other members grant votes before their lease promise has expired.
 TEST(Consensus, ARestartOfAllTakesLessThanALease) {
   int inTime = 0;
   for (std::uint64_t seed = 600; seed < 640 && !HasFailure(); ++seed)
@@ -666,8 +670,8 @@
   EXPECT_FALSE(cluster.leader().empty());
   EXPECT_NE(cluster.leader(), first);
 }
-// Found at hundreds of machines: each entry had a sync of its own, so that a burst of 600 runners that join took 2.4 s
-// of the disk's time; the leader took its own disk for stalled and handed over, again and again.
+// Guards against one sync per entry: with hundreds of machines, a burst of 600 joining runners kept the disk busy for
+// 2.4 s. The leader considered its own disk stalled and transferred the leadership again and again.
 TEST(Consensus, ABurstOfWritesSharesItsSyncs) {
   constexpr int kBurst = 600;
   SimulatedCluster cluster(8);
@@ -682,7 +686,7 @@
   expectRecoveryAfterFaults(cluster);
 }
 namespace {
-/// The first leader is lost while each sync of all disks takes `syncTime`.
+/// The leader is lost while each sync takes `syncTime` on all disks.
 void runElectionOnSlowDisks(std::uint64_t seed, Duration syncTime) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, 5);
@@ -693,8 +697,8 @@
   EXPECT_FALSE(cluster.leader().empty()) << "seed " << seed << ", sync " << syncTime.count() << " ms";
 }
 }  // namespace
-// Known since a trial: with syncs of 250 ms and more each candidate's timer ran out while its vote, or that of a voter,
-// was on its way to the disk, and no term was ever won.
+// Guards against failed elections on slow disks: with syncs of 250 ms and more, the election timeout of each candidate
+// expired before its own vote or a voter's vote was synced, so no election ever succeeded.
 TEST(Consensus, ALeaderIsElectedWhileEachSyncIsSlow) {
   for (const auto syncTime : {200ms, 250ms, 300ms, 400ms, 500ms, 600ms})
     for (std::uint64_t seed = 900; seed < 920 && !HasFailure(); ++seed)
@@ -720,8 +724,9 @@
   expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
-// Found under load: while a disk was full its records piled up; each was then retried by itself and out of order, and
-// for up to half a minute after it had room again the member could neither vote nor lead.
+// Guards against a slow recovery from a full disk: pending records accumulated while the disk was full and were then
+// retried one by one and out of order. The member could neither vote nor lead for up to half a minute after the disk
+// had space again.
 TEST(Consensus, AMemberWhoseDiskWasFullServesAgainAtOnce) {
   for (std::uint64_t seed = 700; seed < 720 && !HasFailure(); ++seed)
     runFullDisk(seed);
@@ -752,7 +757,8 @@
   EXPECT_TRUE(decodeMessage(bytes));
   EXPECT_FALSE(decodeMessage(std::string_view(bytes).substr(0, bytes.size() - 1)));
 }
-// A longer sweep: ZINCCLEAT_WORLDS=5000 ZINCCLEAT_FROM=1000 target/zinccleat_tests --gtest_filter='*Worlds'
+// Runs seeded scenarios with random faults. Run more seeds with:
+// ZINCCLEAT_WORLDS=5000 ZINCCLEAT_FROM=1000 target/zinccleat_tests --gtest_filter='*Worlds'
 TEST(Consensus, SeededWorlds) {
   const auto from = numberFromEnvironment("ZINCCLEAT_FROM", 1000);
   const auto count = numberFromEnvironment("ZINCCLEAT_WORLDS", 300);
--- a/tests/entry_queue_test.cpp
+++ b/tests/entry_queue_test.cpp
@@ -1,4 +1,4 @@
-// The receiver's queue of log entries, which arrive in any order.
+// Tests of the queue that puts received log entries in order.
 #include "consensus/entry_queue.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/leader_loss_test.cpp
+++ b/tests/leader_loss_test.cpp
@@ -1,6 +1,6 @@
-/// Time without a leader after the leader's process has ended: by part, over many seeds, with usual disks and links.
-/// And what a short lease must not cost: an election while nothing is wrong, or while processes stand still for a
-/// moment.
+/// Measures the time without a leader after the end of the leader's process, for each phase of the election, over many
+/// seeds, with default disks and links. Also checks that the short lease does not cause elections while processes pause
+/// for a moment.
 #include <gtest/gtest.h>
 
 #include "simulated_cluster.hpp"
@@ -12,12 +12,12 @@
 
 const std::vector<std::string> kMachines = {"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.1.0.2", "10.2.0.2"};
 
-/// When each part of an election was over, after the loss.
+/// The end of each phase of the election, measured from the loss of the leader.
 struct Timeline {
-  Duration noticed{0};    ///< the first member asks for pre-votes
-  Duration termBegun{0};  ///< the first member has a majority of them
+  Duration noticed{0};    ///< the first member requests pre-votes
+  Duration termBegun{0};  ///< the first member has a majority of pre-votes
   Duration elected{0};    ///< a majority of votes is on disks
-  Duration serving{0};    ///< the new leader holds a lease and has committed an entry of its term: the first read
+  Duration serving{0};    ///< the new leader has a lease and has committed an entry of its term, so reads are possible
 };
 void startAll(SimulatedCluster& cluster) {
   cluster.toleratedLosses = 2;
@@ -86,7 +86,7 @@
   EXPECT_LT(quantile(serving, 0.5), Duration(500));
   EXPECT_LT(quantile(serving, 0.99), Duration(800));
 }
-// Each member stands still for up to 150 ms once a second, as on a machine with a part of a core.
+// Each process pauses for up to 150 ms once per second, as on a machine with a fraction of a CPU core.
 TEST(LeaderLoss, ShortPausesBringNoElection) {
   constexpr int kSeconds = 60;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
-/// Who votes, and which losses each step of joining, leaving and replacing tolerates: the rows of the table in
-/// docs/consensus.md.
+/// Tests of the choice of voters and of the losses that are tolerated at each step of joining, leaving and replacing
+/// machines. The tests cover the rows of the table in docs/consensus.md.
 #include <gtest/gtest.h>
 
 #include "consensus/membership_policy.hpp"
@@ -12,7 +12,7 @@
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 constexpr Duration kStabilizationTime{6000};
-constexpr Duration kRecoveryTime{6000};  // a lost machine counts as lost for so long after it is back
+constexpr Duration kRecoveryTime{6000};  // a machine counts as lost until this long after its return
 
 std::vector<std::string> startMachines(SimulatedCluster& cluster, std::size_t count) {
   auto machines = kSeeds;
@@ -39,7 +39,7 @@
   std::erase(seeds, machine);
   return seeds;
 }
-// Whether there is a leader, a write commits, and no invariant was broken.
+// Whether there is a leader, a write commits, and no invariant was violated.
 ::testing::AssertionResult commitsAWrite(SimulatedCluster& cluster) {
   const auto leader = cluster.leader();
   if (leader.empty())
@@ -57,7 +57,7 @@
   const auto leader = cluster.leader();
   return leader.empty() ? 0 : cluster.nodes[leader].raft->config().voters.size();
 }
-// Planned: the newcomer starts first, then the old machine shuts down gracefully and never comes back.
+// Planned replacement: the new machine starts first, then the old machine shuts down gracefully and does not return.
 void replaceMachine(SimulatedCluster& cluster, const std::string& old, const std::string& newcomer) {
   cluster.start(newcomer, kSeeds, false);
   cluster.runFor(1000ms);
@@ -144,7 +144,7 @@
   EXPECT_EQ(decodeConfig(encodeConfig(single)), single);
   EXPECT_TRUE(decodeConfig("").empty());
 }
-// The number of voters follows the number of machines, odd.
+// The number of voters is the largest odd number up to the number of machines, and at most nine.
 TEST(Membership, VotersByMachines) {
   const std::vector<std::pair<std::size_t, std::size_t>> rows = {{3, 3}, {4, 3}, {5, 5}, {6, 5},
                                                                  {8, 7}, {9, 9}, {11, 9}};
@@ -159,7 +159,8 @@
 struct ToleranceRow {
   std::size_t machines, tolerated;
 };
-// The machines lost together with `first` and `second`, as many as are tolerated.
+// The indexes of the machines that are lost at the same time: `first`, then `second` and a third machine if as many
+// losses are tolerated.
 std::vector<std::size_t> lostTogether(const ToleranceRow& row, std::size_t first, std::size_t second) {
   std::vector<std::size_t> lost{first};
   if (row.tolerated > 1 && second < row.machines)
@@ -179,7 +180,7 @@
   ASSERT_TRUE(commitsAWrite(cluster)) << row.machines << " machines without " << first << " and " << second;
 }
 }  // namespace
-// At rest any machines, as many as are tolerated, may be lost at once: the rest continues.
+// While no change of voters is in progress, any machines up to the tolerated number may be lost at the same time.
 TEST(Membership, AnyToleratedLossAtRestIsSurvived) {
   for (const auto& row : {ToleranceRow{3, 1}, {5, 2}, {6, 2}, {8, 2}, {8, 3}})
     for (std::size_t first = 0; first < row.machines; ++first) {
@@ -201,18 +202,18 @@
   }
 }
 }  // namespace
-// Once the rest has had time to change the voters, the next loss is tolerated again.
+// Once the remaining machines have had time to change the voters, the next loss is tolerated again.
 TEST(Membership, LossesInSequenceAreSurvived) {
   struct Row {
     std::size_t machines, losses;
   };
-  // From three machines one may be lost; from more, all but two, as long as each loss gives the rest time.
+  // Of three machines one may be lost; of more machines all but two, if there is enough time between the losses.
   for (const auto& [machines, losses] : {Row{3, 1}, Row{5, 3}, Row{6, 4}, Row{8, 6}})
     for (std::uint64_t seed = 2500; seed < 2506; ++seed)
       ASSERT_NO_FATAL_FAILURE(runLossesInSequence(machines, losses, seed));
 }
-// Found under load: the newcomer became a fourth voter, the one that had exited was never removed, and one more loss
-// left no majority, in 60 of 60 seeds.
+// Guards against a voter set that is never reduced: the new machine became a fourth voter, the machine that had exited
+// was never removed, and one more loss left no majority, in 60 of 60 seeds.
 TEST(Membership, APlannedReplacementAndThenALoss) {
   for (std::uint64_t seed = 3000; seed < 3060; ++seed) {
     SimulatedCluster cluster(seed);
@@ -259,7 +260,7 @@
     for (std::uint64_t seed = 0; seed < 12; ++seed)
       ASSERT_NO_FATAL_FAILURE(runReplacements(machines, seed));
 }
-// A crash at any moment of leaving is as safe as the leave.
+// A crash at any moment of a graceful leave is as safe as the leave itself.
 TEST(Membership, ACrashWhileLeaving) {
   for (std::uint64_t seed = 5000; seed < 5060; ++seed) {
     SimulatedCluster cluster(seed);
@@ -304,7 +305,7 @@
   return false;
 }
 }  // namespace
-// Each member in turn shuts down gracefully and restarts on its disk, as a voter or a learner again.
+// Each member in turn shuts down gracefully and restarts with its disk. It then becomes a voter or a learner again.
 TEST(Membership, ARollingRestartLosesNothing) {
   for (const std::size_t machines : {3U, 4U, 6U}) {
     SimulatedCluster cluster(6000 + machines);
@@ -315,7 +316,7 @@
     EXPECT_EQ(votersAt(cluster), machines % 2 ? machines : machines - 1);
   }
 }
-// A member that holds the only second copy of an entry does not exit before another member has one.
+// A leaving member that has the only second copy of a committed entry must not exit before another member has a copy.
 TEST(Membership, ALeavingMemberWaitsUntilAMajorityWithoutItHoldsTheCommittedLog) {
   for (std::uint64_t seed = 7000; seed < 7030; ++seed) {
     SimulatedCluster cluster(seed);
@@ -329,14 +330,14 @@
     while (cluster.nodes[others[1]].up)
       cluster.runFor(20ms);
     ASSERT_EQ(cluster.acknowledged.size(), 1U) << "seed " << seed;
-    // The one that left never comes back, and the leader's disk is lost: the write must still be there.
+    // The member that left does not return, and the leader's disk is lost. The write must still exist.
     cluster.nodes.erase(others[1]);
     cluster.crash(leader);
     const auto& survivor = cluster.nodes[others[0]];
     EXPECT_TRUE(diskHolds(survivor, cluster.acknowledged.begin()->first)) << "seed " << seed;
   }
 }
-// Of three members two shut down at the same moment: one exits at once, the other one stays as long as it can.
+// Two of three members shut down at the same time: one of them exits at once, the other one must stay.
 TEST(Membership, TwoMembersLeavingAtOnceExitInSequence) {
   for (std::uint64_t seed = 7500; seed < 7520; ++seed) {
     SimulatedCluster cluster(seed);
@@ -358,7 +359,8 @@
   node.receive(now, "10.2.0.1#0", LeaveResponse{0, -1});
   EXPECT_FALSE(node.mayExit());
 }
-// A voter that was removed while it was down, and whose known members are all lost, rejoins by the seed addresses.
+// A voter is removed while it is down, and all members in its configuration are lost. It must rejoin through the seed
+// addresses.
 TEST(Membership, ARemovedVoterWithAnOldConfigurationRejoins) {
   SimulatedCluster cluster(8000);
   auto ips = startMachines(cluster, 5);
@@ -375,7 +377,7 @@
   ASSERT_TRUE(commitsAWrite(cluster));
   EXPECT_EQ(cluster.nodes[away].raft->commitIndex(), cluster.nodes[cluster.leader()].raft->commitIndex());
 }
-// Votes do not depend on the voter's own configuration: it may be the older one.
+// A member votes regardless of its own configuration, since that configuration may be outdated.
 TEST(Membership, AVoterWithTheOlderConfigurationVotesForANewVoter) {
   const TimePoint now{100s};
   RaftNode node("10.1.0.1#0", RaftOptions{}, 1, now);
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -15,7 +15,7 @@
   std::size_t index = 0;
   World world;
 };
-// Leaders of each term are remembered when they are first seen.
+// Adds the current leaders to the history, which keeps the first leader that was seen in each term.
 void recordLeaders(World& world) {
   for (const auto& machine : world.machines) {
     if (!machine->raft || machine->raft->role() != Role::leader)
@@ -49,7 +49,8 @@
   std::reverse(path.begin(), path.end());
   return path;
 }
-// Plays the actions of a trace that are possible, then ends the trouble. Returns the first invariant broken.
+// Applies those actions of a trace that are possible, then checks the recovery after the end of all faults. Returns the
+// first violated invariant; empty: none.
 std::string replay(World world, const std::vector<std::string>& trace) {
   recordLeaders(world);
   for (const auto& wanted : trace) {
@@ -66,7 +67,7 @@
   }
   return violationAfterRecovery(world);
 }
-// Leaves out whatever the violation does not need, in smaller and smaller pieces.
+// Removes actions that are not needed for the violation: first large parts of the trace, then smaller and smaller ones.
 std::vector<std::string> minimizeTrace(const World& start, std::vector<std::string> trace,
                                        const std::string& violation) {
   for (auto piece = trace.size() / 2; piece > 0; piece /= 2)
@@ -81,7 +82,8 @@
     }
   return trace;
 }
-// How likely a walk takes an action, against others: rare ones would otherwise be lost among the deliveries.
+// The relative probability that a random walk takes an action. With equal probabilities, rare actions would hardly ever
+// occur among the many deliveries.
 std::uint64_t weightOf(ActionKind kind) {
   switch (kind) {
     case ActionKind::deliver:
@@ -187,7 +189,7 @@
   std::deque<FrontierState> frontier_;
   bool finished_ = false;  // by a violation or by the limit
 };
-// One walk; adds to the result.
+// Runs one random walk and adds to `result` and `seen`. Returns the actions of the walk.
 std::vector<Action> runWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
                             std::unordered_set<std::uint64_t>& seen) {
   std::mt19937_64 random(seed);
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -1,5 +1,5 @@
-// The model checker on the consensus code, and on planted faults, which it must find.
-// A longer search: tools/model_check.sh [STATES].
+// Runs the model checker on the consensus code, and on code with injected faults, which the model checker must find.
+// Run a longer search with: tools/model_check.sh [STATES].
 #include "model_checker.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 std::size_t walksToRun() {
   return statesToVisit() * kWalksInCi / kStatesInCi;
 }
-// The founders, one step of time before their first election.
+// The founders, one time step before their first election.
 World beforeElection(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
@@ -31,7 +31,7 @@
   world.runFairly(options.electionTimeout);
   return world;
 }
-// Machine a leads, an entry is committed everywhere.
+// Machine a is the leader, and an entry is committed on all machines.
 World worldWithLeader(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
@@ -41,7 +41,7 @@
   checkInvariant(world.leaderWithLease() < kMachines, "the fair run elects a leader");
   return world;
 }
-// The same, with the spare up for so long that it follows the log.
+// A world with a leader, in which the spare is running and receives the log.
 World worldWithLeaderAndSpare(const InjectedFaults& faults = {}) {
   auto world = worldWithLeader(faults);
   world.budgets.spares = 1;
@@ -101,7 +101,7 @@
   world.budgets.maxInFlight = 6;
   expectNoViolation("crashes under a leader", search(world, {statesToVisit(), 500}));
 }
-// Small enough for every order of everything.
+// The state space is small enough to visit every order of all actions.
 TEST(ModelChecker, ExhaustsAWrite) {
   auto world = worldWithLeader();
   world.budgets = Budgets{};
@@ -137,8 +137,8 @@
   world = worldAfter(world, {"leave b", "deliver b#0 -> a LeaveRequest", "sync a"});
   expectNoViolation("walks through a change of voters", walk(world, {walksToRun(), kStatesPerWalk, 2000000}));
 }
-// Found by the walks. A disk is lost, and right after it another member leaves: it must stay until the machine whose
-// disk was lost is caught up, or be killed; it may not be told that it can go.
+// A regression that the random walks found. A disk is lost, and directly afterwards another member asks to leave. The
+// leader must not allow that member to exit before the machine with the lost disk has caught up.
 TEST(ModelChecker, AMemberStaysWhileALostDiskIsNotReplaced) {
   auto world = worldWithLeader();
   world.budgets = allFaults();
@@ -146,8 +146,9 @@
                                 "deliver a#0 -> b LeaveResponse"}),
             "");
 }
-// Found by the walks. Of two voters that are left one has the newer term and the other one the longer log: the first
-// may not win, and the second must learn of the term that it lags behind.
+// A regression that the random walks found. One of the two remaining voters has the newer term, the other one the
+// longer log. The voter with the newer term must not be elected, and the voter with the longer log must learn of the
+// newer term in order to be elected.
 TEST(ModelChecker, ALongerLogWithAnOlderTermStillWins) {
   auto world = worldWithLeader();
   world.budgets = allFaults();
@@ -172,7 +173,8 @@
   expectViolation("separate majorities", search(world, {kStatesToFind, 0}),
                   "two configurations without overlapping majorities");
 }
-// Point A of issue 14: the newcomer is added, the member that left stays in the configuration for good.
+// Issue 14, point A: a new member is added to the voters, but the member that left is never removed from the
+// configuration.
 TEST(ModelChecker, FindsTheDeadMemberThatIsNeverRemoved) {
   InjectedFaults faults;
   faults.voterSetNeverShrinks = true;
@@ -194,8 +196,8 @@
   expectViolation("a lease that outlives the leadership", search(world, {kStatesToFind, 0}),
                   "a lease whose owner lacks what is committed");
 }
-// From the moment at which a vote is on its way and not on the disk: the voter is killed, and the candidate stands
-// still from then on.
+// The search starts when a vote was sent before its record was synced. The voter is then killed, which loses the vote,
+// and the candidate stays paused.
 TEST(ModelChecker, FindsAVoteSentBeforeItsSync) {
   InjectedFaults faults;
   faults.voteBeforeSync = true;
--- a/tests/model_invariants.cpp
+++ b/tests/model_invariants.cpp
@@ -1,14 +1,14 @@
-// What must hold in each state of a model world.
+// The invariants that must hold in each state of a model world.
 #include "model_checker.hpp"
 
 namespace zinccleat::model {
 using namespace zinccleat::consensus;
 using namespace zinccleat::transport;
 namespace {
-constexpr Duration kRecoveryTime{6000};  // of the model's time, in which everything must be healthy again
+constexpr Duration kRecoveryTime{6000};  // simulated time after which the cluster must have recovered from all faults
 constexpr Duration kWriteTime{1000};
 
-// Whether any quorum of one overlaps with any quorum of the other.
+// Whether every quorum of `one` overlaps with every quorum of `other`.
 bool quorumsOverlap(const ClusterConfig& one, const ClusterConfig& other) {
   auto members = one.allVoters();
   for (const auto& member : other.allVoters())
@@ -80,7 +80,7 @@
         continue;
       auto config = decodeConfig(entry->body);
       if (!before && machine->raft->firstIndex() == 1)
-        before = ClusterConfig{{"a#0", "b#0", "c#0"}, {}};  // the founders'
+        before = ClusterConfig{{"a#0", "b#0", "c#0"}, {}};  // the configuration of the founders
       if (before && !quorumsOverlap(*before, config))
         return "two configurations without overlapping majorities";
       before = std::move(config);
@@ -88,7 +88,8 @@
   }
   return {};
 }
-// Once nothing is in flight: with three or more running machines, the loss of any one of them must be tolerated.
+// Checks that, with three or more running machines, the loss of any one of them is tolerated. Valid only when no
+// messages are in flight.
 std::string checkTolerance(const World& world, std::size_t leader) {
   std::size_t running = 0;
   for (const auto& machine : world.machines)
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::array<const char*, kMachines> kAddresses = {"a", "b", "c", "d"};
 constexpr std::uint64_t kJitterSeed = 1;
-constexpr int kRoundsPerStep = 60;  // more events than one step of a fair run ever needs
+constexpr int kRoundsPerStep = 60;  // more deliveries than one time step of a fair run needs
 
 std::size_t machineAt(const std::string& address) {
   return static_cast<std::size_t>(address.at(0) - 'a');
@@ -25,7 +25,7 @@
 std::uint64_t combineHash(std::uint64_t hash, const std::string& text) {
   return hash64(text, hash);
 }
-// What a restart would make of a disk.
+// The node that a restart would recover from the machine's disk.
 RaftNode recovered(const Machine& machine, TimePoint now) {
   RaftNode node(machine.id, modelOptions(), kJitterSeed, now);
   node.recover(machine.disk, now);
@@ -151,7 +151,7 @@
                                    [](const auto& one, const auto& other) { return one->bytes < other->bytes; });
   inFlight.insert(at, std::move(message));
 }
-// A vote counts as given once it is sent: a response, or a candidate's own with its requests.
+// Records a vote when it is sent. A voter's vote is sent as a response, a candidate's own vote with its vote requests.
 void World::recordVote(std::size_t machine, const SendMessage& action) {
   std::string candidate;
   std::int64_t term = 0;
@@ -194,8 +194,8 @@
   extended->committed[entry.index] = {contentOf(entry), node.term()};
   history = std::move(extended);
 }
-// A member that may end must leave a majority whose disks still exist. No disk is lost once somebody is leaving (see
-// `toleratesLossOf`): whatever counts here was lost before the member asked.
+// Checks that a majority of voters with existing disks remains when a member is allowed to exit. No disk is lost while
+// a member is leaving (see `toleratesLossOf`), so every lost disk was lost before the member asked to leave.
 void World::recordExit(std::size_t machine) {
   const auto& leaving = machines[machine]->id;
   std::shared_ptr<const RaftNode> newest;
@@ -259,7 +259,7 @@
   auto& changed = change(machine);
   changed.disk.clear();
   changed.diskHash = 0;
-  changed.identities = std::max(changed.identities, 2);  // never founds again
+  changed.identities = std::max(changed.identities, 2);  // the machine no longer counts as a founder
   auto extended = std::make_shared<History>(*history);
   extended->lostIdentities.insert(changed.id);
   history = std::move(extended);
@@ -309,7 +309,7 @@
   std::vector<Action> actions;
   for (std::size_t message = 0; message < inFlight.size(); ++message) {
     if (message > 0 && inFlight[message]->bytes == inFlight[message - 1]->bytes)
-      continue;  // two equal messages: one choice
+      continue;  // delivering either of two equal messages has the same effect
     if (!machines[inFlight[message]->receiver]->frozen)
       actions.push_back({ActionKind::deliver, message});
     if (budgets.losses > 0)
--- a/tests/model_world.hpp
+++ b/tests/model_world.hpp
@@ -1,6 +1,6 @@
-/// The world that the model checker searches: the real consensus code on three founders and a spare, with every
-/// choice of the network, the disks, the processes and the clock as an explicit action. Worlds are values: copying
-/// one is cheap, since machines and messages are shared until they change.
+/// The system that the model checker explores: the production consensus code on three founders and a spare machine.
+/// Every event of the network, the disks, the processes and the clock is an explicit action. Copying a world is cheap,
+/// since copies share machines and messages until they change.
 #pragma once
 #include <array>
 #include <set>
@@ -11,36 +11,36 @@
 using namespace zinccleat::consensus;
 using namespace zinccleat::transport;
 constexpr std::size_t kFounders = 3;
-constexpr std::size_t kMachines = 4;  ///< the last one is the spare
-constexpr Duration kTimeStep{100};    ///< the clock moves in full steps; each running process ticks once in each
+constexpr std::size_t kMachines = 4;  ///< the last machine is the spare
+constexpr Duration kTimeStep{100};    ///< the clock advances in these steps; each running process ticks once per step
 
-/// How many faults of each kind one path may contain.
+/// The largest number of faults of each kind on one path.
 struct Budgets {
-  int crashes = 0;      ///< a process killed; what its disk had not synced is lost
-  int wipes = 0;        ///< a process killed and its disk lost
-  int leaves = 0;       ///< a member that leaves for good
-  int cuts = 0;         ///< a machine whose packets are lost in one direction or in both
-  int freezes = 0;      ///< a process that is paused while time advances
-  int duplicates = 0;   ///< a message that comes twice
-  int losses = 0;       ///< a message lost by itself
+  int crashes = 0;      ///< a process is killed and loses its unsynced records
+  int wipes = 0;        ///< a process is killed and its disk is lost
+  int leaves = 0;       ///< a member leaves permanently
+  int cuts = 0;         ///< a machine loses all packets in one direction or in both directions
+  int freezes = 0;      ///< a process is paused while time advances
+  int duplicates = 0;   ///< a message is delivered twice
+  int losses = 0;       ///< a single message is lost
   int compactions = 0;  ///< a member replaces its log by a snapshot
-  int writes = 0;       ///< a client's write, handed to a leader
-  int spares = 0;       ///< starts of the spare
+  int writes = 0;       ///< a client submits a write to the leader
+  int spares = 0;       ///< the spare is started
   int timeSteps = 0;
   std::int64_t maxTerms = 3;
-  std::size_t maxInFlight = 8;  ///< what is sent beyond this is lost
+  std::size_t maxInFlight = 8;  ///< messages that are sent while this many are in flight are lost
 };
 
 struct Machine {
   std::string address;
-  MemberId id;                           ///< of the disk
-  int identities = 0;                    ///< disks that this machine has had
+  MemberId id;                           ///< the identity of the disk
+  int identities = 0;                    ///< the number of disks that this machine has had
   std::shared_ptr<const RaftNode> raft;  ///< null: the process does not run
-  std::vector<DiskRecord> disk;          ///< what a sync has covered
-  std::uint64_t diskHash = 0;            ///< of what a restart would read from it
-  std::deque<PersistRecord> pending;     ///< handed to the disk, not synced
+  std::vector<DiskRecord> disk;          ///< the synced records
+  std::uint64_t diskHash = 0;            ///< a hash of the state that a restart would recover from `disk`
+  std::deque<PersistRecord> pending;     ///< records that are not synced yet
   bool frozen = false, leaving = false;
-  bool exited = false;  ///< has left for good
+  bool exited = false;  ///< the member has left permanently
   std::uint64_t hash(TimePoint now) const;
 
  private:
@@ -51,21 +51,22 @@
 
 struct Message {
   MemberId from;
-  std::size_t sender = 0, receiver = 0;  ///< machines: delivery is by address
+  std::size_t sender = 0, receiver = 0;  ///< indexes of machines, since messages are delivered by address
   ConsensusMessage content;
-  std::string bytes;  ///< encoded: what is compared and hashed
+  std::string bytes;  ///< the encoded message, for comparisons and hashes
 };
 
-/// What the invariants must remember of the path.
+/// A committed entry on the path from the start to the current state.
 struct CommittedEntry {
   std::string content;
-  std::int64_t committedInTerm = 0;  ///< the first term in which somebody knew it to be committed
+  std::int64_t committedInTerm = 0;  ///< the first term in which a member knew that the entry is committed
 };
+/// The parts of the path from the start to the current state that the invariants need.
 struct History {
   std::map<std::int64_t, CommittedEntry> committed;
   std::map<std::int64_t, MemberId> leaders;                        ///< by term
-  std::map<std::pair<MemberId, std::int64_t>, std::string> votes;  ///< of a member in a term: an address
-  std::set<MemberId> lostIdentities;                               ///< whose disk is exited
+  std::map<std::pair<MemberId, std::int64_t>, std::string> votes;  ///< candidate's address by member and term
+  std::set<MemberId> lostIdentities;                               ///< identities whose disk is lost
 };
 
 enum class ActionKind {
@@ -93,7 +94,7 @@
 };
 struct Action {
   ActionKind kind = ActionKind::advanceTime;
-  std::size_t index = 0;  ///< of the machine, or of the message among those in flight
+  std::size_t index = 0;  ///< the index of the machine, or of the message in `World::inFlight`
 };
 
 struct World {
@@ -101,27 +102,30 @@
   Budgets budgets;
   TimePoint now{std::chrono::seconds(1000)};
   std::array<std::shared_ptr<const Machine>, kMachines> machines;
-  std::vector<std::shared_ptr<const Message>> inFlight;  ///< sorted by their bytes
-  std::set<std::pair<std::size_t, std::size_t>> cut;     ///< sender and receiver
-  std::size_t cutMachine = kMachines;                    ///< none
-  std::uint32_t ticked = 0;                              ///< machines that ticked in this step of time, by bit
+  std::vector<std::shared_ptr<const Message>> inFlight;  ///< sorted by `Message::bytes`
+  std::set<std::pair<std::size_t, std::size_t>> cut;     ///< links that lose all messages: sender and receiver
+  std::size_t cutMachine = kMachines;                    ///< the machine that is cut off; `kMachines`: none
+  std::uint32_t ticked = 0;                              ///< bit mask of the machines that ticked in this time step
   std::shared_ptr<const History> history = std::make_shared<History>();
-  std::string violation;  ///< the name of the first invariant that an event broke
+  std::string violation;  ///< the name of the first invariant that an event violated
 
-  /// Three founders, started; the spare is off.
+  /// Starts the three founders. The spare does not run yet.
   explicit World(const RaftOptions& raftOptions);
-  /// All that may happen next.
+  /// All actions that are possible in this state.
   std::vector<Action> possibleActions() const;
   void apply(const Action& action);
   std::string describe(const Action& action) const;
   std::uint64_t hash() const;
-  /// Ends all faults; then, with `runFairly`, everything that can happen does, in a fixed order, for so long.
+  /// Ends all faults and starts the processes that do not run.
   void endAllFaults();
+  /// Runs a fair schedule for the given simulated time: every possible tick, sync and delivery occurs, in a fixed
+  /// order.
   void runFairly(Duration duration);
-  /// The member that leads with a valid lease; `kMachines`: none.
+  /// The machine that is leader with a valid lease; `kMachines`: none.
   std::size_t leaderWithLease() const;
   bool running(std::size_t machine) const { return machines[machine]->raft && !machines[machine]->frozen; }
-  /// Whether a disk may be lost now without a majority being lost: one fault must still be tolerated.
+  /// Whether a quorum of the voters other than `machine` is available and has all committed entries, so that the
+  /// cluster tolerates the loss of the machine's disk now.
   bool toleratesLossOf(std::size_t machine) const;
   void reportViolation(const std::string& invariant);
 
@@ -148,10 +152,11 @@
   void addFaults(std::vector<Action>& actions, std::size_t machine) const;
 };
 
-/// Text that two equal entries share.
+/// A text that is equal for two entries if and only if the entries have the same term, kind, operation id and body.
 std::string contentOf(const LogEntry& entry);
 /// Whether the log that a restart would read from these records holds the entry.
 bool diskHolds(const Machine& machine, const LogEntry& entry);
-/// The options of all model worlds: the order of the real time spans at a coarser grain, without jitter.
+/// The options of all model worlds. The durations have the same order as in production, but are based on a coarse time
+/// step and have no jitter.
 RaftOptions modelOptions();
 }  // namespace zinccleat::model
--- a/tests/name_prefix_test.cpp
+++ b/tests/name_prefix_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Several storages in one folder.
+/// Tests of several storages that share one folder.
 #include "storage/name_prefix.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/posix_storage_test.cpp
+++ b/tests/posix_storage_test.cpp
@@ -1,4 +1,4 @@
-// Storage on the operating system's files: the lock, recovery, and damage to real files.
+// Tests of `Storage` on real files of the operating system: the lock, recovery, and damaged files.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -1,5 +1,6 @@
-/// A seeded cluster of `RaftNode`s in simulated time: a network that loses, delays and cuts, disks that are slow, full
-/// or wiped, processes that pause, lose power and restart. Nothing sleeps; one seed always gives the same run.
+/// A deterministic simulation of a cluster of `RaftNode`s. The network loses and delays messages and can be
+/// partitioned; disks can be slow, full or wiped; processes can pause, lose power and restart. Time is simulated, so
+/// tests never sleep, and a seed always produces the same run.
 #pragma once
 #include <queue>
 #include <random>
@@ -28,16 +29,16 @@
     std::string ip, id;
     std::unique_ptr<RaftNode> raft;
     ReplicatedState replica;
-    std::vector<std::string> disk;  ///< encoded records that a sync has covered
-    int incarnation = 0;            ///< rises with each start and end of the process
+    std::vector<std::string> disk;  ///< the synced records, encoded
+    int incarnation = 0;            ///< incremented at each start and each end of the process
     bool up = false, paused = false, diskFull = false;
     Duration syncTime = kDefaultSyncTime;
-    std::deque<PendingRecord> pendingRecords;  ///< handed to the disk, not synced
+    std::deque<PendingRecord> pendingRecords;  ///< records that are not synced yet
     std::int64_t lastApplied = 0;
   };
   using Link = std::pair<std::string, std::string>;  ///< sender and receiver, by IP
 
-  // The state, which tests read and change as they go.
+  // The state of the simulation. Tests read and modify it at any time.
   std::mt19937_64 random;
   std::uint64_t seed;
   TimePoint now{std::chrono::seconds(1000)};
@@ -46,22 +47,22 @@
   double lossRate = 0.0;
   int maxDelayMs = kDefaultMaxDelayMs;
   RaftOptions options;
-  std::size_t toleratedLosses = 1;  ///< machines that may be lost at once with their disks
+  std::size_t toleratedLosses = 1;  ///< the number of machines that may lose their disks at the same time
 
-  // What has happened, and what must hold of it.
-  std::map<std::int64_t, std::string> committed;                     ///< content by index, on any node
-  std::map<std::int64_t, std::set<std::string>> leaseHoldersByTerm;  ///< members
+  // The history of the run, and the violations of invariants.
+  std::map<std::int64_t, std::string> committed;                     ///< content of each committed entry by index
+  std::map<std::int64_t, std::set<std::string>> leaseHoldersByTerm;  ///< members that had a lease, by term
   std::map<std::string, std::int64_t> acknowledged;                  ///< operation id -> index when acknowledged
   std::vector<std::string> violations;
   int operationCount = 0;
-  int faultsDrawnWhileHealthy = 0;  ///< how often everything was healthy when the next trouble was drawn
+  int faultsDrawnWhileHealthy = 0;  ///< how often the cluster was healthy when the next fault was drawn
 
   explicit SimulatedCluster(std::uint64_t clusterSeed) : random(clusterSeed), seed(clusterSeed) {}
   virtual ~SimulatedCluster() = default;
 
-  // --- time and chance ---
+  // --- time and random numbers ---
 
-  /// A number below `bound`.
+  /// A random number below `bound`.
   std::uint64_t draw(std::uint64_t bound) { return random() % bound; }
   /// Runs `task` after a delay.
   void schedule(Duration delay, std::function<void()> task) {
@@ -82,8 +83,8 @@
 
   // --- processes ---
 
-  /// Starts the process at an address, on the disk that is there.
-  /// @param firstStart of the whole cluster: the seeds found it.
+  /// Starts the process at an address with the disk of that machine.
+  /// @param firstStart whether the cluster is started for the first time, with the seeds as founders.
   void start(const std::string& ip, const std::vector<std::string>& seeds, bool firstStart) {
     auto& node = nodes[ip];
     node.ip = ip;
@@ -106,14 +107,15 @@
     carryOutActions(node);
     scheduleTick(ip, node.incarnation);
   }
-  /// Power lost: the process ends, and what its disk had not synced is gone.
+  /// Simulates a power loss: the process ends, and records that are not synced are lost.
   void crash(const std::string& ip) {
     auto& node = nodes[ip];
     node.up = false;
     ++node.incarnation;
     node.raft.reset();
   }
-  /// A graceful shutdown: the member asks the others to do without it and ends when they can, or after `grace`.
+  /// Starts a graceful shutdown: the member asks to leave, and its process ends when the leader allows it or after
+  /// `grace`.
   void leave(const std::string& ip, Duration grace = Duration(6500)) {
     auto& node = nodes[ip];
     if (!node.up)
@@ -122,14 +124,14 @@
     carryOutActions(node);
     endWhenAllowed(ip, node.incarnation, now + grace);
   }
-  /// The node that leads under a valid lease; empty: none.
+  /// The IP of the node that is leader with a valid lease; empty: none.
   std::string leader() {
     for (auto& [ip, node] : nodes)
       if (node.up && !node.paused && node.raft->hasLease(now))
         return ip;
     return {};
   }
-  /// Cuts the links from a node to all others and, with `bothWays`, those to it.
+  /// Cuts the links from a node to all other nodes and, with `bothWays`, the links to the node.
   void isolate(const std::string& ip, bool bothWays = true) {
     for (const auto& [other, node] : nodes) {
       if (other == ip)
@@ -139,7 +141,7 @@
         cutLinks.insert({other, ip});
     }
   }
-  /// Carries out all actions that a node's state machine has due.
+  /// Carries out all pending actions of a node's state machine.
   void carryOutActions(Node& node) {
     for (auto actions = node.raft->takeActions(); !actions.empty(); actions = node.raft->takeActions())
       for (auto& action : actions)
@@ -149,7 +151,8 @@
 
   // --- writes ---
 
-  /// A client's write at any node, which forwards it to the leader and acknowledges it once it has applied it.
+  /// Sends a client's write to a node. The node forwards the write to the leader, and acknowledges the write once the
+  /// node has applied it.
   void write(const std::string& ip, std::size_t bytes = 10) {
     auto& node = nodes[ip];
     if (!node.up || node.paused)
@@ -176,14 +179,14 @@
   static constexpr Duration kWriteRetryInterval{120};
 
  protected:
-  // --- what is replicated; a derived class puts another state machine in the place of `ReplicatedState` ---
+  // --- the replicated state machine; derived classes may replace `ReplicatedState` ---
 
-  /// A process begins with an empty state.
+  /// Called when a process starts, which resets the applied state.
   virtual void onProcessStart(Node&) {}
   virtual void applyEntry(Node& node, const LogEntry& entry) { node.replica.apply(entry); }
   virtual bool restoreState(Node& node, const std::string& state) { return node.replica.restore(state).has_value(); }
   virtual std::string snapshotOf(const Node& node) const { return node.replica.snapshot(); }
-  /// A node has carried out all that its state machine asked for.
+  /// Called after a node has carried out all actions of its state machine.
   virtual void afterActions(Node&) {}
 
   void reportViolation(const std::string& what) { violations.push_back(what + " (seed " + std::to_string(seed) + ")"); }
@@ -191,7 +194,7 @@
     return cutLinks.contains({from, receiver}) || std::uniform_real_distribution<>(0, 1)(random) < lossRate;
   }
   Duration drawDelay() { return Duration(1 + draw(static_cast<std::uint64_t>(maxDelayMs))); }
-  /// The node at an address, if it is up and a packet from `from` reaches it.
+  /// The node at `receiver`; null if the node is down or the link from `from` is cut.
   Node* reach(const std::string& from, const std::string& receiver) {
     const auto node = nodes.find(receiver);
     if (node == nodes.end() || !node->second.up || cutLinks.contains({from, receiver}))
@@ -204,13 +207,13 @@
     TimePoint at;
     std::uint64_t order;
     std::function<void()> task;
-    /// For a queue with the earliest event on top.
+    /// Orders a priority queue with the earliest event on top.
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   static constexpr std::size_t kMaxViolations = 5;
   static constexpr int kWriteAttempts = 12;
-  static constexpr Duration kPausedRetry{50};        // until a paused process is tried again
-  static constexpr Duration kExitPoll{50};           // between two looks at whether a leaving member may exit
+  static constexpr Duration kPausedRetry{50};        // delay before the next delivery attempt to a paused process
+  static constexpr Duration kExitPoll{50};           // interval of the checks whether a leaving member may exit
   static constexpr std::int64_t kCompactEvery = 16;  // entries
 
   // --- starting ---
@@ -224,7 +227,7 @@
       founders.push_back(founderAt(ip));
     return founders;
   }
-  /// The newest full record on a disk and what follows it.
+  /// The newest full record on a disk and all records after it.
   static std::vector<DiskRecord> recordsOn(const std::vector<std::string>& disk) {
     std::vector<DiskRecord> records;
     for (const auto& bytes : disk) {
@@ -306,7 +309,7 @@
 
   // --- the network ---
 
-  /// Messages pass through their encoding: what the connection cannot carry must not pass here either.
+  /// Sends a message in encoded form, so that the simulation delivers only what the wire format can represent.
   void sendBytes(const Node& from, const std::string& member, const std::string& bytes) {
     const auto receiver = addressOf(member);
     if (isLost(from.ip, receiver))
@@ -350,7 +353,7 @@
     carryOutActions(*node);
   }
 
-  // --- the disks: one record at a time; how long it takes is the disk's state when it begins ---
+  // --- the disks: a disk syncs one record at a time; `syncTime` at the start of a sync is its duration ---
 
   void startSync(const std::string& ip, int incarnation) {
     schedule(nodes[ip].syncTime, [this, ip, incarnation] { endSync(ip, incarnation); });
@@ -358,7 +361,7 @@
   void endSync(const std::string& ip, int incarnation) {
     auto& node = nodes[ip];
     if (node.incarnation != incarnation || !node.up)
-      return;  // power was lost before the sync: the record is gone
+      return;  // the power loss happened before the sync, so the record is lost
     if (node.paused)
       return schedule(kPausedRetry, [this, ip, incarnation] { endSync(ip, incarnation); });
     const auto [ticket, record] = node.pendingRecords.front();
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// A disk in memory that fails and loses power where a test wants it to. It keeps the durability model of
-/// `storage::FileSystem`: a file's content is durable after its own sync, each later write is there, torn or missing;
-/// each creation, rename and removal since the folder's last sync is kept or lost by itself, also the two halves of a
-/// rename.
+/// An in-memory disk on which tests inject errors and power losses. The disk implements the durability model of
+/// `storage::FileSystem`. The content of a file is durable after a sync of the file; each later write may be complete,
+/// torn or missing. Each creation, rename and removal since the last sync of the folder is kept or lost independently;
+/// a rename consists of two such changes, one for the old name and one for the new name.
 #pragma once
 #include <cerrno>
 #include <cstring>
@@ -14,33 +14,33 @@
 
 namespace zinccleat {
 using namespace zinccleat::storage;
-/// Thrown instead of an operation: the process ends there.
+/// Thrown in place of an operation to simulate the end of the process by a power loss.
 struct PowerLoss {};
 
-/// The disk: files, names, and what of them is durable.
+/// The disk: the files, the names of the files, and the durable part of both.
 struct SimulatedDisk {
   enum class Operation { lock, list, read, create, write, syncFile, rename, remove, syncFolder };
-  /// What happens to an operation.
+  /// How an operation ends.
   enum class OperationResult {
     succeeds,
     powerLoss,      // the process ends before the operation has any effect
     failsBefore,    // an error, no effect
-    failsAfter,     // an error, though the effect is there
-    failsAndDrops,  // a sync only: an error, and what was not durable is never written, though later syncs succeed
+    failsAfter,     // an error, although the operation has taken effect
+    failsAndDrops,  // only for syncs: an error; the unsynced data is never written, although later syncs succeed
   };
   struct Write {
     std::size_t at;
     std::string bytes;
   };
   struct File {
-    std::string durable;          // content at the last successful sync
-    std::string content;          // as read back while the power is on
-    std::vector<Write> unsynced;  // since then, in order
+    std::string durable;          // the content at the last successful sync
+    std::string content;          // the content that reads return
+    std::vector<Write> unsynced;  // the writes since the last successful sync, in order
     bool dropped = false;
   };
   struct Change {
     std::string name;
-    int file;  // -1: the name is removed
+    int file;  // the index in `files`; -1: the name is removed
     bool dropped = false;
   };
   using Content = std::map<std::string, std::string>;
@@ -51,15 +51,15 @@
   std::vector<Change> changes;
   bool locked = false;
 
-  // How the disk behaves, to be set by the test.
-  std::function<OperationResult(Operation, int number)> operationResult;  // number: operations so far
+  // The behaviour of the disk, which tests set.
+  std::function<OperationResult(Operation, int number)> operationResult;  // number: count of earlier operations
   int operations = 0;
   int errorCode = EIO;
   std::size_t maxBytesPerWrite = std::string::npos;
   std::size_t capacity = std::string::npos;  // bytes in all named files
 
   SimulatedDisk() = default;
-  /// As found after a power loss: everything is durable.
+  /// Creates a disk with this content, all of which is durable, as after a power loss.
   explicit SimulatedDisk(const Content& found) {
     for (auto& [name, content] : found) {
       names[name] = static_cast<int>(files.size());
@@ -112,8 +112,8 @@
       to[change.name] = change.file;
   }
 
-  /// Every content that the folder may have after a power loss at this moment. Throws std::length_error if too much is
-  /// unsynced to enumerate it: the code under test does not sync.
+  /// All contents that the folder may have after a power loss at this moment. Throws std::length_error if there are too
+  /// many unsynced changes to enumerate, which means that the code under test does not sync.
   std::set<Content> afterPowerLoss() const {
     if (changes.size() > kMaxUnsyncedChanges)
       throw std::length_error(std::to_string(changes.size()) + " changes of names are not synced");
@@ -144,7 +144,8 @@
       addContents(folder, next, content, all);
     }
   }
-  // Each unsynced write complete, torn or missing by itself.
+  // All contents that a file may have after a power loss: each unsynced write is complete, torn or missing,
+  // independently of the others.
   static std::set<std::string> variantsOf(const File& file) {
     if (file.unsynced.size() > kMaxUnsyncedChanges)
       throw std::length_error(std::to_string(file.unsynced.size()) + " writes of a file are not synced");
@@ -166,7 +167,7 @@
   }
 };
 
-/// A `storage::FileSystem` on a simulated disk.
+/// Implements `storage::FileSystem` on a simulated disk.
 class SimulatedFolder : public FileSystem {
  public:
   using Operation = SimulatedDisk::Operation;
--- a/tests/slow_disk_test.cpp
+++ b/tests/slow_disk_test.cpp
@@ -1,7 +1,7 @@
-/// Disks that are slow, on one machine, a minority, a majority or all, for seconds or minutes, and one that stalls for
-/// good: a leader is found, writes are acknowledged, and no machine gives the leadership away for nothing. Known fault:
-/// with syncs of 700 ms and more on all disks no member stood for election. A timeline and the cause:
-/// docs/incidents/slow-disks.md.
+/// Tests with slow disks on one machine, a minority, a majority or all machines, for seconds or minutes, and with a
+/// disk that stalls permanently. A leader must be elected, writes must be acknowledged, and leadership must not be
+/// transferred needlessly. Guards against a fault in which no member started an election while syncs took 700 ms or
+/// more on all disks; docs/incidents/slow-disks.md describes the timeline and the cause.
 #include <gtest/gtest.h>
 
 #include <ostream>
@@ -21,16 +21,16 @@
 
 const std::vector<std::string> kMachines = {"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.1.0.2", "10.2.0.2"};
 
-/// What is done to the disks, and what must hold meanwhile.
+/// A test case: which disks are slow, and the limits that must be met meanwhile.
 struct SlowDisks {
   const char* name;
-  std::size_t slowDisks;   ///< of five; the leader's is the first of them
-  Duration syncTime;       ///< of a slow disk
-  Duration slowFor;        ///< then they are as usual
-  bool leaderIsLost;       ///< its process ends as the disks turn slow
-  Duration leaderBound;    ///< from the loss of a leader, or the beginning, to a leader with a lease
-  Duration writeBound;     ///< of nine in ten writes: two syncs, a retry of the write (120 ms) and a step
-  std::int64_t termBound;  ///< terms that may begin
+  std::size_t slowDisks;   ///< the number of slow disks out of five; the leader's disk is one of them
+  Duration syncTime;       ///< the duration of a sync on a slow disk
+  Duration slowFor;        ///< how long the disks are slow and observed
+  bool leaderIsLost;       ///< the leader's process ends when the disks become slow
+  Duration leaderBound;    ///< the longest time without a leader that has a lease
+  Duration writeBound;     ///< the longest time of nine in ten writes: two syncs, a write retry (120 ms) and a step
+  std::int64_t termBound;  ///< the largest number of new terms
 };
 const SlowDisks kCases[] = {
     {"one", 1, 1500ms, 10s, false, 100ms, 200ms, 1},
@@ -47,10 +47,10 @@
 };
 
 constexpr Duration kUnacknowledged{1h};
-/// What was seen while the disks were slow.
+/// The measurements while the disks were slow.
 struct Observed {
   Duration longestWithoutLeader{0};
-  std::vector<Duration> writeTimes;  ///< in the order of their length; those without an end last
+  std::vector<Duration> writeTimes;  ///< in ascending order; unacknowledged writes are last
   std::int64_t newTerms = 0;
   Duration ninetiethPercentile() const {
     return writeTimes.empty() ? kUnacknowledged : writeTimes[writeTimes.size() * 9 / 10];
@@ -76,8 +76,8 @@
   if (disks.leaderIsLost)
     cluster.crash(leader);
 }
-/// A write at one of the machines, tried again until it is acknowledged.
-/// @return its id; empty: the machine is down.
+/// Starts a write at one of the machines, which is retried until the write is acknowledged.
+/// @return the operation id of the write; empty: the machine is down.
 std::string writeAt(SimulatedCluster& cluster, std::size_t number) {
   constexpr int kAttempts = 1000;
   auto& node = cluster.nodes[kMachines[number % kMachines.size()]];
@@ -89,7 +89,7 @@
   cluster.attemptWrite(node.ip, node.incarnation, entry, kAttempts);
   return id;
 }
-/// Plays a case, with a write at some machine every 200 ms.
+/// Runs a case with a write at one of the machines every 200 ms.
 Observed runCase(const SlowDisks& disks, std::uint64_t seed) {
   constexpr Duration kStep{20};
   constexpr int kStepsPerWrite = 10;
@@ -143,7 +143,8 @@
 }
 
 namespace {
-/// The answers to heartbeats among a node's actions; the tickets of its records go to `tickets`.
+/// Takes the actions of a node and appends the tickets of its records to `tickets`.
+/// @return the number of AppendEntries responses among the actions, which are lease promises.
 std::size_t promisesIn(RaftNode& node, std::vector<std::int64_t>& tickets) {
   std::size_t promises = 0;
   for (const auto& action : node.takeActions()) {
@@ -155,8 +156,9 @@
   return promises;
 }
 }  // namespace
-// Found on reading: a record that waits behind one on its way to the disk gathers what comes later, and took the later
-// ticket. The promise to a leader, which waits for its term's record under the earlier ticket, then left too soon.
+// Guards against a promise that is sent too early: later records are merged into a record that waits for the write
+// before it, and the merged record has the ticket of the newest one. A promise that waits for the record of its term,
+// under an older ticket, must not be sent before the merged record is synced.
 TEST(SlowDisks, APromiseWaitsForTheRecordThatItsTermWasGatheredInto) {
   const TimePoint now{100s};
   RaftNode node("10.2.0.1#0", RaftOptions{}, 1, now);
@@ -168,19 +170,19 @@
   AppendEntries heartbeat;
   heartbeat.term = 1;
   heartbeat.heartbeatId = 1;
-  node.receive(now, "10.1.0.1#0", heartbeat);  // the new term waits behind the first record
+  node.receive(now, "10.1.0.1#0", heartbeat);  // the record of the new term waits for the first record
   AppendEntries append = heartbeat;
   append.entries.resize(1);
   append.entries[0].index = append.entries[0].term = 1;
-  node.receive(now, "10.1.0.1#0", append);  // gathered with it
+  node.receive(now, "10.1.0.1#0", append);  // the record of the entry is merged into the record of the term
   node.persisted(now, tickets.back(), true);
   EXPECT_EQ(promisesIn(node, tickets), 0U) << "the term is not on the disk";
   ASSERT_EQ(tickets.size(), 2U);
   node.persisted(now, tickets.back(), true);
   EXPECT_GE(promisesIn(node, tickets), 1U);
 }
-// A full disk refuses every write. Nobody can write then, wherever the leader is: it stays, so that leases are renewed
-// and traffic goes on.
+// While all disks are full, no member can write, so a leadership transfer would gain nothing. The leader must keep its
+// lease, so that leases that depend on it are renewed and traffic continues.
 TEST(SlowDisks, WhileAllDisksAreFullTheLeaderKeepsItsLease) {
   SimulatedCluster cluster(4);
   for (const auto& ip : kMachines)
--- a/tests/storage_faults_test.cpp
+++ b/tests/storage_faults_test.cpp
@@ -1,4 +1,4 @@
-// Storage on a disk that loses power or fails at every operation, exhaustively, on a simulated disk; none sleeps.
+// Exhaustive tests of `Storage` on a simulated disk that loses power or fails at each operation. No test sleeps.
 #include <gtest/gtest.h>
 
 #include "storage_fixtures.hpp"
@@ -11,7 +11,8 @@
 constexpr OperationResult kErrors[] = {OperationResult::failsBefore, OperationResult::failsAfter,
                                        OperationResult::failsAndDrops};
 
-/// The operationResult of an operation that is to fail in this way; only syncs can drop what is unsynced.
+/// The result of an operation that is to fail in this way. Only syncs can drop unsynced data, so `failsAndDrops`
+/// becomes `failsBefore` for other operations.
 OperationResult errorOf(OperationResult operationResult, Operation operation) {
   const bool sync = operation == Operation::syncFile || operation == Operation::syncFolder;
   return operationResult == OperationResult::failsAndDrops && !sync ? OperationResult::failsBefore : operationResult;
@@ -21,14 +22,14 @@
 struct InjectedError {
   OperationResult operationResult;
   int code;    // errno
-  int number;  // of the operation
+  int number;  // the index of the operation that fails
 };
 struct RunResult {
   std::string violation;  // empty: none
-  bool failed = false;    // whether the run got as far as the error
+  bool failed = false;    // whether the run reached the operation that fails
 };
-/// Appends records of this shape on a disk with one error, which is retried once, and a later power loss. Checks every
-/// outcome of a power loss after each record from the error on, and at the end.
+/// Appends records of this shape on a disk with one error, after which the append is retried once, and a later power
+/// loss. Checks every possible outcome of a power loss after each record since the error, and at the end.
 RunResult runWithErrorThenPowerLoss(Checker& checker, const std::string& shape, const InjectedError& error,
                                     int powerLossAt) {
   Disk disk;
@@ -104,7 +105,8 @@
   RecordProperty("distinct", static_cast<int>(checker.distinct()));
 }
 TEST(StorageFaults, KillAtEachOperationThenPowerLossAfterRestart) {
-  // A kill leaves the files as they were, synced or not: what the next incarnation loads must be durable from then on.
+  // A killed process leaves all files unchanged, synced or not. The records that the next process loads must be durable
+  // from then on.
   Checker checker;
   for (const std::string shape : {"fiifi", "iif"})
     for (int first = 0, killed = 1; killed; ++first) {
@@ -130,7 +132,7 @@
 // --- Failing operations ---
 
 TEST(StorageFaults, ErrorAtEachOperationIsRetriedThenPowerLoss) {
-  constexpr int kFirstOfAppend = 2;  // 0 and 1: the load of an empty folder
+  constexpr int kFirstOfAppend = 2;  // operations 0 and 1 are the load of an empty folder
   Checker checker;
   int runs = 0;
   for (const auto operationResult : kErrors)
@@ -248,7 +250,7 @@
   };
   auto storage = storageOn(disk);
   ASSERT_TRUE(storage.load());
-  // The removal of a left-over temporary file before a write is the only one whose failure must fail the write.
+  // The removal of a leftover temporary file before a write is the only removal whose failure must fail the append.
   EXPECT_FALSE(storage.append(recordOf(1, true)));
   disk.operationResult = {};
   ASSERT_TRUE(appendAll(storage, "fii", history, 1));
--- a/tests/storage_fixtures.hpp
+++ b/tests/storage_fixtures.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the tests of storage share: records and folders in short notation, the history of a member's records, and the
-/// check of every outcome of a power loss against it.
+/// Shared functions of the storage tests: a short notation for records and folders, the history of a member's records,
+/// and a check of every possible outcome of a power loss against that history.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -40,7 +40,9 @@
 }
 using Sequences = std::vector<std::int64_t>;
 
-/// A folder with these records; 'f' is a full one, 'i' an increment, '-' none, 'x' one with a wrong checksum.
+/// Creates the content of a folder.
+/// @param shape one character per record from record 1 on: 'f' a full record, 'i' an increment, '-' no record, 'x' a
+///        record with a wrong checksum.
 inline Disk::Content folderOf(const std::string& shape) {
   Disk::Content folder;
   for (std::size_t i = 0; i < shape.size(); ++i) {
@@ -55,12 +57,12 @@
   return folder;
 }
 
-/// Which records a member has begun and had acknowledged, over all its incarnations.
+/// The records that a member has begun to append and the records that were acknowledged, over all its processes.
 struct History {
-  std::map<std::int64_t, std::string> written;  // by sequence, encoded
+  std::map<std::int64_t, std::string> written;  // encoded records by sequence number
   std::map<std::int64_t, bool> full;
-  std::int64_t acknowledged = 0;  // the newest that must be recovered
-  std::int64_t begun = 0;         // the newest that may be recovered
+  std::int64_t acknowledged = 0;  // the newest record that must be recovered
+  std::int64_t begun = 0;         // the newest record that may be recovered
   std::string key() const {
     std::string all = std::to_string(acknowledged) + "/" + std::to_string(begun);
     for (auto& [sequence, content] : written)
@@ -80,7 +82,7 @@
   return base;
 }
 /// Compares recovered records with the history.
-/// @return what is wrong with them; empty: nothing.
+/// @return a description of the first difference; empty: none.
 inline std::string findViolation(const Result<std::vector<DiskRecord>>& records, const History& history) {
   if (!records)
     return "load: " + records.error().message;
@@ -100,8 +102,9 @@
   return expected == last + 1 ? "" : "the run ends early";
 }
 
-/// Appends records of this shape, with retries, and removes obsolete files; stops at a power loss.
-/// @return false if one failed in all attempts.
+/// Appends records of this shape and removes obsolete files. A power loss ends the function with an exception.
+/// @param attempts how often each record is tried.
+/// @return false if all attempts for a record failed.
 inline bool appendAll(Storage& storage, const std::string& shape, History& history, int attempts,
                       const std::function<void()>& afterEach = {}) {
   for (const char kind : shape) {
@@ -121,8 +124,8 @@
   return true;
 }
 
-/// Checks that every outcome of a power loss at this moment is recovered as the history requires. Each distinct outcome
-/// is checked once.
+/// Checks that every possible outcome of a power loss is recovered as the history requires. Each distinct outcome is
+/// checked once.
 class Checker {
  public:
   std::string check(const Disk& disk, const History& history) {
@@ -137,7 +140,7 @@
     }
     return {};
   }
-  /// The outcomes of a power loss at this moment that were not returned before.
+  /// The possible outcomes of a power loss at this moment that this function has not returned before.
   std::vector<Disk::Content> newOutcomes(const Disk& disk, const History& history) {
     std::vector<Disk::Content> all;
     for (auto& folder : disk.afterPowerLoss())
@@ -170,8 +173,8 @@
     return number == operation ? OperationResult::powerLoss : OperationResult::succeeds;
   };
 }
-/// One incarnation: loads, then appends records of this shape.
-/// @return whether power was lost on the way.
+/// Simulates one process: loads the records, then appends records of this shape.
+/// @return whether the power was lost.
 inline bool runIncarnation(Disk& disk, const std::string& shape, History& history) {
   try {
     auto storage = storageOn(disk);
@@ -179,7 +182,7 @@
     EXPECT_EQ(findViolation(records, history), "");
     if (!records)
       return true;
-    // What was loaded is durable from here on.
+    // The records that were loaded are durable from here on.
     history.acknowledged = history.begun = records->empty() ? 0 : records->back().seq;
     EXPECT_TRUE(appendAll(storage, shape, history, 1));
     return false;
--- a/tests/storage_quarantine_test.cpp
+++ b/tests/storage_quarantine_test.cpp
@@ -1,4 +1,4 @@
-// The quarantine of corrupted disks.
+// Tests of the quarantine of corrupted disks.
 #include <gtest/gtest.h>
 
 #include "storage_fixtures.hpp"
@@ -14,7 +14,7 @@
 }
 
 /// Recovers a disk that loses power at this operation.
-/// @return whether power was lost.
+/// @return whether the power was lost.
 bool recoverWithPowerLossAt(Disk& disk, int operation) {
   losePowerAt(disk, operation);
   try {
@@ -25,7 +25,7 @@
     return true;
   }
 }
-/// Whether a load finds an empty folder, or reports the corruption again.
+/// Whether `load` finds an empty folder or reports a corruption.
 bool isEmptyOrCorrupted(const Disk::Content& folder) {
   Disk disk(folder);
   const auto records = loadFrom(disk);
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -1,4 +1,4 @@
-// Storage: the format of records, and what recovery loads, ignores and reports.
+// Tests of the record format, and of the files that `Storage::load` loads, ignores and reports.
 #include <gtest/gtest.h>
 
 #include "storage_fixtures.hpp"
@@ -7,7 +7,7 @@
 using namespace zinccleat::storage_testing;
 
 TEST(Storage, RecoversFromTheNewestFullRecord) {
-  // The files 1, 2, 3, 4 were removed under the full record 5; 1 and 3 came back after a loss of power.
+  // Records 1 to 4 were removed after the full record 5. A power loss undid the removals of records 1 and 3.
   Disk disk(folderOf("f-i-f"));
   auto storage = storageOn(disk);
   const auto records = storage.load();
@@ -17,7 +17,7 @@
   EXPECT_TRUE(storage.append(recordOf(6, false)));
 }
 TEST(Storage, FilesBelowTheBaseAreIgnoredInAnyCondition) {
-  // Each of the four files below: absent, complete, with a wrong checksum, empty, or something else.
+  // Each of the four files before the full record 5 is absent, complete, empty, has a wrong checksum or other content.
   const std::string foreign = "something else";
   for (int state = 0; state < 5 * 5 * 5 * 5; ++state) {
     auto folder = folderOf("fiiifii");
@@ -99,7 +99,7 @@
   }
 }
 TEST(Storage, EveryFlippedBitIsDetectedOrHarmless) {
-  const auto folder = folderOf("fiifii");  // 1 to 3 lie below the newest full record
+  const auto folder = folderOf("fiifii");  // records 1 to 3 are obsolete because of the full record 4
   int detected = 0;
   int harmless = 0;
   for (auto& [name, content] : folder)
