--- a/libs/consensus/src/leader.cpp
+++ b/libs/consensus/src/leader.cpp
@@ -14,7 +14,7 @@
   else if (now - leading.lastQuorumAt > options.lease + options.electionTimeout)
     return stepDown(now);
   trackCommitAheadOfDisk(now);
-  if (diskStalled() && commitsMuchFasterThanOwnDisk(now))
+  if (diskStalled() && quorumCommitsMuchFasterThanOwnDisk(now))
     return transferLeadership(now);
   tickMembership(now);
   if (role == Role::leader && now - leading.lastHeartbeatAt >= options.heartbeatInterval)
@@ -82,7 +82,7 @@
   else if (leading.commitAheadOfDiskSince == TimePoint{})
     leading.commitAheadOfDiskSince = now;
 }
-bool RaftCore::commitsMuchFasterThanOwnDisk(TimePoint now) const {
+bool RaftCore::quorumCommitsMuchFasterThanOwnDisk(TimePoint now) const {
   if (leading.commitAheadOfDiskSince == TimePoint{})
     return false;
   constexpr int kMinSpeedRatio = 3;
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -51,7 +51,7 @@
 void RaftCore::agePendingRecords(TimePoint now) {
   const auto sinceTick = lastTickAt == TimePoint{} ? Duration(0) : toDuration(now - lastTickAt);
   lastTickAt = now;
-  persistence.age(std::min(sinceTick, options.tickInterval * 2));
+  persistence.advanceAge(std::min(sinceTick, options.tickInterval * 2));
 }
 bool RaftCore::diskStalled() const {
   return persistence.oldestFailed() || persistence.oldestAge() > options.syncStallTimeout;
--- a/libs/consensus/src/persistence_queue.cpp
+++ b/libs/consensus/src/persistence_queue.cpp
@@ -99,7 +99,7 @@
   pending_.push_back(std::move(merged));
   return pending_.front();
 }
-void PersistenceQueue::age(Duration step) {
+void PersistenceQueue::advanceAge(Duration step) {
   for (auto& pending : pending_)
     pending.pendingFor += step;
 }
--- a/libs/consensus/src/persistence_queue.hpp
+++ b/libs/consensus/src/persistence_queue.hpp
@@ -66,11 +66,11 @@
   /// the newest record. A single write then makes everything durable that was queued while writes failed.
   const PendingRecord& replaceAll(DiskRecord fullRecord, std::int64_t lastLogIndex, std::int64_t lastLogTerm);
   /// Adds `step` to the age of all pending records.
-  void age(Duration step);
+  void advanceAge(Duration step);
   bool oldestFailed() const { return !pending_.empty() && pending_.front().failed; }
   /// The age of the oldest pending record.
   Duration oldestAge() const { return pending_.empty() ? Duration(0) : pending_.front().pendingFor; }
-  /// The age of the newest synced record when its sync completed, measured in ticks (`age`).
+  /// The age of the newest synced record when its sync completed, measured in ticks (`advanceAge`).
   Duration lastSyncTime() const { return lastSyncTime_; }
   const std::deque<PendingRecord>& pending() const { return pending_; }
   const std::vector<DeferredMessage>& deferred() const { return deferred_; }
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -122,7 +122,7 @@
   /// Whether a quorum commits without this member's disk, in at most a third of the time for which this disk has been
   /// writing. Otherwise a leadership transfer is useless: too many other disks are as slow, and the election would wait
   /// for them too.
-  bool commitsMuchFasterThanOwnDisk(TimePoint now) const;
+  bool quorumCommitsMuchFasterThanOwnDisk(TimePoint now) const;
   /// Tracks since when the commit index has been ahead of this member's disk.
   void trackCommitAheadOfDisk(TimePoint now);
   /// Transfers the leadership to `bestSuccessor`. Without a successor this member stays leader.
--- a/libs/consensus/src/voter_changes.cpp
+++ b/libs/consensus/src/voter_changes.cpp
@@ -92,7 +92,7 @@
   return progress.matchIndex > 0 && progress.matchIndex + kMaxCaughtUpLagEntries >= log.lastLogIndex();
 }
 std::vector<MemberId> RaftCore::readyLearners(TimePoint now) const {
-  std::vector<MemberId> returned;
+  std::vector<MemberId> replacements;
   std::vector<MemberId> others;
   const auto voters = log.config().allVoters();
   for (const auto& [peer, progress] : leading.peers) {
@@ -102,10 +102,10 @@
     const auto address = addressOf(peer);
     const bool atVotersAddress =
         std::any_of(voters.begin(), voters.end(), [&](const MemberId& voter) { return addressOf(voter) == address; });
-    (atVotersAddress ? returned : others).push_back(peer);
+    (atVotersAddress ? replacements : others).push_back(peer);
   }
-  returned.insert(returned.end(), others.begin(), others.end());
-  return returned;
+  replacements.insert(replacements.end(), others.begin(), others.end());
+  return replacements;
 }
 bool RaftCore::learnerCatchingUp(TimePoint now) const {
   const auto& peers = leading.peers;
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -145,7 +145,7 @@
   const auto wanted = machines.size() % 2 ? machines.size() : machines.size() - 1;
   return !leader.config().joint() && voting == wanted && leader.voters().size() == voting;
 }
-void crashForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void crashTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   if (!cluster.nodes[ip].up)
     return;
   cluster.crash(ip);
@@ -161,19 +161,19 @@
   }
   cluster.runFor(9000ms);
 }
-void pauseForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void pauseTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].paused = true;
   cluster.schedule(Duration(500 + cluster.draw(4000)), [&cluster, ip] { cluster.nodes[ip].paused = false; });
 }
-void isolateForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void isolateTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.isolate(ip, cluster.draw(3) != 0);
   cluster.schedule(Duration(500 + cluster.draw(5000)), [&cluster] { cluster.cutLinks.clear(); });
 }
-void slowDiskForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void slowDownDiskTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].syncTime = Duration(cluster.draw(2) ? 100 : 2500);
   cluster.schedule(4000ms, [&cluster, ip] { cluster.nodes[ip].syncTime = kDefaultSyncTime; });
 }
-void slowDisksForAWhile(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
+void slowDownDisksTemporarily(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   const Duration syncTime(100 + cluster.draw(2000));
   for (const auto& ip : machines)
     cluster.nodes[ip].syncTime = syncTime;
@@ -182,11 +182,11 @@
       cluster.nodes[ip].syncTime = kDefaultSyncTime;
   });
 }
-void fullDiskForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void fillDiskTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].diskFull = true;
   cluster.schedule(3000ms, [&cluster, ip] { cluster.nodes[ip].diskFull = false; });
 }
-void badNetworkForAWhile(SimulatedCluster& cluster) {
+void degradeNetworkTemporarily(SimulatedCluster& cluster) {
   cluster.lossRate = 0.15;
   cluster.maxDelayMs = 120;
   cluster.schedule(2500ms, [&cluster] {
@@ -200,7 +200,7 @@
   node.raft->transferLeadership(cluster.now);
   cluster.carryOutActions(node);
 }
-void crashAllForAWhile(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
+void crashAllTemporarily(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   for (const auto& ip : machines) {
     if (!cluster.nodes[ip].up)
       continue;
@@ -249,27 +249,27 @@
   cluster.faultsDrawnWhileHealthy += healthy;
   switch (static_cast<FaultKind>(cluster.draw(static_cast<std::uint64_t>(FaultKind::count)))) {
     case FaultKind::crash:
-      return crashForAWhile(cluster, ip);
+      return crashTemporarily(cluster, ip);
     case FaultKind::loseDisks:  // only in a healthy cluster: deployments must tolerate only such losses
       if (healthy)
         loseDisks(cluster, machines, ip);
       return;
     case FaultKind::pause:
-      return pauseForAWhile(cluster, ip);
+      return pauseTemporarily(cluster, ip);
     case FaultKind::isolate:
-      return isolateForAWhile(cluster, ip);
+      return isolateTemporarily(cluster, ip);
     case FaultKind::slowDisk:
-      return slowDiskForAWhile(cluster, ip);
+      return slowDownDiskTemporarily(cluster, ip);
     case FaultKind::slowDisks:
-      return slowDisksForAWhile(cluster, machines);
+      return slowDownDisksTemporarily(cluster, machines);
     case FaultKind::fullDisk:
-      return fullDiskForAWhile(cluster, ip);
+      return fillDiskTemporarily(cluster, ip);
     case FaultKind::badNetwork:
-      return badNetworkForAWhile(cluster);
+      return degradeNetworkTemporarily(cluster);
     case FaultKind::transferLeadership:
       return transferLeadership(cluster, cluster.nodes[ip]);
     case FaultKind::crashAll:
-      return crashAllForAWhile(cluster, machines);
+      return crashAllTemporarily(cluster, machines);
     case FaultKind::restartGracefully:
       return restartGracefully(cluster, ip);
     case FaultKind::replaceMachine:
@@ -302,9 +302,9 @@
   expectRecoveryAfterFaults(cluster);
   return cluster.faultsDrawnWhileHealthy;
 }
-std::uint64_t numberFromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t numberFromEnvironment(const char* name, std::uint64_t fallback) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
 // --- a single node with scripted peers ---
--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -160,7 +160,7 @@
   if (isLost(taken->ip, leaderIp))
     return;  // sent, and lost on the way
   schedule(drawDelay(), [this, taken, leaderIp, onResult] {
-    auto* leader = reach(taken->ip, leaderIp);
+    auto* leader = findReachableNode(taken->ip, leaderIp);
     if (!leader)
       return;
     onProcess(leaderIp, leader->incarnation, [this, taken, leaderIp, onResult] {
@@ -168,7 +168,7 @@
         if (isLost(leaderIp, taken->ip))
           return;
         schedule(drawDelay(), [this, taken, leaderIp, onResult, result] {
-          if (reach(leaderIp, taken->ip))
+          if (findReachableNode(leaderIp, taken->ip))
             onProcess(taken->ip, taken->incarnation, [onResult, result] { onResult(result); });
         });
       });
--- a/tests/leader_loss_test.cpp
+++ b/tests/leader_loss_test.cpp
@@ -44,16 +44,16 @@
   const auto lostTerm = highestTerm(cluster);
   cluster.crash(cluster.leader());
   const auto lostAt = cluster.now;
-  const auto when = [&](const auto& condition) {
+  const auto timeUntil = [&](const auto& condition) {
     while (!condition() && cluster.now - lostAt < Duration(10'000))
       cluster.runFor(Duration(1));
     return toDuration(cluster.now - lostAt);
   };
   Timeline timeline;
-  timeline.noticed = when([&] { return anyIs(cluster, Role::candidate) || highestTerm(cluster) > lostTerm; });
-  timeline.termBegun = when([&] { return highestTerm(cluster) > lostTerm; });
-  timeline.elected = when([&] { return anyIs(cluster, Role::leader); });
-  timeline.serving = when([&] { return !cluster.leader().empty(); });
+  timeline.noticed = timeUntil([&] { return anyIs(cluster, Role::candidate) || highestTerm(cluster) > lostTerm; });
+  timeline.termBegun = timeUntil([&] { return highestTerm(cluster) > lostTerm; });
+  timeline.elected = timeUntil([&] { return anyIs(cluster, Role::leader); });
+  timeline.serving = timeUntil([&] { return !cluster.leader().empty(); });
   return timeline;
 }
 Duration quantile(std::vector<Duration> times, double share) {
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -106,7 +106,7 @@
   for (std::size_t machine = 0; machine < kFounders; ++machine)
     start(machine);
 }
-Machine& World::change(std::size_t machine) {
+Machine& World::mutableMachine(std::size_t machine) {
   auto copy = std::make_shared<Machine>(*machines[machine]);
   copy->hashedAt_ = {};
   auto& changed = *copy;
@@ -114,8 +114,8 @@
   return changed;
 }
 template <class Event>
-void World::feed(std::size_t machine, Event event) {
-  auto& changed = change(machine);
+void World::processEvent(std::size_t machine, Event event) {
+  auto& changed = mutableMachine(machine);
   auto node = std::make_shared<RaftNode>(*changed.raft);
   const bool couldExit = node->mayExit();
   event(*node);
@@ -131,7 +131,7 @@
     if (const auto* message = std::get_if<SendMessage>(&action))
       sendMessage(machine, *message);
     else if (const auto* record = std::get_if<PersistRecord>(&action))
-      change(machine).pending.push_back(*record);
+      mutableMachine(machine).pending.push_back(*record);
     else if (const auto* applied = std::get_if<ApplyEntry>(&action))
       recordCommitted(machine, applied->entry);
   }
@@ -220,18 +220,18 @@
     inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(index));
   if (!machines[message->receiver]->raft || cut.contains({message->sender, message->receiver}))
     return;
-  feed(message->receiver, [&](RaftNode& node) { node.receive(now, message->from, message->content); });
+  processEvent(message->receiver, [&](RaftNode& node) { node.receive(now, message->from, message->content); });
 }
 void World::sync(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   const auto record = changed.pending.front();
   changed.pending.pop_front();
   changed.disk.push_back(record.record);
   changed.diskHash = hash64(recovered(changed, now).fingerprint(now));
-  feed(machine, [&](RaftNode& node) { node.persisted(now, record.ticket, true); });
+  processEvent(machine, [&](RaftNode& node) { node.persisted(now, record.ticket, true); });
 }
 void World::start(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   const bool founder = machine < kFounders && changed.identities <= 1;
   if (changed.disk.empty()) {
     if (!founder || changed.identities == 0)
@@ -248,7 +248,7 @@
   carryOut(machine, std::move(actions));
 }
 void World::stop(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   changed.raft.reset();
   changed.pending.clear();
   changed.frozen = false;
@@ -256,7 +256,7 @@
   ticked &= ~(1U << machine);
 }
 void World::loseDisk(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   changed.disk.clear();
   changed.diskHash = 0;
   changed.identities = std::max(changed.identities, 2);  // the machine no longer counts as a founder
@@ -272,7 +272,7 @@
   const auto leader = leaderWithLease();
   LogEntry entry;
   entry.operationId = "w" + std::to_string(budgets.writes);
-  feed(leader, [&](RaftNode& node) { node.submit(now, entry); });
+  processEvent(leader, [&](RaftNode& node) { node.submit(now, entry); });
 }
 void World::cutOff(std::size_t machine, bool incoming, bool outgoing) {
   cutMachine = machine;
@@ -381,7 +381,7 @@
       return sync(index);
     case ActionKind::tick:
       ticked |= 1U << index;
-      return feed(index, [&](RaftNode& node) { node.tick(now); });
+      return processEvent(index, [&](RaftNode& node) { node.tick(now); });
     case ActionKind::advanceTime:
       --budgets.timeSteps;
       return advanceTime();
@@ -391,7 +391,7 @@
       return;
     case ActionKind::compact:
       --budgets.compactions;
-      return feed(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
+      return processEvent(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
     case ActionKind::lose:
     case ActionKind::duplicate:
     case ActionKind::cutIncoming:
@@ -440,19 +440,19 @@
       return start(machine);
     case ActionKind::leave:
       --budgets.leaves;
-      change(machine).leaving = true;
-      return feed(machine, [&](RaftNode& node) { node.leave(now); });
+      mutableMachine(machine).leaving = true;
+      return processEvent(machine, [&](RaftNode& node) { node.leave(now); });
     case ActionKind::freeze:
       --budgets.freezes;
-      change(machine).frozen = true;
+      mutableMachine(machine).frozen = true;
       return;
     case ActionKind::thaw:
-      change(machine).frozen = false;
+      mutableMachine(machine).frozen = false;
       return;
     default:  // exitAllowed and killLeaving
       stop(machine);
       loseDisk(machine);
-      change(machine).exited = true;
+      mutableMachine(machine).exited = true;
       return;
   }
 }
@@ -520,7 +520,7 @@
   const bool anyExited =
       std::any_of(machines.begin(), machines.end(), [](const auto& machine) { return machine->exited; });
   for (std::size_t machine = 0; machine < kMachines; ++machine) {
-    change(machine).frozen = false;
+    mutableMachine(machine).frozen = false;
     const bool wanted = machine < kFounders || anyExited || machines[machine]->identities > 0;
     if (wanted && !machines[machine]->raft && !machines[machine]->exited)
       start(machine);
@@ -542,7 +542,7 @@
     for (std::size_t machine = 0; machine < kMachines; ++machine) {
       if (!running(machine))
         continue;
-      feed(machine, [&](RaftNode& node) { node.tick(now); });
+      processEvent(machine, [&](RaftNode& node) { node.tick(now); });
       stabilize();
       const bool ends = machines[machine]->leaving && machines[machine]->raft->mayExit();
       if (ends)
--- a/tests/model_world.hpp
+++ b/tests/model_world.hpp
@@ -130,9 +130,9 @@
   void reportViolation(const std::string& invariant);
 
  private:
-  Machine& change(std::size_t machine);
+  Machine& mutableMachine(std::size_t machine);
   template <class Event>
-  void feed(std::size_t machine, Event event);
+  void processEvent(std::size_t machine, Event event);
   void carryOut(std::size_t machine, std::vector<RaftAction> actions);
   void sendMessage(std::size_t machine, const SendMessage& action);
   void recordVote(std::size_t machine, const SendMessage& action);
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -122,7 +122,7 @@
       return;
     node.raft->leave(now);
     carryOutActions(node);
-    endWhenAllowed(ip, node.incarnation, now + grace);
+    exitWhenAllowed(ip, node.incarnation, now + grace);
   }
   /// The IP of the node that is leader with a valid lease; empty: none.
   std::string leader() {
@@ -195,7 +195,7 @@
   }
   Duration drawDelay() { return Duration(1 + draw(static_cast<std::uint64_t>(maxDelayMs))); }
   /// The node at `receiver`; null if the node is down or the link from `from` is cut.
-  Node* reach(const std::string& from, const std::string& receiver) {
+  Node* findReachableNode(const std::string& from, const std::string& receiver) {
     const auto node = nodes.find(receiver);
     if (node == nodes.end() || !node->second.up || cutLinks.contains({from, receiver}))
       return nullptr;
@@ -265,14 +265,14 @@
       if (index > node.raft->commitIndex())
         reportViolation("a lease older than an acknowledged write");
   }
-  void endWhenAllowed(const std::string& ip, int incarnation, TimePoint deadline) {
+  void exitWhenAllowed(const std::string& ip, int incarnation, TimePoint deadline) {
     schedule(kExitPoll, [this, ip, incarnation, deadline] {
       auto& node = nodes[ip];
       if (!node.up || node.incarnation != incarnation)
         return;
       if ((node.raft->mayExit() && !node.paused) || now >= deadline)
         return crash(ip);
-      endWhenAllowed(ip, incarnation, deadline);
+      exitWhenAllowed(ip, incarnation, deadline);
     });
   }
 
@@ -318,7 +318,7 @@
              [this, receiver, bytes, fromIp = from.ip, sender = from.id] { deliver(fromIp, sender, receiver, bytes); });
   }
   void deliver(const std::string& from, const MemberId& sender, const std::string& receiver, const std::string& bytes) {
-    auto* node = reach(from, receiver);
+    auto* node = findReachableNode(from, receiver);
     if (!node)
       return;
     if (node->paused)
@@ -344,7 +344,7 @@
     schedule(drawDelay(), [this, receiver, entry, fromIp = from.ip] { deliverWrite(fromIp, receiver, entry); });
   }
   void deliverWrite(const std::string& from, const std::string& receiver, const LogEntry& entry) {
-    auto* node = reach(from, receiver);
+    auto* node = findReachableNode(from, receiver);
     if (!node)
       return;
     if (node->paused)
