--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -770,5 +770,5 @@
       return;
     }
   }
-  EXPECT_GE(faultsDrawnWhileHealthy, count * 2) << "disks were hardly ever lost";
+  EXPECT_GE(faultsDrawnWhileHealthy, count * 2) << "too few faults were drawn while the cluster was healthy";
 }
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -194,7 +194,7 @@
   world.budgets.leaves = 1;
   world.budgets.maxInFlight = 6;
   expectViolation("a lease that outlives the leadership", search(world, {kStatesToFind, 0}),
-                  "a lease whose owner lacks what is committed");
+                  "a lease holder lacks committed entries");
 }
 // The search starts when a vote was sent before its record was synced. The voter is then killed, which loses the vote,
 // and the candidate stays paused.
--- a/tests/model_invariants.cpp
+++ b/tests/model_invariants.cpp
@@ -35,8 +35,8 @@
     behind += !committed.empty() && machine->raft->commitIndex() < committed.rbegin()->first;
   }
   if (leases > 1)
-    return "two leases at a moment";
-  return behind > 0 ? "a lease whose owner lacks what is committed" : "";
+    return "two valid leases at the same time";
+  return behind > 0 ? "a lease holder lacks committed entries" : "";
 }
 std::string checkLeaders(const World& world) {
   for (const auto& machine : world.machines) {
@@ -50,7 +50,7 @@
       const auto* logged = node.entryAt(index);
       const bool missing = index >= node.firstIndex() && (!logged || contentOf(*logged) != entry.content);
       if (missing && node.term() > entry.committedInTerm)
-        return "a leader lacks what is committed";
+        return "a leader lacks committed entries";
     }
   }
   return {};
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -208,7 +208,7 @@
   const bool majorityRemains = config.hasQuorum(
       [&](const MemberId& voter) { return voter != leaving && !history->lostIdentities.contains(voter); });
   if (!majorityRemains)
-    reportViolation("a member may end though no majority is left without it");
+    reportViolation("a member may exit although no majority remains without it");
 }
 void World::reportViolation(const std::string& invariant) {
   if (violation.empty())
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -256,14 +256,14 @@
   void checkLease(const Node& node) {
     for (const auto& [ip, other] : nodes)
       if (ip != node.ip && other.up && other.raft->hasLease(now))
-        reportViolation("two leases at one moment, " + node.ip + " and " + ip);
+        reportViolation("two valid leases at the same time, " + node.ip + " and " + ip);
     auto& holders = leaseHoldersByTerm[node.raft->term()];
     holders.insert(node.id);
     if (holders.size() > 1)
       reportViolation("two leaders in term " + std::to_string(node.raft->term()));
     for (const auto& [operation, index] : acknowledged)
       if (index > node.raft->commitIndex())
-        reportViolation("a lease older than an acknowledged write");
+        reportViolation("a lease holder lacks an acknowledged write");
   }
   void exitWhenAllowed(const std::string& ip, int incarnation, TimePoint deadline) {
     schedule(kExitPoll, [this, ip, incarnation, deadline] {
@@ -298,7 +298,7 @@
   }
   void carryOut(Node& node, const RestoreSnapshot& action) {
     if (action.index < node.lastApplied)
-      reportViolation("the applied index went back at " + node.ip);
+      reportViolation("the applied index decreased at " + node.ip);
     node.lastApplied = action.index;
     if (!restoreState(node, action.state))
       reportViolation("snapshot unreadable");
