--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -250,7 +250,7 @@
   switch (static_cast<FaultKind>(cluster.draw(static_cast<std::uint64_t>(FaultKind::count)))) {
     case FaultKind::crash:
       return crashTemporarily(cluster, ip);
-    case FaultKind::loseDisks:  // only in a healthy cluster: deployments must tolerate only such losses
+    case FaultKind::loseDisks:  // only in a healthy cluster: no more losses at a time need be tolerated
       if (healthy)
         loseDisks(cluster, machines, ip);
       return;
@@ -680,7 +680,7 @@
   const auto term = cluster.nodes[leader].raft->term();
   for (int i = 0; i < kBurst; ++i)
     cluster.write(leader);
-  cluster.runFor(200ms);  // 50 syncs
+  cluster.runFor(200ms);  // the time of 50 syncs
   EXPECT_EQ(cluster.acknowledged.size(), std::size_t{kBurst});
   EXPECT_EQ(cluster.nodes[leader].raft->term(), term);
   expectRecoveryAfterFaults(cluster);
--- a/tests/entry_queue_test.cpp
+++ b/tests/entry_queue_test.cpp
@@ -47,7 +47,7 @@
   entry.digest = "d2";
   queue.offer(entry);
   EXPECT_FALSE(queue.next());
-  queue.offer(entryAt(2, "complete"));  // the refetched entry
+  queue.offer(entryAt(2, "complete"));  // the entry is fetched again with its body
   EXPECT_EQ(queue.next()->body, "complete");
 }
 TEST(EntryQueue, RestartSkipsWhatTheSnapshotIncludes) {
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -187,7 +187,7 @@
   std::vector<Visited> visited_{1};
   std::unordered_set<std::uint64_t> seen_;
   std::deque<FrontierState> frontier_;
-  bool finished_ = false;  // by a violation or by the limit
+  bool finished_ = false;  // a violation was found or the limit was reached
 };
 // Runs one random walk and adds to `result` and `seen`. Returns the actions of the walk.
 std::vector<Action> runWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
--- a/tests/model_world.hpp
+++ b/tests/model_world.hpp
@@ -154,7 +154,7 @@
 
 /// A text that is equal for two entries if and only if the entries have the same term, kind, operation id and body.
 std::string contentOf(const LogEntry& entry);
-/// Whether the log that a restart would read from these records holds the entry.
+/// Whether the log that a restart would recover from the machine's disk contains the entry.
 bool diskHolds(const Machine& machine, const LogEntry& entry);
 /// The options of all model worlds. The durations have the same order as in production, but are based on a coarse time
 /// step and have no jitter.
--- a/tests/storage_faults_test.cpp
+++ b/tests/storage_faults_test.cpp
@@ -270,7 +270,7 @@
 
 TEST(StorageFaults, ReadErrorIsNoCorruption) {
   const auto folder = folderOf("f-i-fii");
-  for (int failing = 0; failing < 5; ++failing) {  // the list, three reads, the sync of the folder
+  for (int failing = 0; failing < 5; ++failing) {  // operations: one list, three reads, one folder sync
     Disk disk(folder);
     disk.operationResult = [failing](Operation, int number) {
       return number == failing ? OperationResult::failsBefore : OperationResult::succeeds;
