--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -51,9 +51,9 @@
   follower.matchIndex = 0;
   election.votes.clear();  // this member's own vote is added once its record is synced
   setRole(Role::candidate);
-  term.ticket = persist(0, {});
-  election.ownVoteTicket = term.ticket;
-  election.voteTicket = term.ticket;
+  term.recordTicket = persist(0, {});
+  election.ownVoteTicket = term.recordTicket;
+  election.voteTicket = term.recordTicket;
   requestVotes(logIsPersisted ? 0 : election.ownVoteTicket);
 }
 void RaftCore::requestVotes(PersistTicket after) {
--- a/libs/consensus/src/fingerprint.cpp
+++ b/libs/consensus/src/fingerprint.cpp
@@ -57,7 +57,7 @@
   const auto newest = core.persistence.newestTicket();
   writer(static_cast<std::int64_t>(core.syncAllowance().count()));
   if (!core.persistence.pending().empty())
-    writer(core.term.ticket - newest)(core.election.ownVoteTicket - newest)(core.election.voteTicket - newest);
+    writer(core.term.recordTicket - newest)(core.election.ownVoteTicket - newest)(core.election.voteTicket - newest);
   for (const auto& pending : core.persistence.pending()) {
     writer(pending.ticket - newest)(pending.firstTicket -
                                     newest)(pending.lastLogIndex)(pending.lastLogTerm)(pending.failed);
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -23,7 +23,7 @@
   resetElectionTimer(now);
   return true;
 }
-Duration RaftCore::promiseFor(const AppendEntries& message) const {
+Duration RaftCore::leasePromiseDuration(const AppendEntries& message) const {
   const Duration asked(message.extension.leaseMs);
   return asked > Duration(0) && asked < options.maxLease ? asked : options.maxLease;
 }
@@ -44,12 +44,12 @@
   response.heartbeatId = message.heartbeatId;
   response.matchIndex = matchIndex;
   response.mismatch = true;
-  send(from, response, term.ticket);
+  send(from, response, term.recordTicket);
 }
 void RaftCore::onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message) {
   if (message.term < term.current)
     return sendCurrentTerm(from);
-  if (!followLeader(now, from, message.term, message.leaderHasLease, promiseFor(message)))
+  if (!followLeader(now, from, message.term, message.leaderHasLease, leasePromiseDuration(message)))
     return;
   if (log.isUninitialized())
     return rejectEntries(message, from, kNeedsSnapshot);
@@ -62,7 +62,7 @@
   }
   const auto missingBody = appendNewEntries(message);
   commitUpTo(std::min(message.commitIndex, follower.matchIndex));
-  acknowledge(message.heartbeatId, term.ticket);
+  acknowledge(message.heartbeatId, term.recordTicket);
   if (!missingBody)
     return;
   AppendEntriesResponse resend;
@@ -133,12 +133,12 @@
   if (!log.isUninitialized() && (message.lastIncludedIndex <= log.commitIndex() || agrees)) {
     follower.matchIndex = std::max({follower.matchIndex, log.commitIndex(), message.lastIncludedIndex});
     commitUpTo(message.lastIncludedIndex);
-    return acknowledge(0, term.ticket);
+    return acknowledge(0, term.recordTicket);
   }
   log.reset({message.lastIncludedIndex, message.lastIncludedTerm, config, std::move(message.state)});
   follower.matchIndex = message.lastIncludedIndex;
   updatePassiveRole();
   restoreFromSnapshot();
-  persistAll();
+  persistFullRecord();
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -42,7 +42,7 @@
   record.entries = std::move(entries);
   return enqueueRecord(std::move(record));
 }
-PersistTicket RaftCore::persistAll() {
+PersistTicket RaftCore::persistFullRecord() {
   return enqueueRecord(fullRecord());
 }
 // The age of a pending record is measured in ticks of this process; a late tick counts as two tick intervals at most.
--- a/libs/consensus/src/raft_core.cpp
+++ b/libs/consensus/src/raft_core.cpp
@@ -44,7 +44,7 @@
 void RaftCore::sendCurrentTerm(const MemberId& to) {
   AppendEntriesResponse response;
   response.term = term.current;
-  send(to, response, term.ticket);
+  send(to, response, term.recordTicket);
 }
 void RaftCore::enterTerm(TimePoint now, std::int64_t newTerm, const MemberId& voteFor) {
   term.current = newTerm;
@@ -55,7 +55,7 @@
   election.votes.clear();
   setRole(passiveRole());
   resetElectionTimer(now);
-  term.ticket = persist(0, {});
+  term.recordTicket = persist(0, {});
 }
 void RaftCore::resetElectionTimer(TimePoint now) {
   const auto spread = static_cast<std::uint64_t>(std::max<std::int64_t>(1, options.electionTimeoutSpread.count()));
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -67,7 +67,7 @@
   /// Persists the term, the vote and the entries from `fromIndex` on (0: no entries).
   PersistTicket persist(std::int64_t fromIndex, std::vector<transport::LogEntry> entries);
   /// Persists the term, the vote, the snapshot and the complete log.
-  PersistTicket persistAll();
+  PersistTicket persistFullRecord();
   PersistTicket enqueueRecord(DiskRecord record);
   /// Begins the write of the next record, unless a write is in progress.
   void startNextWrite();
@@ -141,7 +141,7 @@
   void sendSnapshot(TimePoint now, const MemberId& peer, PeerProgress& progress);
   void sendEntries(const MemberId& peer, std::int64_t prevLogIndex, std::vector<transport::LogEntry> entries);
   /// Returns as many entries as fit into one message, and advances `nextIndex` past them.
-  std::vector<transport::LogEntry> nextEntries(PeerProgress& progress) const;
+  std::vector<transport::LogEntry> takeNextEntries(PeerProgress& progress) const;
   bool bodyWasSentAhead(const transport::LogEntry& entry) const;
   /// Starts to replicate to a member. For a known peer, only updates `lastHeardAt`.
   void trackPeer(TimePoint now, const MemberId& peer);
@@ -156,7 +156,7 @@
   bool followLeader(TimePoint now, const MemberId& from, std::int64_t leaderTerm, bool leaderHasLease,
                     Duration promise);
   /// The duration of the lease promise that the message asks for.
-  Duration promiseFor(const AppendEntries& message) const;
+  Duration leasePromiseDuration(const AppendEntries& message) const;
   void onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message);
   /// Removes the entries that this member's snapshot covers: they are committed and therefore equal on all members.
   void skipBelowSnapshot(AppendEntries& message) const;
--- a/libs/consensus/src/recovery.cpp
+++ b/libs/consensus/src/recovery.cpp
@@ -13,7 +13,7 @@
   initial.config.voters = founders;
   log.reset(std::move(initial));
   updatePassiveRole();
-  persistAll();
+  persistFullRecord();
 }
 void RaftCore::replay(const DiskRecord& record) {
   persistence.recoverSequence(record.seq);
@@ -58,6 +58,6 @@
   if (index <= log.snapshot().lastIncludedIndex || index > log.commitIndex())
     return;
   log.compact(index, std::move(state));
-  persistAll();
+  persistFullRecord();
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/replication.cpp
+++ b/libs/consensus/src/replication.cpp
@@ -33,7 +33,7 @@
     return;
   }
   const auto prevLogIndex = progress.nextIndex - 1;
-  auto entries = nextEntries(progress);
+  auto entries = takeNextEntries(progress);
   if (entries.empty() && !heartbeatDue)
     return;
   if (!entries.empty())
@@ -59,7 +59,7 @@
   const bool acceptedElsewhere = entry.operationId.rfind(self + "/", 0) != 0;
   return entry.body.size() > options.largeBodyBytes && !entry.digest.empty() && acceptedElsewhere;
 }
-std::vector<transport::LogEntry> RaftCore::nextEntries(PeerProgress& progress) const {
+std::vector<transport::LogEntry> RaftCore::takeNextEntries(PeerProgress& progress) const {
   std::vector<transport::LogEntry> entries;
   std::size_t bytes = 0;
   while (progress.nextIndex <= log.lastLogIndex() && bytes < kMaxBytesPerMessage) {
