--- a/libs/consensus/src/entry_queue.cpp
+++ b/libs/consensus/src/entry_queue.cpp
@@ -9,11 +9,11 @@
   if (entry.index <= applied_)
     return;
   const auto [queued, added] = queued_.try_emplace(entry.index, entry);
-  // An entry with its body can be applied, one without it cannot.
+  // An entry can be applied only with its body, so a complete copy replaces one without a body.
   if (!added && queued->second.omitted && !entry.omitted)
     queued->second = std::move(entry);
 }
-void EntryQueue::body(const std::string& digest, std::string content) {
+void EntryQueue::addBody(const std::string& digest, std::string content) {
   bodies_.push_back({digest, std::move(content)});
   if (bodies_.size() > kMaxBodies)
     bodies_.pop_front();
@@ -38,7 +38,7 @@
   ++applied_;
   return entry;
 }
-void EntryQueue::restart(std::int64_t applied) {
+void EntryQueue::resumeAfter(std::int64_t applied) {
   applied_ = applied;
   queued_.erase(queued_.begin(), queued_.upper_bound(applied));
 }
--- a/libs/consensus/src/follower.cpp
+++ b/libs/consensus/src/follower.cpp
@@ -1,10 +1,10 @@
-// The follower: entries and snapshots of a leader, and the promise of its lease.
+// The follower: accepts entries and snapshots from a leader and promises the leader its lease.
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-// The matchIndex that asks for a snapshot: the sender has no configuration yet.
+// The matchIndex of a mismatch response that requests a snapshot, since this member has no configuration yet.
 constexpr std::int64_t kNeedsSnapshot = -1;
 }  // namespace
 
@@ -23,11 +23,12 @@
   resetElectionTimer(now);
   return true;
 }
-Duration RaftCore::promiseFor(const AppendEntries& message) const {
+Duration RaftCore::leasePromiseDuration(const AppendEntries& message) const {
   const Duration asked(message.extension.leaseMs);
-  return asked > Duration(0) && asked < options.longestLease ? asked : options.longestLease;
+  return asked > Duration(0) && asked < options.maxLease ? asked : options.maxLease;
 }
-// The answer is a promise to this leader which a restart must not forget: callers wait for the term's record.
+// The response promises the leader its lease in this term. A restart must not forget that term, so callers pass the
+// ticket of the record that contains the term as `after`.
 void RaftCore::acknowledge(std::int64_t heartbeatId, PersistTicket after) {
   if (follower.leader.empty())
     return;
@@ -43,25 +44,25 @@
   response.heartbeatId = message.heartbeatId;
   response.matchIndex = matchIndex;
   response.mismatch = true;
-  send(from, response, term.ticket);
+  send(from, response, term.recordTicket);
 }
 void RaftCore::onAppendEntries(TimePoint now, const MemberId& from, AppendEntries message) {
   if (message.term < term.current)
     return sendCurrentTerm(from);
-  if (!followLeader(now, from, message.term, message.leaderHasLease, promiseFor(message)))
+  if (!followLeader(now, from, message.term, message.leaderHasLease, leasePromiseDuration(message)))
     return;
   if (log.isUninitialized())
     return rejectEntries(message, from, kNeedsSnapshot);
   skipBelowSnapshot(message);
   if (log.termAt(message.prevLogIndex) != message.prevLogTerm) {
-    // Beyond the end of this log: continue from its end. Another term there: continue from what is committed and
-    // therefore equal.
+    // If this log is too short, the leader continues from its end. If the terms differ, the leader continues from the
+    // commit index: committed entries are equal on all members.
     const bool beyondEnd = message.prevLogIndex > log.lastLogIndex();
     return rejectEntries(message, from, beyondEnd ? log.lastLogIndex() : log.commitIndex());
   }
   const auto missingBody = appendNewEntries(message);
   commitUpTo(std::min(message.commitIndex, follower.matchIndex));
-  acknowledge(message.heartbeatId, term.ticket);
+  acknowledge(message.heartbeatId, term.recordTicket);
   if (!missingBody)
     return;
   AppendEntriesResponse resend;
@@ -124,19 +125,20 @@
     log::debug("snapshot_rejected", {{"member", self}, {"peer", from}, {"index", message.lastIncludedIndex}});
     return;
   }
-  if (!followLeader(now, from, message.term, follower.leaderHadLease, options.longestLease))
+  if (!followLeader(now, from, message.term, follower.leaderHadLease, options.maxLease))
     return;
-  // A log that agrees with the snapshot stays: entries above it may already count for a commit.
+  // A log that contains the last entry of the snapshot is kept: the leader may already have counted this member's copy
+  // of later entries towards a commit.
   const bool agrees = log.termAt(message.lastIncludedIndex) == message.lastIncludedTerm;
   if (!log.isUninitialized() && (message.lastIncludedIndex <= log.commitIndex() || agrees)) {
     follower.matchIndex = std::max({follower.matchIndex, log.commitIndex(), message.lastIncludedIndex});
     commitUpTo(message.lastIncludedIndex);
-    return acknowledge(0, term.ticket);
+    return acknowledge(0, term.recordTicket);
   }
   log.reset({message.lastIncludedIndex, message.lastIncludedTerm, config, std::move(message.state)});
   follower.matchIndex = message.lastIncludedIndex;
   updatePassiveRole();
   restoreFromSnapshot();
-  persistAll();
+  persistFullRecord();
 }
 }  // namespace zinccleat::consensus
--- a/libs/consensus/src/voter_changes.cpp
+++ b/libs/consensus/src/voter_changes.cpp
@@ -1,16 +1,18 @@
-// Voter changes: who should vote, and the leader's way there. Every change passes through a joint configuration,
-// begins only once the last one and an entry of the leader's own term are committed, and only under a valid lease.
+// Voter changes: the leader compares the voters with the result of `chooseVoters` and proposes changes. Every change
+// passes through a joint configuration. A change begins only under a valid lease, once the previous configuration and
+// an entry of the leader's own term are committed.
 #include "raft_core.hpp"
 #include "runtime/log_ring.hpp"
 
 namespace zinccleat::consensus {
 namespace {
-constexpr std::int64_t kCaughtUpWithinEntries = 8;  // what a learner may lack and still become a voter
-constexpr int kLearnerTimeoutFactor = 2;            // times `unreachableAfter`: then a learner is forgotten
-constexpr int kSupersededAfterHeartbeats = 3;       // a voter unheard for so long may be superseded
+constexpr std::int64_t kMaxCaughtUpLagEntries = 8;  // largest lag of a learner that may become a voter
+constexpr int kLearnerTimeoutFactor = 2;       // multiplies `unreachableAfter`: learners silent for longer are dropped
+constexpr int kSupersededAfterHeartbeats = 3;  // a voter that is silent for longer may be superseded
 
-// For `InjectedFaults::newcomerIsAddedOnly`.
-std::vector<MemberId> addNewcomersOnly(const std::vector<VoterStatus>& voters, const std::vector<MemberId>& learners) {
+// Replaces `chooseVoters` if `InjectedFaults::voterSetNeverShrinks` is set.
+std::vector<MemberId> chooseVotersWithoutShrinking(const std::vector<VoterStatus>& voters,
+                                                   const std::vector<MemberId>& learners) {
   std::vector<MemberId> chosen;
   std::vector<MemberId> unreachable;
   for (const auto& voter : voters) {
@@ -39,8 +41,8 @@
     return proposeConfig(now, {log.config().nextVoters, {}});
   const auto status = voterStatus(now);
   const auto learners = readyLearners(now);
-  auto chosen = options.faults.newcomerIsAddedOnly ? addNewcomersOnly(status, learners)
-                                                   : chooseVoters(status, learners, options.maxVoters);
+  auto chosen = options.faults.voterSetNeverShrinks ? chooseVotersWithoutShrinking(status, learners)
+                                                    : chooseVoters(status, learners, options.maxVoters);
   auto present = log.config().voters;
   std::sort(chosen.begin(), chosen.end());
   std::sort(present.begin(), present.end());
@@ -48,7 +50,7 @@
     changeVoters(now, chosen);
 }
 void RaftCore::changeVoters(TimePoint now, const std::vector<MemberId>& voters) {
-  if (options.faults.separateMajorities)
+  if (options.faults.skipJointConfig)
     return proposeConfig(now, {voters, {}});
   proposeConfig(now, {log.config().voters, voters});
 }
@@ -87,10 +89,10 @@
   });
 }
 bool RaftCore::caughtUp(const PeerProgress& progress) const {
-  return progress.matchIndex > 0 && progress.matchIndex + kCaughtUpWithinEntries >= log.lastLogIndex();
+  return progress.matchIndex > 0 && progress.matchIndex + kMaxCaughtUpLagEntries >= log.lastLogIndex();
 }
 std::vector<MemberId> RaftCore::readyLearners(TimePoint now) const {
-  std::vector<MemberId> returned;
+  std::vector<MemberId> replacements;
   std::vector<MemberId> others;
   const auto voters = log.config().allVoters();
   for (const auto& [peer, progress] : leading.peers) {
@@ -100,10 +102,10 @@
     const auto address = addressOf(peer);
     const bool atVotersAddress =
         std::any_of(voters.begin(), voters.end(), [&](const MemberId& voter) { return addressOf(voter) == address; });
-    (atVotersAddress ? returned : others).push_back(peer);
+    (atVotersAddress ? replacements : others).push_back(peer);
   }
-  returned.insert(returned.end(), others.begin(), others.end());
-  return returned;
+  replacements.insert(replacements.end(), others.begin(), others.end());
+  return replacements;
 }
 bool RaftCore::learnerCatchingUp(TimePoint now) const {
   const auto& peers = leading.peers;
--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -1,5 +1,5 @@
-/// Consensus on simulated clusters: elections, leases, replication and disks, in written scenarios and in seeded worlds
-/// full of trouble. A failing world names its seed.
+/// Tests of the consensus code on simulated clusters: elections, leases, replication and disks, in fixed scenarios and
+/// in seeded scenarios with random faults. A failing seeded scenario prints its seed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -10,20 +10,20 @@
 using namespace zinccleat::consensus;
 using namespace zinccleat::storage;
 using namespace zinccleat::transport;
-using zinccleat::sim::kUsualMaxDelayMs;
-using zinccleat::sim::kUsualSyncTime;
+using zinccleat::sim::kDefaultMaxDelayMs;
+using zinccleat::sim::kDefaultSyncTime;
 using zinccleat::sim::SimulatedCluster;
 namespace {
 const std::vector<std::string> kSeeds = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 constexpr std::size_t kSmallWriteBytes = 10, kLargeWriteBytes = 40000;
-constexpr int kNeverRestarts = 5000;  // the incarnation of a machine that never comes back
+constexpr int kNeverRestarts = 5000;  // the incarnation that marks a machine as permanently lost
 
 void startFounders(SimulatedCluster& cluster) {
   for (const auto& ip : kSeeds)
     cluster.start(ip, kSeeds, true);
   cluster.runFor(4000ms);
 }
-// A cluster of `count` machines, founded by the first three of them; two may be lost at once.
+// Starts a cluster of `count` machines, whose first three are the founders. Two machines may be lost at the same time.
 std::vector<std::string> startMany(SimulatedCluster& cluster, int count) {
   cluster.toleratedLosses = 2;
   std::vector<std::string> machines = kSeeds;
@@ -49,7 +49,7 @@
   cluster.crash(ip);
   cluster.nodes[ip].disk.clear();
 }
-std::string inLines(const std::vector<std::string>& lines) {
+std::string joinLines(const std::vector<std::string>& lines) {
   std::string text;
   for (const auto& line : lines)
     text += line + "\n";
@@ -65,7 +65,7 @@
       machines.push_back(ip);
   return machines;
 }
-// Three machines of the present ones: what a settings file names when a process starts.
+// Three of the present machines, as the seeds that the settings file names when a process starts.
 std::vector<std::string> presentSeeds(const SimulatedCluster& cluster) {
   auto machines = presentMachines(cluster);
   machines.resize(std::min<std::size_t>(machines.size(), 3));
@@ -82,7 +82,7 @@
   for (auto& [ip, node] : cluster.nodes) {
     node.paused = false;
     node.diskFull = false;
-    node.syncTime = kUsualSyncTime;
+    node.syncTime = kDefaultSyncTime;
     restartIfDown(cluster, ip);
   }
 }
@@ -103,7 +103,7 @@
       text += describe(node);
   return text;
 }
-// Once the trouble ends, the cluster serves again and has lost nothing that was acknowledged.
+// Ends all faults and checks that the cluster has a leader, commits a write, and has lost no acknowledged write.
 void expectRecoveryAfterFaults(SimulatedCluster& cluster) {
   endAllFaults(cluster);
   cluster.runFor(12000ms);
@@ -120,16 +120,17 @@
     EXPECT_NE(allCommitted.find("|" + operation + "|"), std::string::npos)
         << operation << " lost (seed " << cluster.seed << ")";
   EXPECT_GE(cluster.nodes[leader].raft->commitIndex(), cluster.committed.rbegin()->first) << "seed " << cluster.seed;
-  EXPECT_TRUE(cluster.violations.empty()) << inLines(cluster.violations);
+  EXPECT_TRUE(cluster.violations.empty()) << joinLines(cluster.violations);
 }
 
-// --- the troubles of a seeded world ---
+// --- the faults of a seeded scenario ---
 
 bool isHealthy(const SimulatedCluster::Node& node, const RaftNode& leader) {
-  const bool runs = node.up && !node.paused && !node.diskFull && node.syncTime == kUsualSyncTime;
+  const bool runs = node.up && !node.paused && !node.diskFull && node.syncTime == kDefaultSyncTime;
   return runs && node.raft->commitIndex() + 2 >= leader.commitIndex();
 }
-// Everything is healthy: each machine votes, but for one that would make the number even; nobody lags or is cut off.
+// Whether the cluster is healthy: each machine votes, except for one if the number of machines is even; no machine lags
+// behind or is cut off.
 bool isHealthy(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   const auto leaderIp = cluster.leader();
   if (leaderIp.empty() || !cluster.cutLinks.empty())
@@ -144,13 +145,13 @@
   const auto wanted = machines.size() % 2 ? machines.size() : machines.size() - 1;
   return !leader.config().joint() && voting == wanted && leader.voters().size() == voting;
 }
-void crashForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void crashTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   if (!cluster.nodes[ip].up)
     return;
   cluster.crash(ip);
   cluster.schedule(Duration(300 + cluster.draw(3000)), [&cluster, ip] { restartIfDown(cluster, ip); });
 }
-// As many disks as the deployment tolerates, one machine after the other from `ip` on.
+// Loses as many disks as the deployment tolerates, of consecutive machines starting with `ip`.
 void loseDisks(SimulatedCluster& cluster, const std::vector<std::string>& machines, const std::string& ip) {
   const auto first = static_cast<std::size_t>(std::find(machines.begin(), machines.end(), ip) - machines.begin());
   for (std::size_t i = 0; i < cluster.toleratedLosses; ++i) {
@@ -160,37 +161,37 @@
   }
   cluster.runFor(9000ms);
 }
-void pauseForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void pauseTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].paused = true;
   cluster.schedule(Duration(500 + cluster.draw(4000)), [&cluster, ip] { cluster.nodes[ip].paused = false; });
 }
-void isolateForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void isolateTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.isolate(ip, cluster.draw(3) != 0);
   cluster.schedule(Duration(500 + cluster.draw(5000)), [&cluster] { cluster.cutLinks.clear(); });
 }
-void slowDiskForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void slowDownDiskTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].syncTime = Duration(cluster.draw(2) ? 100 : 2500);
-  cluster.schedule(4000ms, [&cluster, ip] { cluster.nodes[ip].syncTime = kUsualSyncTime; });
+  cluster.schedule(4000ms, [&cluster, ip] { cluster.nodes[ip].syncTime = kDefaultSyncTime; });
 }
-void slowDisksForAWhile(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
+void slowDownDisksTemporarily(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   const Duration syncTime(100 + cluster.draw(2000));
   for (const auto& ip : machines)
     cluster.nodes[ip].syncTime = syncTime;
   cluster.schedule(Duration(2000 + cluster.draw(6000)), [&cluster, machines] {
     for (const auto& ip : machines)
-      cluster.nodes[ip].syncTime = kUsualSyncTime;
+      cluster.nodes[ip].syncTime = kDefaultSyncTime;
   });
 }
-void fullDiskForAWhile(SimulatedCluster& cluster, const std::string& ip) {
+void fillDiskTemporarily(SimulatedCluster& cluster, const std::string& ip) {
   cluster.nodes[ip].diskFull = true;
   cluster.schedule(3000ms, [&cluster, ip] { cluster.nodes[ip].diskFull = false; });
 }
-void badNetworkForAWhile(SimulatedCluster& cluster) {
+void degradeNetworkTemporarily(SimulatedCluster& cluster) {
   cluster.lossRate = 0.15;
   cluster.maxDelayMs = 120;
   cluster.schedule(2500ms, [&cluster] {
     cluster.lossRate = 0;
-    cluster.maxDelayMs = kUsualMaxDelayMs;
+    cluster.maxDelayMs = kDefaultMaxDelayMs;
   });
 }
 void transferLeadership(SimulatedCluster& cluster, SimulatedCluster::Node& node) {
@@ -199,7 +200,7 @@
   node.raft->transferLeadership(cluster.now);
   cluster.carryOutActions(node);
 }
-void crashAllForAWhile(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
+void crashAllTemporarily(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   for (const auto& ip : machines) {
     if (!cluster.nodes[ip].up)
       continue;
@@ -207,7 +208,7 @@
     cluster.schedule(Duration(200 + cluster.draw(900)), [&cluster, ip] { restartIfDown(cluster, ip); });
   }
 }
-// One step of a rolling restart.
+// Restarts one machine, as in a rolling restart.
 void restartGracefully(SimulatedCluster& cluster, const std::string& ip) {
   if (!cluster.nodes[ip].up || cluster.nodes[ip].paused)
     return;
@@ -215,7 +216,7 @@
   cluster.runFor(Duration(500 + cluster.draw(1500)));
   cluster.schedule(Duration(cluster.draw(800)), [&cluster, ip] { restartIfDown(cluster, ip); });
 }
-// Planned: a newcomer starts, then the old machine shuts down gracefully and never comes back.
+// Planned replacement: a new machine starts, then the old machine shuts down gracefully and does not return.
 void replaceMachine(SimulatedCluster& cluster, const std::string& old) {
   const auto newcomer = "10.9.1." + std::to_string(++cluster.operationCount);
   cluster.start(newcomer, presentSeeds(cluster), false);
@@ -245,30 +246,30 @@
   const auto machines = presentMachines(cluster);
   const auto& ip = machines[cluster.draw(machines.size())];
   const bool healthy = isHealthy(cluster, machines);
-  cluster.healthyDraws += healthy;
+  cluster.faultsDrawnWhileHealthy += healthy;
   switch (static_cast<FaultKind>(cluster.draw(static_cast<std::uint64_t>(FaultKind::count)))) {
     case FaultKind::crash:
-      return crashForAWhile(cluster, ip);
-    case FaultKind::loseDisks:  // only while all others are healthy, as the deployment promises
+      return crashTemporarily(cluster, ip);
+    case FaultKind::loseDisks:  // only in a healthy cluster: no more losses at a time need be tolerated
       if (healthy)
         loseDisks(cluster, machines, ip);
       return;
     case FaultKind::pause:
-      return pauseForAWhile(cluster, ip);
+      return pauseTemporarily(cluster, ip);
     case FaultKind::isolate:
-      return isolateForAWhile(cluster, ip);
+      return isolateTemporarily(cluster, ip);
     case FaultKind::slowDisk:
-      return slowDiskForAWhile(cluster, ip);
+      return slowDownDiskTemporarily(cluster, ip);
     case FaultKind::slowDisks:
-      return slowDisksForAWhile(cluster, machines);
+      return slowDownDisksTemporarily(cluster, machines);
     case FaultKind::fullDisk:
-      return fullDiskForAWhile(cluster, ip);
+      return fillDiskTemporarily(cluster, ip);
     case FaultKind::badNetwork:
-      return badNetworkForAWhile(cluster);
+      return degradeNetworkTemporarily(cluster);
     case FaultKind::transferLeadership:
       return transferLeadership(cluster, cluster.nodes[ip]);
     case FaultKind::crashAll:
-      return crashAllForAWhile(cluster, machines);
+      return crashAllTemporarily(cluster, machines);
     case FaultKind::restartGracefully:
       return restartGracefully(cluster, ip);
     case FaultKind::replaceMachine:
@@ -279,8 +280,8 @@
       return;
   }
 }
-// Returns how often all was healthy when a trouble was drawn: only then disks are lost and machines replaced.
-int playSeededWorld(std::uint64_t seed) {
+// Returns how often the cluster was healthy when a fault was drawn. Disks are lost and machines are replaced only then.
+int runSeededScenario(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   if (seed % 4 == 1)
     startMany(cluster, 6);
@@ -299,24 +300,24 @@
     cluster.runFor(Duration(200 + cluster.draw(2500)));
   }
   expectRecoveryAfterFaults(cluster);
-  return cluster.healthyDraws;
+  return cluster.faultsDrawnWhileHealthy;
 }
-std::uint64_t numberFromEnvironment(const char* name, std::uint64_t otherwise) {
+std::uint64_t numberFromEnvironment(const char* name, std::uint64_t fallback) {
   const char* text = std::getenv(name);
-  return text ? std::strtoull(text, nullptr, 10) : otherwise;
+  return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
-// --- one node by itself ---
+// --- a single node with scripted peers ---
 
-// A founder of three whose disk syncs at once and whose peers answer everything at once.
-class NodeAmongAgreeingPeers {
+// One of three founders. The disk syncs at once, and the two peers accept every request at once.
+class NodeWithAgreeingPeers {
  public:
   TimePoint now{100s};
   RaftNode node{"10.1.0.1#0", RaftOptions{}, 1, now};
   bool transferredLeadership = false;
-  bool diskSilent = false;
+  bool diskUnresponsive = false;
 
-  NodeAmongAgreeingPeers() { node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now); }
+  NodeWithAgreeingPeers() { node.bootstrap({"10.1.0.1#0", "10.2.0.1#0", "10.3.0.1#0"}, now); }
   void carryOutActions() {
     for (auto actions = node.takeActions(); !actions.empty(); actions = node.takeActions())
       for (const auto& action : actions)
@@ -330,7 +331,7 @@
 
  private:
   struct PeerAnswer {
-    NodeAmongAgreeingPeers& self;
+    NodeWithAgreeingPeers& self;
     const MemberId& peer;
     void operator()(const VoteRequest& request) {
       self.node.receive(self.now, peer, VoteResponse{request.term, request.preVote});
@@ -347,7 +348,7 @@
     void operator()(const Other&) {}
   };
   void carryOut(const RaftAction& action) {
-    if (const auto* record = std::get_if<PersistRecord>(&action); record && !diskSilent)
+    if (const auto* record = std::get_if<PersistRecord>(&action); record && !diskUnresponsive)
       node.persisted(now, record->ticket, true);
     if (const auto* sent = std::get_if<SendMessage>(&action))
       std::visit(PeerAnswer{*this, sent->to}, sent->message);
@@ -370,7 +371,7 @@
     cluster.write(ip);
   cluster.runFor(1000ms);
   EXPECT_EQ(cluster.acknowledged.size(), 3U);
-  EXPECT_TRUE(cluster.violations.empty()) << inLines(cluster.violations);
+  EXPECT_TRUE(cluster.violations.empty()) << joinLines(cluster.violations);
 }
 TEST(Consensus, AnotherLeaderIsElectedAfterTheLeaderCrashes) {
   SimulatedCluster cluster(2);
@@ -387,7 +388,7 @@
   return std::count_if(cluster.nodes.begin(), cluster.nodes.end(),
                        [&](const auto& node) { return node.second.raft->hasLease(cluster.now); });
 }
-void playIsolatedLeader(std::uint64_t seed) {
+void runIsolatedLeader(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   startFounders(cluster);
   const auto first = cluster.leader();
@@ -403,7 +404,7 @@
 }  // namespace
 TEST(Consensus, AnIsolatedLeaderLosesItsLeaseBeforeAnotherGetsOne) {
   for (std::uint64_t seed = 10; seed < 30 && !HasFatalFailure(); ++seed)
-    playIsolatedLeader(seed);
+    runIsolatedLeader(seed);
 }
 TEST(Consensus, AnEmptyDiskIsANewMemberThatReplacesTheOldOne) {
   SimulatedCluster cluster(3);
@@ -440,11 +441,12 @@
   const auto leader = cluster.leader();
   ASSERT_FALSE(leader.empty());
   const auto voters = cluster.nodes[leader].raft->voters();
-  EXPECT_EQ(std::count(voters.begin(), voters.end(), cluster.nodes["10.9.0.9"].id), 1) << inLines(voters);
+  EXPECT_EQ(std::count(voters.begin(), voters.end(), cluster.nodes["10.9.0.9"].id), 1) << joinLines(voters);
   EXPECT_EQ(voters.size(), 3U);
   expectRecoveryAfterFaults(cluster);
 }
-// First one member is wiped and replaced, later another one, and then all others crash at the same moment.
+// One member loses its disk and is replaced. Later another member loses its disk while all others crash at the same
+// time.
 TEST(Consensus, AWipedMemberAndACrashOfAllOthersAtOnce) {
   for (std::uint64_t seed = 100; seed < 130; ++seed) {
     SimulatedCluster cluster(seed);
@@ -465,9 +467,10 @@
     expectRecoveryAfterFaults(cluster);
   }
 }
-// A snapshot may arrive late at a member whose log already reaches beyond it: that log may count for a commit.
+// A delayed snapshot may arrive at a member whose log already extends beyond the snapshot. The member must keep its
+// log, since the leader may have counted those entries towards a commit.
 TEST(Consensus, ALateSnapshotKeepsSyncedEntries) {
-  NodeAmongAgreeingPeers self;
+  NodeWithAgreeingPeers self;
   self.carryOutActions();
   const MemberId leader = "10.2.0.1#0";
   AppendEntries append;
@@ -490,8 +493,8 @@
   EXPECT_EQ(self.node.commitIndex(), 3);
 }
 namespace {
-// Every second seed all others crash too.
-void playTwoDisksLost(int size, std::uint64_t seed) {
+// Two machines lose their disks. With an even seed, all other machines crash at the same time.
+void runTwoDisksLost(int size, std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, size);
   writeAtAnyOf(cluster, machines, 10);
@@ -510,14 +513,14 @@
   expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
-// Found on six machines of which two may be lost: only the three founders were members.
+// Guards against clusters in which only the three founders are voters: six machines must tolerate two lost disks.
 TEST(Consensus, TwoOfSixOrEightDisksLostWhileAllOthersCrash) {
   for (const int size : {6, 8})
     for (std::uint64_t seed = 400; seed < 430 && !HasFailure(); ++seed)
-      playTwoDisksLost(size, seed);
+      runTwoDisksLost(size, seed);
 }
 namespace {
-// Cuts all links between three machines and the rest. Returns the three.
+// Cuts all links between three random machines and the rest. Returns the three machines.
 std::set<std::string> partitionMinority(SimulatedCluster& cluster, const std::vector<std::string>& machines) {
   std::set<std::string> minority;
   while (minority.size() < 3)
@@ -529,7 +532,7 @@
   return minority;
 }
 }  // namespace
-// The majority must be able to continue, whichever machines were there first.
+// The majority must be able to continue, regardless of which machines are the founders.
 TEST(Consensus, APartitionLeavesALeaderInTheMajority) {
   for (std::uint64_t seed = 500; seed < 540 && !HasFailure(); ++seed) {
     SimulatedCluster cluster(seed);
@@ -543,8 +546,8 @@
   }
 }
 namespace {
-// Cuts the machines into two halves while clients reach both.
-void playTwoHalves(std::uint64_t seed) {
+// Partitions the machines into two halves, while clients reach both halves.
+void runEvenPartition(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, seed % 2 ? 6 : 5);
   for (std::size_t from = 0; from < machines.size(); ++from)
@@ -558,8 +561,8 @@
   }
   expectRecoveryAfterFaults(cluster);
 }
-// Losses of power that overlap beyond what is tolerated, with all disks kept.
-void playOverlappingLosses(std::uint64_t seed) {
+// More machines lose power at the same time than the cluster tolerates, but all disks are kept.
+void runOverlappingCrashes(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, 5);
   for (const auto& ip : machines) {
@@ -575,23 +578,23 @@
   expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
-// At most one half may go on; neither takes two changes on the same base, and nothing acknowledged is lost.
+// At most one half may continue, conflicting writes must not both commit, and no acknowledged write may be lost.
 TEST(Consensus, TwoHalvesThatCannotReachEachOther) {
   for (std::uint64_t seed = 1000; seed < 1040 && !HasFailure(); ++seed)
-    playTwoHalves(seed);
+    runEvenPartition(seed);
 }
 TEST(Consensus, LossesThatOverlapBeyondWhatIsToleratedLoseNothing) {
   for (std::uint64_t seed = 1100; seed < 1140 && !HasFailure(); ++seed)
-    playOverlappingLosses(seed);
+    runOverlappingCrashes(seed);
 }
 namespace {
-// A leader's disk does not answer for a second of ticks, regular ones or a few late ones.
-void playSilentDisk(bool loopIsLate) {
-  NodeAmongAgreeingPeers self;
+// The leader's disk does not complete a write for about a second, in which ticks are regular or few and late.
+void runUnresponsiveDisk(bool loopIsLate) {
+  NodeWithAgreeingPeers self;
   for (int i = 0; i < 100 && self.node.role() != Role::leader; ++i)
     self.tickAfter(50ms);
   ASSERT_EQ(self.node.role(), Role::leader);
-  self.diskSilent = true;
+  self.diskUnresponsive = true;
   LogEntry entry;
   entry.operationId = "w";
   ASSERT_TRUE(self.node.submit(self.now, entry));
@@ -604,10 +607,10 @@
   EXPECT_EQ(self.transferredLeadership, !loopIsLate);
 }
 }  // namespace
-// A late event loop reads the answers of its disk late: that is no stalled disk.
+// A delayed event loop processes the completions of its disk late. The disk must not count as stalled in that case.
 TEST(Consensus, ADelayedEventLoopDoesNotTransferLeadership) {
-  playSilentDisk(true);
-  playSilentDisk(false);
+  runUnresponsiveDisk(true);
+  runUnresponsiveDisk(false);
 }
 TEST(Consensus, NoTransferToAMemberThatHasSyncedNoMore) {
   SimulatedCluster cluster(7);
@@ -622,8 +625,8 @@
   EXPECT_EQ(cluster.nodes[leader].raft->term(), term);
 }
 namespace {
-// Returns whether there is a leader 300 ms after all processes have started again.
-bool leadsSoonAfterRestartOfAll(std::uint64_t seed) {
+// Returns whether there is a leader 300 ms after the restart of all processes.
+bool hasLeaderSoonAfterRestartOfAll(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   const auto machines = seed % 2 ? startMany(cluster, 8) : kSeeds;
   if (seed % 2 == 0)
@@ -640,11 +643,12 @@
   return leads;
 }
 }  // namespace
-// The old leader's lease ended with its process, and it may say so: nobody waits the lease out for it.
+// The lease of the former leader ended with its process. The former leader states this in its vote requests, so the
+// other members grant votes before their lease promise has expired.
 TEST(Consensus, ARestartOfAllTakesLessThanALease) {
   int inTime = 0;
   for (std::uint64_t seed = 600; seed < 640 && !HasFailure(); ++seed)
-    inTime += leadsSoonAfterRestartOfAll(seed);
+    inTime += hasLeaderSoonAfterRestartOfAll(seed);
   EXPECT_GE(inTime, 36) << "of 40";
 }
 TEST(Consensus, LeadershipTransferTakesEffectAtOnce) {
@@ -666,8 +670,8 @@
   EXPECT_FALSE(cluster.leader().empty());
   EXPECT_NE(cluster.leader(), first);
 }
-// Found at hundreds of machines: each entry had a sync of its own, so that a burst of 600 runners that join took 2.4 s
-// of the disk's time; the leader took its own disk for stalled and handed over, again and again.
+// Guards against one sync per entry: with hundreds of machines, a burst of 600 joining runners kept the disk busy for
+// 2.4 s. The leader considered its own disk stalled and transferred the leadership again and again.
 TEST(Consensus, ABurstOfWritesSharesItsSyncs) {
   constexpr int kBurst = 600;
   SimulatedCluster cluster(8);
@@ -676,14 +680,14 @@
   const auto term = cluster.nodes[leader].raft->term();
   for (int i = 0; i < kBurst; ++i)
     cluster.write(leader);
-  cluster.runFor(200ms);  // 50 syncs
+  cluster.runFor(200ms);  // the time of 50 syncs
   EXPECT_EQ(cluster.acknowledged.size(), std::size_t{kBurst});
   EXPECT_EQ(cluster.nodes[leader].raft->term(), term);
   expectRecoveryAfterFaults(cluster);
 }
 namespace {
-/// The first leader is lost while each sync of all disks takes `syncTime`.
-void playElectionOnSlowDisks(std::uint64_t seed, Duration syncTime) {
+/// The leader is lost while each sync takes `syncTime` on all disks.
+void runElectionOnSlowDisks(std::uint64_t seed, Duration syncTime) {
   SimulatedCluster cluster(seed);
   const auto machines = startMany(cluster, 5);
   for (auto& [ip, node] : cluster.nodes)
@@ -693,15 +697,15 @@
   EXPECT_FALSE(cluster.leader().empty()) << "seed " << seed << ", sync " << syncTime.count() << " ms";
 }
 }  // namespace
-// Known since a trial: with syncs of 250 ms and more each candidate's timer ran out while its vote, or that of a voter,
-// was on its way to the disk, and no term was ever won.
+// Guards against failed elections on slow disks: with syncs of 250 ms and more, the election timeout of each candidate
+// expired before its own vote or a voter's vote was synced, so no election ever succeeded.
 TEST(Consensus, ALeaderIsElectedWhileEachSyncIsSlow) {
   for (const auto syncTime : {200ms, 250ms, 300ms, 400ms, 500ms, 600ms})
     for (std::uint64_t seed = 900; seed < 920 && !HasFailure(); ++seed)
-      playElectionOnSlowDisks(seed, syncTime);
+      runElectionOnSlowDisks(seed, syncTime);
 }
 namespace {
-void playFullDisk(std::uint64_t seed) {
+void runFullDisk(std::uint64_t seed) {
   SimulatedCluster cluster(seed);
   startFounders(cluster);
   const auto leader = cluster.leader();
@@ -720,11 +724,12 @@
   expectRecoveryAfterFaults(cluster);
 }
 }  // namespace
-// Found under load: while a disk was full its records piled up; each was then retried by itself and out of order, and
-// for up to half a minute after it had room again the member could neither vote nor lead.
+// Guards against a slow recovery from a full disk: pending records accumulated while the disk was full and were then
+// retried one by one and out of order. The member could neither vote nor lead for up to half a minute after the disk
+// had space again.
 TEST(Consensus, AMemberWhoseDiskWasFullServesAgainAtOnce) {
   for (std::uint64_t seed = 700; seed < 720 && !HasFailure(); ++seed)
-    playFullDisk(seed);
+    runFullDisk(seed);
 }
 TEST(Consensus, ASnapshotThatCannotBeRestoredIsNotInstalled) {
   const TimePoint now{100s};
@@ -739,7 +744,7 @@
   snapshot.state = "bad";
   node.receive(now, "10.2.0.1#0", snapshot);
   EXPECT_EQ(node.commitIndex(), 0);
-  EXPECT_EQ(node.snapshotsRefused(), 1);
+  EXPECT_EQ(node.rejectedSnapshotCount(), 1);
   EXPECT_TRUE(node.takeActions().empty());
   snapshot.state = "good";
   node.receive(now, "10.2.0.1#0", snapshot);
@@ -752,17 +757,18 @@
   EXPECT_TRUE(decodeMessage(bytes));
   EXPECT_FALSE(decodeMessage(std::string_view(bytes).substr(0, bytes.size() - 1)));
 }
-// A longer sweep: ZINCCLEAT_WORLDS=5000 ZINCCLEAT_FROM=1000 target/zinccleat_tests --gtest_filter='*Worlds'
+// Runs seeded scenarios with random faults. Run more seeds with:
+// ZINCCLEAT_WORLDS=5000 ZINCCLEAT_FROM=1000 target/zinccleat_tests --gtest_filter='*Worlds'
 TEST(Consensus, SeededWorlds) {
   const auto from = numberFromEnvironment("ZINCCLEAT_FROM", 1000);
   const auto count = numberFromEnvironment("ZINCCLEAT_WORLDS", 300);
-  std::uint64_t healthyDraws = 0;
+  std::uint64_t faultsDrawnWhileHealthy = 0;
   for (auto seed = from; seed < from + count; ++seed) {
-    healthyDraws += static_cast<std::uint64_t>(playSeededWorld(seed));
+    faultsDrawnWhileHealthy += static_cast<std::uint64_t>(runSeededScenario(seed));
     if (HasFailure()) {
       std::printf("replay: ZINCCLEAT_FROM=%llu ZINCCLEAT_WORLDS=1\n", static_cast<unsigned long long>(seed));
       return;
     }
   }
-  EXPECT_GE(healthyDraws, count * 2) << "disks were hardly ever lost";
+  EXPECT_GE(faultsDrawnWhileHealthy, count * 2) << "too few faults were drawn while the cluster was healthy";
 }
--- a/tests/coordination_world.cpp
+++ b/tests/coordination_world.cpp
@@ -162,7 +162,7 @@
   if (isLost(accepted->ip, leaderIp))
     return;  // the message was sent and got lost
   schedule(drawDelay(), [this, accepted, leaderIp, onResult] {
-    auto* leader = reach(accepted->ip, leaderIp);
+    auto* leader = findReachableNode(accepted->ip, leaderIp);
     if (!leader)
       return;
     onProcess(leaderIp, leader->incarnation, [this, accepted, leaderIp, onResult] {
@@ -171,7 +171,7 @@
                         if (isLost(leaderIp, accepted->ip))
                           return;
                         schedule(drawDelay(), [this, accepted, leaderIp, onResult, result] {
-                          if (reach(leaderIp, accepted->ip))
+                          if (findReachableNode(leaderIp, accepted->ip))
                             onProcess(accepted->ip, accepted->incarnation, [onResult, result] { onResult(result); });
                         });
                       });
--- a/tests/coordination_worlds_test.cpp
+++ b/tests/coordination_worlds_test.cpp
@@ -109,7 +109,7 @@
         world_.nodes[ip].syncTime = syncTime;
     scheduleAfter(drawFaultDuration(), [this] {
       for (const auto& ip : kMachines)
-        world_.nodes[ip].syncTime = kUsualSyncTime;
+        world_.nodes[ip].syncTime = kDefaultSyncTime;
     });
   }
 
@@ -136,7 +136,7 @@
   world.cutLinks.clear();
   for (const auto& ip : kMachines) {
     world.nodes[ip].paused = false;
-    world.nodes[ip].syncTime = kUsualSyncTime;
+    world.nodes[ip].syncTime = kDefaultSyncTime;
     if (!world.nodes[ip].up)
       world.start(ip, kMachines, false);
   }
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -15,8 +15,8 @@
   std::size_t index = 0;
   World world;
 };
-// Leaders of each term are remembered when they are first seen.
-void rememberLeaders(World& world) {
+// Adds the current leaders to the history, which keeps the first leader that was seen in each term.
+void recordLeaders(World& world) {
   for (const auto& machine : world.machines) {
     if (!machine->raft || machine->raft->role() != Role::leader)
       continue;
@@ -28,7 +28,7 @@
     world.history = std::move(extended);
   }
 }
-bool beyondTerms(const World& world) {
+bool exceedsMaxTerm(const World& world) {
   return std::any_of(world.machines.begin(), world.machines.end(), [&](const auto& machine) {
     return machine->raft && machine->raft->term() > world.budgets.maxTerms;
   });
@@ -38,7 +38,7 @@
   for (const auto& action : actions) {
     trace.push_back(world.describe(action));
     world.apply(action);
-    rememberLeaders(world);
+    recordLeaders(world);
   }
   return trace;
 }
@@ -49,9 +49,10 @@
   std::reverse(path.begin(), path.end());
   return path;
 }
-// Plays the actions of a trace that are possible, then ends the trouble. Returns the first invariant broken.
+// Applies those actions of a trace that are possible, then checks the recovery after the end of all faults. Returns the
+// first violated invariant; empty: none.
 std::string replay(World world, const std::vector<std::string>& trace) {
-  rememberLeaders(world);
+  recordLeaders(world);
   for (const auto& wanted : trace) {
     const auto actions = world.possibleActions();
     const auto found = std::find_if(actions.begin(), actions.end(),
@@ -59,15 +60,16 @@
     if (found == actions.end())
       continue;
     world.apply(*found);
-    auto violated = brokenInvariant(world);
+    auto violated = violatedInvariant(world);
     if (!violated.empty())
       return violated;
-    rememberLeaders(world);
+    recordLeaders(world);
   }
-  return brokenAfterRecovery(world);
+  return violationAfterRecovery(world);
 }
-// Leaves out whatever the violation does not need, in smaller and smaller pieces.
-std::vector<std::string> shortened(const World& start, std::vector<std::string> trace, const std::string& violation) {
+// Removes actions that are not needed for the violation: first large parts of the trace, then smaller and smaller ones.
+std::vector<std::string> minimizeTrace(const World& start, std::vector<std::string> trace,
+                                       const std::string& violation) {
   for (auto piece = trace.size() / 2; piece > 0; piece /= 2)
     for (std::size_t at = 0; at < trace.size();) {
       auto shorter = trace;
@@ -80,7 +82,8 @@
     }
   return trace;
 }
-// How likely a walk takes an action, against others: rare ones would otherwise be lost among the deliveries.
+// The relative probability that a random walk takes an action. With equal probabilities, rare actions would hardly ever
+// occur among the many deliveries.
 std::uint64_t weightOf(ActionKind kind) {
   switch (kind) {
     case ActionKind::deliver:
@@ -114,18 +117,18 @@
          std::to_string(depth) + (exhausted ? ", exhausted" : ", not exhausted");
 }
 World worldAfter(World world, const std::vector<std::string>& trace) {
-  rememberLeaders(world);
+  recordLeaders(world);
   for (const auto& wanted : trace) {
     const auto actions = world.possibleActions();
     const auto found = std::find_if(actions.begin(), actions.end(),
                                     [&](const Action& action) { return world.describe(action) == wanted; });
     checkInvariant(found != actions.end(), "each action of a written prefix is possible");
     world.apply(*found);
-    rememberLeaders(world);
+    recordLeaders(world);
   }
   return world;
 }
-std::string playTrace(const World& start, const std::vector<std::string>& trace) {
+std::string replayTrace(const World& start, const std::vector<std::string>& trace) {
   return replay(start, trace);
 }
 namespace {
@@ -134,7 +137,7 @@
  public:
   Search(const World& start, const SearchLimits& limits) : start_(start), limits_(limits), seen_{start.hash()} {
     frontier_.push_back({0, start});
-    rememberLeaders(frontier_.front().world);
+    recordLeaders(frontier_.front().world);
   }
   SearchResult run() {
     while (!frontier_.empty() && !finished_) {
@@ -160,8 +163,8 @@
     }
   }
   void visit(std::size_t parent, const Action& action, World next) {
-    const auto violated = brokenInvariant(next);
-    rememberLeaders(next);
+    const auto violated = violatedInvariant(next);
+    recordLeaders(next);
     if (violated.empty() && !seen_.insert(next.hash()).second)
       return;
     visited_.push_back({parent, action, visited_[parent].depth + 1});
@@ -169,11 +172,11 @@
     result_.violation = violated;
     const bool checkRecovery = limits_.recoveryCheckEvery > 0 && visited_.size() % limits_.recoveryCheckEvery == 0;
     if (violated.empty() && checkRecovery)
-      result_.violation = brokenAfterRecovery(next);
+      result_.violation = violationAfterRecovery(next);
     if (!result_.violation.empty()) {
       result_.trace = describeActions(start_, pathTo(visited_, visited_.size() - 1));
       finished_ = true;
-    } else if (!beyondTerms(next)) {
+    } else if (!exceedsMaxTerm(next)) {
       frontier_.push_back({visited_.size() - 1, std::move(next)});
     }
   }
@@ -184,27 +187,27 @@
   std::vector<Visited> visited_{1};
   std::unordered_set<std::uint64_t> seen_;
   std::deque<FrontierState> frontier_;
-  bool finished_ = false;  // by a violation or by the limit
+  bool finished_ = false;  // a violation was found or the limit was reached
 };
-// One walk; adds to the result.
-std::vector<Action> takeWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
-                             std::unordered_set<std::uint64_t>& seen) {
+// Runs one random walk and adds to `result` and `seen`. Returns the actions of the walk.
+std::vector<Action> runWalk(World& world, const WalkLimits& limits, std::uint64_t seed, SearchResult& result,
+                            std::unordered_set<std::uint64_t>& seen) {
   std::mt19937_64 random(seed);
   std::vector<Action> path;
-  while (path.size() < limits.steps && result.violation.empty() && !beyondTerms(world)) {
+  while (path.size() < limits.steps && result.violation.empty() && !exceedsMaxTerm(world)) {
     const auto actions = world.possibleActions();
     if (actions.empty())
       break;
     path.push_back(drawAction(actions, random));
     world.apply(path.back());
     ++result.transitions;
-    result.violation = brokenInvariant(world);
-    rememberLeaders(world);
+    result.violation = violatedInvariant(world);
+    recordLeaders(world);
     seen.insert(world.hash());
   }
   result.depth = std::max(result.depth, path.size());
   if (result.violation.empty())
-    result.violation = brokenAfterRecovery(world);
+    result.violation = violationAfterRecovery(world);
   return path;
 }
 }  // namespace
@@ -217,10 +220,10 @@
   std::unordered_set<std::uint64_t> seen;
   for (std::size_t walkIndex = 0; walkIndex < limits.walks; ++walkIndex) {
     auto world = start;
-    rememberLeaders(world);
-    const auto path = takeWalk(world, limits, limits.seed + walkIndex, result, seen);
+    recordLeaders(world);
+    const auto path = runWalk(world, limits, limits.seed + walkIndex, result, seen);
     if (!result.violation.empty()) {
-      result.trace = shortened(start, describeActions(start, path), result.violation);
+      result.trace = minimizeTrace(start, describeActions(start, path), result.violation);
       break;
     }
   }
--- a/tests/model_checker_test.cpp
+++ b/tests/model_checker_test.cpp
@@ -1,5 +1,5 @@
-// The model checker on the consensus code, and on planted faults, which it must find.
-// A longer search: tools/model_check.sh [STATES].
+// Runs the model checker on the consensus code, and on code with injected faults, which the model checker must find.
+// Run a longer search with: tools/model_check.sh [STATES].
 #include "model_checker.hpp"
 
 #include <gtest/gtest.h>
@@ -20,10 +20,10 @@
   const char* text = std::getenv("ZINCCLEAT_MODEL_STATES");
   return text ? static_cast<std::size_t>(std::strtoull(text, nullptr, 10)) : kStatesInCi;
 }
-std::size_t walksToTake() {
+std::size_t walksToRun() {
   return statesToVisit() * kWalksInCi / kStatesInCi;
 }
-// The founders, one step of time before their first election.
+// The founders, one time step before their first election.
 World beforeElection(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
@@ -31,8 +31,8 @@
   world.runFairly(options.electionTimeout);
   return world;
 }
-// Machine a leads, an entry is committed everywhere.
-World led(const InjectedFaults& faults = {}) {
+// Machine a is the leader, and an entry is committed on all machines.
+World worldWithLeader(const InjectedFaults& faults = {}) {
   auto options = modelOptions();
   options.faults = faults;
   World world(options);
@@ -41,9 +41,9 @@
   checkInvariant(world.leaderWithLease() < kMachines, "the fair run elects a leader");
   return world;
 }
-// The same, with the spare up for so long that it follows the log.
-World ledWithSpare(const InjectedFaults& faults = {}) {
-  auto world = led(faults);
+// A world with a leader, in which the spare is running and receives the log.
+World worldWithLeaderAndSpare(const InjectedFaults& faults = {}) {
+  auto world = worldWithLeader(faults);
   world.budgets.spares = 1;
   world.apply({ActionKind::startSpare, kFounders});
   world.runFairly(kElectionTime);
@@ -57,11 +57,11 @@
   for (const auto& action : result.trace)
     std::printf("    %s\n", action.c_str());
 }
-void expectSound(const char* what, const SearchResult& result) {
+void expectNoViolation(const char* what, const SearchResult& result) {
   print(what, result);
   EXPECT_EQ(result.violation, "") << what;
 }
-void expectFound(const char* what, const SearchResult& result, const std::string& violation) {
+void expectViolation(const char* what, const SearchResult& result, const std::string& violation) {
   print(what, result);
   EXPECT_EQ(result.violation, violation) << what;
 }
@@ -90,71 +90,72 @@
   world.budgets.timeSteps = 6;
   world.budgets.maxTerms = 2;
   world.budgets.maxInFlight = 6;
-  expectSound("first election", search(world, {statesToVisit(), 500}));
+  expectNoViolation("first election", search(world, {statesToVisit(), 500}));
 }
 TEST(ModelChecker, CrashesUnderALeader) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = Budgets{};
   world.budgets.crashes = 2;
   world.budgets.writes = 1;
   world.budgets.timeSteps = 6;
   world.budgets.maxInFlight = 6;
-  expectSound("crashes under a leader", search(world, {statesToVisit(), 500}));
+  expectNoViolation("crashes under a leader", search(world, {statesToVisit(), 500}));
 }
-// Small enough for every order of everything.
+// The state space is small enough to visit every order of all actions.
 TEST(ModelChecker, ExhaustsAWrite) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = Budgets{};
   world.budgets.writes = 1;
   world.budgets.maxInFlight = 3;
   const auto result = search(world, {kStatesToFind / 4, 500});
-  expectSound("a write", result);
+  expectNoViolation("a write", result);
   EXPECT_TRUE(result.exhausted);
 }
 TEST(ModelChecker, PlannedLeaveAndSpare) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
   world.budgets.spares = 1;
   world.budgets.crashes = 1;
   world.budgets.timeSteps = 8;
   world.budgets.maxInFlight = 6;
-  expectSound("planned leave and spare", search(world, {statesToVisit(), 200}));
+  expectNoViolation("planned leave and spare", search(world, {statesToVisit(), 200}));
 }
 TEST(ModelChecker, WalksThroughAllFaults) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = allFaults();
-  expectSound("walks through all faults", walk(world, {walksToTake(), kStatesPerWalk, 1}));
+  expectNoViolation("walks through all faults", walk(world, {walksToRun(), kStatesPerWalk, 1}));
 }
 TEST(ModelChecker, WalksWithTheSpareRunning) {
-  auto world = ledWithSpare();
+  auto world = worldWithLeaderAndSpare();
   world.budgets = allFaults();
-  expectSound("walks with the spare running", walk(world, {walksToTake(), kStatesPerWalk, 1000000}));
+  expectNoViolation("walks with the spare running", walk(world, {walksToRun(), kStatesPerWalk, 1000000}));
 }
 TEST(ModelChecker, WalksThroughAChangeOfVoters) {
-  auto world = ledWithSpare();
+  auto world = worldWithLeaderAndSpare();
   world.budgets = allFaults();
   world = worldAfter(world, {"leave b", "deliver b#0 -> a LeaveRequest", "sync a"});
-  expectSound("walks through a change of voters", walk(world, {walksToTake(), kStatesPerWalk, 2000000}));
+  expectNoViolation("walks through a change of voters", walk(world, {walksToRun(), kStatesPerWalk, 2000000}));
 }
-// Found by the walks. A disk is lost, and right after it another member leaves: it must stay until the machine whose
-// disk was lost is caught up, or be killed; it may not be told that it can go.
+// A regression that the random walks found. A disk is lost, and directly afterwards another member asks to leave. The
+// leader must not allow that member to exit before the machine with the lost disk has caught up.
 TEST(ModelChecker, AMemberStaysWhileALostDiskIsNotReplaced) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = allFaults();
-  EXPECT_EQ(playTrace(world, {"lose the disk of c", "leave b", "deliver b#0 -> a LeaveRequest",
-                              "deliver a#0 -> b LeaveResponse"}),
+  EXPECT_EQ(replayTrace(world, {"lose the disk of c", "leave b", "deliver b#0 -> a LeaveRequest",
+                                "deliver a#0 -> b LeaveResponse"}),
             "");
 }
-// Found by the walks. Of two voters that are left one has the newer term and the other one the longer log: the first
-// may not win, and the second must learn of the term that it lags behind.
+// A regression that the random walks found. One of the two remaining voters has the newer term, the other one the
+// longer log. The voter with the newer term must not be elected, and the voter with the longer log must learn of the
+// newer term in order to be elected.
 TEST(ModelChecker, ALongerLogWithAnOlderTermStillWins) {
-  auto world = led();
+  auto world = worldWithLeader();
   world.budgets = allFaults();
   EXPECT_EQ(
-      playTrace(world, {"lose the disk of c", "write", "lose a#0 -> b AppendEntries term 1, 1 after 1, committed 1",
-                        "sync a", "leave a", "crash a", "deliver a#0 -> b TransferLeadership", "sync b",
-                        "deliver b#0 -> a VoteRequest term 2"}),
+      replayTrace(world, {"lose the disk of c", "write", "lose a#0 -> b AppendEntries term 1, 1 after 1, committed 1",
+                          "sync a", "leave a", "crash a", "deliver a#0 -> b TransferLeadership", "sync b",
+                          "deliver b#0 -> a VoteRequest term 2"}),
       "");
 }
 TEST(ModelChecker, FindsACommitWithoutMajority) {
@@ -162,21 +163,22 @@
   faults.commitWithoutMajority = true;
   auto world = beforeElection(faults);
   world.budgets.timeSteps = 6;
-  expectFound("commit without majority", search(world, {kStatesToFind, 0}), "committed without a quorum's disks");
+  expectViolation("commit without majority", search(world, {kStatesToFind, 0}), "committed without a quorum's disks");
 }
 TEST(ModelChecker, FindsSeparateMajorities) {
   InjectedFaults faults;
-  faults.separateMajorities = true;
-  auto world = ledWithSpare(faults);
+  faults.skipJointConfig = true;
+  auto world = worldWithLeaderAndSpare(faults);
   world.budgets = allFaults();
-  expectFound("separate majorities", search(world, {kStatesToFind, 0}),
-              "two configurations without overlapping majorities");
+  expectViolation("separate majorities", search(world, {kStatesToFind, 0}),
+                  "two configurations without overlapping majorities");
 }
-// Point A of issue 14: the newcomer is added, the member that left stays in the configuration for good.
+// Issue 14, point A: a new member is added to the voters, but the member that left is never removed from the
+// configuration.
 TEST(ModelChecker, FindsTheDeadMemberThatIsNeverRemoved) {
   InjectedFaults faults;
-  faults.newcomerIsAddedOnly = true;
-  auto world = ledWithSpare(faults);
+  faults.voterSetNeverShrinks = true;
+  auto world = worldWithLeaderAndSpare(faults);
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
   world.budgets.maxInFlight = 16;
@@ -187,15 +189,15 @@
 TEST(ModelChecker, FindsALeaseThatOutlivesTheLeadership) {
   InjectedFaults faults;
   faults.leaseOutlivesStepDown = true;
-  auto world = led(faults);
+  auto world = worldWithLeader(faults);
   world.budgets = Budgets{};
   world.budgets.leaves = 1;
   world.budgets.maxInFlight = 6;
-  expectFound("a lease that outlives the leadership", search(world, {kStatesToFind, 0}),
-              "a lease whose owner lacks what is committed");
+  expectViolation("a lease that outlives the leadership", search(world, {kStatesToFind, 0}),
+                  "a lease holder lacks committed entries");
 }
-// From the moment at which a vote is on its way and not on the disk: the voter is killed, and the candidate stands
-// still from then on.
+// The search starts when a vote was sent before its record was synced. The voter is then killed, which loses the vote,
+// and the candidate stays paused.
 TEST(ModelChecker, FindsAVoteSentBeforeItsSync) {
   InjectedFaults faults;
   faults.voteBeforeSync = true;
@@ -210,5 +212,6 @@
   world.budgets.timeSteps = 5;
   world.budgets.maxInFlight = 5;
   world.budgets.maxTerms = 1;
-  expectFound("a vote sent before its sync", search(world, {kStatesToFind, 0}), "two votes of one member in a term");
+  expectViolation("a vote sent before its sync", search(world, {kStatesToFind, 0}),
+                  "two votes of one member in a term");
 }
--- a/tests/model_invariants.cpp
+++ b/tests/model_invariants.cpp
@@ -1,14 +1,14 @@
-// What must hold in each state of a model world.
+// The invariants that must hold in each state of a model world.
 #include "model_checker.hpp"
 
 namespace zinccleat::model {
 using namespace zinccleat::consensus;
 using namespace zinccleat::transport;
 namespace {
-constexpr Duration kRecoveryTime{6000};  // of the model's time, in which everything must be healthy again
+constexpr Duration kRecoveryTime{6000};  // simulated time after which the cluster must have recovered from all faults
 constexpr Duration kWriteTime{1000};
 
-// Whether any quorum of one overlaps with any quorum of the other.
+// Whether every quorum of `one` overlaps with every quorum of `other`.
 bool quorumsOverlap(const ClusterConfig& one, const ClusterConfig& other) {
   auto members = one.allVoters();
   for (const auto& member : other.allVoters())
@@ -35,8 +35,8 @@
     behind += !committed.empty() && machine->raft->commitIndex() < committed.rbegin()->first;
   }
   if (leases > 1)
-    return "two leases at a moment";
-  return behind > 0 ? "a lease whose owner lacks what is committed" : "";
+    return "two valid leases at the same time";
+  return behind > 0 ? "a lease holder lacks committed entries" : "";
 }
 std::string checkLeaders(const World& world) {
   for (const auto& machine : world.machines) {
@@ -50,7 +50,7 @@
       const auto* logged = node.entryAt(index);
       const bool missing = index >= node.firstIndex() && (!logged || contentOf(*logged) != entry.content);
       if (missing && node.term() > entry.committedInTerm)
-        return "a leader lacks what is committed";
+        return "a leader lacks committed entries";
     }
   }
   return {};
@@ -80,7 +80,7 @@
         continue;
       auto config = decodeConfig(entry->body);
       if (!before && machine->raft->firstIndex() == 1)
-        before = ClusterConfig{{"a#0", "b#0", "c#0"}, {}};  // the founders'
+        before = ClusterConfig{{"a#0", "b#0", "c#0"}, {}};  // the configuration of the founders
       if (before && !quorumsOverlap(*before, config))
         return "two configurations without overlapping majorities";
       before = std::move(config);
@@ -88,7 +88,8 @@
   }
   return {};
 }
-// Once nothing is in flight: with three or more running machines, the loss of any one of them must be tolerated.
+// Checks that, with three or more running machines, the loss of any one of them is tolerated. Valid only when no
+// messages are in flight.
 std::string checkTolerance(const World& world, std::size_t leader) {
   std::size_t running = 0;
   for (const auto& machine : world.machines)
@@ -108,7 +109,7 @@
 }
 }  // namespace
 
-std::string brokenInvariant(const World& world) {
+std::string violatedInvariant(const World& world) {
   if (!world.violation.empty())
     return world.violation;
   for (const auto check : {checkLeases, checkLeaders, checkLogs, checkConfigs}) {
@@ -118,10 +119,10 @@
   }
   return {};
 }
-std::string brokenAfterRecovery(World world) {
-  world.healAll();
+std::string violationAfterRecovery(World world) {
+  world.endAllFaults();
   world.runFairly(kRecoveryTime);
-  auto violated = brokenInvariant(world);
+  auto violated = violatedInvariant(world);
   if (!violated.empty())
     return violated;
   const auto leader = world.leaderWithLease();
@@ -134,6 +135,6 @@
   if (world.machines[leader]->raft && world.machines[leader]->raft->commitIndex() <= before)
     return "no write commits after recovery";
   const auto tolerance = checkTolerance(world, leader);
-  return tolerance.empty() ? brokenInvariant(world) : tolerance;
+  return tolerance.empty() ? violatedInvariant(world) : tolerance;
 }
 }  // namespace zinccleat::model
--- a/tests/model_world.cpp
+++ b/tests/model_world.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::array<const char*, kMachines> kAddresses = {"a", "b", "c", "d"};
 constexpr std::uint64_t kJitterSeed = 1;
-constexpr int kRoundsPerStep = 60;  // more events than one step of a fair run ever needs
+constexpr int kRoundsPerStep = 60;  // more deliveries than one time step of a fair run needs
 
 std::size_t machineAt(const std::string& address) {
   return static_cast<std::size_t>(address.at(0) - 'a');
@@ -22,10 +22,10 @@
     ids.push_back(identityOf(kAddresses[machine], 0));
   return ids;
 }
-std::uint64_t mix(std::uint64_t hash, const std::string& text) {
+std::uint64_t combineHash(std::uint64_t hash, const std::string& text) {
   return hash64(text, hash);
 }
-// What a restart would make of a disk.
+// The node that a restart would recover from the machine's disk.
 RaftNode recovered(const Machine& machine, TimePoint now) {
   RaftNode node(machine.id, modelOptions(), kJitterSeed, now);
   node.recover(machine.disk, now);
@@ -57,7 +57,7 @@
   options.tickInterval = kTimeStep;
   options.heartbeatInterval = kTimeStep;
   options.lease = kTimeStep * 3;
-  options.longestLease = options.lease;
+  options.maxLease = options.lease;
   options.leaseMargin = kTimeStep / 2;
   options.electionTimeout = kTimeStep * 4;
   options.electionTimeoutSpread = Duration(1);
@@ -106,7 +106,7 @@
   for (std::size_t machine = 0; machine < kFounders; ++machine)
     start(machine);
 }
-Machine& World::change(std::size_t machine) {
+Machine& World::mutableMachine(std::size_t machine) {
   auto copy = std::make_shared<Machine>(*machines[machine]);
   copy->hashedAt_ = {};
   auto& changed = *copy;
@@ -114,8 +114,8 @@
   return changed;
 }
 template <class Event>
-void World::feed(std::size_t machine, Event event) {
-  auto& changed = change(machine);
+void World::processEvent(std::size_t machine, Event event) {
+  auto& changed = mutableMachine(machine);
   auto node = std::make_shared<RaftNode>(*changed.raft);
   const bool couldExit = node->mayExit();
   event(*node);
@@ -131,7 +131,7 @@
     if (const auto* message = std::get_if<SendMessage>(&action))
       sendMessage(machine, *message);
     else if (const auto* record = std::get_if<PersistRecord>(&action))
-      change(machine).pending.push_back(*record);
+      mutableMachine(machine).pending.push_back(*record);
     else if (const auto* applied = std::get_if<ApplyEntry>(&action))
       recordCommitted(machine, applied->entry);
   }
@@ -151,7 +151,7 @@
                                    [](const auto& one, const auto& other) { return one->bytes < other->bytes; });
   inFlight.insert(at, std::move(message));
 }
-// A vote counts as given once it is sent: a response, or a candidate's own with its requests.
+// Records a vote when it is sent. A voter's vote is sent as a response, a candidate's own vote with its vote requests.
 void World::recordVote(std::size_t machine, const SendMessage& action) {
   std::string candidate;
   std::int64_t term = 0;
@@ -194,8 +194,8 @@
   extended->committed[entry.index] = {contentOf(entry), node.term()};
   history = std::move(extended);
 }
-// A member that may end must leave a majority whose disks still exist. No disk is lost once somebody is leaving (see
-// `toleratesLossOf`): whatever counts here was lost before the member asked.
+// Checks that a majority of voters with existing disks remains when a member is allowed to exit. No disk is lost while
+// a member is leaving (see `toleratesLossOf`), so every lost disk was lost before the member asked to leave.
 void World::recordExit(std::size_t machine) {
   const auto& leaving = machines[machine]->id;
   std::shared_ptr<const RaftNode> newest;
@@ -208,7 +208,7 @@
   const bool majorityRemains = config.hasQuorum(
       [&](const MemberId& voter) { return voter != leaving && !history->lostIdentities.contains(voter); });
   if (!majorityRemains)
-    reportViolation("a member may end though no majority is left without it");
+    reportViolation("a member may exit although no majority remains without it");
 }
 void World::reportViolation(const std::string& invariant) {
   if (violation.empty())
@@ -220,18 +220,18 @@
     inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(index));
   if (!machines[message->receiver]->raft || cut.contains({message->sender, message->receiver}))
     return;
-  feed(message->receiver, [&](RaftNode& node) { node.receive(now, message->from, message->content); });
+  processEvent(message->receiver, [&](RaftNode& node) { node.receive(now, message->from, message->content); });
 }
 void World::sync(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   const auto record = changed.pending.front();
   changed.pending.pop_front();
   changed.disk.push_back(record.record);
   changed.diskHash = hash64(recovered(changed, now).fingerprint(now));
-  feed(machine, [&](RaftNode& node) { node.persisted(now, record.ticket, true); });
+  processEvent(machine, [&](RaftNode& node) { node.persisted(now, record.ticket, true); });
 }
 void World::start(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   const bool founder = machine < kFounders && changed.identities <= 1;
   if (changed.disk.empty()) {
     if (!founder || changed.identities == 0)
@@ -248,7 +248,7 @@
   carryOut(machine, std::move(actions));
 }
 void World::stop(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   changed.raft.reset();
   changed.pending.clear();
   changed.frozen = false;
@@ -256,10 +256,10 @@
   ticked &= ~(1U << machine);
 }
 void World::loseDisk(std::size_t machine) {
-  auto& changed = change(machine);
+  auto& changed = mutableMachine(machine);
   changed.disk.clear();
   changed.diskHash = 0;
-  changed.identities = std::max(changed.identities, 2);  // never founds again
+  changed.identities = std::max(changed.identities, 2);  // the machine no longer counts as a founder
   auto extended = std::make_shared<History>(*history);
   extended->lostIdentities.insert(changed.id);
   history = std::move(extended);
@@ -272,7 +272,7 @@
   const auto leader = leaderWithLease();
   LogEntry entry;
   entry.operationId = "w" + std::to_string(budgets.writes);
-  feed(leader, [&](RaftNode& node) { node.submit(now, entry); });
+  processEvent(leader, [&](RaftNode& node) { node.submit(now, entry); });
 }
 void World::cutOff(std::size_t machine, bool incoming, bool outgoing) {
   cutMachine = machine;
@@ -309,7 +309,7 @@
   std::vector<Action> actions;
   for (std::size_t message = 0; message < inFlight.size(); ++message) {
     if (message > 0 && inFlight[message]->bytes == inFlight[message - 1]->bytes)
-      continue;  // two equal messages: one choice
+      continue;  // delivering either of two equal messages has the same effect
     if (!machines[inFlight[message]->receiver]->frozen)
       actions.push_back({ActionKind::deliver, message});
     if (budgets.losses > 0)
@@ -381,7 +381,7 @@
       return sync(index);
     case ActionKind::tick:
       ticked |= 1U << index;
-      return feed(index, [&](RaftNode& node) { node.tick(now); });
+      return processEvent(index, [&](RaftNode& node) { node.tick(now); });
     case ActionKind::advanceTime:
       --budgets.timeSteps;
       return advanceTime();
@@ -391,7 +391,7 @@
       return;
     case ActionKind::compact:
       --budgets.compactions;
-      return feed(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
+      return processEvent(index, [&](RaftNode& node) { node.compact(node.commitIndex(), "state", now); });
     case ActionKind::lose:
     case ActionKind::duplicate:
     case ActionKind::cutIncoming:
@@ -440,19 +440,19 @@
       return start(machine);
     case ActionKind::leave:
       --budgets.leaves;
-      change(machine).leaving = true;
-      return feed(machine, [&](RaftNode& node) { node.leave(now); });
+      mutableMachine(machine).leaving = true;
+      return processEvent(machine, [&](RaftNode& node) { node.leave(now); });
     case ActionKind::freeze:
       --budgets.freezes;
-      change(machine).frozen = true;
+      mutableMachine(machine).frozen = true;
       return;
     case ActionKind::thaw:
-      change(machine).frozen = false;
+      mutableMachine(machine).frozen = false;
       return;
     default:  // exitAllowed and killLeaving
       stop(machine);
       loseDisk(machine);
-      change(machine).exited = true;
+      mutableMachine(machine).exited = true;
       return;
   }
 }
@@ -494,7 +494,7 @@
   for (const auto& machine : machines)
     hash = hash * 0x9E3779B97F4A7C15ULL + machine->hash(now);
   for (const auto& message : inFlight)
-    hash = mix(hash, message->bytes);
+    hash = combineHash(hash, message->bytes);
   std::string rest = std::to_string(ticked) + "," + std::to_string(cutMachine) + "," + std::to_string(cut.size());
   for (const auto& [sender, receiver] : cut)
     rest += std::to_string(sender) + std::to_string(receiver);
@@ -510,9 +510,9 @@
     rest += key.first + std::to_string(key.second) + candidate;
   for (const auto& lost : history->lostIdentities)
     rest += lost;
-  return mix(hash, rest);
+  return combineHash(hash, rest);
 }
-void World::healAll() {
+void World::endAllFaults() {
   budgets = Budgets{};
   budgets.maxInFlight = 1000;
   cut.clear();
@@ -520,7 +520,7 @@
   const bool anyExited =
       std::any_of(machines.begin(), machines.end(), [](const auto& machine) { return machine->exited; });
   for (std::size_t machine = 0; machine < kMachines; ++machine) {
-    change(machine).frozen = false;
+    mutableMachine(machine).frozen = false;
     const bool wanted = machine < kFounders || anyExited || machines[machine]->identities > 0;
     if (wanted && !machines[machine]->raft && !machines[machine]->exited)
       start(machine);
@@ -542,7 +542,7 @@
     for (std::size_t machine = 0; machine < kMachines; ++machine) {
       if (!running(machine))
         continue;
-      feed(machine, [&](RaftNode& node) { node.tick(now); });
+      processEvent(machine, [&](RaftNode& node) { node.tick(now); });
       stabilize();
       const bool ends = machines[machine]->leaving && machines[machine]->raft->mayExit();
       if (ends)
--- a/tests/simulated_disk.hpp
+++ b/tests/simulated_disk.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// A disk in memory that fails and loses power where a test wants it to. It keeps the durability model of
-/// `storage::FileSystem`: a file's content is durable after its own sync, each later write is there, torn or missing;
-/// each creation, rename and removal since the folder's last sync is kept or lost by itself, also the two halves of a
-/// rename.
+/// An in-memory disk on which tests inject errors and power losses. The disk implements the durability model of
+/// `storage::FileSystem`. The content of a file is durable after a sync of the file; each later write may be complete,
+/// torn or missing. Each creation, rename and removal since the last sync of the folder is kept or lost independently;
+/// a rename consists of two such changes, one for the old name and one for the new name.
 #pragma once
 #include <cerrno>
 #include <cstring>
@@ -14,52 +14,52 @@
 
 namespace zinccleat {
 using namespace zinccleat::storage;
-/// Thrown instead of an operation: the process ends there.
+/// Thrown in place of an operation to simulate the end of the process by a power loss.
 struct PowerLoss {};
 
-/// The disk: files, names, and what of them is durable.
+/// The disk: the files, the names of the files, and the durable part of both.
 struct SimulatedDisk {
   enum class Operation { lock, list, read, create, write, syncFile, rename, remove, syncFolder };
-  /// What happens to an operation.
-  enum class Fate {
+  /// How an operation ends.
+  enum class OperationResult {
     succeeds,
     powerLoss,      // the process ends before the operation has any effect
     failsBefore,    // an error, no effect
-    failsAfter,     // an error, though the effect is there
-    failsAndDrops,  // a sync only: an error, and what was not durable is never written, though later syncs succeed
+    failsAfter,     // an error, although the operation has taken effect
+    failsAndDrops,  // only for syncs: an error; the unsynced data is never written, although later syncs succeed
   };
   struct Write {
     std::size_t at;
     std::string bytes;
   };
   struct File {
-    std::string durable;          // content at the last successful sync
-    std::string content;          // as read back while the power is on
-    std::vector<Write> unsynced;  // since then, in order
+    std::string durable;          // the content at the last successful sync
+    std::string content;          // the content that reads return
+    std::vector<Write> unsynced;  // the writes since the last successful sync, in order
     bool dropped = false;
   };
   struct Change {
     std::string name;
-    int file;  // -1: the name is removed
+    int file;  // the index in `files`; -1: the name is removed
     bool dropped = false;
   };
   using Content = std::map<std::string, std::string>;
-  static constexpr std::size_t kMostUnsynced = 12;
+  static constexpr std::size_t kMaxUnsyncedChanges = 12;
 
   std::vector<File> files;
   std::map<std::string, int> names, durableNames;
   std::vector<Change> changes;
   bool locked = false;
 
-  // How the disk behaves, to be set by the test.
-  std::function<Fate(Operation, int number)> fate;  // number: operations so far
+  // The behaviour of the disk, which tests set.
+  std::function<OperationResult(Operation, int number)> operationResult;  // number: count of earlier operations
   int operations = 0;
   int errorCode = EIO;
-  std::size_t longestWrite = std::string::npos;
+  std::size_t maxBytesPerWrite = std::string::npos;
   std::size_t capacity = std::string::npos;  // bytes in all named files
 
   SimulatedDisk() = default;
-  /// As found after a power loss: everything is durable.
+  /// Creates a disk with this content, all of which is durable, as after a power loss.
   explicit SimulatedDisk(const Content& found) {
     for (auto& [name, content] : found) {
       names[name] = static_cast<int>(files.size());
@@ -80,10 +80,10 @@
       bytes += files[static_cast<std::size_t>(file)].content.size();
     return bytes;
   }
-  Fate begin(Operation operation) {
+  OperationResult begin(Operation operation) {
     const auto number = operations++;
-    const auto outcome = fate ? fate(operation, number) : Fate::succeeds;
-    if (outcome == Fate::powerLoss)
+    const auto outcome = operationResult ? operationResult(operation, number) : OperationResult::succeeds;
+    if (outcome == OperationResult::powerLoss)
       throw PowerLoss{};
     return outcome;
   }
@@ -112,10 +112,10 @@
       to[change.name] = change.file;
   }
 
-  /// Every content that the folder may have after a power loss at this moment. Throws std::length_error if too much is
-  /// unsynced to enumerate it: the code under test does not sync.
+  /// All contents that the folder may have after a power loss at this moment. Throws std::length_error if there are too
+  /// many unsynced changes to enumerate, which means that the code under test does not sync.
   std::set<Content> afterPowerLoss() const {
-    if (changes.size() > kMostUnsynced)
+    if (changes.size() > kMaxUnsyncedChanges)
       throw std::length_error(std::to_string(changes.size()) + " changes of names are not synced");
     std::set<std::map<std::string, int>> folders;
     for (std::uint64_t kept = 0; kept < (1ULL << changes.size()); ++kept) {
@@ -144,9 +144,10 @@
       addContents(folder, next, content, all);
     }
   }
-  // Each unsynced write complete, torn or missing by itself.
+  // All contents that a file may have after a power loss: each unsynced write is complete, torn or missing,
+  // independently of the others.
   static std::set<std::string> variantsOf(const File& file) {
-    if (file.unsynced.size() > kMostUnsynced)
+    if (file.unsynced.size() > kMaxUnsyncedChanges)
       throw std::length_error(std::to_string(file.unsynced.size()) + " writes of a file are not synced");
     std::set<std::string> variants{file.durable};
     for (auto& write : file.unsynced) {
@@ -166,11 +167,11 @@
   }
 };
 
-/// A `storage::FileSystem` on a simulated disk.
+/// Implements `storage::FileSystem` on a simulated disk.
 class SimulatedFolder : public FileSystem {
  public:
   using Operation = SimulatedDisk::Operation;
-  using Fate = SimulatedDisk::Fate;
+  using OperationResult = SimulatedDisk::OperationResult;
   explicit SimulatedFolder(SimulatedDisk& disk) : disk_(disk) {}
   ~SimulatedFolder() override {
     if (holdsLock_)
@@ -199,49 +200,49 @@
     return disk_.files[static_cast<std::size_t>(disk_.names[name])].content;
   }
   Result<std::unique_ptr<WritableFile>> create(const std::string& name) override {
-    const auto fate = disk_.begin(Operation::create);
-    if (fate == Fate::failsBefore)
+    const auto operationResult = disk_.begin(Operation::create);
+    if (operationResult == OperationResult::failsBefore)
       return error("create");
     if (disk_.names.contains(name))
       return makeError(ErrorCode::ioError, "exists", EEXIST);
     disk_.files.emplace_back();
     const int number = static_cast<int>(disk_.files.size()) - 1;
     disk_.change(name, number);
-    if (failed(fate))
+    if (failed(operationResult))
       return error("create");
     return std::make_unique<OpenFile>(disk_, static_cast<std::size_t>(number));
   }
   Result<void> rename(const std::string& from, const std::string& to) override {
-    const auto fate = disk_.begin(Operation::rename);
-    if (fate == Fate::failsBefore)
+    const auto operationResult = disk_.begin(Operation::rename);
+    if (operationResult == OperationResult::failsBefore)
       return error("rename");
     if (!disk_.names.contains(from))
       return makeError(ErrorCode::ioError, "no such file", ENOENT);
     const int number = disk_.names[from];
     disk_.change(from, -1);
     disk_.change(to, number);
-    if (failed(fate))
+    if (failed(operationResult))
       return error("rename");
     return {};
   }
   Result<void> remove(const std::string& name) override {
-    const auto fate = disk_.begin(Operation::remove);
-    if (fate == Fate::failsBefore)
+    const auto operationResult = disk_.begin(Operation::remove);
+    if (operationResult == OperationResult::failsBefore)
       return error("remove");
     if (disk_.names.contains(name))
       disk_.change(name, -1);
-    if (failed(fate))
+    if (failed(operationResult))
       return error("remove");
     return {};
   }
   Result<void> syncFolder() override {
-    const auto fate = disk_.begin(Operation::syncFolder);
-    if (fate == Fate::failsAndDrops)
+    const auto operationResult = disk_.begin(Operation::syncFolder);
+    if (operationResult == OperationResult::failsAndDrops)
       for (auto& change : disk_.changes)
         change.dropped = true;
-    if (fate == Fate::succeeds || fate == Fate::failsAfter)
+    if (operationResult == OperationResult::succeeds || operationResult == OperationResult::failsAfter)
       disk_.makeNamesDurable();
-    if (failed(fate))
+    if (failed(operationResult))
       return error("sync folder");
     return {};
   }
@@ -251,30 +252,31 @@
    public:
     OpenFile(SimulatedDisk& disk, std::size_t number) : disk_(disk), number_(number) {}
     Result<std::size_t> write(std::string_view bytes) override {
-      const auto fate = disk_.begin(Operation::write);
-      if (fate == Fate::failsBefore)
+      const auto operationResult = disk_.begin(Operation::write);
+      if (operationResult == OperationResult::failsBefore)
         return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       const auto used = disk_.used();
       const auto space = disk_.capacity > used ? disk_.capacity - used : 0;
       if (space == 0)
         return makeError(ErrorCode::ioError, "write: no space", ENOSPC);
       auto& file = disk_.files[number_];
-      const std::string written(bytes.substr(0, std::min(space, disk_.longestWrite)));
+      const std::string written(bytes.substr(0, std::min(space, disk_.maxBytesPerWrite)));
       file.unsynced.push_back({file.content.size(), written});
       file.content += written;
-      if (failed(fate))
+      if (failed(operationResult))
         return makeError(ErrorCode::ioError, "write", disk_.errorCode);
       return written.size();
     }
     Result<void> sync() override {
-      const auto fate = disk_.begin(Operation::syncFile);
+      const auto operationResult = disk_.begin(Operation::syncFile);
       auto& file = disk_.files[number_];
-      file.dropped = file.dropped || fate == Fate::failsAndDrops;
-      if ((fate == Fate::succeeds || fate == Fate::failsAfter) && !file.dropped) {
+      file.dropped = file.dropped || operationResult == OperationResult::failsAndDrops;
+      if ((operationResult == OperationResult::succeeds || operationResult == OperationResult::failsAfter) &&
+          !file.dropped) {
         file.durable = file.content;
         file.unsynced.clear();
       }
-      if (failed(fate))
+      if (failed(operationResult))
         return makeError(ErrorCode::ioError, "sync", disk_.errorCode);
       return {};
     }
@@ -284,7 +286,7 @@
     std::size_t number_;
   };
 
-  static bool failed(Fate fate) { return fate != Fate::succeeds; }
+  static bool failed(OperationResult operationResult) { return operationResult != OperationResult::succeeds; }
   tl::unexpected<Error> error(const char* operation) const {
     return makeError(ErrorCode::ioError, operation, disk_.errorCode);
   }
