--- a/libs/controller/src/rollout_handlers.cpp
+++ b/libs/controller/src/rollout_handlers.cpp
@@ -83,7 +83,7 @@
   ordered.durationMs = request->duration.count();
   // This replica may be old, but an order that was taken once stays taken.
   const auto* known = services.replica().rollout(ordered.service);
-  if (known && known->sameOrder(ordered))
+  if (known && known->isSameRollout(ordered))
     return {HttpStatus::ok, "{}", ""};
   if (!isConfigured(services, ordered.service)) {
     if (auto response = unlessFresh(call.services, deadline))
--- a/libs/state_machine/include/state_machine/log_entries.hpp
+++ b/libs/state_machine/include/state_machine/log_entries.hpp
@@ -18,8 +18,8 @@
 transport::LogEntry configurationChangeEntry(std::int64_t base, std::int64_t version, std::string body,
                                              std::string operationId, const StateContents& current);
 /// Starts, changes or ends the drain of a zone.
-/// @param open true: the zone is back in use, its drain is removed.
-transport::LogEntry zoneDrainEntry(const ZoneDrain& zoneDrain, bool open, std::string operationId);
+/// @param endsDrain true: the zone is back in use, its drain is removed.
+transport::LogEntry zoneDrainEntry(const ZoneDrain& zoneDrain, bool endsDrain, std::string operationId);
 /// Begins or ends the evacuation of a zone.
 transport::LogEntry zoneEvacuationEntry(const ZoneEvacuation& evacuation, std::string operationId);
 /// A runner joins, drains or detaches. Detached with sequence 0: its heartbeats were missed, so it may join again.
--- a/libs/state_machine/include/state_machine/replicated_state.hpp
+++ b/libs/state_machine/include/state_machine/replicated_state.hpp
@@ -94,7 +94,7 @@
   void joinRunner(Runner joining);
   bool updateRunner(const Runner& known, Runner update);
   void acceptConfiguration(std::int64_t version, std::string digest, std::string text);
-  void keepEarlierConfiguration();
+  void retainCurrentConfiguration();
   const EarlierConfiguration* findEarlierConfiguration(const std::string& digest) const;
 
   StateContents contents_;
--- a/libs/state_machine/include/state_machine/rollout.hpp
+++ b/libs/state_machine/include/state_machine/rollout.hpp
@@ -61,7 +61,7 @@
   /// earlier versions, which know no load test, have a percentage that they do not read in the canary.
   std::int32_t loadTestGroup() const { return phase() == RolloutPhase::canary ? percent : 0; }
   /// Whether both are the same order of an operator: a repeated order is not a second rollout.
-  bool sameOrder(const Rollout& other) const {
+  bool isSameRollout(const Rollout& other) const {
     return service == other.service && revision == other.revision && durationMs == other.durationMs;
   }
 };
--- a/libs/state_machine/include/state_machine/runner_table.hpp
+++ b/libs/state_machine/include/state_machine/runner_table.hpp
@@ -13,7 +13,7 @@
 class RunnerTable {
  public:
   /// Changes that are remembered; who has missed more looks at all runners.
-  static constexpr std::size_t kRememberedChanges = 512;
+  static constexpr std::size_t kMaxTrackedChanges = 512;
 
   RunnerTable() = default;
   /// Of several with one id the last one counts.
@@ -53,7 +53,7 @@
   void rebuild();
   void recordChange(const std::string& id);
   void indexAddress(const std::string& address, const std::string& id);
-  void forgetAddress(const std::string& address, const std::string& id);
+  void unindexAddress(const std::string& address, const std::string& id);
 
   std::vector<Runner> runners_;
   std::unordered_map<std::string, std::size_t> positionById_;
--- a/libs/state_machine/include/state_machine/usage_reports.hpp
+++ b/libs/state_machine/include/state_machine/usage_reports.hpp
@@ -33,7 +33,7 @@
 class UsageReports {
  public:
   /// Windows that are remembered; an older one is never reported.
-  static constexpr std::size_t kRememberedWindows = 64;
+  static constexpr std::size_t kMaxTrackedWindows = 64;
 
   /// @return false: the window has a report already, or is too old to tell.
   bool commit(UsageReport report);
--- a/libs/state_machine/src/delta.cpp
+++ b/libs/state_machine/src/delta.cpp
@@ -34,19 +34,19 @@
 /// Builds a delta's segments part by part.
 class SegmentBuilder {
  public:
-  explicit SegmentBuilder(const PartIndex& base) : base_(base), expected_(base.size()) { segments_.emplace_back(); }
+  explicit SegmentBuilder(const PartIndex& base) : base_(base), nextPart_(base.size()) { segments_.emplace_back(); }
 
   void append(std::string_view part) {
     auto& last = segments_.back();
     // The part after the last copied one comes first: equal parts (commas, brackets) occur in many positions, and only
-    // that one continues the range.
-    const bool continues = base_.matches(expected_, part);
-    if (continues && last.literal.empty()) {
+    // that one continuesRange the range.
+    const bool continuesRange = base_.matches(nextPart_, part);
+    if (continuesRange && last.literal.empty()) {
       last.copyLength += static_cast<std::int64_t>(part.size());
-      ++expected_;
+      ++nextPart_;
       return;
     }
-    const auto source = continues ? expected_ : base_.find(part);
+    const auto source = continuesRange ? nextPart_ : base_.find(part);
     if (source == base_.size())
       appendLiteral(part);
     else
@@ -58,20 +58,20 @@
   void appendLiteral(std::string_view part) {
     segments_.back().literal += part;
     // A literal usually replaces the part at this position: copying may resume behind it.
-    if (expected_ < base_.size())
-      ++expected_;
+    if (nextPart_ < base_.size())
+      ++nextPart_;
   }
   void startSegment(std::size_t source, std::string_view part) {
     if (segments_.back().copyLength > 0 || !segments_.back().literal.empty())
       segments_.emplace_back();
     segments_.back().copyOffset = static_cast<std::int64_t>(base_.offset(source));
     segments_.back().copyLength = static_cast<std::int64_t>(part.size());
-    expected_ = source + 1;
+    nextPart_ = source + 1;
   }
 
   const PartIndex& base_;
   std::vector<DeltaSegment> segments_;
-  std::size_t expected_;  // the base's part behind the last copied one; `base_.size()`: none
+  std::size_t nextPart_;  // the base's part behind the last copied one; `base_.size()`: none
 };
 
 /// Whether the range lies inside a base of this size; safe against overflow.
--- a/libs/state_machine/src/log_entries.cpp
+++ b/libs/state_machine/src/log_entries.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr char kVersionSeparator = '@';
 
-transport::LogEntry entryOf(transport::OperationKind kind, std::string operationId, std::string body) {
+transport::LogEntry makeEntry(transport::OperationKind kind, std::string operationId, std::string body) {
   transport::LogEntry entry;
   entry.kind = static_cast<std::int32_t>(kind);
   entry.operationId = std::move(operationId);
@@ -20,8 +20,8 @@
 
 transport::LogEntry configurationEntry(std::int64_t base, std::int64_t version, std::string body,
                                        std::string operationId) {
-  auto entry = entryOf(transport::OperationKind::configuration,
-                       std::move(operationId) + kVersionSeparator + std::to_string(version), std::move(body));
+  auto entry = makeEntry(transport::OperationKind::configuration,
+                         std::move(operationId) + kVersionSeparator + std::to_string(version), std::move(body));
   entry.base = base;
   entry.digest = digestOf(entry.body);
   return entry;
@@ -39,32 +39,32 @@
   entry.body = std::move(delta);
   return entry;
 }
-transport::LogEntry zoneDrainEntry(const ZoneDrain& zoneDrain, bool open, std::string operationId) {
-  auto entry = entryOf(transport::OperationKind::zoneDrain, std::move(operationId), avro::encode(zoneDrain));
-  entry.base = open ? 1 : 0;
+transport::LogEntry zoneDrainEntry(const ZoneDrain& zoneDrain, bool endsDrain, std::string operationId) {
+  auto entry = makeEntry(transport::OperationKind::zoneDrain, std::move(operationId), avro::encode(zoneDrain));
+  entry.base = endsDrain ? 1 : 0;
   return entry;
 }
 transport::LogEntry zoneEvacuationEntry(const ZoneEvacuation& evacuation, std::string operationId) {
-  return entryOf(transport::OperationKind::zoneEvacuation, std::move(operationId), avro::encode(evacuation));
+  return makeEntry(transport::OperationKind::zoneEvacuation, std::move(operationId), avro::encode(evacuation));
 }
 transport::LogEntry runnerEntry(const Runner& runner, std::string operationId) {
-  return entryOf(transport::OperationKind::runner, std::move(operationId), encodeRunner(runner));
+  return makeEntry(transport::OperationKind::runner, std::move(operationId), encodeRunner(runner));
 }
 transport::LogEntry rolloutBeginEntry(const Rollout& rollout, std::string operationId) {
-  return entryOf(transport::OperationKind::rolloutBegin, std::move(operationId), avro::encode(rollout));
+  return makeEntry(transport::OperationKind::rolloutBegin, std::move(operationId), avro::encode(rollout));
 }
 transport::LogEntry rolloutProgressEntry(const Rollout& rollout, std::string operationId) {
-  return entryOf(transport::OperationKind::rolloutProgress, std::move(operationId), avro::encode(rollout));
+  return makeEntry(transport::OperationKind::rolloutProgress, std::move(operationId), avro::encode(rollout));
 }
 transport::LogEntry shardsFoundedEntry(const ShardFounding& founding, std::string operationId) {
-  return entryOf(transport::OperationKind::shardsFounded, std::move(operationId), avro::encode(founding));
+  return makeEntry(transport::OperationKind::shardsFounded, std::move(operationId), avro::encode(founding));
 }
 
 transport::LogEntry usageReportEntry(const UsageReport& report, std::string operationId) {
-  return entryOf(transport::OperationKind::usageReport, std::move(operationId), avro::encode(report));
+  return makeEntry(transport::OperationKind::usageReport, std::move(operationId), avro::encode(report));
 }
 transport::LogEntry usageConfirmedEntry(std::int64_t window, std::string operationId) {
-  auto entry = entryOf(transport::OperationKind::usageConfirmed, std::move(operationId), {});
+  auto entry = makeEntry(transport::OperationKind::usageConfirmed, std::move(operationId), {});
   entry.base = window;
   return entry;
 }
--- a/libs/state_machine/src/replicated_state.cpp
+++ b/libs/state_machine/src/replicated_state.cpp
@@ -6,9 +6,9 @@
 namespace zinccleat::state_machine {
 namespace {
 /// Earlier configurations that are kept as bases of deltas, for nodes that missed some changes.
-constexpr std::size_t kEarlierConfigurations = 3;
-/// Services whose newest rollout is kept; of more, the oldest ones that are over are forgotten.
-constexpr std::size_t kRolloutCapacity = 256;
+constexpr std::size_t kMaxEarlierConfigurations = 3;
+/// Services whose newest rollout is kept; of more, the oldest ones that are oldestFinal are forgotten.
+constexpr std::size_t kMaxTrackedRollouts = 256;
 }  // namespace
 
 // --- Applying entries ---
@@ -17,11 +17,11 @@
   Change change;
   contents_.index = entry.index;
   contents_.term = entry.term;
-  const bool identified = !entry.operationId.empty();
-  if (identified && outcomeOf(entry.operationId))
+  const bool hasOperationId = !entry.operationId.empty();
+  if (hasOperationId && outcomeOf(entry.operationId))
     return change;
   const auto verdict = applyOperation(entry, change);
-  if (identified)
+  if (hasOperationId)
     contents_.operations.record(entry.operationId, static_cast<std::int32_t>(verdict));
   return change;
 }
@@ -85,16 +85,16 @@
   return Verdict::acknowledged;
 }
 void ReplicatedState::acceptConfiguration(std::int64_t version, std::string digest, std::string text) {
-  keepEarlierConfiguration();
+  retainCurrentConfiguration();
   contents_.acceptedConfigurations.record(version, digest);
   contents_.version = version;
   contents_.digest = std::move(digest);
   contents_.configuration = std::move(text);
 }
-void ReplicatedState::keepEarlierConfiguration() {
+void ReplicatedState::retainCurrentConfiguration() {
   if (!contents_.digest.empty())
     earlierConfigurations_.push_back({std::move(contents_.digest), std::move(contents_.configuration)});
-  if (earlierConfigurations_.size() > kEarlierConfigurations)
+  if (earlierConfigurations_.size() > kMaxEarlierConfigurations)
     earlierConfigurations_.pop_front();
 }
 
@@ -103,8 +103,8 @@
   if (!zoneDrain)
     return;
   std::erase_if(contents_.zoneDrains, [&](const ZoneDrain& other) { return other.zone == zoneDrain->zone; });
-  const bool open = entry.base != 0;  // see `zoneDrainEntry`
-  if (!open)
+  const bool endsDrain = entry.base != 0;  // see `zoneDrainEntry`
+  if (!endsDrain)
     contents_.zoneDrains.push_back(std::move(*zoneDrain));
   change.zoneDrains = true;
 }
@@ -114,14 +114,14 @@
   if (!evacuation)
     return;
   auto& zones = contents_.evacuatedZones;
-  const auto place = std::lower_bound(zones.begin(), zones.end(), evacuation->zone);
-  const bool isEvacuated = place != zones.end() && *place == evacuation->zone;
+  const auto position = std::lower_bound(zones.begin(), zones.end(), evacuation->zone);
+  const bool isEvacuated = position != zones.end() && *position == evacuation->zone;
   if (isEvacuated == evacuation->evacuated)
     return;
   if (evacuation->evacuated)
-    zones.insert(place, evacuation->zone);
+    zones.insert(position, evacuation->zone);
   else
-    zones.erase(place);
+    zones.erase(position);
   change.zoneDrains = true;
 }
 
@@ -182,7 +182,7 @@
     return Verdict::invalidVersion;
   const auto known = findRollout(ordered->service);
   if (known != contents_.rollouts.end()) {
-    if (known->sameOrder(*ordered))
+    if (known->isSameRollout(*ordered))
       return Verdict::acknowledged;
     if (known->inProgress())
       return Verdict::conflict;
@@ -193,11 +193,11 @@
   return Verdict::acknowledged;
 }
 void ReplicatedState::addRollout(Rollout rollout) {
-  if (contents_.rollouts.size() >= kRolloutCapacity) {
-    const auto over = std::find_if(contents_.rollouts.begin(), contents_.rollouts.end(),
-                                   [](const Rollout& other) { return !other.inProgress(); });
-    if (over != contents_.rollouts.end())
-      contents_.rollouts.erase(over);
+  if (contents_.rollouts.size() >= kMaxTrackedRollouts) {
+    const auto oldestFinal = std::find_if(contents_.rollouts.begin(), contents_.rollouts.end(),
+                                          [](const Rollout& other) { return !other.inProgress(); });
+    if (oldestFinal != contents_.rollouts.end())
+      contents_.rollouts.erase(oldestFinal);
   }
   contents_.rollouts.push_back(std::move(rollout));
 }
@@ -206,13 +206,13 @@
   if (!progress)
     return Verdict::invalidVersion;
   const auto known = findRollout(progress->service);
-  if (known == contents_.rollouts.end() || !known->sameOrder(*progress))
+  if (known == contents_.rollouts.end() || !known->isSameRollout(*progress))
     return Verdict::conflict;
   if (!known->inProgress())
     return known->phase() == progress->phase() ? Verdict::acknowledged : Verdict::conflict;
-  const bool goesBack = progress->phase() < known->phase() || progress->phase() > RolloutPhase::reverted ||
-                        (progress->phase() == known->phase() && progress->percent < known->percent);
-  if (goesBack)
+  const bool isRegression = progress->phase() < known->phase() || progress->phase() > RolloutPhase::reverted ||
+                            (progress->phase() == known->phase() && progress->percent < known->percent);
+  if (isRegression)
     return Verdict::conflict;
   progress->elapsedMs = std::max(progress->elapsedMs, known->elapsedMs);
   *known = std::move(*progress);
@@ -294,7 +294,7 @@
   if (!configuration)
     return tl::unexpected(configuration.error());
   if (contents_.digest != restored->contents.digest)
-    keepEarlierConfiguration();
+    retainCurrentConfiguration();
   restored->contents.runners.supersede(contents_.runners);
   contents_ = std::move(restored->contents);
   contents_.configuration = std::move(*configuration);
--- a/libs/state_machine/src/runner_table.cpp
+++ b/libs/state_machine/src/runner_table.cpp
@@ -36,7 +36,7 @@
   }
   auto& known = runners_[position->second];
   if (known.address != runner.address) {
-    forgetAddress(known.address, known.id);
+    unindexAddress(known.address, known.id);
     indexAddress(runner.address, runner.id);
   }
   known = std::move(runner);
@@ -47,7 +47,7 @@
     return;
   const auto position = found->second;
   recordChange(id);
-  forgetAddress(runners_[position].address, id);
+  unindexAddress(runners_[position].address, id);
   positionById_.erase(found);
   if (position + 1 != runners_.size()) {
     runners_[position] = std::move(runners_.back());
@@ -65,13 +65,13 @@
 void RunnerTable::recordChange(const std::string& id) {
   ++revision_;
   changes_.push_back(id);
-  if (changes_.size() > kRememberedChanges)
+  if (changes_.size() > kMaxTrackedChanges)
     changes_.pop_front();
 }
 void RunnerTable::indexAddress(const std::string& address, const std::string& id) {
   idsByAddress_[address].push_back(id);
 }
-void RunnerTable::forgetAddress(const std::string& address, const std::string& id) {
+void RunnerTable::unindexAddress(const std::string& address, const std::string& id) {
   const auto ids = idsByAddress_.find(address);
   if (ids == idsByAddress_.end())
     return;
--- a/libs/state_machine/src/snapshot_codec.cpp
+++ b/libs/state_machine/src/snapshot_codec.cpp
@@ -112,11 +112,11 @@
   return snapshot;
 }
 
-Result<void> addUsage(std::string_view bytes, StateContents& contents) {
+Result<void> decodeUsage(std::string_view bytes, StateContents& contents) {
   auto usage = avro::decode<format::Snapshot2Usage>(bytes);
   if (!usage)
     return tl::unexpected(usage.error());
-  if (usage->windows.size() != usage->reporters.size() || usage->windows.size() > UsageReports::kRememberedWindows)
+  if (usage->windows.size() != usage->reporters.size() || usage->windows.size() > UsageReports::kMaxTrackedWindows)
     return makeError(ErrorCode::corruption, "a snapshot with impossible usage reports");
   std::map<std::int64_t, std::int64_t> windows;
   for (std::size_t i = 0; i < usage->windows.size(); ++i)
@@ -128,16 +128,16 @@
   contents.usage.restore(std::move(windows), std::move(usage->unconfirmed));
   return {};
 }
-Result<void> addEvacuations(std::string_view bytes, StateContents& contents) {
+Result<void> decodeEvacuations(std::string_view bytes, StateContents& contents) {
   std::size_t consumed = 0;
   auto evacuations = avro::decode<format::Snapshot2Evacuations>(bytes, &consumed);
   if (!evacuations)
     return tl::unexpected(evacuations.error());
   contents.evacuatedZones = std::move(evacuations->zones);
   std::sort(contents.evacuatedZones.begin(), contents.evacuatedZones.end());
-  return consumed < bytes.size() ? addUsage(bytes.substr(consumed), contents) : Result<void>{};
+  return consumed < bytes.size() ? decodeUsage(bytes.substr(consumed), contents) : Result<void>{};
 }
-Result<void> addFounding(std::string_view bytes, StateContents& contents) {
+Result<void> decodeShardFounding(std::string_view bytes, StateContents& contents) {
   std::size_t consumed = 0;
   auto founding = avro::decode<ShardFounding>(bytes, &consumed);
   if (!founding)
@@ -147,10 +147,10 @@
   if (founding->shards < 0 || (isLast && !founding->isAgreed()))
     return makeError(ErrorCode::corruption, "a snapshot with an impossible number of shards");
   contents.shardFounding = std::move(*founding);
-  return isLast ? Result<void>{} : addEvacuations(bytes.substr(consumed), contents);
+  return isLast ? Result<void>{} : decodeEvacuations(bytes.substr(consumed), contents);
 }
 /// Takes over what stands behind the record of format 2.
-Result<void> addExtension(std::string_view bytes, StateContents& contents) {
+Result<void> decodeExtensions(std::string_view bytes, StateContents& contents) {
   std::size_t consumed = 0;
   auto extension = avro::decode<format::Snapshot2Extension>(bytes, &consumed);
   if (!extension)
@@ -165,7 +165,7 @@
     if (rollout.phase() < RolloutPhase::canary || rollout.phase() > RolloutPhase::reverted)
       return makeError(ErrorCode::corruption, "a snapshot with a rollout in no known phase");
   contents.rollouts = std::move(extension->rollouts);
-  return consumed < bytes.size() ? addFounding(bytes.substr(consumed), contents) : Result<void>{};
+  return consumed < bytes.size() ? decodeShardFounding(bytes.substr(consumed), contents) : Result<void>{};
 }
 Result<Snapshot> decodeFormat2(std::string_view bytes) {
   std::size_t consumed = 0;
@@ -175,13 +175,13 @@
   auto snapshot = snapshotOf(std::move(*record));
   if (!snapshot || consumed >= bytes.size())
     return snapshot;
-  if (auto added = addExtension(bytes.substr(consumed), snapshot->contents); !added)
+  if (auto added = decodeExtensions(bytes.substr(consumed), snapshot->contents); !added)
     return tl::unexpected(added.error());
   return snapshot;
 }
 
 /// Format 1 in the fields of format 2.
-format::Snapshot2 upgrade(format::Snapshot1 old) {
+format::Snapshot2 convertFormat1(format::Snapshot1 old) {
   AcceptedConfigurations accepted;
   for (const auto& each : old.acceptedConfigurations)
     accepted.record(each.version, each.digest);
@@ -232,14 +232,14 @@
   auto old = avro::decode<format::Snapshot1>(bytes);
   if (!old)
     return tl::unexpected(old.error());
-  return snapshotOf(upgrade(std::move(*old)));
+  return snapshotOf(convertFormat1(std::move(*old)));
 }
 
 Result<std::string> resolveConfiguration(Snapshot& snapshot, const StateContents& receiver) {
   auto& contents = snapshot.contents;
   if (!snapshot.partial) {
-    const bool none = contents.version == 0 && contents.digest.empty() && contents.configuration.empty();
-    if (!none && digestOf(contents.configuration) != contents.digest)
+    const bool isInitialState = contents.version == 0 && contents.digest.empty() && contents.configuration.empty();
+    if (!isInitialState && digestOf(contents.configuration) != contents.digest)
       return makeError(ErrorCode::corruption, "a snapshot whose configuration does not match its digest");
     return std::move(contents.configuration);
   }
--- a/libs/state_machine/src/usage_reports.cpp
+++ b/libs/state_machine/src/usage_reports.cpp
@@ -4,17 +4,17 @@
 bool UsageReports::mayCommit(std::int64_t window) const {
   if (windows_.contains(window))
     return false;
-  return windows_.size() < kRememberedWindows || window > windows_.begin()->first;
+  return windows_.size() < kMaxTrackedWindows || window > windows_.begin()->first;
 }
 bool UsageReports::commit(UsageReport report) {
   if (!mayCommit(report.window))
     return false;
   windows_[report.window] = report.reporters;
-  const auto place =
+  const auto position =
       std::lower_bound(unconfirmed_.begin(), unconfirmed_.end(), report.window,
                        [](const UsageReport& other, std::int64_t window) { return other.window < window; });
-  unconfirmed_.insert(place, std::move(report));
-  if (windows_.size() > kRememberedWindows) {
+  unconfirmed_.insert(position, std::move(report));
+  if (windows_.size() > kMaxTrackedWindows) {
     confirm(windows_.begin()->first);
     windows_.erase(windows_.begin());
   }
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -179,12 +179,12 @@
 }
 TEST(UsageReports, AreBoundedAndNeverAcceptWhatIsForgotten) {
   state_machine::UsageReports reports;
-  const auto count = static_cast<std::int64_t>(state_machine::UsageReports::kRememberedWindows);
+  const auto count = static_cast<std::int64_t>(state_machine::UsageReports::kMaxTrackedWindows);
   for (std::int64_t window = 10; window < 10 + count + 5; ++window)
     EXPECT_TRUE(reports.commit({window, 1, {}}));
-  EXPECT_EQ(reports.windows().size(), state_machine::UsageReports::kRememberedWindows);
+  EXPECT_EQ(reports.windows().size(), state_machine::UsageReports::kMaxTrackedWindows);
   EXPECT_FALSE(reports.commit({11, 1, {}}));
-  EXPECT_LE(reports.unconfirmed().size(), state_machine::UsageReports::kRememberedWindows);
+  EXPECT_LE(reports.unconfirmed().size(), state_machine::UsageReports::kMaxTrackedWindows);
 }
 
 TEST(CallSchedule, AFormerHolderComesBackNoSoonerThanTheLease) {
--- a/tests/runner_changes_test.cpp
+++ b/tests/runner_changes_test.cpp
@@ -36,7 +36,7 @@
 TEST(RunnerTable, SaysWhenItDoesNotRemember) {
   auto table = tableOf(2);
   const auto before = table.revision();
-  for (std::size_t i = 0; i <= RunnerTable::kRememberedChanges; ++i)
+  for (std::size_t i = 0; i <= RunnerTable::kMaxTrackedChanges; ++i)
     table.put(runnerOf("i-1", static_cast<std::int64_t>(i)));
   EXPECT_EQ(table.changedSince(before), std::nullopt);
   RunnerTable restored = tableOf(2);
