--- a/libs/balancing/src/revision_limit.cpp
+++ b/libs/balancing/src/revision_limit.cpp
@@ -35,7 +35,7 @@
   const rollout::BaselineLoad baseline{meanLoadOfOthers(runners, query, now), query.hasPrefixCache};
   const auto group = rollout::loadTestGroup(eligible.size(), part, baseline);
   std::vector<int> members;
-  if (std::uniform_real_distribution<double>(0, 1)(random) >= group.requestPart)
+  if (std::uniform_real_distribution<double>(0, 1)(random) >= group.requestFraction)
     return members;
   const auto first = static_cast<std::size_t>(revisions.loadTestGroup - 1) * group.runners;
   for (std::size_t i = 0; i < std::min(group.runners, eligible.size()); ++i)
--- a/libs/rollout/include/rollout/evidence_ledger.hpp
+++ b/libs/rollout/include/rollout/evidence_ledger.hpp
@@ -37,9 +37,9 @@
   /// @param previousReport when that was; none: this is its first, whose answers may be of any age
   void report(TimePoint now, std::optional<TimePoint> previousReport,
               const std::vector<transport::RevisionAnswers>& answers);
-  /// The part of the baseline's runners that outlier detection has all proxies avoid: their answers are few, and yet a
-  /// candidate may have as many such runners. To be kept up to date by the leader.
-  void setEjectedBaseline(double part) { ejectedBaseline_ = part; }
+  /// The fraction of the baseline's runners that outlier detection has all proxies avoid: their answers are few, and
+  /// yet a candidate may have as many such runners. To be kept up to date by the leader.
+  void setEjectedBaselineFraction(double fraction) { ejectedBaselineFraction_ = fraction; }
   /// The first fault of the candidate that the evidence proves; none: none is proven.
   std::optional<Fault> findFault() const;
   /// How sure a suspicion is.
@@ -90,7 +90,7 @@
   };
   using ByStratum = std::map<std::string, Answers>;
   /// What is left of the candidate's answers when those of outliers are left out.
-  struct WithoutOutliers {
+  struct CandidateEvidence {
     ByStratum answers;
     BadCount runners;         ///< how many were left out, of how many
     BadCount outlierAnswers;  ///< theirs
@@ -102,16 +102,16 @@
   static void confirmInterruptions(CandidateRunner& runner, TimePoint answeredAfter);
   /// The candidate's answers at all runners.
   ByStratum candidateAnswersByStratum() const;
-  WithoutOutliers withoutOutliers() const;
+  CandidateEvidence withoutOutliers() const;
   /// All of the candidate's answers, as if there were no outliers.
-  WithoutOutliers withAllRunners() const;
-  static bool isProven(const BadCount& candidate, const BadCount& baseline, const TestOptions& options,
-                       double threshold);
-  std::optional<Fault> findFaultAmong(const WithoutOutliers& candidate, double threshold) const;
-  std::optional<Fault> findRunnerFault(const WithoutOutliers& candidate, double tolerance, double threshold) const;
+  CandidateEvidence withAllRunners() const;
+  static bool isFaultProven(const BadCount& candidate, const BadCount& baseline, const TestOptions& options,
+                            double threshold);
+  std::optional<Fault> findFaultAmong(const CandidateEvidence& candidate, double threshold) const;
+  std::optional<Fault> findRunnerFault(const CandidateEvidence& candidate, double tolerance, double threshold) const;
   Answers baselineOf(const std::string& stratum) const;
 
-  double ejectedBaseline_ = 0;
+  double ejectedBaselineFraction_ = 0;
   ByStratum baseline_;
   ByStratum carriedOver_;                             ///< of the candidate, by runners that are not known any more
   std::map<std::string, CandidateRunner> candidate_;  ///< by runner
--- a/libs/rollout/include/rollout/exposure.hpp
+++ b/libs/rollout/include/rollout/exposure.hpp
@@ -17,7 +17,7 @@
 /// A group of the candidate's runners that is loaded fully.
 struct LoadTestGroup {
   std::size_t runners = 0;
-  double requestPart = 1;  ///< of the requests that the load test may have; more would overload so few runners
+  double requestFraction = 1;  ///< of the requests that the load test may have; more would overload so few runners
 };
 /// The load of the baseline's runners now.
 struct BaselineLoad {
@@ -26,5 +26,5 @@
 };
 /// The group has so few runners that each gets more requests than it would after completion. How much more follows from
 /// the load that runners of the baseline have: it should come near the load at which a runner is full.
-LoadTestGroup loadTestGroup(std::size_t candidateRunners, double loadTestPart, const BaselineLoad& baseline);
+LoadTestGroup loadTestGroup(std::size_t candidateRunners, double loadTestShare, const BaselineLoad& baseline);
 }  // namespace zinccleat::rollout
--- a/libs/rollout/include/rollout/revision_gate.hpp
+++ b/libs/rollout/include/rollout/revision_gate.hpp
@@ -102,7 +102,7 @@
   const ServiceRollout* find(std::string_view service) const;
   RevisionFilter chooseCanary(ServiceRollout& service, bool isRetry, TimePoint now) const;
   RevisionFilter chooseShifted(const ServiceRollout& service, bool hasAffinity);
-  static void updateFuse(ServiceRollout& service, bool isCandidate, bool isGood);
+  static void updateCircuitBreaker(ServiceRollout& service, bool isCandidate, bool isGood);
 
   double exposureShare_ = 0.1;
   std::vector<ServiceRollout> services_;
--- a/libs/rollout/include/rollout/rollout_plan.hpp
+++ b/libs/rollout/include/rollout/rollout_plan.hpp
@@ -29,7 +29,7 @@
 /// The next step of a rollout in progress; none: it is to go on as it is.
 /// @param rollout as the log has it.
 /// @param elapsed since the order.
-/// @param sincePhase since the newest step.
+/// @param sinceStep since the newest step.
 std::optional<Step> nextStep(const state_machine::Rollout& rollout, const EvidenceLedger& evidence,
-                             const FleetView& fleet, Duration elapsed, Duration sincePhase);
+                             const FleetView& fleet, Duration elapsed, Duration sinceStep);
 }  // namespace zinccleat::rollout
--- a/libs/rollout/include/rollout/rollout_tracker.hpp
+++ b/libs/rollout/include/rollout/rollout_tracker.hpp
@@ -35,7 +35,7 @@
     std::int64_t baselineInFlight = 0;
     TimePoint reportedAt{};
   };
-  struct Tracked {
+  struct TrackedRollout {
     state_machine::Rollout rollout;  ///< as the log has it
     TimePoint startedAt{};           ///< of the order, by this controller's clock; it may seem later than it was
     TimePoint steppedAt{};
@@ -44,18 +44,18 @@
     bool suspicious = false;     ///< at the last decision
     double unspentExposure = 0;  ///< tokens that reported requests have paid for and nobody got yet
     double dueExposure = 0;      ///< of those, what the present stage spends
-    bool hasSlack = false;       ///< the slack has been added
+    bool slackGranted = false;   ///< the slack has been added
     std::map<std::string, ProxyState> proxies;
     std::size_t candidateRunners = 0;
   };
-  Tracked* find(const std::string& service);
-  FleetView fleetView(TimePoint now, const Tracked& tracked, const state_machine::StateContents& state) const;
+  TrackedRollout* find(const std::string& service);
+  FleetView fleetView(TimePoint now, const TrackedRollout& tracked, const state_machine::StateContents& state) const;
   /// Tokens for reported requests of the canary, in whole numbers.
-  double grantTokens(Tracked& tracked, double requests) const;
-  static bool baselineIsIdle(TimePoint now, const Tracked& tracked);
+  double grantTokens(TrackedRollout& tracked, double requests) const;
+  static bool baselineIsIdle(TimePoint now, const TrackedRollout& tracked);
 
   double exposureShare_;
   double exposureSlack_;
-  std::vector<Tracked> tracked_;
+  std::vector<TrackedRollout> tracked_;
 };
 }  // namespace zinccleat::rollout
--- a/libs/rollout/include/rollout/stratum.hpp
+++ b/libs/rollout/include/rollout/stratum.hpp
@@ -20,5 +20,5 @@
 std::string routeOf(const std::string& stratum);
 LoadClass loadClassOf(const std::string& stratum);
 /// The stratum for comparisons in which full runners count as busy ones.
-std::string withoutFull(const std::string& stratum);
+std::string mergeFullIntoBusy(const std::string& stratum);
 }  // namespace zinccleat::rollout
--- a/libs/rollout/src/evidence_ledger.cpp
+++ b/libs/rollout/src/evidence_ledger.cpp
@@ -9,21 +9,21 @@
 constexpr double kAlpha = 0.01;  // probability of a false revert, over all tests of one rollout; a miss costs more
 constexpr double kSuspicionAlpha = 0.2;  // from which a candidate gets no more requests than needed
 constexpr double kStrongSuspicionAlpha = 0.03;
-constexpr double kBeta = 0.05;         // probability that a faint fault is cleared
-constexpr double kFaintFault = 0.08;   // such a fault: so many more of its answers are bad
-constexpr double kStratumFault = 0.3;  // a fault in one stratum that is cleared as well, where
-constexpr double kUsualPart = 0.05;    // the baseline has so many of its answers there
-constexpr double kMinBadAnswers = 4;   // fewer prove nothing
+constexpr double kBeta = 0.05;                  // probability that a faint fault is cleared
+constexpr double kSmallFaultRate = 0.08;        // such a fault: so many more of its answers are bad
+constexpr double kStratumFaultRate = 0.3;       // a fault in one stratum that is cleared as well, where
+constexpr double kUsualStratumFraction = 0.05;  // the baseline has so many of its answers there
+constexpr double kMinBadAnswers = 4;            // fewer prove nothing
 // Part of the runners that may have a fault of their own beyond what the baseline's answers explain.
 constexpr double kRunnerTolerance = 0.08;
 constexpr double kSuspiciousRunnerTolerance = 0.02;
 constexpr double kMinBadRunners = 2;  // likewise
-constexpr std::size_t kFewRunners = 6;
-constexpr double kMinOfOnlyRunner = 20;  // answers from which on a runner without company counts as the version
-constexpr double kMaxPerReport = 1e6;    // a report with larger numbers is wrong
+constexpr std::size_t kMinRunnersForExclusion = 6;
+constexpr double kMinAnswersOfOnlyRunner = 20;  // answers from which on a runner without company counts as the version
+constexpr double kMaxCountPerReport = 1e6;      // a report with larger numbers is wrong
 
-double sane(double count) {
-  return count > 0 && count < kMaxPerReport ? count : 0;
+double sanitizeCount(double count) {
+  return count > 0 && count < kMaxCountPerReport ? count : 0;
 }
 }  // namespace
 
@@ -50,9 +50,10 @@
 void EvidenceLedger::report(TimePoint now, std::optional<TimePoint> previousReport,
                             const std::vector<transport::RevisionAnswers>& answers) {
   for (const auto& each : answers) {
-    const double interrupted = sane(each.interrupted);
-    const Answers counted{sane(each.answered), std::min(sane(each.failed), sane(each.answered)),
-                          std::min(sane(each.slow), sane(each.answered))};
+    const double interrupted = sanitizeCount(each.interrupted);
+    const Answers counted{sanitizeCount(each.answered),
+                          std::min(sanitizeCount(each.failed), sanitizeCount(each.answered)),
+                          std::min(sanitizeCount(each.slow), sanitizeCount(each.answered))};
     if (each.runner.empty()) {
       baseline_[each.route] += Answers{counted.answered + interrupted, counted.failed + interrupted, counted.slow};
       continue;
@@ -82,8 +83,8 @@
 }
 // Busy runners are compared with busy ones: else a version that fails under load would look like the fault of the few
 // runners that are.
-EvidenceLedger::WithoutOutliers EvidenceLedger::withoutOutliers() const {
-  WithoutOutliers left{carriedOver_, {}, {}, false};
+EvidenceLedger::CandidateEvidence EvidenceLedger::withoutOutliers() const {
+  CandidateEvidence remaining{carriedOver_, {}, {}, false};
   double idleRunnersWithBadAnswers = 0;
   for (const auto& [stratum, answers] : carriedOver_)
     idleRunnersWithBadAnswers += answers.bad().bad;  // their runners are not known any more
@@ -99,37 +100,37 @@
       counts.push_back(total.bad());
       idleRunnersWithBadAnswers += !busy && total.bad().bad > 0 ? 1 : 0;
     }
-    std::set<std::string> outliersHere;
+    std::set<std::string> outliersOfLoadClass;
     for (const auto index : findOutliers(counts)) {
-      outliersHere.insert(*ids[index]);
-      left.outlierAnswers += counts[index];
+      outliersOfLoadClass.insert(*ids[index]);
+      remaining.outlierAnswers += counts[index];
     }
     for (const auto* id : ids)
       for (const auto& [stratum, answers] : candidate_.at(*id).byStratum)
-        if ((loadClassOf(stratum) != LoadClass::idle) == busy && !outliersHere.contains(*id))
-          left.answers[stratum] += answers;
-    outliers.merge(outliersHere);
+        if ((loadClassOf(stratum) != LoadClass::idle) == busy && !outliersOfLoadClass.contains(*id))
+          remaining.answers[stratum] += answers;
+    outliers.merge(outliersOfLoadClass);
   }
   const bool isOnlyRunner =
-      candidate_.size() == 1 && candidate_.begin()->second.total(false).answered >= kMinOfOnlyRunner;
-  left.idleFaultIsShared = idleRunnersWithBadAnswers >= kMinBadRunners || isOnlyRunner;
-  left.runners = {static_cast<double>(outliers.size()), static_cast<double>(candidate_.size())};
-  return left;
+      candidate_.size() == 1 && candidate_.begin()->second.total(false).answered >= kMinAnswersOfOnlyRunner;
+  remaining.idleFaultIsShared = idleRunnersWithBadAnswers >= kMinBadRunners || isOnlyRunner;
+  remaining.runners = {static_cast<double>(outliers.size()), static_cast<double>(candidate_.size())};
+  return remaining;
 }
-EvidenceLedger::WithoutOutliers EvidenceLedger::withAllRunners() const {
+EvidenceLedger::CandidateEvidence EvidenceLedger::withAllRunners() const {
   return {candidateAnswersByStratum(), {0, static_cast<double>(candidate_.size())}, {}, true};
 }
 EvidenceLedger::Answers EvidenceLedger::baselineOf(const std::string& stratum) const {
   const auto found = baseline_.find(stratum);
   return found == baseline_.end() ? Answers{} : found->second;
 }
-bool EvidenceLedger::isProven(const BadCount& candidate, const BadCount& baseline, const TestOptions& options,
-                              double threshold) {
+bool EvidenceLedger::isFaultProven(const BadCount& candidate, const BadCount& baseline, const TestOptions& options,
+                                   double threshold) {
   return candidate.bad >= kMinBadAnswers && logEvidence(candidate, soundRate(baseline, options)) >= threshold;
 }
 // Slowness stratum by stratum: over all of them the candidate's runners may be busier than the baseline's. For failures
 // a full runner is no other than a busy one, and failures on all routes together are one more test.
-std::optional<Fault> EvidenceLedger::findFaultAmong(const WithoutOutliers& candidate, double threshold) const {
+std::optional<Fault> EvidenceLedger::findFaultAmong(const CandidateEvidence& candidate, double threshold) const {
   struct Compared {
     BadCount candidate;
     BadCount baseline;
@@ -140,22 +141,22 @@
     if (loadClassOf(stratum) == LoadClass::idle && !candidate.idleFaultIsShared)
       continue;
     const auto baseline = baselineOf(stratum);
-    if (isProven(answers.slowness(), baseline.slowness(), kSlowTest, threshold))
+    if (isFaultProven(answers.slowness(), baseline.slowness(), kSlowTest, threshold))
       return Fault{stratum, Fault::Kind::answersAreSlow, answers.slowness()};
-    for (auto* compared : {&failures[withoutFull(stratum)], &allFailures}) {
+    for (auto* compared : {&failures[mergeFullIntoBusy(stratum)], &allFailures}) {
       compared->candidate += answers.failures();
       compared->baseline += baseline.failures();
     }
   }
   for (const auto& [stratum, compared] : failures)
-    if (isProven(compared.candidate, compared.baseline, kFailureTest, threshold))
+    if (isFaultProven(compared.candidate, compared.baseline, kFailureTest, threshold))
       return Fault{stratum, Fault::Kind::answersFail, compared.candidate};
-  if (isProven(allFailures.candidate, allFailures.baseline, kFailureTest, threshold))
+  if (isFaultProven(allFailures.candidate, allFailures.baseline, kFailureTest, threshold))
     return Fault{"", Fault::Kind::answersFail, allFailures.candidate};
   return std::nullopt;
 }
 // More of the candidate's runners are outliers than of the baseline's can be: those would have had more bad answers.
-std::optional<Fault> EvidenceLedger::findRunnerFault(const WithoutOutliers& candidate, double tolerance,
+std::optional<Fault> EvidenceLedger::findRunnerFault(const CandidateEvidence& candidate, double tolerance,
                                                      double threshold) const {
   if (candidate.runners.bad < kMinBadRunners)
     return std::nullopt;
@@ -164,8 +165,9 @@
     baseline += answers.bad();
   constexpr TestOptions kNoTolerance{.tolerance = 0, .minSoundRate = 0};
   const double outlierRate = candidate.outlierAnswers.bad / candidate.outlierAnswers.total;
-  const double soundPart = std::max(ejectedBaseline_, soundRate(baseline, kNoTolerance) / outlierRate) + tolerance;
-  if (soundPart >= 1 || logEvidence(candidate.runners, soundPart) < threshold)
+  const double acceptableFraction =
+      std::max(ejectedBaselineFraction_, soundRate(baseline, kNoTolerance) / outlierRate) + tolerance;
+  if (acceptableFraction >= 1 || logEvidence(candidate.runners, acceptableFraction) < threshold)
     return std::nullopt;
   return Fault{"", Fault::Kind::runnersFail, candidate.runners};
 }
@@ -179,14 +181,14 @@
   return findRunnerFault(candidate, kRunnerTolerance, threshold);
 }
 bool EvidenceLedger::isSuspicious(Suspicion suspicion) const {
-  // Of few runners one may be all that the load test has loaded: it is not left out of a suspicion.
-  const auto candidate = candidate_.size() < kFewRunners ? withAllRunners() : withoutOutliers();
+  // Of few runners one may be all that the load test has loaded: it is not remaining out of a suspicion.
+  const auto candidate = candidate_.size() < kMinRunnersForExclusion ? withAllRunners() : withoutOutliers();
   const double threshold = std::log(1 / (suspicion == Suspicion::slight ? kSuspicionAlpha : kStrongSuspicionAlpha));
   return findFaultAmong(candidate, threshold) || findRunnerFault(candidate, kSuspiciousRunnerTolerance, threshold);
 }
 bool EvidenceLedger::isCleared(Clearing clearing) const {
   const auto keyOf = [clearing](const std::string& stratum) {
-    return clearing == Clearing::byStratum ? withoutFull(stratum) : routeOf(stratum);
+    return clearing == Clearing::byStratum ? mergeFullIntoBusy(stratum) : routeOf(stratum);
   };
   ByStratum baseline;
   ByStratum candidate;
@@ -201,13 +203,13 @@
     allCandidate += answers;
   }
   for (const auto& [key, answers] : baseline) {
-    const bool isUsual = answers.answered >= allBaseline.answered * kUsualPart;
+    const bool isUsual = answers.answered >= allBaseline.answered * kUsualStratumFraction;
     const double rate = soundRate(answers.failures(), kFailureTest);
-    if (isUsual && logRatio(candidate[key].failures(), rate, kStratumFault) > std::log(kBeta))
+    if (isUsual && logRatio(candidate[key].failures(), rate, kStratumFaultRate) > std::log(kBeta))
       return false;
   }
   const double rate = soundRate(allBaseline.failures(), kFailureTest);
-  return logRatio(allCandidate.failures(), rate, kFaintFault) <= std::log(kBeta);
+  return logRatio(allCandidate.failures(), rate, kSmallFaultRate) <= std::log(kBeta);
 }
 double EvidenceLedger::candidateAnswers() const {
   double sum = 0;
--- a/libs/rollout/src/revision_gate.cpp
+++ b/libs/rollout/src/revision_gate.cpp
@@ -14,16 +14,16 @@
 constexpr std::uint64_t kPercent = 100;
 
 // The fuse: so many bad attempts, and so far above the baseline's part of bad ones.
-constexpr double kTripBad = 2.5;
-constexpr double kTripRate = 0.3;
-constexpr double kTripDifference = 0.25;
-constexpr double kFuseDecay = 0.97;  // for each attempt
+constexpr double kTripMinBadAttempts = 2.5;
+constexpr double kTripMinBadRate = 0.3;
+constexpr double kTripMinRateDifference = 0.25;
+constexpr double kAttemptDecay = 0.97;  // for each attempt
 
 double badRate(double bad, double good) {
   return bad + good > 0 ? bad / (bad + good) : 0;
 }
-bool sameStep(const Rollout& one, const Rollout& other) {
-  return one.sameOrder(other) && one.phase() == other.phase() && one.percent == other.percent;
+bool isSameStep(const Rollout& one, const Rollout& other) {
+  return one.isSameRollout(other) && one.phase() == other.phase() && one.percent == other.percent;
 }
 }  // namespace
 
@@ -34,9 +34,9 @@
     if (rollout.phase() == RolloutPhase::completed)
       continue;
     ServiceRollout next;
-    if (auto* known = find(rollout.service); known && known->rollout.sameOrder(rollout)) {
+    if (auto* known = find(rollout.service); known && known->rollout.isSameRollout(rollout)) {
       next = std::move(*known);
-      if (!sameStep(next.rollout, rollout))
+      if (!isSameStep(next.rollout, rollout))
         next.candidateGood = next.candidateBad = 0;
     }
     next.rollout = rollout;
@@ -107,18 +107,18 @@
   answers.failed += attempt.answered && attempt.failed ? 1 : 0;
   answers.interrupted += attempt.answered ? 0 : 1;
   answers.slow += attempt.answered && attempt.isSlow() ? 1 : 0;
-  updateFuse(*found, isCandidate, attempt.isGood());
+  updateCircuitBreaker(*found, isCandidate, attempt.isGood());
 }
-void RevisionGate::updateFuse(ServiceRollout& service, bool isCandidate, bool isGood) {
+void RevisionGate::updateCircuitBreaker(ServiceRollout& service, bool isCandidate, bool isGood) {
   auto& good = isCandidate ? service.candidateGood : service.baselineGood;
   auto& bad = isCandidate ? service.candidateBad : service.baselineBad;
-  good = good * kFuseDecay + (isGood ? 1 : 0);
-  bad = bad * kFuseDecay + (isGood ? 0 : 1);
+  good = good * kAttemptDecay + (isGood ? 1 : 0);
+  bad = bad * kAttemptDecay + (isGood ? 0 : 1);
   const double candidateRate = badRate(service.candidateBad, service.candidateGood);
   const double baselineRate = badRate(service.baselineBad, service.baselineGood);
-  const bool fails =
-      service.candidateBad >= kTripBad && candidateRate >= kTripRate && candidateRate >= baselineRate + kTripDifference;
-  if (!fails || service.tripped)
+  const bool isFailing = service.candidateBad >= kTripMinBadAttempts && candidateRate >= kTripMinBadRate &&
+                         candidateRate >= baselineRate + kTripMinRateDifference;
+  if (!isFailing || service.tripped)
     return;
   service.tripped = true;
   log::info("rollout_stopped_here", {{"service", service.rollout.service},
--- a/libs/rollout/src/rollout_tracker.cpp
+++ b/libs/rollout/src/rollout_tracker.cpp
@@ -9,11 +9,11 @@
 using state_machine::Rollout;
 using state_machine::RolloutPhase;
 
-constexpr auto kProxyLifetime = 1500ms;       // a proxy that has not reported for so long is not waited for
+constexpr auto kProxyReportTimeout = 1500ms;  // a proxy that has not reported for so long is not waited for
 constexpr auto kCheckpointInterval = 2000ms;  // between two records of the same step
-constexpr std::int32_t kAll = 100;
+constexpr std::int32_t kFullPercent = 100;
 constexpr double kMaxRequestsPerReport = 1e5;
-constexpr double kSlackPart = 0.8;  // of the requests that are allowed besides the share, for the load test
+constexpr double kSlackFraction = 0.8;  // of the requests that are allowed besides the share, for the load test
 
 Rollout recordOf(const Rollout& rollout, const EvidenceLedger& evidence, Duration elapsed) {
   auto record = rollout;
@@ -29,28 +29,28 @@
     return isInService(runner, rollout) && runner.software.revision == rollout.revision;
   }));
 }
-double ejectedBaselinePart(const Rollout& rollout, const state_machine::StateContents& state,
-                           const std::vector<transport::RunnerEjection>& ejections) {
+double ejectedBaselineFraction(const Rollout& rollout, const state_machine::StateContents& state,
+                               const std::vector<transport::RunnerEjection>& ejections) {
   double runners = 0;
   double ejected = 0;
   for (const auto& runner : state.runners) {
     if (!isInService(runner, rollout) || runner.software.revision == rollout.revision)
       continue;
     runners += 1;
-    const auto isThis = [&](const auto& ejection) { return ejection.runner == runner.id; };
-    ejected += std::any_of(ejections.begin(), ejections.end(), isThis) ? 1 : 0;
+    const auto isEjectionOfRunner = [&](const auto& ejection) { return ejection.runner == runner.id; };
+    ejected += std::any_of(ejections.begin(), ejections.end(), isEjectionOfRunner) ? 1 : 0;
   }
   return runners > 0 ? ejected / runners : 0;
 }
 }  // namespace
 
 void RolloutTracker::follow(TimePoint now, const state_machine::StateContents& state) {
-  std::vector<Tracked> tracked;
+  std::vector<TrackedRollout> tracked;
   for (const auto& rollout : state.rollouts) {
     if (!rollout.inProgress())
       continue;
     auto* known = find(rollout.service);
-    if (known && known->rollout.sameOrder(rollout)) {
+    if (known && known->rollout.isSameRollout(rollout)) {
       const bool stepped = known->rollout.phase() != rollout.phase() || known->rollout.percent != rollout.percent;
       known->steppedAt = stepped ? now : known->steppedAt;
       known->startedAt = std::min(known->startedAt, now - Duration(rollout.elapsedMs));
@@ -98,7 +98,7 @@
 // Each request is reported once and pays for a part of a token: all grants together stay below the share of all
 // requests, whoever leads. Most of that is kept for the load test. In whole tokens: where each proxy has few
 // requests, fractions would wait for their sum at each of them.
-double RolloutTracker::grantTokens(Tracked& tracked, double requests) const {
+double RolloutTracker::grantTokens(TrackedRollout& tracked, double requests) const {
   const auto exposure = exposureOf(exposureShare_, tracked.candidateRunners);
   tracked.unspentExposure += requests * exposure.allowed;
   const double part = tracked.rollout.loadTestGroup() > 0 ? exposure.loadTest : exposure.canary;
@@ -114,7 +114,7 @@
   std::vector<Rollout> records;
   for (auto& each : tracked_) {
     const auto elapsed = toDuration(now - each.startedAt);
-    each.evidence.setEjectedBaseline(ejectedBaselinePart(each.rollout, state, ejections));
+    each.evidence.setEjectedBaselineFraction(ejectedBaselineFraction(each.rollout, state, ejections));
     each.suspicious = each.evidence.isSuspicious();
     const auto step =
         nextStep(each.rollout, each.evidence, fleetView(now, each, state), elapsed, toDuration(now - each.steppedAt));
@@ -127,21 +127,21 @@
       record.percent = step->percent;
       record.reason = step->reason;
       // Once: the step is taken once, and by this leader.
-      if (each.rollout.phase() == RolloutPhase::canary && each.rollout.loadTestGroup() == 0 && !each.hasSlack)
-        each.unspentExposure += kSlackPart * exposureSlack_;
-      each.hasSlack = true;
+      if (each.rollout.phase() == RolloutPhase::canary && each.rollout.loadTestGroup() == 0 && !each.slackGranted)
+        each.unspentExposure += kSlackFraction * exposureSlack_;
+      each.slackGranted = true;
     }
     each.writtenAt = now;
     records.push_back(std::move(record));
   }
   return records;
 }
-RolloutTracker::Tracked* RolloutTracker::find(const std::string& service) {
+RolloutTracker::TrackedRollout* RolloutTracker::find(const std::string& service) {
   const auto found = std::find_if(tracked_.begin(), tracked_.end(),
-                                  [&](const Tracked& each) { return each.rollout.service == service; });
+                                  [&](const TrackedRollout& each) { return each.rollout.service == service; });
   return found == tracked_.end() ? nullptr : &*found;
 }
-FleetView RolloutTracker::fleetView(TimePoint now, const Tracked& tracked,
+FleetView RolloutTracker::fleetView(TimePoint now, const TrackedRollout& tracked,
                                     const state_machine::StateContents& state) const {
   FleetView view;
   const auto elapsed = std::max(1ms, toDuration(now - tracked.startedAt));
@@ -157,15 +157,15 @@
   view.baselineIsIdle = baselineIsIdle(now, tracked);
   return view;
 }
-bool RolloutTracker::baselineIsIdle(TimePoint now, const Tracked& tracked) {
-  bool anyHeard = false;
+bool RolloutTracker::baselineIsIdle(TimePoint now, const TrackedRollout& tracked) {
+  bool anyProxyReported = false;
   for (const auto& [proxy, state] : tracked.proxies) {
-    if (now - state.reportedAt > kProxyLifetime)
+    if (now - state.reportedAt > kProxyReportTimeout)
       continue;
-    anyHeard = true;
-    if (state.percent < kAll || state.baselineInFlight > 0)
+    anyProxyReported = true;
+    if (state.percent < kFullPercent || state.baselineInFlight > 0)
       return false;
   }
-  return anyHeard;
+  return anyProxyReported;
 }
 }  // namespace zinccleat::rollout
--- a/libs/rollout/src/runner_outliers.cpp
+++ b/libs/rollout/src/runner_outliers.cpp
@@ -5,8 +5,8 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr std::size_t kOutliersOneIn = 3;  // runners that may be left out, rounded down
-constexpr double kMinGain = 3;             // in log likelihood, beyond that of the choice
+constexpr std::size_t kRunnersPerOutlier = 3;  // runners that may be left out, rounded down
+constexpr double kMinLogLikelihoodGain = 3;    // in log likelihood, beyond that of the choice
 
 double rateOf(const BadCount& count) {
   return count.total > 0 ? count.bad / count.total : 0;
@@ -31,14 +31,15 @@
   BadCount all;
   for (const auto& runner : runners)
     all += runner;
-  const double together = logLikelihood(all);
+  const double commonRateLikelihood = logLikelihood(all);
   BadCount worst;
-  double bestGain = kMinGain;
+  double bestGain = kMinLogLikelihoodGain;
   std::size_t outliers = 0;
-  for (std::size_t count = 1; count <= runners.size() / kOutliersOneIn; ++count) {
+  for (std::size_t count = 1; count <= runners.size() / kRunnersPerOutlier; ++count) {
     worst += runners[order[count - 1]];
     const BadCount rest{all.bad - worst.bad, all.total - worst.total};
-    const double gain = logLikelihood(worst) + logLikelihood(rest) - together - logChoices(runners.size(), count);
+    const double gain =
+        logLikelihood(worst) + logLikelihood(rest) - commonRateLikelihood - logChoices(runners.size(), count);
     if (gain <= bestGain)
       continue;
     bestGain = gain;
--- a/libs/rollout/src/sequential_test.cpp
+++ b/libs/rollout/src/sequential_test.cpp
@@ -5,8 +5,8 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr double kBoundDeviations = 2;  // of the upper confidence bound of the baseline's rate
-constexpr double kMaxSoundRate = 0.85;  // a baseline that fails more can't be compared with
+constexpr double kConfidenceDeviations = 2;  // of the upper confidence bound of the baseline's rate
+constexpr double kMaxSoundRate = 0.85;       // a baseline that fails more can't be compared with
 constexpr double kMaxRate = 0.98;
 // Rates of bad answers among which the mixture is spread evenly.
 constexpr std::array kAlternatives{0.06, 0.1, 0.16, 0.25, 0.4, 0.55, 0.75, 0.95};
@@ -16,10 +16,10 @@
 double soundRate(const BadCount& baseline, const TestOptions& options) {
   if (baseline.total <= 0)
     return options.unknownSoundRate;
-  constexpr double kSquare = kBoundDeviations * kBoundDeviations;
+  constexpr double kSquare = kConfidenceDeviations * kConfidenceDeviations;
   const double rate = std::clamp(baseline.bad / baseline.total, 0.0, 1.0);
   const double center = rate + kSquare / (2 * baseline.total);
-  const double spread = kBoundDeviations *
+  const double spread = kConfidenceDeviations *
                         std::sqrt(rate * (1 - rate) / baseline.total + kSquare / (4 * baseline.total * baseline.total));
   const double upper = (center + spread) / (1 + kSquare / baseline.total);
   return std::min(kMaxSoundRate, std::max(upper, options.minSoundRate) + options.tolerance);
--- a/libs/rollout/src/stratum.cpp
+++ b/libs/rollout/src/stratum.cpp
@@ -2,41 +2,41 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr double kBusyLoad = 0.5;
-constexpr double kFullLoad = 0.85;
-constexpr std::string_view kBusyMark = " (busy)";
-constexpr std::string_view kFullMark = " (full)";
+constexpr double kMinBusyLoad = 0.5;
+constexpr double kMinFullLoad = 0.85;
+constexpr std::string_view kBusySuffix = " (busy)";
+constexpr std::string_view kFullSuffix = " (full)";
 
-std::string_view markOf(LoadClass load) {
+std::string_view suffixOf(LoadClass load) {
   switch (load) {
     case LoadClass::idle:
       return "";
     case LoadClass::busy:
-      return kBusyMark;
+      return kBusySuffix;
     case LoadClass::full:
       break;
   }
-  return kFullMark;
+  return kFullSuffix;
 }
 }  // namespace
 
 LoadClass loadClassOf(double load) {
-  if (load < kBusyLoad)
+  if (load < kMinBusyLoad)
     return LoadClass::idle;
-  return load < kFullLoad ? LoadClass::busy : LoadClass::full;
+  return load < kMinFullLoad ? LoadClass::busy : LoadClass::full;
 }
 std::string stratumOf(const std::string& route, LoadClass load) {
-  return route + std::string(markOf(load));
+  return route + std::string(suffixOf(load));
 }
 LoadClass loadClassOf(const std::string& stratum) {
-  if (stratum.ends_with(kFullMark))
+  if (stratum.ends_with(kFullSuffix))
     return LoadClass::full;
-  return stratum.ends_with(kBusyMark) ? LoadClass::busy : LoadClass::idle;
+  return stratum.ends_with(kBusySuffix) ? LoadClass::busy : LoadClass::idle;
 }
 std::string routeOf(const std::string& stratum) {
-  return stratum.substr(0, stratum.size() - markOf(loadClassOf(stratum)).size());
+  return stratum.substr(0, stratum.size() - suffixOf(loadClassOf(stratum)).size());
 }
-std::string withoutFull(const std::string& stratum) {
+std::string mergeFullIntoBusy(const std::string& stratum) {
   return loadClassOf(stratum) == LoadClass::full ? stratumOf(routeOf(stratum), LoadClass::busy) : stratum;
 }
 }  // namespace zinccleat::rollout
