--- a/tests/deduplication_test.cpp
+++ b/tests/deduplication_test.cpp
@@ -13,8 +13,8 @@
 using namespace zinccleat::transport;
 namespace {
 constexpr auto kAcknowledged = ReplicatedState::Verdict::acknowledged;
-constexpr auto kInvalid = ReplicatedState::Verdict::invalidVersion;
-constexpr auto kOtherVersion = ReplicatedState::Verdict::versionMismatch;
+constexpr auto kInvalidVersion = ReplicatedState::Verdict::invalidVersion;
+constexpr auto kVersionMismatch = ReplicatedState::Verdict::versionMismatch;
 constexpr auto kOutcomeUnknown = ReplicatedState::Verdict::outcomeUnknown;
 
 std::string bodyOf(int version) {
@@ -76,8 +76,8 @@
   for (const int version : {1, 2, 100, 5000})
     EXPECT_EQ(repeatChange(version), kOutcomeUnknown) << version;
   EXPECT_EQ(repeatChange(9001), kAcknowledged);
-  EXPECT_EQ(replace(9000, 9001, "another body"), kOtherVersion);
-  EXPECT_EQ(replace(10000, 100, "below its base"), kInvalid);
+  EXPECT_EQ(replace(9000, 9001, "another body"), kVersionMismatch);
+  EXPECT_EQ(replace(10000, 100, "below its base"), kInvalidVersion);
   EXPECT_EQ(replace(10000, 10001, "the next"), kAcknowledged);
 }
 // Each line: a Replace, in order, and the answer that the API's pages require.
@@ -91,22 +91,22 @@
   const std::vector<std::vector<Replace>> sequences = {
       {{0, 3, "A", kAcknowledged, "the first"},
        {0, 3, "A", kAcknowledged, "repeated"},
-       {0, 3, "B", kOtherVersion, "the same version for another change"},
-       {0, 5, "B", kOtherVersion, "on a base that is no longer current"}},
+       {0, 3, "B", kVersionMismatch, "the same version for another change"},
+       {0, 5, "B", kVersionMismatch, "on a base that is no longer current"}},
       {{0, 3, "A", kAcknowledged, "the first"},
        {3, 7, "B", kAcknowledged, "one of two operators, both on 3 with version 7"},
-       {3, 7, "C", kOtherVersion, "the other one"},
-       {3, 7, "C", kOtherVersion, "the other one again"},
+       {3, 7, "C", kVersionMismatch, "the other one"},
+       {3, 7, "C", kVersionMismatch, "the other one again"},
        {3, 7, "B", kAcknowledged, "the winner again"},
        {7, 9, "C", kAcknowledged, "the other one on top of it"},
        {3, 7, "B", kAcknowledged, "the winner again, after another change"},
-       {3, 7, "C", kOtherVersion, "that version was never its own"},
+       {3, 7, "C", kVersionMismatch, "that version was never its own"},
        {0, 3, "A", kAcknowledged, "the first again"}},
       {{0, 3, "A", kAcknowledged, "the first"},
-       {2, 4, "B", kOtherVersion, "on a version that never was"},
-       {4, 5, "B", kOtherVersion, "on a version that does not exist yet"},
-       {3, 3, "B", kInvalid, "its own version is not above the current one"},
-       {3, 2, "B", kInvalid, "nor is a lower one"},
+       {2, 4, "B", kVersionMismatch, "on a version that never was"},
+       {4, 5, "B", kVersionMismatch, "on a version that does not exist yet"},
+       {3, 3, "B", kInvalidVersion, "its own version is not above the current one"},
+       {3, 2, "B", kInvalidVersion, "nor is a lower one"},
        {3, 4, "A", kAcknowledged, "the same body under a new version is a new change"},
        {0, 3, "A", kAcknowledged, "and its first version is still known"}},
   };
@@ -147,7 +147,7 @@
     }
     EXPECT_EQ(winners, 1);
     EXPECT_EQ(repeatOneOf(accepted, "winner" + std::to_string(round)), kAcknowledged);
-    EXPECT_EQ(repeatOneOf(rejected, "loser" + std::to_string(round)), kOtherVersion);
+    EXPECT_EQ(repeatOneOf(rejected, "loser" + std::to_string(round)), kVersionMismatch);
   }
 }
 TEST_F(DeduplicationTest, OperationAppliedLongAgoIsNotAppliedAgain) {
--- a/tests/rollout_control.cpp
+++ b/tests/rollout_control.cpp
@@ -5,11 +5,11 @@
 using namespace rollout;
 using namespace state_machine;
 
-constexpr Duration kTakeover{700};  // without a leader
+constexpr Duration kLeaderElectionDelay{700};  // without a leader
 constexpr int kControllers = 3;
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
-constexpr Duration kSilence{3000};
+constexpr Duration kDisconnectionDuration{3000};
 
 Duration fractionOf(Duration duration, double part) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * part));
@@ -19,7 +19,7 @@
 RolloutControl::RolloutControl(const Options& options) : options_(options), rng_(options.seed) {
   addProxies();
   for (int change = 0; change < options.leaderChanges; ++change)
-    leaderEnds_.push_back(kStart + fractionOf(options.term, uniform()));
+    leaderChangeTimes_.push_back(kStart + fractionOf(options.term, uniform()));
   for (int i = 0; i < kControllers; ++i)
     trackers_.emplace_back(kExposureShare, kExposureSlack);
 }
@@ -29,9 +29,9 @@
     proxy.gate = RevisionGate(options_.seed * 1000 + static_cast<std::uint64_t>(i));
     proxy.phase = kTick * (i % (kReportInterval / kTick));
     proxy.entryDelay = Duration(20 + static_cast<int>(uniform() * 150));
-    if (uniform() < options_.silentProxies) {
-      proxy.silentFrom = kStart + fractionOf(options_.term, uniform());
-      proxy.silentUntil = proxy.silentFrom + kSilence;
+    if (uniform() < options_.disconnectedProxies) {
+      proxy.disconnectedFrom = kStart + fractionOf(options_.term, uniform());
+      proxy.disconnectedUntil = proxy.disconnectedFrom + kDisconnectionDuration;
     }
     proxies_.push_back(std::move(proxy));
   }
@@ -67,13 +67,13 @@
     pending_.push_back({now + Duration(10 + static_cast<int>(uniform() * 60)), record});
 }
 void RolloutControl::changeLeader(TimePoint now) {
-  for (auto& end : leaderEnds_) {
+  for (auto& end : leaderChangeTimes_) {
     if (now < end)
       continue;
     end = TimePoint::max();
     pending_.clear();  // what was not committed is lost with its leader
     leader_ = (leader_ + 1) % kControllers;
-    leaderFrom_ = now + kTakeover;
+    leaderFrom_ = now + kLeaderElectionDelay;
     trackers_[leader_].startTerm();
   }
 }
@@ -89,7 +89,7 @@
 }
 bool RolloutControl::follow(ControlledProxy& proxy, TimePoint now) const {
   bool any = false;
-  while (proxy.hears(now) && proxy.applied < committed_.size() &&
+  while (proxy.isReachable(now) && proxy.applied < committed_.size() &&
          committed_[proxy.applied].at + proxy.entryDelay <= now) {
     proxy.gate.setRollouts(committed_[proxy.applied++].rollouts);
     any = true;
@@ -97,7 +97,7 @@
   return any;
 }
 void RolloutControl::report(ControlledProxy& proxy, TimePoint now) {
-  if (!proxy.hears(now) || !hasLeader(now))
+  if (!proxy.isReachable(now) || !hasLeader(now))
     return;
   for (const auto& report : proxy.gate.takeReports())
     if (auto grant = trackers_[leader_].report(now, std::to_string(&proxy - proxies_.data()), report))
--- a/tests/rollout_control.hpp
+++ b/tests/rollout_control.hpp
@@ -23,10 +23,10 @@
   rollout::RevisionGate gate;
   Duration phase{0};       // of its reports
   Duration entryDelay{0};  // until an entry has come here
-  TimePoint silentFrom = TimePoint::max();
-  TimePoint silentUntil = TimePoint::max();
+  TimePoint disconnectedFrom = TimePoint::max();
+  TimePoint disconnectedUntil = TimePoint::max();
   std::size_t applied = 0;
-  bool hears(TimePoint now) const { return now < silentFrom || now >= silentUntil; }
+  bool isReachable(TimePoint now) const { return now < disconnectedFrom || now >= disconnectedUntil; }
   bool reportsAt(TimePoint now) const { return (now - kStart) % kReportInterval == phase; }
 };
 
@@ -36,8 +36,8 @@
     std::uint64_t seed = 1;
     int proxies = 40;
     Duration term{14000};
-    int leaderChanges = 0;     // at random times
-    double silentProxies = 0;  // part of the proxies that hear nothing for a while
+    int leaderChanges = 0;           // at random times
+    double disconnectedProxies = 0;  // part of the proxies that hear nothing for a while
   };
   explicit RolloutControl(const Options& options);
   /// A runner of one of the revisions joins.
@@ -85,7 +85,7 @@
   std::vector<rollout::RolloutTracker> trackers_;
   std::size_t leader_ = 0;
   TimePoint leaderFrom_ = kStart;
-  std::vector<TimePoint> leaderEnds_;
+  std::vector<TimePoint> leaderChangeTimes_;
   std::deque<PendingRecord> pending_;
   Duration decidedAfter_{0};
   double steps_ = 0;
--- a/tests/rollout_engine_world.cpp
+++ b/tests/rollout_engine_world.cpp
@@ -11,15 +11,15 @@
 using simulated_engine::Engine;
 using state_machine::RolloutPhase;
 
-constexpr Duration kSlice{10};
-constexpr Duration kAnswerOfAFailure{15};
-constexpr Duration kWarmUp{4000};  // before the order
-constexpr Duration kDrainOut{3000};
-constexpr Duration kEvaluation{200};
+constexpr Duration kTimeStep{10};
+constexpr Duration kFailureLatency{15};
+constexpr Duration kWarmupDuration{4000};  // before the order
+constexpr Duration kDrainDuration{3000};
+constexpr Duration kEvaluationInterval{200};
 constexpr int kPrefixes = 60;
-constexpr double kPerMs = 0.001;
+constexpr double kSecondsPerMs = 0.001;
 constexpr double kFiftiethBad = 50;
-constexpr Duration kPaceCheck{100};
+constexpr Duration kPaceCheckInterval{100};
 constexpr double kTokensPerEvent = 12;
 constexpr double kMinEvents = 3;
 constexpr double kMinEventsMidway = 6;
@@ -46,10 +46,10 @@
 struct Proxy {
   RunnerPool pool{1};
   balancing::RunnerObserver observer;
-  balancing::LatencyBaseline paces;  // in place of `StreamPaces`, which reads bytes
+  balancing::LatencyBaseline paceBaseline;  // in place of `StreamPaces`, which reads bytes
 };
 /// An attempt in flight.
-struct Flight {
+struct AttemptInFlight {
   std::size_t proxy = 0;
   std::size_t runner = 0;
   int poolIndex = 0;
@@ -72,22 +72,22 @@
       : plan_(plan),
         rng_(plan.seed * 7919 + 3),
         kinds_(plan.streams ? kStreams : kSmallRequests),
-        control_({plan.seed, plan.proxies, plan.term, plan.leaderChanges, plan.silentProxies}),
+        control_({plan.seed, plan.proxies, plan.term, plan.leaderChanges, plan.disconnectedProxies}),
         proxies_(static_cast<std::size_t>(plan.proxies)) {
     for (std::size_t i = 0; i < proxies_.size(); ++i)
       proxies_[i].pool = RunnerPool(plan.seed * 100 + i);
     for (int i = 0; i < plan.runners; ++i)
       addRunner(i);
-    adoptRunners(kStart - kWarmUp);
+    updateProxyRunners(kStart - kWarmupDuration);
   }
   EngineOutcome run() {
-    for (auto now = kStart - kWarmUp; now < kStart; now += kSlice)
+    for (auto now = kStart - kWarmupDuration; now < kStart; now += kTimeStep)
       serve(now);
     // The candidate's runners are started after the order.
     control_.begin();
     for (int i = plan_.runners; i < 2 * plan_.runners; ++i)
       addRunner(i);
-    for (auto now = kStart; now < kStart + plan_.term + kDrainOut; now += kSlice) {
+    for (auto now = kStart; now < kStart + plan_.term + kDrainDuration; now += kTimeStep) {
       if ((now - kStart) % kTick == Duration(0))
         tick(now);
       serve(now);
@@ -115,7 +115,7 @@
     const auto& revision = runner.isCandidate ? kCandidate : kBaseline;
     runner.id = revision + "-" + std::to_string(number);
     const bool someFail = runner.isCandidate && plan_.version == EngineVersion::someRunners && number % 4 == 0;
-    runner.fails = someFail || uniform() < plan_.ailingRunners;
+    runner.fails = someFail || uniform() < plan_.faultyRunners;
     simulated_engine::Capacity capacity;
     capacity.slots = plan_.slots;
     if (runner.isCandidate && plan_.version == EngineVersion::slow)
@@ -125,7 +125,7 @@
     indexById_[runner.id] = runners_.size();
     runners_.push_back(std::move(runner));
   }
-  void adoptRunners(TimePoint now) {
+  void updateProxyRunners(TimePoint now) {
     for (auto& proxy : proxies_)
       proxy.pool.setRunners(control_.state().runners, now);
   }
@@ -142,27 +142,28 @@
       outliers_.report(now, std::to_string(i), proxies_[i].observer.takeReport(24));
       proxies_[i].pool.setEjected(outliers_.ejections());
     }
-    if ((now - kStart) % kEvaluation == Duration(0))
+    if ((now - kStart) % kEvaluationInterval == Duration(0))
       outliers_.evaluate(now, control_.state().runners);
     control_.ejections = outliers_.ejections();
   }
   // --- traffic ---
   void serve(TimePoint now) {
     const bool surges = plan_.surgeAt > Duration(0) && now >= kStart + plan_.surgeAt;
-    const double expected = plan_.requestsPerS * (surges ? 1.5 : 1) * kPerMs * static_cast<double>(kSlice.count());
+    const double expected =
+        plan_.requestsPerS * (surges ? 1.5 : 1) * kSecondsPerMs * static_cast<double>(kTimeStep.count());
     const int count = now < kStart + plan_.term ? std::poisson_distribution<int>(expected)(rng_) : 0;
     for (int i = 0; i < count; ++i)
       send(rng_() % proxies_.size(), now);
     for (auto& runner : runners_)
-      for (const auto& progress : runner.engine.advance(static_cast<double>(kSlice.count())))
-        onProgress(progress, now + kSlice);
-    if ((now - kStart) % kPaceCheck == Duration(0))
+      for (const auto& progress : runner.engine.advance(static_cast<double>(kTimeStep.count())))
+        onProgress(progress, now + kTimeStep);
+    if ((now - kStart) % kPaceCheckInterval == Duration(0))
       observeSlowness(now);
-    for (auto each = flights_.begin(); each != flights_.end();) {
+    for (auto each = attemptsInFlight_.begin(); each != attemptsInFlight_.end();) {
       const bool fails = now >= each->second.failsAt;
       if (fails)
         finish(each->second, now, true);
-      each = fails ? flights_.erase(each) : std::next(each);
+      each = fails ? attemptsInFlight_.erase(each) : std::next(each);
     }
   }
   const Kind& drawKind() {
@@ -218,19 +219,19 @@
     if (runner.isCandidate && now >= kStart)
       lastCandidateRequestAt_ = now;
     const auto id = ++lastId_;
-    Flight flight{proxyNumber, runnerNumber, chosen, &kind, now};
+    AttemptInFlight flight{proxyNumber, runnerNumber, chosen, &kind, now};
     const double factor = isSlowUnderLoad(runner) ? 6 : 1;
     flight.slowness = factor;
     flight.inLoadTest = query.revisions.loadTestGroup > 0;
     if (fails)
-      flight.failsAt = now + kAnswerOfAFailure;
+      flight.failsAt = now + kFailureLatency;
     else if (!runner.engine.submit(
                  {id, query.affinity, kind.sharedTokens, kind.ownTokens * factor, kind.outputTokens * factor}))
       return false;
     outcome_.requests += now >= kStart ? 1 : 0;
     outcome_.candidateRequests += runner.isCandidate && now >= kStart ? 1 : 0;
     proxy.pool.attemptStarted(chosen, static_cast<std::int64_t>(kind.sharedTokens + kind.ownTokens));
-    flights_[id] = flight;
+    attemptsInFlight_[id] = flight;
     return true;
   }
   void recordLoad(const SimulatedRunner& runner, TimePoint now) {
@@ -276,8 +277,8 @@
   }
   // --- answers ---
   void onProgress(const simulated_engine::Progress& progress, TimePoint now) {
-    const auto found = flights_.find(progress.id);
-    if (found == flights_.end())
+    const auto found = attemptsInFlight_.find(progress.id);
+    if (found == attemptsInFlight_.end())
       return;
     auto& flight = found->second;
     if (!flight.responded)
@@ -285,9 +286,9 @@
     if (!progress.finished)
       return;
     finish(flight, now, false);
-    flights_.erase(found);
+    attemptsInFlight_.erase(found);
   }
-  void respond(Flight& flight, TimePoint now) {
+  void respond(AttemptInFlight& flight, TimePoint now) {
     flight.responded = true;
     flight.respondedAt = now;
     auto& proxy = proxies_[flight.proxy];
@@ -302,7 +303,7 @@
     flight.load = proxy.pool.load(flight.poolIndex, now);
     flight.slow = !proxy.observer.recordResponse(runner.id, kService, tokens, toDuration(now - flight.startedAt));
   }
-  void finish(Flight& flight, TimePoint now, bool failed) {
+  void finish(AttemptInFlight& flight, TimePoint now, bool failed) {
     auto& proxy = proxies_[flight.proxy];
     const auto& runner = runners_[flight.runner];
     if (!flight.responded) {
@@ -321,18 +322,18 @@
     if (outcome_.candidateBad == kFiftiethBad)
       fiftiethBadAt_ = now;
   }
-  static std::optional<double> paceOf(const Flight& flight, double tokens, TimePoint now) {
+  static std::optional<double> paceOf(const AttemptInFlight& flight, double tokens, TimePoint now) {
     const double events = tokens / kTokensPerEvent;
     if (!flight.responded || events < kMinEvents)
       return std::nullopt;
     return static_cast<double>(toDuration(now - flight.respondedAt).count()) * kNominalEvents / events;
   }
   static bool isSlow(const Proxy& proxy, std::optional<double> pace) {
-    return pace && *pace > static_cast<double>(proxy.paces.slowThreshold().count());
+    return pace && *pace > static_cast<double>(proxy.paceBaseline.slowThreshold().count());
   }
   // As `Exchange::observeSlowness` does.
   void observeSlowness(TimePoint now) {
-    for (auto& [id, flight] : flights_) {
+    for (auto& [id, flight] : attemptsInFlight_) {
       if (!flight.responded || flight.slownessRecorded)
         continue;
       const auto& proxy = proxies_[flight.proxy];
@@ -344,7 +345,7 @@
         record(flight, attemptOf(flight));
     }
   }
-  rollout::ObservedAttempt attemptOf(const Flight& flight) const {
+  rollout::ObservedAttempt attemptOf(const AttemptInFlight& flight) const {
     const auto& runner = runners_[flight.runner];
     rollout::ObservedAttempt attempt;
     attempt.route = flight.kind->route;
@@ -356,16 +357,16 @@
     attempt.load = flight.load;
     return attempt;
   }
-  void record(const Flight& flight, const rollout::ObservedAttempt& attempt) {
+  void record(const AttemptInFlight& flight, const rollout::ObservedAttempt& attempt) {
     auto& gate = control_.proxies()[flight.proxy].gate;
     if (gate.isObserved(kService))
       gate.recordAttempt(kService, attempt);
   }
-  void observe(Flight& flight, bool failed, TimePoint now) {
+  void observe(AttemptInFlight& flight, bool failed, TimePoint now) {
     auto& proxy = proxies_[flight.proxy];
     if (const auto pace = paceOf(flight, flight.kind->outputTokens, now); pace && !failed) {
       flight.slowPace = flight.slowPace || isSlow(proxy, pace);
-      proxy.paces.add(*pace);
+      proxy.paceBaseline.add(*pace);
     }
     auto attempt = attemptOf(flight);
     attempt.failed = failed;
@@ -381,7 +382,7 @@
   std::vector<Proxy> proxies_;
   std::vector<SimulatedRunner> runners_;
   std::unordered_map<std::string, std::size_t> indexById_;
-  std::map<std::int64_t, Flight> flights_;
+  std::map<std::int64_t, AttemptInFlight> attemptsInFlight_;
   std::int64_t lastId_ = 0;
   Mean baselineLoads_;
   Mean canaryLoads_;
@@ -391,7 +392,7 @@
 };
 }  // namespace
 
-EngineOutcome play(const EnginePlan& plan) {
+EngineOutcome simulate(const EnginePlan& plan) {
   return EngineWorld(plan).run();
 }
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_engine_world.hpp
+++ b/tests/rollout_engine_world.hpp
@@ -30,8 +30,8 @@
   Duration term{16000};
   Duration surgeAt{0};  // from here on half as many requests more; 0: no surge
   int leaderChanges = 0;
-  double silentProxies = 0;
-  double ailingRunners = 0;  // part of the runners of both revisions that fail two fifths of their answers
+  double disconnectedProxies = 0;
+  double faultyRunners = 0;  // part of the runners of both revisions that fail two fifths of their answers
   double baselineFailures = 0.002;
 };
 struct EngineOutcome {
@@ -47,5 +47,5 @@
   bool inProgress() const { return !state_machine::isFinal(phase); }
 };
 /// Plays one rollout to its term.
-EngineOutcome play(const EnginePlan& plan);
+EngineOutcome simulate(const EnginePlan& plan);
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_engine_worlds_test.cpp
+++ b/tests/rollout_engine_worlds_test.cpp
@@ -15,15 +15,15 @@
 using namespace zinccleat::rollout_world;
 using namespace zinccleat::state_machine;
 namespace {
-constexpr int kUsualWorlds = 6;
+constexpr int kDefaultWorlds = 6;
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
-constexpr Duration kRollback{5000};
+constexpr Duration kMaxRollbackDelay{5000};
 constexpr std::uint64_t kFirstSeed = 9000;
 
 int worldCount() {
   const char* wanted = std::getenv("ZINCCLEAT_WORLDS");
-  return wanted ? std::max(1, std::atoi(wanted)) : kUsualWorlds;
+  return wanted ? std::max(1, std::atoi(wanted)) : kDefaultWorlds;
 }
 struct Kind {
   const char* name;
@@ -42,13 +42,13 @@
 EnginePlan withFaults(EngineVersion version) {
   auto plan = ofSize(version, 60);
   plan.leaderChanges = 1;
-  plan.silentProxies = 0.15;
+  plan.disconnectedProxies = 0.15;
   plan.baselineFailures = 0.02;
   return plan;
 }
-EnginePlan withAilingRunners(EngineVersion version) {
+EnginePlan withFaultyRunners(EngineVersion version) {
   auto plan = ofSize(version, 90);
-  plan.ailingRunners = 0.15;
+  plan.faultyRunners = 0.15;
   return plan;
 }
 EnginePlan inASurge(EngineVersion version) {
@@ -71,14 +71,14 @@
   double decidedAfterMs = 0;
   double baselineLoad = 0, canaryLoad = 0;
 };
-Counts playAll(const Kind& kind) {
+Counts simulateAll(const Kind& kind) {
   Counts counts;
   const bool isGood = kind.plan.version == EngineVersion::good;
   const auto wanted = isGood ? RolloutPhase::completed : RolloutPhase::reverted;
   for (int world = 0; world < worldCount(); ++world) {
     auto plan = kind.plan;
     plan.seed = kFirstSeed + static_cast<std::uint64_t>(world);
-    const auto outcome = play(plan);
+    const auto outcome = simulate(plan);
     counts.completed += outcome.phase == RolloutPhase::completed ? 1 : 0;
     counts.reverted += outcome.phase == RolloutPhase::reverted ? 1 : 0;
     counts.undecided += outcome.inProgress() ? 1 : 0;
@@ -86,7 +86,7 @@
       std::printf("seed %llu: %s\n", static_cast<unsigned long long>(plan.seed), outcome.reason.c_str());
     const double allowed = kExposureShare * outcome.requests + kExposureSlack;
     counts.overExposed += !isGood && outcome.candidateRequests > allowed ? 1 : 0;
-    counts.lateRollbacks += !isGood && outcome.afterFiftiethBad > kRollback ? 1 : 0;
+    counts.lateRollbacks += !isGood && outcome.afterFiftiethBad > kMaxRollbackDelay ? 1 : 0;
     if (!isGood)
       counts.worstExposure = std::max(counts.worstExposure, outcome.candidateRequests / allowed);
     counts.decidedAfterMs += static_cast<double>(outcome.decidedAfter.count()) / worldCount();
@@ -109,7 +109,7 @@
 
 class RolloutEngineWorlds : public testing::TestWithParam<Kind> {};
 TEST_P(RolloutEngineWorlds, EndAsTheVersionDeserves) {
-  const auto counts = playAll(GetParam());
+  const auto counts = simulateAll(GetParam());
   const bool isGood = GetParam().plan.version == EngineVersion::good;
   // All of the usual few; of many more one in a hundred may err, by the test's error rates.
   EXPECT_GE(isGood ? counts.completed : counts.reverted, worldCount() * 0.99);
@@ -141,12 +141,12 @@
 TEST(RolloutEngineWorldsLimits, SlowUnderLoadAndAQuarterOfFewRunnersAreMostlyReverted) {
   for (const auto& kind :
        {Kind{"slow under load", ofSize(V::slowUnderLoad, 30)}, Kind{"some runners", ofSize(V::someRunners, 30)}}) {
-    const auto counts = playAll(kind);
+    const auto counts = simulateAll(kind);
     EXPECT_GE(counts.reverted, worldCount() * 0.8);
     EXPECT_EQ(counts.undecided, 0);
   }
 }
 TEST(RolloutEngineWorldsAiling, AGoodVersionIsHardlyEverReverted) {
-  const auto counts = playAll({"good, 15 in 100 runners ail, 90 runners", withAilingRunners(V::good)});
+  const auto counts = simulateAll({"good, 15 in 100 runners ail, 90 runners", withFaultyRunners(V::good)});
   EXPECT_LE(counts.reverted, 1 + worldCount() / 10);
 }
--- a/tests/rollout_log_test.cpp
+++ b/tests/rollout_log_test.cpp
@@ -1,5 +1,5 @@
 // Rollouts over the real replicated log: seeded clusters of six controllers, each with the engine, and proxies that
-// follow any of them, while leaders die, halves lose each other, disks are lost and power fails everywhere.
+// follow any of them, while leaders die, networkPartition lose each other, disks are lost and power fails everywhere.
 //
 // A longer sweep: ZINCCLEAT_WORLDS=500 target/zinccleat_tests --gtest_filter='RolloutLog.*'
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
 const std::vector<std::string> kFounders = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 const std::vector<std::string> kMachines = {"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.1.0.2", "10.2.0.2", "10.3.0.2"};
 
-enum class Fault { none, leaderCrashes, leaderIsCutOff, halves, powerLostEverywhere, leaderLosesItsDisk };
+enum class Fault { none, leaderCrashes, leaderIsIsolated, networkPartition, allMachinesLosePower, leaderLosesItsDisk };
 constexpr int kFaults = 6;
 
 struct Proxy {
@@ -48,23 +48,23 @@
       proxies_.push_back({RevisionGate(seed * 100 + static_cast<std::uint64_t>(i)), anyMachine(), 0});
     joinRunners();
   }
-  void play() {
+  void simulate() {
     const auto order = orderOf("v2");
-    orderedAs_ = "order/1";
-    write(rolloutBeginEntry(order, orderedAs_));
+    orderOperationId_ = "order/1";
+    write(rolloutBeginEntry(order, orderOperationId_));
     const auto faultAt = cluster_.now + Duration(cluster_.draw(kTermMs));
     const auto fault = static_cast<Fault>(cluster_.draw(kFaults));
     const auto end = cluster_.now + Duration(kTermMs + 8000);
-    bool struck = false;
+    bool faultInjected = false;
     for (int tick = 0; cluster_.now < end; ++tick) {
-      if (!struck && cluster_.now >= faultAt) {
-        struck = true;
-        strike(fault);
+      if (!faultInjected && cluster_.now >= faultAt) {
+        faultInjected = true;
+        injectFault(fault);
       }
       // The order is sent again, and another one in between: the first is acknowledged again, the other never taken.
       if (tick % 40 == 20)
         write(rolloutBeginEntry(order, "order/again/" + std::to_string(tick)));
-      if (tick % 60 == 30 && !ended_ && cluster_.now < end - 12000ms)
+      if (tick % 60 == 30 && !finalPhase_ && cluster_.now < end - 12000ms)
         write(rolloutBeginEntry(orderOf("v3"), "order/other/" + std::to_string(tick)));
       step();
     }
@@ -119,7 +119,7 @@
         cluster_.start(ip, kFounders, false);
     });
   }
-  void strike(Fault fault) {
+  void injectFault(Fault fault) {
     const auto leader = cluster_.leader();
     switch (fault) {
       case Fault::none:
@@ -132,17 +132,17 @@
         if (fault == Fault::leaderLosesItsDisk)
           cluster_.nodes[leader].disk.clear();
         return restartLater(leader, 800ms);
-      case Fault::leaderIsCutOff:
+      case Fault::leaderIsIsolated:
         if (!leader.empty())
           cluster_.isolate(leader);
         break;
-      case Fault::halves:
+      case Fault::networkPartition:
         for (std::size_t i = 0; i < kMachines.size(); ++i)
           for (std::size_t j = 0; j < kMachines.size(); ++j)
             if ((i < 3) != (j < 3))
               cluster_.cutLinks.insert({kMachines[i], kMachines[j]});
         break;
-      case Fault::powerLostEverywhere:
+      case Fault::allMachinesLosePower:
         for (const auto& ip : kMachines) {
           cluster_.crash(ip);
           restartLater(ip, Duration(300 + cluster_.draw(400)));
@@ -182,7 +182,7 @@
   }
   void checkReplica(const SimulatedCluster::Node& node) {
     const auto* rollout = node.replica.rollout("s");
-    const bool acknowledged = cluster_.acknowledged.contains(orderedAs_);
+    const bool acknowledged = cluster_.acknowledged.contains(orderOperationId_);
     if (acknowledged && node.raft->hasLease(cluster_.now) && !rollout)
       problems_.push_back("an acknowledged order is unknown to the leader " + node.ip);
     if (!rollout)
@@ -191,9 +191,9 @@
       problems_.emplace_back("a rollout that nobody ordered");
     if (rollout->revision != "v2" || rollout->inProgress())
       return;
-    if (ended_ && *ended_ != rollout->phase())
+    if (finalPhase_ && *finalPhase_ != rollout->phase())
       problems_.emplace_back("completed and reverted");
-    ended_ = rollout->phase();
+    finalPhase_ = rollout->phase();
   }
   void stepProxy(std::size_t number) {
     auto& proxy = proxies_[number];
@@ -220,7 +220,7 @@
         proxy.gate.addGrants({*grant}, cluster_.now);
   }
   void sendRequest(Proxy& proxy) {
-    const bool ordered = ended_ || cluster_.acknowledged.contains(orderedAs_);
+    const bool ordered = finalPhase_ || cluster_.acknowledged.contains(orderOperationId_);
     requests_ += ordered ? 1 : 0;
     proxy.gate.recordRequest("s");
     const auto filter = proxy.gate.choose("s", 0, false, cluster_.now);
@@ -240,37 +240,37 @@
   bool isBad_;
   std::vector<Proxy> proxies_;
   std::map<std::string, std::pair<int, RolloutTracker>> trackers_;  // with the incarnation that made it
-  std::string leader_, orderedAs_;
-  std::optional<RolloutPhase> ended_;
+  std::string leader_, orderOperationId_;
+  std::optional<RolloutPhase> finalPhase_;
   std::vector<std::string> problems_;
   RolloutPhase phase_{};
   std::size_t ticks_ = 0;
   int records_ = 0;
   double requests_ = 0, candidateRequests_ = 0;
 };
-std::uint64_t worlds() {
-  constexpr std::uint64_t kUsualWorlds = 12;
+std::uint64_t worldCount() {
+  constexpr std::uint64_t kDefaultWorlds = 12;
   const char* wanted = std::getenv("ZINCCLEAT_WORLDS");
-  return wanted ? std::strtoull(wanted, nullptr, 10) : kUsualWorlds;
+  return wanted ? std::strtoull(wanted, nullptr, 10) : kDefaultWorlds;
 }
 }  // namespace
 
 TEST(RolloutLog, ABadVersionIsRevertedWithinItsExposureWhateverTheLogSuffers) {
-  for (std::uint64_t seed = 1; seed <= worlds() && !HasFailure(); ++seed) {
+  for (std::uint64_t seed = 1; seed <= worldCount() && !HasFailure(); ++seed) {
     RolloutCluster fleet(seed, true);
-    fleet.play();
+    fleet.simulate();
     fleet.check();
   }
 }
 TEST(RolloutLog, AGoodVersionIsCompletedOrAtLeastDecided) {
   std::uint64_t completed = 0;
-  for (std::uint64_t seed = 1; seed <= worlds() && !HasFailure(); ++seed) {
+  for (std::uint64_t seed = 1; seed <= worldCount() && !HasFailure(); ++seed) {
     RolloutCluster fleet(seed, false);
-    fleet.play();
+    fleet.simulate();
     fleet.check();
     completed += fleet.phase() == RolloutPhase::completed ? 1 : 0;
   }
   std::printf("completed: %llu of %llu\n", static_cast<unsigned long long>(completed),
-              static_cast<unsigned long long>(worlds()));
-  EXPECT_GE(completed * 10, worlds() * 9);
+              static_cast<unsigned long long>(worldCount()));
+  EXPECT_GE(completed * 10, worldCount() * 9);
 }
--- a/tests/rollout_state_test.cpp
+++ b/tests/rollout_state_test.cpp
@@ -193,8 +193,8 @@
   }
   return entries;
 }
-std::size_t problemsAfter(const ReplicatedState& before, const ReplicatedState& after, Verdict verdict,
-                          const LogEntry& entry) {
+std::size_t countViolations(const ReplicatedState& before, const ReplicatedState& after, Verdict verdict,
+                            const LogEntry& entry) {
   const auto* old = before.rollout("s");
   const auto* next = after.rollout("s");
   const bool begins = entry.op() == OperationKind::rolloutBegin;
@@ -202,22 +202,22 @@
     return next && !begins ? 1 : 0;
   if (!next)
     return 1;  // forgotten
-  if (!next->sameOrder(*old))
+  if (!next->isSameRollout(*old))
     return old->inProgress() || !begins ? 1 : 0;  // only a new order takes the place, of one that is over
-  const bool wentBack = next->phase() < old->phase() ||
-                        (next->phase() == old->phase() && next->percent < old->percent && next->inProgress());
-  const bool changedItsEnd = !old->inProgress() && next->phase() != old->phase();
-  const bool refusedAgain =
+  const bool regressed = next->phase() < old->phase() ||
+                         (next->phase() == old->phase() && next->percent < old->percent && next->inProgress());
+  const bool changedFinalPhase = !old->inProgress() && next->phase() != old->phase();
+  const bool rejectedRepeat =
       begins && entry.body == rolloutBeginEntry(rolloutTo(old->revision), "").body && verdict != Verdict::acknowledged;
-  const bool oldRunnerIsBack = !before.runner("old") && after.runner("old");
+  const bool baselineRunnerRejoined = !before.runner("old") && after.runner("old");
   const bool lostWithoutCompletion =
       before.runner("old") && !after.runner("old") && next->phase() != RolloutPhase::completed;
-  return static_cast<std::size_t>(wentBack || changedItsEnd || refusedAgain || oldRunnerIsBack ||
+  return static_cast<std::size_t>(regressed || changedFinalPhase || rejectedRepeat || baselineRunnerRejoined ||
                                   lostWithoutCompletion);
 }
-struct Search {
+struct EntrySearch {
   std::vector<LogEntry> entries = allEntries();
-  std::size_t states = 0, problems = 0;
+  std::size_t states = 0, violations = 0;
   void from(const ReplicatedState& state, int depth) {
     ++states;
     if (depth == 0)
@@ -227,7 +227,7 @@
       entry.operationId += "/" + std::to_string(depth);
       ReplicatedState next = state;
       next.apply(entry);
-      problems += problemsAfter(state, next, *next.outcomeOf(entry.operationId), entry);
+      violations += countViolations(state, next, *next.outcomeOf(entry.operationId), entry);
       from(next, depth - 1);
     }
   }
@@ -236,8 +236,8 @@
 TEST_F(RolloutState, EveryOrderOfEntriesKeepsTheInvariants) {
   join(runnerOf("old", "v1"));
   constexpr int kDepth = 5;
-  Search search;
+  EntrySearch search;
   search.from(state_, kDepth);
-  EXPECT_EQ(search.problems, 0U);
+  EXPECT_EQ(search.violations, 0U);
   EXPECT_GT(search.states, 300'000U);
 }
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -47,8 +47,8 @@
   ledger.report(kStart, std::nullopt, {answersOf("", 2000, 4), answersOf("n1", 35, 3), answersOf("n2", 35, 4)});
   return ledger;
 }
-constexpr FleetView kReady{.baselineCapacity = 100, .candidateCapacity = 100, .baselineIsIdle = false};
-Duration partOf(double part) {
+constexpr FleetView kReadyFleet{.baselineCapacity = 100, .candidateCapacity = 100, .baselineIsIdle = false};
+Duration fractionOfTerm(double part) {
   return Duration(static_cast<Duration::rep>(kDurationMs * part));
 }
 RevisionGate gateIn(RolloutPhase phase, std::int32_t percent = 0) {
@@ -238,7 +238,7 @@
     for (int runner = 0; runner < 60; ++runner)
       answers.push_back(answersOf("n" + std::to_string(runner), 20, runner < faulty ? 10 : 0));
     ledger.report(kStart, std::nullopt, answers);
-    ledger.setEjectedBaseline(ejected);
+    ledger.setEjectedBaselineFraction(ejected);
     return ledger;
   };
   const auto fault = ledgerWith(19, 0).findFault();
@@ -263,8 +263,8 @@
     EXPECT_EQ(routeOf(stratum), "r (x)");
     EXPECT_EQ(loadClassOf(stratum), loadClassOf(load));
   }
-  EXPECT_EQ(withoutFull(stratumOf("r", LoadClass::full)), stratumOf("r", LoadClass::busy));
-  EXPECT_EQ(withoutFull("r"), "r");
+  EXPECT_EQ(mergeFullIntoBusy(stratumOf("r", LoadClass::full)), stratumOf("r", LoadClass::busy));
+  EXPECT_EQ(mergeFullIntoBusy("r"), "r");
 }
 TEST(RunnerOutliersTest, OneRateForAllHasNoOutliers) {
   EXPECT_TRUE(findOutliers({{5, 20}, {4, 20}, {6, 20}, {5, 20}, {3, 20}, {7, 20}}).empty());
@@ -292,48 +292,50 @@
 
 TEST(RolloutPlan, TheCanaryLastsForHalfOfTheTerm) {
   const auto canary = rolloutIn(RolloutPhase::canary, kLoadTestGroups);
-  EXPECT_FALSE(nextStep(canary, soundEvidence(), kReady, partOf(0.5), partOf(0.5)));
-  const auto step = nextStep(canary, soundEvidence(), kReady, partOf(0.56), partOf(0.56));
+  EXPECT_FALSE(nextStep(canary, soundEvidence(), kReadyFleet, fractionOfTerm(0.5), fractionOfTerm(0.5)));
+  const auto step = nextStep(canary, soundEvidence(), kReadyFleet, fractionOfTerm(0.56), fractionOfTerm(0.56));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->phase, RolloutPhase::shifting);
   EXPECT_LT(step->percent, 100);
 }
 TEST(RolloutPlan, TheLoadTestTakesGroupAfterGroup) {
   const auto groupAfter = [](std::int32_t group, const EvidenceLedger& evidence, double part, Duration sinceGroup) {
-    const auto step = nextStep(rolloutIn(RolloutPhase::canary, group), evidence, kReady, partOf(part), sinceGroup);
+    const auto step =
+        nextStep(rolloutIn(RolloutPhase::canary, group), evidence, kReadyFleet, fractionOfTerm(part), sinceGroup);
     return step && step->phase == RolloutPhase::canary ? step->percent : 0;
   };
-  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.2, partOf(0.2)), 0) << "faults that need no load are seen first";
-  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.3, partOf(0.3)), 1);
-  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.35, partOf(0.07)), 0);
-  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.45, partOf(0.17)), 2);
-  EXPECT_EQ(groupAfter(1, suspiciousEvidence(), 0.45, partOf(0.17)), 0) << "the group under suspicion stays loaded";
-  EXPECT_EQ(groupAfter(2, soundEvidence(), 0.5, partOf(0.08)), 0);
+  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.2, fractionOfTerm(0.2)), 0) << "faults that need no load are seen first";
+  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.3, fractionOfTerm(0.3)), 1);
+  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.35, fractionOfTerm(0.07)), 0);
+  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.45, fractionOfTerm(0.17)), 2);
+  EXPECT_EQ(groupAfter(1, suspiciousEvidence(), 0.45, fractionOfTerm(0.17)), 0)
+      << "the group under suspicion stays loaded";
+  EXPECT_EQ(groupAfter(2, soundEvidence(), 0.5, fractionOfTerm(0.08)), 0);
   EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(100)), 0) << "a leader that comes late, too";
   EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(450)), 2);
 }
 TEST(RolloutPlan, WithoutALoadTestNothingIsShifted) {
   for (const std::int32_t group : {0, 1}) {
-    const auto step =
-        nextStep(rolloutIn(RolloutPhase::canary, group), soundEvidence(), kReady, partOf(0.75), partOf(0.75));
+    const auto step = nextStep(rolloutIn(RolloutPhase::canary, group), soundEvidence(), kReadyFleet,
+                               fractionOfTerm(0.75), fractionOfTerm(0.75));
     EXPECT_TRUE(!step || step->phase == RolloutPhase::canary);
   }
 }
 TEST(RolloutPlan, AStrongSuspicionRevertsOnceMostOfTheExposureIsSpent) {
   const auto shifting = rolloutIn(RolloutPhase::shifting, 25);
-  auto fleet = kReady;
+  auto fleet = kReadyFleet;
   fleet.allowedExposure = 1000;
-  EXPECT_FALSE(nextStep(shifting, suspiciousEvidence(), fleet, partOf(0.6), partOf(0.02)));
+  EXPECT_FALSE(nextStep(shifting, suspiciousEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02)));
   fleet.allowedExposure = 100;
-  const auto step = nextStep(shifting, suspiciousEvidence(), fleet, partOf(0.6), partOf(0.02));
+  const auto step = nextStep(shifting, suspiciousEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->phase, RolloutPhase::reverted);
-  EXPECT_FALSE(nextStep(shifting, soundEvidence(), fleet, partOf(0.6), partOf(0.02)));
+  EXPECT_FALSE(nextStep(shifting, soundEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02)));
 }
 TEST(RolloutPlan, AFaultRevertsInEachPhase) {
   for (const auto& rollout : {rolloutIn(RolloutPhase::canary), rolloutIn(RolloutPhase::canary, 1),
                               rolloutIn(RolloutPhase::shifting, 25), rolloutIn(RolloutPhase::shifting, 100)}) {
-    const auto step = nextStep(rollout, faultyEvidence(), kReady, partOf(0.1), Duration(0));
+    const auto step = nextStep(rollout, faultyEvidence(), kReadyFleet, fractionOfTerm(0.1), Duration(0));
     ASSERT_TRUE(step);
     EXPECT_EQ(step->phase, RolloutPhase::reverted);
     EXPECT_NE(step->reason.find("19 of 40"), std::string::npos) << step->reason;
@@ -341,38 +343,44 @@
 }
 TEST(RolloutPlan, EachStepOfTheShiftIsObserved) {
   const auto shifting = rolloutIn(RolloutPhase::shifting, 25);
-  EXPECT_FALSE(nextStep(shifting, soundEvidence(), kReady, partOf(0.6), Duration(500))) << "its runners fill up";
-  const auto step = nextStep(shifting, soundEvidence(), kReady, partOf(0.66), partOf(0.11));
+  EXPECT_FALSE(nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.6), Duration(500)))
+      << "its runners fill up";
+  const auto step = nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.66), fractionOfTerm(0.11));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->percent, 50);
-  EXPECT_EQ(nextStep(shifting, soundEvidence(), kReady, partOf(0.75), Duration(500))->percent, 50)
+  EXPECT_EQ(nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.75), Duration(500))->percent, 50)
       << "late in the term";
   const auto half = rolloutIn(RolloutPhase::shifting, 50);
-  EXPECT_FALSE(nextStep(half, soundEvidence(), kReady, partOf(0.7), Duration(100)));
-  EXPECT_EQ(nextStep(half, soundEvidence(), kReady, partOf(0.7), Duration(500))->percent, 100);
+  EXPECT_FALSE(nextStep(half, soundEvidence(), kReadyFleet, fractionOfTerm(0.7), Duration(100)));
+  EXPECT_EQ(nextStep(half, soundEvidence(), kReadyFleet, fractionOfTerm(0.7), Duration(500))->percent, 100);
 }
 TEST(RolloutPlan, CompletionWaitsForAttemptsAtTheOldRunnersWithinBounds) {
   const auto full = rolloutIn(RolloutPhase::shifting, 100);
-  EXPECT_FALSE(nextStep(full, soundEvidence(), kReady, partOf(0.7), partOf(0.1)));
-  auto idle = kReady;
+  EXPECT_FALSE(nextStep(full, soundEvidence(), kReadyFleet, fractionOfTerm(0.7), fractionOfTerm(0.1)));
+  auto idle = kReadyFleet;
   idle.baselineIsIdle = true;
-  EXPECT_FALSE(nextStep(full, soundEvidence(), idle, partOf(0.7), Duration(300))) << "the full traffic is observed too";
-  EXPECT_EQ(nextStep(full, soundEvidence(), idle, partOf(0.7), partOf(0.1))->phase, RolloutPhase::completed);
-  EXPECT_EQ(nextStep(full, soundEvidence(), kReady, partOf(0.89), partOf(0.1))->phase, RolloutPhase::completed);
+  EXPECT_FALSE(nextStep(full, soundEvidence(), idle, fractionOfTerm(0.7), Duration(300)))
+      << "the full traffic is observed too";
+  EXPECT_EQ(nextStep(full, soundEvidence(), idle, fractionOfTerm(0.7), fractionOfTerm(0.1))->phase,
+            RolloutPhase::completed);
+  EXPECT_EQ(nextStep(full, soundEvidence(), kReadyFleet, fractionOfTerm(0.89), fractionOfTerm(0.1))->phase,
+            RolloutPhase::completed);
 }
 TEST(RolloutPlan, WhatCantBeTestedOrCantCarryTheTrafficIsRevertedBeforeTheTerm) {
   const auto canary = rolloutIn(RolloutPhase::canary, kLoadTestGroups);
   const EvidenceLedger nothing;
-  EXPECT_FALSE(nextStep(canary, nothing, kReady, partOf(0.9), partOf(0.9)));
-  EXPECT_EQ(nextStep(canary, nothing, kReady, partOf(0.95), partOf(0.95))->phase, RolloutPhase::reverted);
-  auto few = kReady;
+  EXPECT_FALSE(nextStep(canary, nothing, kReadyFleet, fractionOfTerm(0.9), fractionOfTerm(0.9)));
+  EXPECT_EQ(nextStep(canary, nothing, kReadyFleet, fractionOfTerm(0.95), fractionOfTerm(0.95))->phase,
+            RolloutPhase::reverted);
+  auto few = kReadyFleet;
   few.candidateCapacity = 40;
-  EXPECT_FALSE(nextStep(canary, soundEvidence(), few, partOf(0.9), partOf(0.9)));
-  EXPECT_EQ(nextStep(canary, soundEvidence(), few, partOf(0.95), partOf(0.95))->phase, RolloutPhase::reverted);
+  EXPECT_FALSE(nextStep(canary, soundEvidence(), few, fractionOfTerm(0.9), fractionOfTerm(0.9)));
+  EXPECT_EQ(nextStep(canary, soundEvidence(), few, fractionOfTerm(0.95), fractionOfTerm(0.95))->phase,
+            RolloutPhase::reverted);
 }
 TEST(RolloutPlan, ARolloutThatIsOverTakesNoStep) {
   for (const auto phase : {RolloutPhase::completed, RolloutPhase::reverted})
-    EXPECT_FALSE(nextStep(rolloutIn(phase, 100), faultyEvidence(), kReady, partOf(2), partOf(1)));
+    EXPECT_FALSE(nextStep(rolloutIn(phase, 100), faultyEvidence(), kReadyFleet, fractionOfTerm(2), fractionOfTerm(1)));
 }
 
 // --- The tracker ---
@@ -420,14 +428,14 @@
   double granted = tracker.report(kStart, "p", reportOf(2000, {answersOf("", 2000, 2)}))->tokens;
   EXPECT_NEAR(granted, 49, 1);
   for (int time = 0; time < 3; ++time) {
-    const auto records = tracker.decide(kStart + partOf(0.3), state);
+    const auto records = tracker.decide(kStart + fractionOfTerm(0.3), state);
     ASSERT_EQ(records.size(), 1U);
     EXPECT_EQ(records[0].loadTestGroup(), 1);
   }
   state.rollouts[0].percent = 1;
-  tracker.follow(kStart + partOf(0.31), state);
+  tracker.follow(kStart + fractionOfTerm(0.31), state);
   for (int report = 0; report < 50; ++report)
-    granted += tracker.report(kStart + partOf(0.32), "p", reportOf(40))->tokens;
+    granted += tracker.report(kStart + fractionOfTerm(0.32), "p", reportOf(40))->tokens;
   EXPECT_GT(granted, 0.07 * 4000 + 0.5 * kSlack);
   EXPECT_LE(granted, 0.1 * 4000 + kSlack);
 }
@@ -459,11 +467,11 @@
   const auto state = stateWith(rolloutIn(RolloutPhase::canary, kLoadTestGroups));
   RolloutTracker tracker(0.1);
   tracker.follow(kStart, state);
-  tracker.follow(kStart + partOf(0.6), state);
+  tracker.follow(kStart + fractionOfTerm(0.6), state);
   tracker.startTerm();
   const std::vector<RevisionAnswers> sound{answersOf("", 1000, 1), answersOf("n1", 30, 0), answersOf("n2", 30, 0)};
-  tracker.report(kStart + partOf(0.6), "p", reportOf(100, sound));
-  const auto records = tracker.decide(kStart + partOf(0.6), state);
+  tracker.report(kStart + fractionOfTerm(0.6), "p", reportOf(100, sound));
+  const auto records = tracker.decide(kStart + fractionOfTerm(0.6), state);
   ASSERT_EQ(records.size(), 1U);
   EXPECT_EQ(records[0].phase(), RolloutPhase::shifting);
   EXPECT_GE(records[0].elapsedMs, kDurationMs * 6 / 10);
@@ -607,7 +615,7 @@
       ASSERT_GE(group.runners, 1U);
       // Requests of one runner, as a multiple of those after completion.
       const double factor =
-          exposure.loadTest * group.requestPart * static_cast<double>(runners) / static_cast<double>(group.runners);
+          exposure.loadTest * group.requestFraction * static_cast<double>(runners) / static_cast<double>(group.runners);
       EXPECT_GE(factor, 1.3) << runners << " runners at " << load;
       EXPECT_LE(factor, 2.6) << runners << " runners at " << load;
     }
--- a/tests/rollout_world.cpp
+++ b/tests/rollout_world.cpp
@@ -7,12 +7,12 @@
 using namespace transport;
 
 constexpr int kRoutes = 3;
-constexpr double kPerMs = 0.001;
+constexpr double kSecondsPerMs = 0.001;
 
 struct SimulatedRunner {
   std::string id;
   std::string revision;
-  bool ailing = false;
+  bool faulty = false;
   TimePoint crashesAt = TimePoint::max();
   double load = 0;  // requests lately, decayed
 };
@@ -22,7 +22,7 @@
   explicit World(const Plan& plan)
       : plan_(plan),
         rng_(plan.seed),
-        control_({plan.seed, plan.proxies, plan.term, plan.leaderChanges, plan.silentProxies}) {
+        control_({plan.seed, plan.proxies, plan.term, plan.leaderChanges, plan.disconnectedProxies}) {
     addRunners();
     control_.begin();
   }
@@ -46,9 +46,9 @@
       SimulatedRunner runner;
       runner.revision = i < plan_.runners ? kBaseline : kCandidate;
       runner.id = runner.revision + "-" + std::to_string(i);
-      runner.ailing = uniform() < plan_.ailingRunners;
+      runner.faulty = uniform() < plan_.faultyRunners;
       if (uniform() < plan_.crashedRunners)
-        runner.crashesAt = kStart + fractionOf(plan_.term, crashPart_);
+        runner.crashesAt = kStart + fractionOf(plan_.term, crashTimeFraction_);
       control_.join(runner.id, runner.revision, 16);
       runners_.push_back(std::move(runner));
     }
@@ -63,7 +63,7 @@
     }
   }
   void sendRequests(ControlledProxy& proxy, TimePoint now) {
-    const double expected = plan_.requestsPerS * static_cast<double>(kTick.count()) * kPerMs;
+    const double expected = plan_.requestsPerS * static_cast<double>(kTick.count()) * kSecondsPerMs;
     const int count = std::poisson_distribution<int>(expected)(rng_);
     for (int i = 0; i < count; ++i)
       sendRequest(proxy, now);
@@ -124,7 +124,7 @@
   double failureRate(SimulatedRunner& runner, int route, TimePoint now) {
     constexpr double kLoadDecay = 0.9;
     runner.load = runner.load * kLoadDecay + 1;
-    const double usual = runner.ailing ? 0.4 : plan_.baselineFailures;
+    const double usual = runner.faulty ? 0.4 : plan_.baselineFailures;
     if (runner.revision != kCandidate)
       return usual;
     switch (plan_.version) {
@@ -147,14 +147,14 @@
 
   const Plan plan_;
   std::mt19937_64 rng_;
-  const double crashPart_ = 0.2 + 0.6 * static_cast<double>(plan_.seed % 97) / 97;
+  const double crashTimeFraction_ = 0.2 + 0.6 * static_cast<double>(plan_.seed % 97) / 97;
   RolloutControl control_;
   std::vector<SimulatedRunner> runners_;
   Outcome outcome_;
 };
 }  // namespace
 
-Outcome play(const Plan& plan) {
+Outcome simulate(const Plan& plan) {
   return World(plan).run();
 }
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_world.hpp
+++ b/tests/rollout_world.hpp
@@ -23,9 +23,9 @@
   Duration term{14000};
   int leaderChanges = 0;      // at random times
   double crashedRunners = 0;  // part of the runners of both revisions that crash at a random time
-  double ailingRunners = 0;   // part of the runners that fail two fifths of their answers, of both revisions
+  double faultyRunners = 0;   // part of the runners that fail two fifths of their answers, of both revisions
   double baselineFailures = 0.002;
-  double silentProxies = 0;  // part of the proxies that hear nothing for a while
+  double disconnectedProxies = 0;  // part of the proxies that hear nothing for a while
 };
 struct Outcome {
   state_machine::RolloutPhase phase{};
@@ -39,5 +39,5 @@
   bool inProgress() const { return !state_machine::isFinal(phase); }
 };
 /// Plays one rollout to its term.
-Outcome play(const Plan& plan);
+Outcome simulate(const Plan& plan);
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_worlds_test.cpp
+++ b/tests/rollout_worlds_test.cpp
@@ -13,14 +13,14 @@
 using namespace zinccleat::rollout_world;
 using namespace zinccleat::state_machine;
 namespace {
-constexpr int kUsualWorlds = 12;
+constexpr int kDefaultWorlds = 12;
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
 constexpr std::uint64_t kFirstSeed = 4000;
 
 int worldCount() {
   const char* wanted = std::getenv("ZINCCLEAT_WORLDS");
-  return wanted ? std::max(1, std::atoi(wanted)) : kUsualWorlds;
+  return wanted ? std::max(1, std::atoi(wanted)) : kDefaultWorlds;
 }
 struct Kind {
   const char* name;
@@ -34,7 +34,7 @@
   plan.leaderChanges = 2;
   plan.crashedRunners = 0.15;
   plan.baselineFailures = 0.03;
-  plan.silentProxies = 0.2;
+  plan.disconnectedProxies = 0.2;
   return plan;
 }
 Plan smallService(Version version) {
@@ -47,13 +47,13 @@
   int completed = 0, reverted = 0, undecided = 0, overExposed = 0, lateBad = 0, afterReversal = 0;
   double worstExposure = 0;  // of what is allowed
 };
-Counts playAll(const Kind& kind) {
+Counts simulateAll(const Kind& kind) {
   Counts counts;
   std::string reasons;
   for (int world = 0; world < worldCount(); ++world) {
     auto plan = kind.plan;
     plan.seed = kFirstSeed + static_cast<std::uint64_t>(world);
-    const auto outcome = play(plan);
+    const auto outcome = simulate(plan);
     counts.completed += outcome.phase == RolloutPhase::completed ? 1 : 0;
     counts.reverted += outcome.phase == RolloutPhase::reverted ? 1 : 0;
     const auto wanted = plan.version == Version::good ? RolloutPhase::completed : RolloutPhase::reverted;
@@ -83,14 +83,14 @@
 
 class RolloutWorlds : public testing::TestWithParam<Kind> {};
 TEST_P(RolloutWorlds, EndAsTheVersionDeserves) {
-  const auto counts = playAll(GetParam());
+  const auto counts = simulateAll(GetParam());
   const bool isGood = GetParam().plan.version == Version::good;
   // All of the usual dozen; of many more one in a hundred may err, by the test's error rates.
   EXPECT_GE(isGood ? counts.completed : counts.reverted, worldCount() * 0.99);
   EXPECT_LE(counts.overExposed, worldCount() * 0.01);
   EXPECT_EQ(counts.undecided, 0);
   // A proxy that heard nothing may send a little longer, until its lease ends; here it hears nothing for 3 s.
-  if (GetParam().plan.silentProxies <= 0) {
+  if (GetParam().plan.disconnectedProxies <= 0) {
     EXPECT_EQ(counts.afterReversal, 0);
   }
 }
@@ -111,12 +111,12 @@
 TEST(RolloutWorldsAiling, AGoodVersionIsHardlyEverReverted) {
   for (const int runners : {30, 90}) {
     Plan plan{.version = Version::good};
-    plan.ailingRunners = 0.15;
+    plan.faultyRunners = 0.15;
     plan.runners = runners;
     int reverted = 0;
     for (int world = 0; world < worldCount(); ++world) {
       plan.seed = kFirstSeed + static_cast<std::uint64_t>(world);
-      reverted += play(plan).phase == RolloutPhase::reverted ? 1 : 0;
+      reverted += simulate(plan).phase == RolloutPhase::reverted ? 1 : 0;
     }
     std::printf("good, 15 in 100 runners ail, %d runners: %d of %d reverted\n", runners, reverted, worldCount());
     EXPECT_LE(reverted, 1 + worldCount() / 10);
--- a/tests/simulated_engine.cpp
+++ b/tests/simulated_engine.cpp
@@ -35,13 +35,13 @@
   }
 }
 // Reads prompts, the oldest first; returns the time that was used.
-double Engine::read(double ms) {
+double Engine::processPrompts(double ms) {
   double left = ms * capacity_.prefillTokensPerMs;
   for (auto& each : running_) {
-    const double tokens = std::min(left, each.unreadTokens);
-    each.unreadTokens -= tokens;
+    const double tokens = std::min(left, each.remainingPromptTokens);
+    each.remainingPromptTokens -= tokens;
     left -= tokens;
-    if (each.unreadTokens <= 0 && tokens > 0)
+    if (each.remainingPromptTokens <= 0 && tokens > 0)
       cache(each.work.prefix, each.work.sharedTokens);
   }
   return ms - left / capacity_.prefillTokensPerMs;
@@ -53,15 +53,15 @@
 }
 std::vector<Progress> Engine::advance(double ms) {
   const double budget = ms / capacity_.slowness;
-  const auto isReading = [](const Running& each) { return each.unreadTokens > 0; };
-  const auto reading = std::count_if(running_.begin(), running_.end(), isReading);
-  const bool generating = reading < static_cast<std::ptrdiff_t>(running_.size());
-  const double used = reading > 0 ? read(generating ? budget * capacity_.prefillShare : budget) : 0;
-  const double streams = static_cast<double>(running_.size()) - static_cast<double>(reading);
+  const auto isPrefilling = [](const Running& each) { return each.remainingPromptTokens > 0; };
+  const auto prefilling = std::count_if(running_.begin(), running_.end(), isPrefilling);
+  const bool generating = prefilling < static_cast<std::ptrdiff_t>(running_.size());
+  const double used = prefilling > 0 ? processPrompts(generating ? budget * capacity_.prefillShare : budget) : 0;
+  const double streams = static_cast<double>(running_.size()) - static_cast<double>(prefilling);
   const double tokens = (budget - used) / (capacity_.tokenMs + capacity_.tokenMsPerStream * std::max(0.0, streams - 1));
   std::vector<Progress> progress;
   for (auto& each : running_) {
-    if (isReading(each))
+    if (isPrefilling(each))
       continue;
     if (each.generated <= 0)
       progress.push_back({each.work.id, false});
--- a/tests/simulated_engine.hpp
+++ b/tests/simulated_engine.hpp
@@ -1,5 +1,5 @@
-// A runner's engine in simulated time: slots, a queue, prompts that are read in turn, tokens that come slower the more
-// requests run, and a bounded memory for prompt prefixes. Its figures are this project's own. Pure.
+// A runner's engine in simulated time: slots, a queue, prompts that are processPrompts in turn, tokens that come slower
+// the more requests run, and a bounded memory for prompt prefixes. Its figures are this project's own. Pure.
 #pragma once
 #include <deque>
 #include <list>
@@ -14,7 +14,7 @@
   double prefillTokensPerMs = 80;
   double tokenMs = 2.8;            // between two tokens of the only stream that runs
   double tokenMsPerStream = 0.25;  // more for each further one
-  double prefillShare = 0.6;       // of the time, while there are both prompts to read and tokens to generate
+  double prefillShare = 0.6;       // of the time, while there are both prompts to processPrompts and tokens to generate
   double prefixMemory = 300000;    // tokens
   double slowness = 1;             // all work takes so many times as long
 };
@@ -49,11 +49,11 @@
  private:
   struct Running {
     Work work;
-    double unreadTokens = 0;
+    double remainingPromptTokens = 0;
     double generated = 0;
   };
   void admit();
-  double read(double ms);
+  double processPrompts(double ms);
   bool isCached(std::uint64_t prefix);
   void cache(std::uint64_t prefix, double tokens);
 
