--- a/libs/rollout/src/evidence_ledger.cpp
+++ b/libs/rollout/src/evidence_ledger.cpp
@@ -10,8 +10,8 @@
 constexpr double kSuspicionAlpha = 0.2;  // from which a candidate gets no more requests than needed
 constexpr double kStrongSuspicionAlpha = 0.03;
 constexpr double kBeta = 0.05;                  // probability that a faint fault is cleared
-constexpr double kSmallFaultRate = 0.08;        // such a fault: so many more of its answers are bad
-constexpr double kStratumFaultRate = 0.3;       // a fault in one stratum that is cleared as well, where
+constexpr double kSmallFaultDifference = 0.08;  // such a fault: so many more of its answers are bad
+constexpr double kGroupFaultDifference = 0.3;   // a fault in one stratum that is cleared as well, where
 constexpr double kUsualStratumFraction = 0.05;  // the baseline has so many of its answers there
 constexpr double kMinBadAnswers = 4;            // fewer prove nothing
 // Part of the runners that may have a fault of their own beyond what the baseline's answers explain.
@@ -205,11 +205,11 @@
   for (const auto& [key, answers] : baseline) {
     const bool isUsual = answers.answered >= allBaseline.answered * kUsualStratumFraction;
     const double rate = soundRate(answers.failures(), kFailureTest);
-    if (isUsual && logRatio(candidate[key].failures(), rate, kStratumFaultRate) > std::log(kBeta))
+    if (isUsual && logRatio(candidate[key].failures(), rate, kGroupFaultDifference) > std::log(kBeta))
       return false;
   }
   const double rate = soundRate(allBaseline.failures(), kFailureTest);
-  return logRatio(allCandidate.failures(), rate, kSmallFaultRate) <= std::log(kBeta);
+  return logRatio(allCandidate.failures(), rate, kSmallFaultDifference) <= std::log(kBeta);
 }
 double EvidenceLedger::candidateAnswers() const {
   double sum = 0;
