--- a/libs/rollout/include/rollout/evidence_ledger.hpp
+++ b/libs/rollout/include/rollout/evidence_ledger.hpp
@@ -1,14 +1,15 @@
 /// @file
-/// What all proxies have seen of the two revisions of one rollout. Pure: the time is passed in.
+/// The answers of both revisions of one rollout, as observed by all proxies, and the statistical decision whether the
+/// candidate is faulty. Deterministic: the time is passed in.
 ///
-/// Answers are compared by stratum: a route, and whether the runner was busy. A version that fails under load only has
-/// no fault where its runners idle, and a busy runner is slower than an idle one whatever its version.
+/// Answers are compared by stratum, which is a route and the load class of the runner. A revision that fails only under
+/// load shows no fault on idle runners, and a busy runner is slower than an idle one whatever its revision.
 ///
-/// Answers of the candidate are kept by runner, so that a fault of the version, which all its runners have, can be told
-/// from a fault of single runners: those are left out, see `runner_outliers.hpp`. Where more of the candidate's runners
-/// are faulty than of the baseline's, that is a fault of the version as well. An attempt whose answer broke off counts
-/// against the candidate only once its runner has answered something later: a runner that crashed has not, and a crash
-/// says nothing of the version.
+/// Answers of the candidate are counted by runner, to distinguish a fault of the revision, which all its runners have,
+/// from a fault of single runners. Runners with a fault of their own are excluded, see `runner_outliers.hpp`. If a
+/// larger part of the candidate's runners than of the baseline's is faulty, the revision is considered faulty as well.
+/// An attempt whose answer was interrupted counts against the candidate only after its runner has answered a later
+/// request: a crashed runner does not answer again, and a crash is no evidence against the revision.
 #pragma once
 #include <set>
 
@@ -17,56 +18,61 @@
 #include "state_machine/rollout.hpp"
 #include "transport/rollout_records.hpp"
 namespace zinccleat::rollout {
-/// What is wrong with a candidate.
+/// A fault of a candidate.
 struct Fault {
   enum class Kind : std::uint8_t {
     answersFail,
     answersAreSlow,
-    runnersFail,  ///< some of its runners are faulty, and the baseline has fewer such runners
+    runnersFail,  ///< a larger part of the candidate's runners than of the baseline's is faulty
   };
-  std::string stratum;  ///< see `stratumOf`; empty: all together
+  std::string stratum;  ///< see `stratumOf`; empty: all strata together
   Kind kind = Kind::answersFail;
-  BadCount candidate;  ///< answers, or runners
+  BadCount candidate;  ///< bad answers of all answers; for `runnersFail`, faulty runners of all runners
 };
 
+/// Collects the answers of one rollout and tests them for a fault of the candidate.
 class EvidenceLedger {
  public:
-  /// Begins with what an earlier leader had gathered.
+  /// @param carriedOver the counts that an earlier leader collected, from the log.
   explicit EvidenceLedger(const std::vector<state_machine::RouteEvidence>& carriedOver = {});
-  /// Adds one proxy's counts since its last report.
-  /// @param previousReport when that was; none: this is its first, whose answers may be of any age
+  /// Adds the counts of one proxy since the proxy's previous report.
+  /// @param previousReport time of the previous report; none: the first report of the proxy, whose answers may be of
+  /// any
+  ///        age
   void report(TimePoint now, std::optional<TimePoint> previousReport,
               const std::vector<transport::RevisionAnswers>& answers);
-  /// The fraction of the baseline's runners that outlier detection has all proxies avoid: their answers are few, and
-  /// yet a candidate may have as many such runners. To be kept up to date by the leader.
+  /// Sets the fraction of the baseline's runners that outlier detection has ejected from all proxies. Ejected runners
+  /// answer few requests, so the baseline's answers do not show them, and the candidate may have the same fraction of
+  /// faulty runners without being at fault. The leader must keep this fraction up to date.
   void setEjectedBaselineFraction(double fraction) { ejectedBaselineFraction_ = fraction; }
-  /// The first fault of the candidate that the evidence proves; none: none is proven.
+  /// The first fault of the candidate that is statistically significant; none if there is no such fault.
   std::optional<Fault> findFault() const;
-  /// How sure a suspicion is.
+  /// The confidence of a suspicion: evidence of a fault that is not significant enough to revert.
   enum class Suspicion : std::uint8_t {
-    slight,  ///< no more requests are to be risked than needed to decide
-    strong,  ///< nor is there time to wait for the proof
+    slight,  ///< the candidate should get only the requests that are needed to decide
+    strong,  ///< in addition, waiting for significance would expose too many requests
   };
-  /// Whether there is a suspicion that is not proven.
+  /// Whether there is at least this much evidence of a fault of the candidate.
   bool isSuspicious(Suspicion suspicion = Suspicion::slight) const;
-  /// Answers of both revisions up to now.
+  /// Number of answers of both revisions so far.
   double allAnswers() const;
-  /// How finely answers are looked at before the candidate is cleared.
+  /// The groups of answers in which a large fault must be ruled out before the candidate is cleared.
   enum class Clearing : std::uint8_t {
-    byStratum,  ///< a larger fault is excluded on each usual route, busy runners apart
-    byRoute,    ///< on each usual route
+    byStratum,  ///< each frequent route, with separate groups for idle runners and for busy ones
+    byRoute,    ///< each frequent route
   };
-  /// Whether the answers clear the candidate of a faint fault, and of a larger one as said.
+  /// Whether the answers rule out a small fault over all answers together, and a large fault in each group of
+  /// `clearing`.
   bool isCleared(Clearing clearing) const;
-  /// Answers of the candidate up to now.
+  /// Number of answers of the candidate so far.
   double candidateAnswers() const;
-  /// Bad answers of the candidate up to now, interrupted ones included.
+  /// Number of bad answers of the candidate so far, including interrupted ones.
   double candidateBadAnswers() const;
-  /// All counts, for the log; interrupted attempts that count are among the failed ones.
+  /// All counts, for the log. Confirmed interruptions are counted as failed answers.
   std::vector<state_machine::RouteEvidence> summary() const;
 
  private:
-  /// Counts of one revision in one stratum.
+  /// Counts of answers of one revision or of one runner.
   struct Answers {
     double answered = 0;
     double failed = 0;
@@ -76,7 +82,7 @@
     BadCount slowness() const { return {slow, answered}; }
     BadCount bad() const { return {std::max(failed, slow), answered}; }
   };
-  /// An interruption that may have been a crash of its runner.
+  /// Interrupted answers that may be due to a crash of the runner.
   struct Interruption {
     std::string stratum;
     double count = 0;
@@ -85,25 +91,28 @@
   struct CandidateRunner {
     std::map<std::string, Answers> byStratum;
     std::vector<Interruption> interruptions;
-    /// Of the strata of busy runners, or of the others.
+    /// The sum over the strata of busy and full runners, or over the strata of idle runners.
     Answers total(bool busy) const;
   };
   using ByStratum = std::map<std::string, Answers>;
-  /// What is left of the candidate's answers when those of outliers are left out.
+  /// The candidate's answers, with or without those of outlier runners.
   struct CandidateEvidence {
     ByStratum answers;
-    BadCount runners;         ///< how many were left out, of how many
-    BadCount outlierAnswers;  ///< theirs
-    /// Whether at least two runners that were not busy had bad answers: of one it is not known whose fault that is,
-    /// unless the version has no other.
+    BadCount runners;         ///< excluded outliers, of all runners
+    BadCount outlierAnswers;  ///< answers of the excluded outliers
+    /// Whether bad answers of idle runners may be attributed to the revision: at least two runners had bad answers
+    /// while idle, or the revision has only one runner. Bad answers of one of several runners may be a fault of that
+    /// runner.
     bool idleFaultIsShared = false;
   };
 
+  /// Counts the interruptions that were reported up to `answeredAfter` as failures, because the runner has answered
+  /// since.
   static void confirmInterruptions(CandidateRunner& runner, TimePoint answeredAfter);
-  /// The candidate's answers at all runners.
+  /// The candidate's answers, summed over all its runners.
   ByStratum candidateAnswersByStratum() const;
   CandidateEvidence withoutOutliers() const;
-  /// All of the candidate's answers, as if there were no outliers.
+  /// All answers of the candidate, including those of outliers.
   CandidateEvidence withAllRunners() const;
   static bool isFaultProven(const BadCount& candidate, const BadCount& baseline, const TestOptions& options,
                             double threshold);
@@ -113,7 +122,7 @@
 
   double ejectedBaselineFraction_ = 0;
   ByStratum baseline_;
-  ByStratum carriedOver_;                             ///< of the candidate, by runners that are not known any more
+  ByStratum carriedOver_;                             ///< of the candidate, at runners that are no longer known
   std::map<std::string, CandidateRunner> candidate_;  ///< by runner
 };
 }  // namespace zinccleat::rollout
--- a/libs/rollout/include/rollout/exposure.hpp
+++ b/libs/rollout/include/rollout/exposure.hpp
@@ -1,30 +1,33 @@
 /// @file
-/// Which part of a service's requests an unproven candidate may get in each stage of the canary, and how many of its
-/// runners share it. Pure; the leader and the proxies reckon alike.
+/// The part of a service's requests that an unproven candidate may get in each stage of the canary phase, and the
+/// number of the candidate's runners that share these requests. Pure functions; the leader and the proxies compute the
+/// same values.
 #pragma once
 #include <cstddef>
 namespace zinccleat::rollout {
-/// Parts of all requests.
+/// Limits for the candidate, as fractions of all requests of the service.
 struct Exposure {
-  double allowed = 0;   ///< over the canary as one; what is not spent early is left for the load test
+  double allowed = 0;   ///< in the whole canary phase; requests not used before the load test remain available for it
   double canary = 0;    ///< before the load test
-  double loadTest = 0;  ///< during it, as far as the allowed part suffices
+  double loadTest = 0;  ///< during the load test, as long as `allowed` is not exceeded
 };
 /// @param share the deployment's `exposureShare`.
-/// @param candidateRunners in service.
+/// @param candidateRunners number of the candidate's runners in service.
 Exposure exposureOf(double share, std::size_t candidateRunners);
 
-/// A group of the candidate's runners that is loaded fully.
+/// The size of a group of the candidate's runners under load test, and its part of the requests.
 struct LoadTestGroup {
   std::size_t runners = 0;
-  double requestFraction = 1;  ///< of the requests that the load test may have; more would overload so few runners
+  double requestFraction = 1;  ///< of the load test's requests that the group gets; more would overload the group
 };
-/// The load of the baseline's runners now.
+/// The current load of the baseline's runners.
 struct BaselineLoad {
-  double mean = 0;             ///< as a part of their slots; 0: not known
-  bool runsInBatches = false;  ///< each request slows those beside it, so that load grows faster than requests do
+  double mean = 0;             ///< as a fraction of their slots; 0: unknown
+  bool runsInBatches = false;  ///< concurrent requests slow each other, so load grows faster than the request rate
 };
-/// The group has so few runners that each gets more requests than it would after completion. How much more follows from
-/// the load that runners of the baseline have: it should come near the load at which a runner is full.
+/// Computes the group of a load test. The group is so small that each runner gets more requests than after completion
+/// of the rollout. The factor follows from the load of the baseline's runners: the load of the group should come close
+/// to the load of a full runner.
+/// @param loadTestShare `Exposure::loadTest`.
 LoadTestGroup loadTestGroup(std::size_t candidateRunners, double loadTestShare, const BaselineLoad& baseline);
 }  // namespace zinccleat::rollout
--- a/libs/rollout/include/rollout/sequential_test.hpp
+++ b/libs/rollout/include/rollout/sequential_test.hpp
@@ -1,17 +1,17 @@
 /// @file
-/// The sequential test that compares a candidate's answers with the baseline's. Pure.
+/// The sequential test that compares a candidate's answers with the baseline's. Pure functions.
 ///
-/// It may be evaluated after each answer, as often as one likes: the evidence is the likelihood ratio of a mixture of
-/// higher rates against the highest rate that still counts as sound. For a fixed sound rate that is a nonnegative
-/// martingale with mean 1 at most, so by Ville's inequality it ever exceeds 1/alpha with a probability of alpha at most
-/// (Robbins, "Statistical methods related to the law of the iterated logarithm", 1970; Howard, Ramdas, McAuliffe and
-/// Sekhon, "Time-uniform, nonparametric, nonasymptotic confidence sequences", 2021). The sound rate is estimated from
-/// the baseline, by an upper confidence bound plus a tolerance, so alpha holds nearly, not exactly; measured rates
-/// stand in docs/notes-rollouts.md.
+/// The test may be evaluated after each answer without increasing its error rate. The evidence is the likelihood ratio
+/// of a mixture of higher rates against the sound rate, which is the highest rate of bad answers of a candidate without
+/// a fault. For a fixed sound rate this ratio is a nonnegative martingale with a mean of at most 1, so by Ville's
+/// inequality the probability that it ever exceeds 1/alpha is at most alpha (Robbins, "Statistical methods related to
+/// the law of the iterated logarithm", 1970; Howard, Ramdas, McAuliffe and Sekhon, "Time-uniform, nonparametric,
+/// nonasymptotic confidence sequences", 2021). The sound rate is estimated from the baseline as an upper confidence
+/// bound plus a tolerance, so the error rate is only approximately alpha; docs/notes-rollouts.md lists measured rates.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::rollout {
-/// How many of a number of answers were bad.
+/// The number of bad answers among a number of answers.
 struct BadCount {
   double bad = 0;
   double total = 0;
@@ -21,24 +21,24 @@
     return *this;
   }
 };
-/// What a kind of bad answer costs, and from which rate on.
+/// Parameters of the test for one kind of bad answer.
 struct TestOptions {
-  double tolerance = 0.01;         ///< added to the baseline's rate: a smaller difference is no fault
-  double minSoundRate = 0.01;      ///< of the baseline, whatever few answers say
-  double unknownSoundRate = 0.08;  ///< where the baseline has no answers
+  double tolerance = 0.01;         ///< added to the baseline's rate; a smaller difference does not count as a fault
+  double minSoundRate = 0.01;      ///< lower limit for the estimated rate of the baseline, before `tolerance` is added
+  double unknownSoundRate = 0.08;  ///< sound rate if the baseline has no answers
 };
-/// Bad answers of the runner's own, and answers that broke off.
+/// Test for errors that a runner caused and for interrupted answers.
 inline constexpr TestOptions kFailureTest{};
-/// Slow answers: waiting behind other requests explains some, so more is tolerated.
+/// Test for slow answers. The tolerance is higher because some requests are slow while they wait for other requests.
 inline constexpr TestOptions kSlowTest{.tolerance = 0.14, .minSoundRate = 0.02, .unknownSoundRate = 0.25};
 
-/// The highest rate of bad answers at which a candidate still counts as sound beside this baseline.
+/// The sound rate: the highest rate of bad answers that does not count as a fault of a candidate, given this baseline.
 double soundRate(const BadCount& baseline, const TestOptions& options);
-/// The natural logarithm of the likelihood ratio of one fixed higher rate, `rate` plus `difference`, against `rate`:
-/// the statistic of Wald's sequential probability ratio test ("Sequential tests of statistical hypotheses", 1945). It
-/// falls with each good answer; ln(beta) clears the candidate of a fault of that size, with a probability of beta to be
-/// wrong.
+/// The natural logarithm of the likelihood ratio of the fixed higher rate `rate` plus `difference` against `rate`. This
+/// is the statistic of Wald's sequential probability ratio test ("Sequential tests of statistical hypotheses", 1945).
+/// The value decreases with each good answer. A value of at most ln(beta) rules out a fault of size `difference`, with
+/// an error probability of beta.
 double logRatio(const BadCount& candidate, double rate, double difference);
-/// The natural logarithm of the evidence that the candidate's rate is above a rate; 0 without answers.
+/// The natural logarithm of the evidence that the candidate's rate is above `rate`; 0 without answers.
 double logEvidence(const BadCount& candidate, double rate);
 }  // namespace zinccleat::rollout
--- a/libs/rollout/src/evidence_ledger.cpp
+++ b/libs/rollout/src/evidence_ledger.cpp
@@ -6,22 +6,28 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr double kAlpha = 0.01;  // probability of a false revert, over all tests of one rollout; a miss costs more
-constexpr double kSuspicionAlpha = 0.2;  // from which a candidate gets no more requests than needed
-constexpr double kStrongSuspicionAlpha = 0.03;
-constexpr double kBeta = 0.05;                  // probability that a faint fault is cleared
-constexpr double kSmallFaultDifference = 0.08;  // such a fault: so many more of its answers are bad
-constexpr double kGroupFaultDifference = 0.3;   // a fault in one stratum that is cleared as well, where
-constexpr double kUsualStratumFraction = 0.05;  // the baseline has so many of its answers there
-constexpr double kMinBadAnswers = 4;            // fewer prove nothing
-// Part of the runners that may have a fault of their own beyond what the baseline's answers explain.
+// Probability of a false revert over all tests of one rollout. It is not lower because a missed fault costs more.
+constexpr double kAlpha = 0.01;
+// At this significance a candidate gets no more requests than needed for a decision.
+constexpr double kSuspicionAlpha = 0.2;
+constexpr double kStrongSuspicionAlpha = 0.03;  // significance of `Suspicion::strong`
+constexpr double kBeta = 0.05;                  // probability that a candidate with a small fault is cleared
+// Difference to the sound rate of bad answers that clearing rules out, over all answers and in each frequent group.
+constexpr double kSmallFaultDifference = 0.08;
+constexpr double kGroupFaultDifference = 0.3;
+constexpr double kUsualStratumFraction = 0.05;  // a group with this fraction of the baseline's answers is frequent
+constexpr double kMinBadAnswers = 4;            // fewer bad answers never prove a fault
+// Additional fraction of the candidate's runners that may have a fault of their own, beyond the fraction that the
+// baseline's answers explain.
 constexpr double kRunnerTolerance = 0.08;
-constexpr double kSuspiciousRunnerTolerance = 0.02;
-constexpr double kMinBadRunners = 2;  // likewise
-constexpr std::size_t kMinRunnersForExclusion = 6;
-constexpr double kMinAnswersOfOnlyRunner = 20;  // answers from which on a runner without company counts as the version
-constexpr double kMaxCountPerReport = 1e6;      // a report with larger numbers is wrong
+constexpr double kSuspiciousRunnerTolerance = 0.02;  // for a suspicion
+constexpr double kMinBadRunners = 2;                 // fewer faulty runners never prove a fault of the revision
+constexpr std::size_t kMinRunnersForExclusion = 6;   // with fewer runners, a suspicion includes outliers
+// With this many answers, the faults of the only runner of a revision count as faults of the revision.
+constexpr double kMinAnswersOfOnlyRunner = 20;
+constexpr double kMaxCountPerReport = 1e6;  // a larger count in a report is invalid
 
+/// Replaces an invalid count of a report by 0.
 double sanitizeCount(double count) {
   return count > 0 && count < kMaxCountPerReport ? count : 0;
 }
@@ -81,13 +87,13 @@
       sum[stratum] += answers;
   return sum;
 }
-// Busy runners are compared with busy ones: else a version that fails under load would look like the fault of the few
-// runners that are.
+// Outliers are determined separately among idle and busy runners. Otherwise a fault of the revision under load would be
+// mistaken for a fault of the few runners that are busy.
 EvidenceLedger::CandidateEvidence EvidenceLedger::withoutOutliers() const {
   CandidateEvidence remaining{carriedOver_, {}, {}, false};
   double idleRunnersWithBadAnswers = 0;
   for (const auto& [stratum, answers] : carriedOver_)
-    idleRunnersWithBadAnswers += answers.bad().bad;  // their runners are not known any more
+    idleRunnersWithBadAnswers += answers.bad().bad;  // the number of runners is unknown; each answer counts as one
   std::set<std::string> outliers;
   for (const bool busy : {false, true}) {
     std::vector<const std::string*> ids;
@@ -128,8 +134,9 @@
                                    double threshold) {
   return candidate.bad >= kMinBadAnswers && logEvidence(candidate, soundRate(baseline, options)) >= threshold;
 }
-// Slowness stratum by stratum: over all of them the candidate's runners may be busier than the baseline's. For failures
-// a full runner is no other than a busy one, and failures on all routes together are one more test.
+// Slowness is tested in each stratum separately, because the candidate's runners may be busier than the baseline's when
+// all strata are combined. Failures are tested on each route with full and busy runners combined, and once more over
+// all routes.
 std::optional<Fault> EvidenceLedger::findFaultAmong(const CandidateEvidence& candidate, double threshold) const {
   struct Compared {
     BadCount candidate;
@@ -155,7 +162,8 @@
     return Fault{"", Fault::Kind::answersFail, allFailures.candidate};
   return std::nullopt;
 }
-// More of the candidate's runners are outliers than of the baseline's can be: those would have had more bad answers.
+// Tests whether more of the candidate's runners are outliers than of the baseline's can be. The upper limit for the
+// baseline follows from its rate of bad answers: more faulty runners would have caused more bad answers.
 std::optional<Fault> EvidenceLedger::findRunnerFault(const CandidateEvidence& candidate, double tolerance,
                                                      double threshold) const {
   if (candidate.runners.bad < kMinBadRunners)
@@ -171,7 +179,8 @@
     return std::nullopt;
   return Fault{"", Fault::Kind::runnersFail, candidate.runners};
 }
-// All tests share alpha (Bonferroni): two for each stratum, one for all together and one for the runners.
+// Alpha is divided among all tests (Bonferroni): two tests for each stratum, one for all strata together and one for
+// the runners.
 std::optional<Fault> EvidenceLedger::findFault() const {
   const auto candidate = withoutOutliers();
   const double tests = 2.0 * static_cast<double>(candidate.answers.size() + 1);
@@ -181,7 +190,8 @@
   return findRunnerFault(candidate, kRunnerTolerance, threshold);
 }
 bool EvidenceLedger::isSuspicious(Suspicion suspicion) const {
-  // Of few runners one may be all that the load test has loaded: it is not remaining out of a suspicion.
+  // If the candidate has few runners, the load test may have loaded only one of them. That runner must not be excluded
+  // as an outlier from a suspicion.
   const auto candidate = candidate_.size() < kMinRunnersForExclusion ? withAllRunners() : withoutOutliers();
   const double threshold = std::log(1 / (suspicion == Suspicion::slight ? kSuspicionAlpha : kStrongSuspicionAlpha));
   return findFaultAmong(candidate, threshold) || findRunnerFault(candidate, kSuspiciousRunnerTolerance, threshold);
--- a/libs/rollout/src/exposure.cpp
+++ b/libs/rollout/src/exposure.cpp
@@ -5,17 +5,21 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr double kAllowedFraction = 0.7;  // of the share that is allowed: reports are late, and requests go astray
-constexpr double kCanaryFraction = 0.35;  // of that, before the load test
-constexpr double kLoadTestFactor = 1.6;   // of that, in the load test, which spends what was saved
-// The load test of a small service: one runner gets so many times the requests that it would have after completion. It
-// lasts as long as what was saved for it.
+// Fraction of the deployment's share that is used. The rest is a reserve for late reports and for requests that reach
+// the candidate without a token.
+constexpr double kAllowedFraction = 0.7;
+constexpr double kCanaryFraction = 0.35;  // of the allowed exposure, before the load test
+// Multiple of the allowed exposure during the load test, which uses the exposure that was saved before it.
+constexpr double kLoadTestFactor = 1.6;
+// Load test of a small service: one runner gets this multiple of its requests after completion, until the saved
+// exposure is used up.
 constexpr double kSmallServiceFactor = 2.4;
-constexpr double kMaxLoadTestShare = 0.6;
+constexpr double kMaxLoadTestShare = 0.6;  // of the service's requests
 
-constexpr double kTargetLoad = 0.9;  // of the slots
+constexpr double kTargetLoad = 0.9;  // fraction of the slots of a runner under load test
 constexpr double kMinBaselineLoad = 1e-3;
-constexpr double kDefaultFactor = 1.5;  // times the requests after completion, where loads are not known
+// Multiples of a runner's requests after completion that a runner under load test gets.
+constexpr double kDefaultFactor = 1.5;  // if the load of the baseline is unknown
 constexpr double kMinFactor = 1.4;
 constexpr double kMaxFactor = 2.5;
 }  // namespace
--- a/libs/rollout/src/revision_gate.cpp
+++ b/libs/rollout/src/revision_gate.cpp
@@ -9,15 +9,15 @@
 using state_machine::RolloutPhase;
 using Rule = RevisionFilter::Rule;
 
-constexpr double kMaxTokens = 4;             // that one proxy keeps
+constexpr double kMaxTokens = 4;             // of one proxy for one service
 constexpr double kCanaryRunnerShare = 0.08;  // of the candidate's runners
 constexpr std::uint64_t kPercent = 100;
 
-// The fuse: so many bad attempts, and so far above the baseline's part of bad ones.
+// The circuit breaker trips at this number and rate of bad attempts, and this difference to the baseline's rate.
 constexpr double kTripMinBadAttempts = 2.5;
 constexpr double kTripMinBadRate = 0.3;
 constexpr double kTripMinRateDifference = 0.25;
-constexpr double kAttemptDecay = 0.97;  // for each attempt
+constexpr double kAttemptDecay = 0.97;  // decay of the counts of attempts with each new attempt
 
 double badRate(double bad, double good) {
   return bad + good > 0 ? bad / (bad + good) : 0;
@@ -30,7 +30,7 @@
 void RevisionGate::setRollouts(const std::vector<Rollout>& rollouts) {
   std::vector<ServiceRollout> services;
   for (const auto& rollout : rollouts) {
-    // A completed rollout has taken the other runners out of the fleet: nothing is left to choose.
+    // A completed rollout has removed the baseline's runners from the fleet, so no filter is needed.
     if (rollout.phase() == RolloutPhase::completed)
       continue;
     ServiceRollout next;
@@ -69,8 +69,9 @@
     return {Rule::only, service.rollout.revision, 1, group, exposureShare_};
   return {Rule::only, service.rollout.revision, kCanaryRunnerShare};
 }
-// As many of the candidate's runners are used as traffic is shifted, each as busy as usual. A request with a prompt
-// prefix goes there if its prefix prefers one of them; so each prefix moves once, at all proxies at the same step.
+// The fraction of the candidate's runners in use equals the shifted fraction of the traffic, so that each runner has
+// its usual load. A request with a prompt prefix goes to the candidate if the prefix prefers one of these runners. So
+// each prefix moves to the candidate once, and at the same step on all proxies.
 RevisionFilter RevisionGate::chooseShifted(const ServiceRollout& service, bool hasAffinity) {
   const auto percent = service.rollout.percent;
   if (!hasAffinity && static_cast<std::int32_t>(rng_() % kPercent) >= percent)
@@ -82,7 +83,7 @@
   if (!found || tried.rule == Rule::any)
     return std::nullopt;
   if (tried.rule == Rule::only) {
-    // The token was spent for nothing.
+    // The token is returned, because no runner matched its filter.
     if (found->rollout.phase() == RolloutPhase::canary)
       found->tokens = std::min(kMaxTokens, found->tokens + 1);
     return RevisionFilter{Rule::except, tried.revision, 1};
--- a/libs/rollout/src/rollout_plan.cpp
+++ b/libs/rollout/src/rollout_plan.cpp
@@ -7,25 +7,33 @@
 using state_machine::Rollout;
 using state_machine::RolloutPhase;
 
-// Parts of the term.
-constexpr double kLoadTestStartFraction = 0.28;  // the load test begins here
-constexpr double kLoadTestGroupFraction = 0.14;  // each of its groups is loaded for so long
-constexpr double kCanaryEndFraction = 0.55;      // at the earliest, the canary ends here
-constexpr double kLateShiftFraction = 0.72;      // a candidate that few requests have met is shifted to from here on
-constexpr double kFirstStepFraction = 0.1;  // the first step of the shift is observed for so long: its runners fill up
-constexpr double kStepFraction = 0.03;      // each step of the shift is observed for so long
-constexpr double kForcedCompletionFraction = 0.88;   // the old runners are waited for until here
-constexpr double kSuspicionHoldFraction = 0.8;       // a suspicion alone holds the shift up until here
-constexpr double kForcedDecisionFraction = 0.94;     // a candidate that could not be tested is reverted
-constexpr Duration kMinStepDuration{400};            // a report and a round through the log
-constexpr Duration kMinFullTrafficObservation{800};  // of the full traffic, before completion
+// Times as fractions of the term.
+constexpr double kLoadTestStartFraction = 0.28;  // begin of the load test
+constexpr double kLoadTestGroupFraction = 0.14;  // duration of the load test of one group
+constexpr double kCanaryEndFraction = 0.55;      // earliest end of the canary phase
+// From here on, a candidate with few answers may enter the shift phase with weaker evidence, and the first step of the
+// shift is observed no longer than the other steps.
+constexpr double kLateShiftFraction = 0.72;
+// Observation time of the first step of the shift, which is longer because the candidate's runners are still filling
+// up.
+constexpr double kFirstStepFraction = 0.1;
+constexpr double kStepFraction = 0.03;              // observation time of each further step of the shift
+constexpr double kForcedCompletionFraction = 0.88;  // completion no longer waits for attempts at the baseline
+constexpr double kSuspicionHoldFraction = 0.8;      // a cleared candidate is no longer delayed by a suspicion
+constexpr double kForcedDecisionFraction = 0.94;    // an undecided rollout is reverted or completed
+// Minimum duration of a step: the interval of one report and the time to commit a log entry.
+constexpr Duration kMinStepDuration{400};
+constexpr Duration kMinFullTrafficObservation{800};  // with all traffic at the candidate, before completion
 constexpr std::array<std::int32_t, 3> kShiftPercents{25, 50, 100};
 constexpr std::int32_t kFullPercent = 100;
-constexpr double kSpentExposureFraction = 0.4;  // of the allowed exposure; answers are counted late
-// Where few requests come, late in the term: so many answers of the candidate, and fewer bad ones than this.
+// Fraction of the allowed exposure at which a strong suspicion reverts. It is low because answers are counted late.
+constexpr double kSpentExposureFraction = 0.4;
+// Late in the term, a candidate with at least this many answers and fewer bad ones may enter the shift phase. This rule
+// is for services with few requests.
 constexpr double kMinAnswersLate = 8;
 constexpr double kMinBadAnswersLate = 2;
-constexpr double kMinCapacityFraction = 0.5;  // of the baseline's; with less the candidate can't carry the traffic
+// Fraction of the baseline's capacity below which the candidate cannot serve the traffic.
+constexpr double kMinCapacityFraction = 0.5;
 
 Duration fractionOfTerm(const Rollout& rollout, double part) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(rollout.durationMs) * part));
@@ -41,7 +49,7 @@
   return counts + " answers " + (fault.kind == Fault::Kind::answersAreSlow ? "slow" : "failed") +
          (fault.stratum.empty() ? "" : " on route " + fault.stratum);
 }
-// A leader that comes late into the load test plays the groups that are left for a shorter time each.
+// The next group of the load test. A leader that takes over late in the load test shortens the remaining groups.
 std::optional<Step> nextLoadTestGroup(const Rollout& rollout, Duration elapsed, Duration sinceStep) {
   const auto group = rollout.loadTestGroup();
   if (group >= kLoadTestGroups ||
@@ -58,7 +66,7 @@
   if (elapsed >= fractionOfTerm(rollout, kForcedDecisionFraction))
     return revert(!hasEnoughCapacity ? "too few runners of this revision" : "too few answers to decide");
   const bool suspicious = evidence.isSuspicious();
-  // The group that raised a suspicion goes on being loaded.
+  // Under a suspicion, the load test stays at the current group, which raised the suspicion.
   if (!suspicious || rollout.loadTestGroup() == 0)
     if (auto step = nextLoadTestGroup(rollout, elapsed, sinceStep))
       return step;
@@ -79,7 +87,8 @@
       std::find_if(kShiftPercents.begin(), kShiftPercents.end(), [&](auto each) { return each > percent; });
   return next == kShiftPercents.end() ? kFullPercent : *next;
 }
-// A suspicion that many good answers outweigh holds a rollout up no longer once the term is nearly over.
+// Whether the shift may continue. Late in the term, a suspicion no longer delays a rollout if the candidate is cleared
+// by many good answers.
 bool mayProceed(const Rollout& rollout, const EvidenceLedger& evidence, Duration elapsed) {
   return !evidence.isSuspicious() || (elapsed >= fractionOfTerm(rollout, kSuspicionHoldFraction) &&
                                       evidence.isCleared(EvidenceLedger::Clearing::byRoute));
@@ -89,7 +98,7 @@
 }
 std::optional<Step> nextShiftStep(const Rollout& rollout, const EvidenceLedger& evidence, const FleetView& fleet,
                                   Duration elapsed, Duration sinceStep) {
-  // Waiting for a proof costs a part of all requests.
+  // While the traffic is being shifted, waiting for a proof exposes a large part of all requests.
   if (evidence.isSuspicious(EvidenceLedger::Suspicion::strong) &&
       evidence.candidateAnswers() >= fleet.allowedExposure * kSpentExposureFraction)
     return revert("a suspicion, and most of the exposure is spent");
--- a/libs/rollout/src/rollout_tracker.cpp
+++ b/libs/rollout/src/rollout_tracker.cpp
@@ -9,11 +9,11 @@
 using state_machine::Rollout;
 using state_machine::RolloutPhase;
 
-constexpr auto kProxyReportTimeout = 1500ms;  // a proxy that has not reported for so long is not waited for
-constexpr auto kCheckpointInterval = 2000ms;  // between two records of the same step
+constexpr auto kProxyReportTimeout = 1500ms;  // completion does not wait for a proxy without a report for this time
+constexpr auto kCheckpointInterval = 2000ms;  // between two records of the same step of a rollout
 constexpr std::int32_t kFullPercent = 100;
 constexpr double kMaxRequestsPerReport = 1e5;
-constexpr double kSlackFraction = 0.8;  // of the requests that are allowed besides the share, for the load test
+constexpr double kSlackFraction = 0.8;  // of the exposure slack; granted for the load test
 
 Rollout recordOf(const Rollout& rollout, const EvidenceLedger& evidence, Duration elapsed) {
   auto record = rollout;
@@ -95,9 +95,9 @@
     grant.tokens = grantTokens(*tracked, std::clamp(report.requests, 0.0, kMaxRequestsPerReport));
   return grant;
 }
-// Each request is reported once and pays for a part of a token: all grants together stay below the share of all
-// requests, whoever leads. Most of that is kept for the load test. In whole tokens: where each proxy has few
-// requests, fractions would wait for their sum at each of them.
+// Each request is reported once and yields a fraction of a token. So the sum of all grants stays below the share of all
+// requests, also across changes of the leader. Most tokens are saved for the load test. Only whole tokens are granted:
+// if each proxy has few requests, fractions would remain unused at each proxy until they add up to a token.
 double RolloutTracker::grantTokens(TrackedRollout& tracked, double requests) const {
   const auto exposure = exposureOf(exposureShare_, tracked.candidateRunners);
   tracked.unspentExposure += requests * exposure.allowed;
@@ -105,7 +105,7 @@
   tracked.dueExposure += requests * (tracked.suspicious ? part / 2 : part);
   const double tokens = std::floor(std::min(tracked.unspentExposure, tracked.dueExposure));
   tracked.unspentExposure -= tokens;
-  // What is due and not paid for is not made up for later.
+  // Due tokens that exceed the unspent exposure are dropped, so that they do not cause a burst later.
   tracked.dueExposure = std::min(tracked.dueExposure - tokens, 1.0);
   return tokens;
 }
@@ -126,7 +126,8 @@
       record.setPhase(step->phase);
       record.percent = step->percent;
       record.reason = step->reason;
-      // Once: the step is taken once, and by this leader.
+      // The slack is added once per rollout: only the leader that takes the step to the first group of the load test
+      // adds it, and `slackGranted` prevents a second addition while the record of the step is not committed yet.
       if (each.rollout.phase() == RolloutPhase::canary && each.rollout.loadTestGroup() == 0 && !each.slackGranted)
         each.unspentExposure += kSlackFraction * exposureSlack_;
       each.slackGranted = true;
--- a/libs/rollout/src/runner_outliers.cpp
+++ b/libs/rollout/src/runner_outliers.cpp
@@ -5,13 +5,13 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr std::size_t kRunnersPerOutlier = 3;  // runners that may be left out, rounded down
-constexpr double kMinLogLikelihoodGain = 3;    // in log likelihood, beyond that of the choice
+constexpr std::size_t kRunnersPerOutlier = 3;  // at most one runner in three may be an outlier, rounded down
+constexpr double kMinLogLikelihoodGain = 3;    // in excess of the logarithm of the number of possible groups
 
 double rateOf(const BadCount& count) {
   return count.total > 0 ? count.bad / count.total : 0;
 }
-// Of the counts at their own rate.
+// The log likelihood of the counts at their maximum likelihood rate.
 double logLikelihood(const BadCount& count) {
   const double good = count.total - count.bad;
   const auto term = [&](double number) { return number > 0 ? number * std::log(number / count.total) : 0; };
--- a/libs/rollout/src/sequential_test.cpp
+++ b/libs/rollout/src/sequential_test.cpp
@@ -5,10 +5,10 @@
 
 namespace zinccleat::rollout {
 namespace {
-constexpr double kConfidenceDeviations = 2;  // of the upper confidence bound of the baseline's rate
-constexpr double kMaxSoundRate = 0.85;       // a baseline that fails more can't be compared with
+constexpr double kConfidenceDeviations = 2;  // standard deviations of the upper confidence bound of the baseline's rate
+constexpr double kMaxSoundRate = 0.85;       // a baseline with a higher rate is no basis for a comparison
 constexpr double kMaxRate = 0.98;
-// Rates of bad answers among which the mixture is spread evenly.
+// Alternative rates of bad answers; the mixture weights them equally.
 constexpr std::array kAlternatives{0.06, 0.1, 0.16, 0.25, 0.4, 0.55, 0.75, 0.95};
 }  // namespace
 
