--- a/libs/state_machine/include/state_machine/replicated_state.hpp
+++ b/libs/state_machine/include/state_machine/replicated_state.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The replicated state machine of the fleet: the state that every committed log entry changes, in log order, and that
-/// nothing else changes. Each node has a replica; `apply` is deterministic, so replicas that applied the same entries
-/// are equal (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 3).
+/// The replicated state machine of the fleet. Its state changes only by applying committed log entries in log order.
+/// Each node has a replica; `apply` is deterministic, so replicas that applied the same entries are equal (Ongaro,
+/// "Consensus: Bridging Theory and Practice", 2014, chapter 3).
 ///
-/// The parts: `fleet_state.hpp` (the data), `log_entries.hpp` (building entries), `snapshot_codec.hpp` (the stored
-/// form), `delta.hpp` (configurations as differences), `deduplication.hpp` (repeated and late requests).
+/// Related headers: `fleet_state.hpp` (the data), `log_entries.hpp` (building entries), `snapshot_codec.hpp` (the
+/// stored format), `delta.hpp` (delta encoding of configurations), `deduplication.hpp` (repeated and late requests).
 ///
 /// Not thread-safe.
 #pragma once
@@ -15,63 +15,65 @@
 namespace zinccleat::state_machine {
 class ReplicatedState {
  public:
-  /// The outcome of a log entry. The values are those of the API's HTTP status codes; they are stored and sent as
-  /// integers, and compare with them.
+  /// The outcome of a log entry. The values equal the HTTP status codes of the API; they are stored and sent as
+  /// integers.
   enum class Verdict : std::int32_t {
-    acceptable = 0,         ///< only of `evaluateReplace`: it would be accepted
-    acknowledged = 200,     ///< accepted, now or earlier
-    invalidVersion = 400,   ///< a version that is not above the current one
-    conflict = 409,         ///< another rollout of the service is in progress, or is over
+    acceptable = 0,         ///< returned by `evaluateReplace` only: the Replace would be accepted
+    acknowledged = 200,     ///< accepted by this entry or by an earlier one
+    invalidVersion = 400,   ///< the version is not above the current one, or the entry is malformed
+    conflict = 409,         ///< the rollout or the usage window has another state than the entry requires
     versionMismatch = 412,  ///< the base is not the current version
-    outcomeUnknown = 503,   ///< too old to tell whether it was accepted
+    outcomeUnknown = 503,   ///< the version is too old to determine whether it was accepted
   };
-  /// What an entry changed.
+  /// Parts of the state that an entry changed.
   struct Change {
     bool configuration = false;
     bool runners = false;
-    bool zoneDrains = false;  ///< also of evacuations
+    bool zoneDrains = false;  ///< zone drains or zone evacuations
     bool rollouts = false;
-    /// The entry's delta did not fit this replica's configuration: the replica is corrupted, see `corrupted`.
+    /// The entry's delta could not be applied to this replica's configuration; the replica is now `corrupted()`.
     bool corrupted = false;
   };
 
-  /// Applies the next committed entry. An entry whose operation was applied before changes nothing but the index.
+  /// Applies the next committed entry. An entry whose operation was applied before changes only the index and the term.
   ///
-  /// What it changes depends only on the state's contents, the applied operations and the detached runners, which are
-  /// the same everywhere. Only the verdict on a configuration may differ, on a replica of the data plane, which lacks
-  /// the table of accepted ones.
+  /// The changes depend only on the entry, the contents of the state, the applied operations and the detached runners,
+  /// which are the same on all replicas. Only the verdict on a configuration may differ on a replica of the data plane,
+  /// because it lacks the table of accepted configurations.
   Change apply(const transport::LogEntry& entry);
 
   const StateContents& state() const { return contents_; }
-  /// Whether the configuration's text is unknown here, so that the replica needs a full snapshot.
+  /// Whether this replica lacks the text of the current configuration and needs a full snapshot.
   bool corrupted() const { return contents_.version > 0 && contents_.digest.empty(); }
-  /// Marks the replica as corrupted: it must get a full snapshot. Without effect before the first configuration.
+  /// Marks the replica as corrupted, so that it requests a full snapshot. Has no effect before the first configuration.
   void markCorrupted() { contents_.digest.clear(); }
 
   /// A full snapshot, for a controller and for its disk.
   std::string snapshot() const;
-  /// A snapshot for a node of the data plane, without verdicts and older accepted versions.
-  /// @param cachedDigest of the configuration that the node has; empty: none. If it is the current one or one of the
-  ///        last few, the snapshot is partial.
+  /// A snapshot for a node of the data plane, without verdicts and without older accepted versions.
+  /// @param cachedDigest digest of the configuration that the node has; empty: the node has none. If this replica still
+  ///        has that configuration, as the current one or as one of the last few, the snapshot is partial unless the
+  ///        delta is longer than half of the current configuration.
   std::string snapshotFor(const std::string& cachedDigest) const;
-  /// Replaces the state by a snapshot of either kind and format; empty bytes are the state before the first entry.
-  /// @return the error of `decodeSnapshot` or `resolveConfiguration`; nothing has changed then.
+  /// Replaces the state by a full or partial snapshot of any supported format. Empty bytes restore the state before the
+  /// first entry.
+  /// @return the error of `decodeSnapshot` or `resolveConfiguration`, in which case the state is unchanged.
   Result<void> restore(std::string_view snapshot);
 
-  /// The verdict on an operation that was applied; none if it was not, or is forgotten. On a replica that was restored
-  /// from a snapshot for the data plane it may be 0: the verdict was left out.
+  /// The verdict on an applied operation; none if the operation was not applied or was evicted from the deduplication
+  /// table. On a replica restored from a data plane snapshot, which omits verdicts, the verdict may be 0.
   std::optional<Verdict> outcomeOf(const std::string& operationId) const;
-  /// The verdict that a Replace of the configuration would get now; changes nothing.
+  /// The verdict that a Replace of the configuration would get now. Does not change the state.
   Verdict evaluateReplace(std::int64_t base, std::int64_t version, const std::string& digest) const;
-  /// A runner in service or draining; null if there is none with this id.
+  /// The runner with this id, which is in service or draining; null if there is no such runner.
   const Runner* runner(const std::string& id) const;
-  /// The newest rollout of a service; null if there was none.
+  /// The newest rollout of a service; null if the service has none.
   const Rollout* rollout(std::string_view service) const;
-  /// Whether a runner is detached for good: its id is never reused.
+  /// Whether a runner is permanently detached. The id of such a runner is never reused.
   bool isDetached(const std::string& id) const;
 
  private:
-  /// A configuration that was current before.
+  /// A configuration that was current earlier.
   struct EarlierConfiguration {
     std::string digest;
     std::string text;
--- a/libs/state_machine/include/state_machine/shard_founding.hpp
+++ b/libs/state_machine/include/state_machine/shard_founding.hpp
@@ -1,13 +1,14 @@
 /// @file
-/// Who founds the logs of the coordination service's shards. Agreed on once, by an entry of the fleet's log: machines
-/// that each went by the voters they know could found two logs during an update or a replacement.
+/// Which members found the logs of the coordination service's shards. The founders are agreed on once, by an entry of
+/// the fleet's log. If each machine derived the founders from the voters that it knows, two logs could be founded for
+/// one shard during an update or a replacement of machines.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::state_machine {
 struct ShardFounding {
-  std::int32_t shards = 0;  ///< how many there are; 0: not agreed on yet
-  /// The first voters of each shard, by their identity in the fleet's log. Empty: the shards had been founded before
-  /// this was agreed on, by an earlier version.
+  std::int32_t shards = 0;  ///< number of shards; 0: not agreed on yet
+  /// The first voters of each shard, by their identity in the fleet's log. Empty if the shards were founded by an
+  /// earlier version of this program, before this entry existed.
   std::vector<std::string> founders;
   /// Lists the fields in wire order.
   template <class V>
--- a/libs/state_machine/include/state_machine/usage_reports.hpp
+++ b/libs/state_machine/include/state_machine/usage_reports.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The usage reports of the fleet in the replicated state: what was, or is to be, sent to the platform for each window.
-/// A report is committed before it is first sent, so whoever sends it sends the same.
+/// The usage reports of the fleet in the replicated state: for each window, the report that was sent or will be sent to
+/// the platform. A report is committed before it is first sent, so that a new leader that sends it again sends the same
+/// report.
 #pragma once
 #include "runtime/common.hpp"
 
@@ -19,7 +20,7 @@
 /// The report of one window.
 struct UsageReport {
   std::int64_t window = 0;
-  std::int64_t reporters = 0;  ///< the proxies whose counts are in it
+  std::int64_t reporters = 0;  ///< number of proxies whose counts the report contains
   std::vector<TenantUsage> counts;
   /// Lists the fields in wire order.
   template <class V>
@@ -29,34 +30,36 @@
   bool operator==(const UsageReport&) const = default;
 };
 
-/// The reports of the newest windows. Known to controllers only.
+/// The reports of the newest windows. Replicated to controllers only.
 class UsageReports {
  public:
-  /// Windows that are remembered; an older one is never reported.
+  /// Maximum number of windows in the table. A window that is older than all of them can no longer be reported.
   static constexpr std::size_t kMaxTrackedWindows = 64;
 
-  /// @return false: the window has a report already, or is too old to tell.
+  /// Adds the report of a window.
+  /// @return false if the window already has a report, or is too old for the table to contain its report.
   bool commit(UsageReport report);
-  /// The platform has the report of a window: its counts are forgotten.
+  /// Records that the platform has received the report of a window, and deletes the report's counts.
   void confirm(std::int64_t window);
   bool contains(std::int64_t window) const { return windows_.contains(window); }
   bool empty() const { return windows_.empty(); }
-  /// Whether a window without a report may still get one.
+  /// Whether a report of this window would be accepted.
   bool mayCommit(std::int64_t window) const;
-  /// The newest window up to which all have a report, from the oldest one that is remembered; 0: there is none.
+  /// The last window of the gapless sequence of reported windows that begins with the oldest window in the table; 0 if
+  /// the table is empty.
   std::int64_t reportedThrough() const;
-  /// The proxies whose counts are in the newest report before a window; 0: there is none.
+  /// The number of reporters of the newest report before a window; 0 if there is no such report.
   std::int64_t reportersBefore(std::int64_t window) const;
-  /// Those that the platform is not known to have, the oldest first.
+  /// The reports that the platform has not confirmed, the oldest first.
   const std::vector<UsageReport>& unconfirmed() const { return unconfirmed_; }
-  /// The windows that have a report, with the number of its reporters.
+  /// The windows that have a report, each with the number of its reporters.
   const std::map<std::int64_t, std::int64_t>& windows() const { return windows_; }
-  /// Restores what was stored.
+  /// Replaces the contents by those of a snapshot.
   void restore(std::map<std::int64_t, std::int64_t> windows, std::vector<UsageReport> unconfirmed);
   bool operator==(const UsageReports&) const = default;
 
  private:
-  std::map<std::int64_t, std::int64_t> windows_;  // that have a report, with its reporters
-  std::vector<UsageReport> unconfirmed_;          // by window
+  std::map<std::int64_t, std::int64_t> windows_;  // number of reporters by reported window
+  std::vector<UsageReport> unconfirmed_;          // in ascending order of window
 };
 }  // namespace zinccleat::state_machine
--- a/libs/state_machine/src/deduplication.cpp
+++ b/libs/state_machine/src/deduplication.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t kOperationBytes = kIntegerBytes + kVerdictBytes;  // id, verdict
 constexpr std::size_t kBitsPerByte = 8;
 
-/// Appends the low `width` bytes of a number, little-endian.
+/// Appends the `width` least significant bytes of a number, little-endian.
 void appendInteger(std::string& packed, std::uint64_t number, std::size_t width = kIntegerBytes) {
   for (std::size_t i = 0; i < width; ++i)
     packed.push_back(static_cast<char>(number >> (kBitsPerByte * i)));
@@ -19,12 +19,12 @@
     number |= static_cast<std::uint64_t>(static_cast<unsigned char>(packed[offset + i])) << (kBitsPerByte * i);
   return number;
 }
-/// How many entries of `width` bytes a packed table holds.
+/// The number of entries of `width` bytes in a packed table.
 Result<std::size_t> entryCount(std::string_view packed, std::size_t width, std::size_t capacity) {
   if (packed.size() % width != 0)
-    return makeError(ErrorCode::corruption, "a table of the snapshot ends inside an entry");
+    return makeError(ErrorCode::corruption, "a table of the snapshot ends within an entry");
   if (packed.size() / width > capacity)
-    return makeError(ErrorCode::corruption, "a table of the snapshot is larger than its bound");
+    return makeError(ErrorCode::corruption, "a table of the snapshot exceeds its capacity");
   return packed.size() / width;
 }
 template <class T>
@@ -77,7 +77,7 @@
     const auto offset = i * kConfigurationBytes;
     const auto version = static_cast<std::int64_t>(readInteger(packed, offset));
     if (version <= newest)
-      return makeError(ErrorCode::corruption, "a snapshot whose accepted versions do not rise");
+      return makeError(ErrorCode::corruption, "the accepted versions of the snapshot are not in ascending order");
     newest = version;
     result.configurations_.push_back({version, readInteger(packed, offset + kIntegerBytes)});
   }
--- a/libs/state_machine/src/delta.cpp
+++ b/libs/state_machine/src/delta.cpp
@@ -4,10 +4,10 @@
 
 namespace zinccleat::state_machine {
 namespace {
-constexpr std::size_t kMaxResultBytes = 64U << 20;  // a larger result is no configuration
-constexpr int kMaxSplitDepth = 2;                   // the outer object and its lists
+constexpr std::size_t kMaxResultBytes = 64U << 20;  // no configuration is larger
+constexpr int kMaxSplitDepth = 2;                   // nesting depth: the outer object and its lists
 
-/// A text cut into its parts, which can be looked up by content.
+/// The parts of a text, indexed by content.
 class PartIndex {
  public:
   explicit PartIndex(std::string_view text) : text_(text), ends_(partEnds(text)) {
@@ -19,7 +19,7 @@
   std::size_t offset(std::size_t index) const { return index ? ends_[index - 1] : 0; }
   std::string_view part(std::size_t index) const { return text_.substr(offset(index), ends_[index] - offset(index)); }
   bool matches(std::size_t index, std::string_view content) const { return index < size() && part(index) == content; }
-  /// The first part with this content; `size()` if there is none.
+  /// The index of the first part with this content; `size()` if there is none.
   std::size_t find(std::string_view content) const {
     const auto found = firstByHash_.find(hash64(content));
     return found != firstByHash_.end() && part(found->second) == content ? found->second : size();
@@ -38,8 +38,8 @@
 
   void append(std::string_view part) {
     auto& last = segments_.back();
-    // The part after the last copied one comes first: equal parts (commas, brackets) occur in many positions, and only
-    // that one continuesRange the range.
+    // The part after the last copied one takes precedence over the first equal part: equal parts (commas, brackets)
+    // occur in many positions, and only the next one extends the current copied range.
     const bool continuesRange = base_.matches(nextPart_, part);
     if (continuesRange && last.literal.empty()) {
       last.copyLength += static_cast<std::int64_t>(part.size());
@@ -57,7 +57,7 @@
  private:
   void appendLiteral(std::string_view part) {
     segments_.back().literal += part;
-    // A literal usually replaces the part at this position: copying may resume behind it.
+    // A literal usually replaces one part of the base, so the next copied part is expected after that part.
     if (nextPart_ < base_.size())
       ++nextPart_;
   }
@@ -71,10 +71,10 @@
 
   const PartIndex& base_;
   std::vector<DeltaSegment> segments_;
-  std::size_t nextPart_;  // the base's part behind the last copied one; `base_.size()`: none
+  std::size_t nextPart_;  // index of the base's part that is expected next; `base_.size()`: none
 };
 
-/// Whether the range lies inside a base of this size; safe against overflow.
+/// Whether the copied range lies within a base of this size. The comparison cannot overflow.
 bool inBounds(const DeltaSegment& segment, std::int64_t baseSize) {
   return segment.copyOffset >= 0 && segment.copyLength >= 0 && segment.copyOffset <= baseSize &&
          segment.copyLength <= baseSize - segment.copyOffset;
@@ -82,23 +82,23 @@
 
 Result<std::string> rebuild(const Delta& delta, std::string_view base, std::string_view baseDigest) {
   if (delta.baseDigest != baseDigest)
-    return makeError(ErrorCode::corruption, "a delta on another base");
+    return makeError(ErrorCode::corruption, "the delta is for another base");
   std::string result;
   for (const auto& segment : delta.segments) {
     if (!inBounds(segment, static_cast<std::int64_t>(base.size())))
-      return makeError(ErrorCode::corruption, "a delta that copies from outside its base");
+      return makeError(ErrorCode::corruption, "the delta copies from outside its base");
     const auto length = static_cast<std::size_t>(segment.copyLength);
     if (result.size() + length + segment.literal.size() > kMaxResultBytes)
-      return makeError(ErrorCode::corruption, "a delta whose result is too large");
+      return makeError(ErrorCode::corruption, "the result of the delta is too large");
     result.append(base.substr(static_cast<std::size_t>(segment.copyOffset), length));
     result += segment.literal;
   }
   if (digestOf(result) != delta.resultDigest)
-    return makeError(ErrorCode::corruption, "a delta whose result does not match its digest");
+    return makeError(ErrorCode::corruption, "the result of the delta does not match its digest");
   return result;
 }
 
-/// Scans a JSON text for the ends of its parts. It checks no syntax: brackets need not match.
+/// Scans a JSON text for the ends of its parts. The syntax is not validated: brackets need not match.
 class PartScanner {
  public:
   explicit PartScanner(std::string_view text) : text_(text) {}
@@ -108,7 +108,7 @@
       if (!quoted_)
         visit(i);
       else if (text_[i] == '\\')
-        ++i;  // the escaped character
+        ++i;  // skips the escaped character
       else if (text_[i] == '"')
         quoted_ = false;
     }
@@ -125,7 +125,7 @@
         break;
       case '{':
       case '[':
-        // Ends a part, so that the first element is a part of its own.
+        // The part ends after the bracket, so that the first element becomes a separate part.
         if (++depth_ <= kMaxSplitDepth)
           ends_.push_back(position + 1);
         break;
@@ -179,7 +179,7 @@
   if (!decoded)
     return tl::unexpected(decoded.error());
   if (decoded->resultDigest != expectedDigest)
-    return makeError(ErrorCode::corruption, "a delta to another text than the one announced");
+    return makeError(ErrorCode::corruption, "the delta results in another text than expected");
   return rebuild(*decoded, base, baseDigest);
 }
 }  // namespace zinccleat::state_machine
--- a/libs/state_machine/src/log_entries.cpp
+++ b/libs/state_machine/src/log_entries.cpp
@@ -29,7 +29,8 @@
 transport::LogEntry configurationChangeEntry(std::int64_t base, std::int64_t version, std::string body,
                                              std::string operationId, const StateContents& current) {
   auto entry = configurationEntry(base, version, std::move(body), std::move(operationId));
-  // On another version the Replace is rejected anyway; an unknown text is no base for a delta.
+  // If `base` is not the current version, the Replace will be rejected in any case. If the digest is empty, the text of
+  // the current configuration is unknown and cannot serve as the base of a delta.
   if (current.version != base || current.digest.empty())
     return entry;
   auto delta = computeDelta(current.configuration, current.digest, entry.body, entry.digest);
--- a/libs/state_machine/src/replicated_state.cpp
+++ b/libs/state_machine/src/replicated_state.cpp
@@ -5,9 +5,10 @@
 
 namespace zinccleat::state_machine {
 namespace {
-/// Earlier configurations that are kept as bases of deltas, for nodes that missed some changes.
+/// Number of earlier configurations that are retained as bases of deltas, for nodes that missed some changes.
 constexpr std::size_t kMaxEarlierConfigurations = 3;
-/// Services whose newest rollout is kept; of more, the oldest ones that are oldestFinal are forgotten.
+/// Number of services whose newest rollout is retained. Beyond it, the oldest final rollout is dropped for each new
+/// one.
 constexpr std::size_t kMaxTrackedRollouts = 256;
 }  // namespace
 
@@ -50,7 +51,7 @@
     case transport::OperationKind::usageConfirmed:
       contents_.usage.confirm(entry.base);
       return Verdict::acknowledged;
-    default:  // entries of the consensus module, which change nothing here
+    default:  // entries of the consensus module, which do not change this state
       return Verdict::acknowledged;
   }
 }
@@ -61,7 +62,7 @@
     return Verdict::acknowledged;
   if (base == contents_.version)
     return version <= contents_.version ? Verdict::invalidVersion : Verdict::acceptable;
-  // A version at or below its base was never accepted, so its outcome is known.
+  // A Replace whose version is not above its base was never accepted, so its outcome is known.
   if (version > base && contents_.acceptedConfigurations.mayBeForgotten(version))
     return Verdict::outcomeUnknown;
   return Verdict::versionMismatch;
@@ -77,7 +78,8 @@
   } else if (auto text = applyDelta(contents_.configuration, contents_.digest, entry.body, entry.digest)) {
     acceptConfiguration(version, entry.digest, std::move(*text));
   } else {
-    // The version is accepted all the same: the other replicas have accepted it. Only the text is missing here.
+    // The version is accepted although the delta does not apply, because the other replicas have accepted it. This
+    // replica lacks only the text.
     acceptConfiguration(version, entry.digest, {});
     markCorrupted();
     change.corrupted = true;
@@ -146,25 +148,27 @@
   change.runners = true;
 }
 void ReplicatedState::detachRunner(const Runner& update) {
-  // Sequence 0 says that its heartbeats were missed: such a runner may join again, one that left may not.
+  // Sequence 0 means that the runner's heartbeats were missed. Such a runner may join again; a runner that detached
+  // itself may not.
   if (update.sequence != 0)
     contents_.detachedRunners.record(update.id);
   if (const auto* known = runner(update.id))
     removeRunner(*known);
 }
 void ReplicatedState::removeRunner(const Runner& removed) {
-  // A draining runner never joins again, however it ended: a late heartbeat would bring it new requests.
+  // A draining runner may never join again, whatever the reason for its removal: with a late heartbeat it would join as
+  // a runner in service and get new requests.
   if (removed.runnerState() == RunnerState::draining)
     contents_.detachedRunners.record(removed.id);
-  contents_.runners.remove(std::string(removed.id));  // a copy: `removed` may be the table's
+  contents_.runners.remove(std::string(removed.id));  // a copy, because `removed` may refer into the table
 }
 void ReplicatedState::joinRunner(Runner joining) {
-  // A new runner at an address proves that an earlier one there has ended.
+  // A new runner at an address proves that the earlier runner at this address has terminated.
   for (const auto& replaced : contents_.runners.idsAt(joining.address))
     removeRunner(*runner(replaced));
   contents_.runners.put(std::move(joining));
 }
-/// @return false for a late heartbeat, which changes nothing.
+/// @return false if the update is a late heartbeat, which is ignored.
 bool ReplicatedState::updateRunner(const Runner& known, Runner update) {
   if (update.sequence < known.sequence)
     return false;
@@ -223,7 +227,8 @@
   }
   return Verdict::acknowledged;
 }
-/// The operator stops them without notice. Their ids are recorded, so that none of them joins again by a heartbeat.
+/// Removes the baseline's runners when a rollout completes, because the operator then stops these runners without
+/// notice. Their ids are recorded as detached, so that a late heartbeat does not make one of them join again.
 void ReplicatedState::removeBaselineRunners(const Rollout& completed) {
   std::vector<std::string> baseline;
   for (const auto& runner : contents_.runners)
@@ -242,7 +247,7 @@
     contents_.shardFounding = std::move(*founding);
   return Verdict::acknowledged;
 }
-// On the data plane the entry comes without its body and changes nothing.
+// On the data plane the entry has an empty body, so that decoding fails and the state is unchanged.
 ReplicatedState::Verdict ReplicatedState::applyUsageReport(const transport::LogEntry& entry) {
   auto report = avro::decode<UsageReport>(entry.body);
   if (!report)
--- a/libs/state_machine/src/snapshot_codec.cpp
+++ b/libs/state_machine/src/snapshot_codec.cpp
@@ -6,7 +6,7 @@
 
 namespace zinccleat::state_machine {
 namespace {
-/// Everything but the configuration's text.
+/// Encodes all contents except the configuration's text.
 format::Snapshot2 recordOf(const StateContents& contents, SnapshotScope scope) {
   const bool dataPlane = scope == SnapshotScope::dataPlane;
   const auto& accepted = contents.acceptedConfigurations;
@@ -40,7 +40,8 @@
   record.unconfirmed = usage.unconfirmed();
   return record;
 }
-// Behind the record of format 2, and each read only where the bytes reach so far: earlier versions ignore what follows.
+// Encodes the records that follow the record of format 2. Each of them is optional, and a later one requires all
+// earlier ones. Earlier versions of this program ignore bytes after the records that they know.
 std::string encodeExtensions(const StateContents& contents, SnapshotScope scope) {
   const bool hasUsage = scope == SnapshotScope::controller && !contents.usage.empty();
   const bool hasEvacuations = hasUsage || !contents.evacuatedZones.empty();
@@ -67,14 +68,14 @@
   return std::string(format::kPrefix2) + avro::encode(std::move(record)) + encodeExtensions(contents, scope);
 }
 
-/// Integers outside the range that any replica can have.
+/// Rejects integers outside the range that a replica can have.
 Result<void> checkNumbers(const format::Snapshot2& record) {
   if (record.index < 0 || record.term < 0 || record.version < 0 || record.forgottenVersion < 0)
-    return makeError(ErrorCode::corruption, "a snapshot with a number below zero");
+    return makeError(ErrorCode::corruption, "the snapshot has a negative number");
   for (const auto& runner : record.runners) {
     const auto state = runner.runnerState();
     if (state != RunnerState::inService && state != RunnerState::draining)
-      return makeError(ErrorCode::corruption, "a snapshot with a runner in no known state");
+      return makeError(ErrorCode::corruption, "the snapshot has a runner in an unknown state");
   }
   return {};
 }
@@ -117,14 +118,14 @@
   if (!usage)
     return tl::unexpected(usage.error());
   if (usage->windows.size() != usage->reporters.size() || usage->windows.size() > UsageReports::kMaxTrackedWindows)
-    return makeError(ErrorCode::corruption, "a snapshot with impossible usage reports");
+    return makeError(ErrorCode::corruption, "the snapshot has an invalid number of usage windows");
   std::map<std::int64_t, std::int64_t> windows;
   for (std::size_t i = 0; i < usage->windows.size(); ++i)
     windows[usage->windows[i]] = usage->reporters[i];
   const bool windowsMatch = std::all_of(usage->unconfirmed.begin(), usage->unconfirmed.end(),
                                         [&](const UsageReport& report) { return windows.contains(report.window); });
   if (!windowsMatch)
-    return makeError(ErrorCode::corruption, "a snapshot with a usage report of no known window");
+    return makeError(ErrorCode::corruption, "the snapshot has a usage report of an unknown window");
   contents.usage.restore(std::move(windows), std::move(usage->unconfirmed));
   return {};
 }
@@ -142,28 +143,28 @@
   auto founding = avro::decode<ShardFounding>(bytes, &consumed);
   if (!founding)
     return tl::unexpected(founding.error());
-  // Where it is not agreed on yet it only stands before the evacuations.
+  // Founders that are not agreed on yet are encoded only as a prefix of the evacuations.
   const bool isLast = consumed >= bytes.size();
   if (founding->shards < 0 || (isLast && !founding->isAgreed()))
-    return makeError(ErrorCode::corruption, "a snapshot with an impossible number of shards");
+    return makeError(ErrorCode::corruption, "the snapshot has an invalid number of shards");
   contents.shardFounding = std::move(*founding);
   return isLast ? Result<void>{} : decodeEvacuations(bytes.substr(consumed), contents);
 }
-/// Takes over what stands behind the record of format 2.
+/// Decodes the records that follow the record of format 2.
 Result<void> decodeExtensions(std::string_view bytes, StateContents& contents) {
   std::size_t consumed = 0;
   auto extension = avro::decode<format::Snapshot2Extension>(bytes, &consumed);
   if (!extension)
     return tl::unexpected(extension.error());
   if (extension->software.size() != contents.runners.size())
-    return makeError(ErrorCode::corruption, "a snapshot whose runners do not match their software");
+    return makeError(ErrorCode::corruption, "the snapshot has different numbers of runners and software records");
   auto runners = contents.runners.list();
   for (std::size_t i = 0; i < runners.size(); ++i)
     runners[i].software = std::move(extension->software[i]);
   contents.runners = std::move(runners);
   for (const auto& rollout : extension->rollouts)
     if (rollout.phase() < RolloutPhase::canary || rollout.phase() > RolloutPhase::reverted)
-      return makeError(ErrorCode::corruption, "a snapshot with a rollout in no known phase");
+      return makeError(ErrorCode::corruption, "the snapshot has a rollout in an unknown phase");
   contents.rollouts = std::move(extension->rollouts);
   return consumed < bytes.size() ? decodeShardFounding(bytes.substr(consumed), contents) : Result<void>{};
 }
@@ -180,7 +181,7 @@
   return snapshot;
 }
 
-/// Format 1 in the fields of format 2.
+/// Converts format 1 to the fields of format 2.
 format::Snapshot2 convertFormat1(format::Snapshot1 old) {
   AcceptedConfigurations accepted;
   for (const auto& each : old.acceptedConfigurations)
@@ -191,7 +192,7 @@
   DetachedRunners detached;
   for (const auto& runnerId : old.detachedRunners)
     detached.record(runnerId);
-  // A full list may have dropped what was accepted before it.
+  // If the list is full, configurations that were accepted earlier may have been dropped from it.
   const bool complete = old.acceptedConfigurations.size() < format::Snapshot1::kAcceptedCapacity;
 
   format::Snapshot2 record;
@@ -240,13 +241,13 @@
   if (!snapshot.partial) {
     const bool isInitialState = contents.version == 0 && contents.digest.empty() && contents.configuration.empty();
     if (!isInitialState && digestOf(contents.configuration) != contents.digest)
-      return makeError(ErrorCode::corruption, "a snapshot whose configuration does not match its digest");
+      return makeError(ErrorCode::corruption, "the configuration of the snapshot does not match its digest");
     return std::move(contents.configuration);
   }
   if (!snapshot.delta.empty())
     return applyDelta(receiver.configuration, receiver.digest, snapshot.delta, contents.digest);
   if (receiver.digest.empty() || contents.digest != receiver.digest)
-    return makeError(ErrorCode::corruption, "a snapshot without the configuration, for a replica that has another one");
+    return makeError(ErrorCode::corruption, "the snapshot omits the configuration, and the replica has another one");
   return receiver.configuration;
 }
 }  // namespace zinccleat::state_machine
--- a/libs/state_machine/src/snapshot_formats.hpp
+++ b/libs/state_machine/src/snapshot_formats.hpp
@@ -1,27 +1,27 @@
 /// @file
-/// The stored layouts of snapshots. The order and types of the fields are the format and must not change; the names in
-/// quotes are those of the Avro schema.
+/// The stored layouts of snapshots. The order and the types of the fields define the format and must not change; the
+/// quoted names are those of the Avro schema.
 #pragma once
 #include "state_machine/fleet_state.hpp"
 
 namespace zinccleat::state_machine::format {
-/// Common prefix of all formats from 2 on. Format 1 had none: it began with a boolean, a byte 0 or 1.
+/// Common prefix of all formats from format 2 on. Format 1 has no prefix: it begins with a boolean, a byte 0 or 1.
 constexpr std::string_view kPrefix = "zcstate";
-/// Format 2.
+/// Prefix of format 2.
 constexpr std::string_view kPrefix2 = "zcstate2";
 
-/// Format 2 of a snapshot, behind its prefix.
+/// The main record of format 2, which follows the prefix.
 struct Snapshot2 {
   std::int64_t index = 0;
   std::int64_t term = 0;
   std::int64_t version = 0;
-  std::string configuration;  // empty if partial
+  std::string configuration;  // empty in a partial snapshot
   std::string digest;
   bool partial = false;
-  std::string delta;  // partial: on the receiver's configuration; empty: it has the same one
+  std::string delta;  // partial: on the receiver's configuration; empty: the receiver has the same configuration
   std::vector<Runner> runners;
   std::vector<ZoneDrain> zoneDrains;
-  std::string acceptedConfigurations;  // packed, as the two below
+  std::string acceptedConfigurations;  // packed, like `operations` and `detachedRunners`
   std::int64_t forgottenVersion = 0;
   std::string operations;
   std::string detachedRunners;
@@ -34,9 +34,10 @@
   }
 };
 
-/// A second record behind that of format 2, left out while it is empty. Versions without rollouts ignore it.
+/// The record after the main record of format 2; omitted together with all following records if they are empty.
+/// Versions of this program without rollouts ignore it.
 struct Snapshot2Extension {
-  std::vector<RunnerSoftware> software;  // one for each runner of the snapshot, in their order
+  std::vector<RunnerSoftware> software;  // one for each runner of the snapshot, in the same order
   std::vector<Rollout> rollouts;
   template <class V>
   void fields(V& v) {
@@ -44,8 +45,8 @@
   }
 };
 
-/// A third record, behind the extension and the founding of shards, left out while it is empty; then the founding is
-/// always there. Versions without evacuations ignore it.
+/// The record after `Snapshot2Extension` and `ShardFounding`; omitted if it and `Snapshot2Usage` are empty. If it is
+/// present, `ShardFounding` is present too. Versions of this program without evacuations ignore it.
 struct Snapshot2Evacuations {
   std::vector<std::string> zones;
   template <class V>
@@ -54,10 +55,11 @@
   }
 };
 
-/// A fourth record, left out while it is empty; then the evacuations are always there. Of controllers only.
+/// The record after `Snapshot2Evacuations`, in snapshots for controllers only; omitted if it is empty. If it is
+/// present, `Snapshot2Evacuations` is present too.
 struct Snapshot2Usage {
-  std::vector<std::int64_t> windows;    // that have a report
-  std::vector<std::int64_t> reporters;  // one for each, in their order
+  std::vector<std::int64_t> windows;    // windows that have a report
+  std::vector<std::int64_t> reporters;  // number of reporters of each window, in the order of `windows`
   std::vector<UsageReport> unconfirmed;
   template <class V>
   void fields(V& v) {
@@ -83,9 +85,9 @@
     v("operationId", operationId), v("verdict", verdict);
   }
 };
-/// Format 1 of a snapshot, read only: its tables were lists of names.
+/// Format 1 of a snapshot, which is only read. Its deduplication tables are lists of names instead of hashes.
 struct Snapshot1 {
-  /// How many accepted configurations it held at most.
+  /// Maximum number of accepted configurations in a snapshot of format 1.
   static constexpr std::size_t kAcceptedCapacity = 64;
 
   bool partial = false;
@@ -95,7 +97,7 @@
   std::int64_t version = 0;
   std::string configuration;
   std::string digest;
-  std::vector<AcceptedConfiguration1> acceptedConfigurations;  // by rising version
+  std::vector<AcceptedConfiguration1> acceptedConfigurations;  // in ascending order of version
   std::vector<Runner> runners;
   std::vector<std::string> detachedRunners;
   std::vector<Operation1> operations;
