--- a/tests/deduplication_test.cpp
+++ b/tests/deduplication_test.cpp
@@ -1,5 +1,5 @@
-// Deduplication in the replicated state after far more changes than a handful: repeated Replaces, operations applied
-// long ago, runners that detached long ago.
+// Tests of deduplication in the replicated state after thousands of changes: repeated Replaces, duplicates of
+// operations that were applied long ago, and late heartbeats of runners that detached long ago.
 #include "state_machine/deduplication.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   return "body " + std::to_string(version);
 }
 
-/// Applies entries in order, as the log would, and returns the verdicts that operators get.
+/// Applies entries with consecutive log indexes and returns the verdicts that operators get.
 class DeduplicationTest : public testing::Test {
  protected:
   void apply(LogEntry entry) {
@@ -33,11 +33,11 @@
     apply(entry);
     return state_.outcomeOf(entry.operationId);
   }
-  /// Repeats the Replace that `applyChanges` did for this version.
+  /// Submits the Replace of `applyChanges` for this version under a new operation id.
   std::optional<ReplicatedState::Verdict> repeatChange(int version) {
     return replace(version - 1, version, bodyOf(version));
   }
-  /// A chain of changes with versions 1 to `count`, each on the one before.
+  /// Applies the versions 1 to `count`, each based on the previous version.
   void applyChanges(int count) {
     for (int version = 1; version <= count; ++version)
       ASSERT_EQ(repeatChange(version), kAcknowledged);
@@ -46,7 +46,7 @@
     const Runner runner{id, "s", address, "z", 4, sequence, static_cast<std::int32_t>(state)};
     apply(runnerEntry(runner, "runner/" + id + "/" + std::to_string(runner.state) + "/" + std::to_string(sequence)));
   }
-  /// Starts over with an empty state.
+  /// Resets the fixture to an empty state.
   void reset() {
     state_ = {};
     lastIndex_ = 0;
@@ -67,7 +67,7 @@
     applyChanges(count);
     for (const int version : {1, 2, count / 2, count - 1, count})
       EXPECT_EQ(repeatChange(version), kAcknowledged) << version << " after " << count << " changes";
-    EXPECT_EQ(state_.state().version, count) << "and nothing is rolled back";
+    EXPECT_EQ(state_.state().version, count) << "a repeated Replace does not roll back the configuration";
   }
 }
 TEST_F(DeduplicationTest, OutcomeOfAForgottenReplaceIsUnknown) {
@@ -80,7 +80,8 @@
   EXPECT_EQ(replace(10000, 100, "below its base"), kInvalidVersion);
   EXPECT_EQ(replace(10000, 10001, "the next"), kAcknowledged);
 }
-// Each line: a Replace, in order, and the answer that the API's pages require.
+// Each line is a Replace and the answer that the API documentation requires. The lines of a sequence are applied in
+// order.
 TEST_F(DeduplicationTest, SequencesOfReplacesGetTheSpecifiedAnswers) {
   struct Replace {
     std::int64_t base, version;
@@ -117,7 +118,8 @@
           << each.version << each.body << ": " << each.why;
   }
 }
-// Eight concurrent Replaces, each repeated at any later time: one wins a version, and it stays the winner.
+// Of eight concurrent Replaces on the same base, exactly one is accepted. Repeats of all of them at random later times
+// must get the same verdict as the first time.
 TEST_F(DeduplicationTest, OneOfManyConcurrentReplacesWinsAndItsRepeatsAreNeverRejected) {
   struct Replace {
     std::int64_t version;
@@ -160,7 +162,7 @@
 
   apply(runnerEntry(missed, "missed/i1/1"));
 
-  EXPECT_TRUE(state_.runner("i1")) << "a late duplicate of an older entry undoes nothing";
+  EXPECT_TRUE(state_.runner("i1")) << "a late duplicate of an older entry has no effect";
 }
 TEST_F(DeduplicationTest, RunnerDetachedLongAgoDoesNotRejoin) {
   for (int i = 0; i < 2000; ++i) {
@@ -175,10 +177,11 @@
     const auto id = "i" + std::to_string(i);
     EXPECT_TRUE(state_.isDetached(id)) << id;
     applyRunner(id, "a:" + std::to_string(i), RunnerState::inService, 39);
-    EXPECT_FALSE(state_.runner(id)) << id << ": a late heartbeat does not bring it back";
+    EXPECT_FALSE(state_.runner(id)) << id << ": a late heartbeat does not make the runner join again";
   }
 }
-// The rule DRAIN: no request goes to a runner long after its draining was acknowledged.
+// Rule DRAIN: no request goes to a runner long after its draining was acknowledged. A late heartbeat of a draining
+// runner that was removed must not make the runner join again.
 TEST_F(DeduplicationTest, DrainingRunnerThatWasMissedOrReplacedDoesNotRejoin) {
   applyRunner("missed", "a:1", RunnerState::inService, 1);
   applyRunner("missed", "a:1", RunnerState::draining, 5);
@@ -191,9 +194,9 @@
   applyRunner("new", "a:2", RunnerState::inService, 1);
   applyRunner("replaced", "a:2", RunnerState::inService, 4);
   EXPECT_FALSE(state_.runner("replaced"));
-  EXPECT_TRUE(state_.runner("new")) << "nor does it replace the new runner at its address";
+  EXPECT_TRUE(state_.runner("new")) << "the late heartbeat does not replace the new runner at the same address";
 
-  // One in service whose heartbeats were only missed may join again.
+  // A runner that was removed while in service, because its heartbeats were missed, may join again.
   applyRunner("healthy", "a:3", RunnerState::inService, 1);
   applyRunner("healthy", "a:3", RunnerState::detached, 0);
   applyRunner("healthy", "a:3", RunnerState::inService, 9);
--- a/tests/delta_test.cpp
+++ b/tests/delta_test.cpp
@@ -1,4 +1,5 @@
-// Deltas of configurations: computing and applying them, log entries and partial snapshots that carry them.
+// Tests of configuration deltas: computing and applying them, and log entries and partial snapshots that contain
+// deltas.
 #include "state_machine/delta.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 using namespace zinccleat::state_machine;
 using namespace zinccleat::transport;
 namespace {
-/// A configuration text whose routes and tenants change one by one.
+/// A configuration text whose routes and tenants can be changed individually.
 struct ConfigurationText {
   std::vector<std::string> routes;
   std::vector<std::string> tenants;
@@ -39,7 +40,7 @@
     return "{\"label\":\"t" + number + "\",\"accessKeys\":[\"key-" + number + "-a\",\"key-" + number +
            "-b\"],\"precedence\":1,\"ratePerS\":3" + number + ",\"burstSize\":5}";
   }
-  /// Inserts, removes, replaces or swaps one to three elements under a new version.
+  /// Raises the version and inserts, removes, replaces or swaps one to three elements.
   void changeAtRandom(std::mt19937_64& random) {
     version += 1 + static_cast<int>(random() % 3);
     for (int changes = 1 + static_cast<int>(random() % 3); changes > 0; --changes)
@@ -72,7 +73,7 @@
   }
 };
 
-/// A replica that applies entries in order, as the log would.
+/// A replica that applies entries with consecutive log indexes.
 struct Replica {
   ReplicatedState state;
   std::int64_t lastIndex = 0;
@@ -80,12 +81,12 @@
     entry.index = ++lastIndex;
     return state.apply(entry);
   }
-  /// The entry that changes the configuration from `base`, as this replica would build it.
+  /// The entry that this replica builds to change the configuration from version `base` to `text`.
   LogEntry changeEntry(std::int64_t base, const ConfigurationText& text, const std::string& operation) const {
     return configurationChangeEntry(base, text.version, text.body(), operation, state.state());
   }
 };
-/// Replaces one tenant under each of the versions `first` to `last`.
+/// Applies the versions `first` to `last`, each of which replaces one tenant.
 void changeTenants(Replica& replica, ConfigurationText& text, int first, int last) {
   for (int version = first; version <= last; ++version) {
     text.version = version;
@@ -163,10 +164,12 @@
     auto corrupted = delta;
     auto& byte = corrupted[random() % corrupted.size()];
     byte = static_cast<char>(byte ^ (1 << random() % 8));
-    EXPECT_EQ(applyDelta(base, digestOf(base), corrupted).value_or(result), result) << "never another text";
+    EXPECT_EQ(applyDelta(base, digestOf(base), corrupted).value_or(result), result)
+        << "a corrupted delta must not result in another text";
   }
 }
-// Lost, duplicated and reordered entries are the queue's task; one on a version that is not current is rejected here.
+// Lost, duplicated and reordered entries are handled before they reach the state machine. The state machine rejects an
+// entry whose base is not the current version.
 TEST(Delta, DeltaOnAnotherVersionIsRejected) {
   ConfigurationText text(5, 5);
   Replica replica;
@@ -194,7 +197,7 @@
   const auto first = intact.changeEntry(0, text, "w1");
   intact.apply(first);
   auto differing = first;
-  differing.body.replace(differing.body.find("t6"), 2, "t9");  // as a memory error would
+  differing.body.replace(differing.body.find("t6"), 2, "t9");  // simulates a memory error
   corrupted.apply(differing);
 
   text.version = 2, text.tenants.pop_back();
@@ -205,10 +208,10 @@
   text.version = 3, text.routes.pop_back();
   const auto third = intact.changeEntry(2, text, "w3");
   intact.apply(third);
-  EXPECT_TRUE(corrupted.apply(third).corrupted) << "and stays so";
+  EXPECT_TRUE(corrupted.apply(third).corrupted) << "the replica stays corrupted until it gets a full snapshot";
 
   EXPECT_FALSE(corrupted.state.restore(intact.state.snapshotFor(intact.state.state().digest)))
-      << "a partial snapshot for a configuration that it does not have";
+      << "a partial snapshot for a configuration that the replica does not have";
   ASSERT_TRUE(corrupted.state.restore(intact.state.snapshotFor(corrupted.state.state().digest)));
   EXPECT_FALSE(corrupted.state.corrupted());
   EXPECT_EQ(corrupted.state.snapshotFor({}), intact.state.snapshotFor({}));
@@ -231,7 +234,7 @@
 
   changeTenants(sender, text, 4, 11);
   const auto full = sender.state.snapshotFor(cachedDigest);
-  EXPECT_GT(full.size(), text.body().size()) << "too many changes behind: a full one";
+  EXPECT_GT(full.size(), text.body().size()) << "the receiver is too many changes behind for a partial snapshot";
   ASSERT_TRUE(receiver.state.restore(full));
   EXPECT_EQ(receiver.state.snapshotFor({}), sender.state.snapshotFor({}));
   ReplicatedState empty;
--- a/tests/replica_fixtures.hpp
+++ b/tests/replica_fixtures.hpp
@@ -1,10 +1,10 @@
-// Log entries and snapshots for tests of what follows the replicated log.
+// Log entries and snapshots for tests of components that follow the replicated log.
 #pragma once
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
 
 namespace zinccleat::replica_fixtures {
-/// A valid configuration with one route-less service and some tenants.
+/// A valid configuration without routes or services, with `tenantCount` tenants.
 inline std::string configurationText(int version, int tenantCount, const std::string& prefix = "t") {
   std::string tenants;
   for (int i = 0; i < tenantCount; ++i) {
@@ -15,13 +15,14 @@
   return "{\"configVersion\":" + std::to_string(version) + ",\"routeTable\":[],\"serviceTable\":[],\"subscribers\":[" +
          tenants + "]}";
 }
-/// The entry that sets version 1.
+/// The entry that sets configuration version 1.
 inline transport::LogEntry firstConfiguration(const std::string& prefix = "t") {
   auto entry = state_machine::configurationEntry(0, 1, configurationText(1, 10, prefix), "w1@1");
   entry.index = 1;
   return entry;
 }
-/// The entry that sets version 2 as a delta on `firstConfiguration()`. It corrupts a replica with another version 1.
+/// The entry that sets configuration version 2 as a delta on `firstConfiguration()`. Applying the entry to a replica
+/// with another version 1 marks that replica as corrupted.
 inline transport::LogEntry deltaConfiguration() {
   state_machine::ReplicatedState leader;
   leader.apply(firstConfiguration());
@@ -29,7 +30,7 @@
   entry.index = 2;
   return entry;
 }
-/// An entry without effect on the configuration: a runner joins.
+/// An entry that does not change the configuration: a runner joins.
 inline transport::LogEntry runnerJoins(std::int64_t index) {
   const auto name = "i-" + std::to_string(index);
   state_machine::Runner runner;
--- a/tests/rollout_control.cpp
+++ b/tests/rollout_control.cpp
@@ -5,7 +5,7 @@
 using namespace rollout;
 using namespace state_machine;
 
-constexpr Duration kLeaderElectionDelay{700};  // without a leader
+constexpr Duration kLeaderElectionDelay{700};  // time without a leader after a change
 constexpr int kControllers = 3;
 constexpr double kExposureShare = 0.1;
 constexpr double kExposureSlack = 50;
@@ -71,7 +71,7 @@
     if (now < end)
       continue;
     end = TimePoint::max();
-    pending_.clear();  // what was not committed is lost with its leader
+    pending_.clear();  // records that are not committed are lost with the leader
     leader_ = (leader_ + 1) % kControllers;
     leaderFrom_ = now + kLeaderElectionDelay;
     trackers_[leader_].startTerm();
--- a/tests/rollout_control.hpp
+++ b/tests/rollout_control.hpp
@@ -1,5 +1,6 @@
-// The control side of a rollout in simulated time: controllers of which one leads, a log whose entries reach everyone
-// late, and the gates of proxies that follow it and report. What the traffic does is up to the world around it.
+// The control plane of a rollout in simulated time: controllers with one leader, a log whose entries reach the proxies
+// with a delay, and the revision gates of proxies that follow the log and send reports. The simulation that uses this
+// class generates the traffic.
 #pragma once
 #include <deque>
 #include <random>
@@ -13,16 +14,16 @@
 constexpr Duration kTick{50};
 constexpr Duration kReportInterval{400};
 const TimePoint kStart = TimePoint{} + 1h;
-/// The service, and its two revisions.
+/// The service and its two revisions.
 inline const std::string kService = "s";
 inline const std::string kBaseline = "v1";
 inline const std::string kCandidate = "v2";
 
-/// One proxy's part.
+/// The control plane state of one proxy.
 struct ControlledProxy {
   rollout::RevisionGate gate;
-  Duration phase{0};       // of its reports
-  Duration entryDelay{0};  // until an entry has come here
+  Duration phase{0};       // offset of the proxy's reports within the report interval
+  Duration entryDelay{0};  // time from the commit of an entry to its arrival at the proxy
   TimePoint disconnectedFrom = TimePoint::max();
   TimePoint disconnectedUntil = TimePoint::max();
   std::size_t applied = 0;
@@ -36,20 +37,20 @@
     std::uint64_t seed = 1;
     int proxies = 40;
     Duration term{14000};
-    int leaderChanges = 0;           // at random times
-    double disconnectedProxies = 0;  // part of the proxies that hear nothing for a while
+    int leaderChanges = 0;           // number of changes, at random times
+    double disconnectedProxies = 0;  // fraction of the proxies that are disconnected from the controllers for 3 s
   };
   explicit RolloutControl(const Options& options);
-  /// A runner of one of the revisions joins.
+  /// Adds a runner of one of the revisions.
   void join(const std::string& id, const std::string& revision, std::int64_t capacity);
-  /// The operator's order.
+  /// Begins the rollout, as an operator's call does.
   void begin();
-  /// One tick of the controllers. The world calls `follow` and `report` for each proxy.
+  /// Advances the controllers by one tick. The caller must call `follow` and `report` for each proxy.
   void step(TimePoint now);
-  /// Applies the entries that have come to a proxy.
-  /// @return whether there were any.
+  /// Applies the entries that have arrived at a proxy.
+  /// @return whether any entry has arrived.
   bool follow(ControlledProxy& proxy, TimePoint now) const;
-  /// Exchanges a proxy's reports for grants.
+  /// Sends a proxy's reports to the leader and adds the granted tokens.
   void report(ControlledProxy& proxy, TimePoint now);
   std::vector<ControlledProxy>& proxies() { return proxies_; }
   const state_machine::StateContents& state() const { return state_.state(); }
@@ -57,13 +58,13 @@
   bool hasLeader(TimePoint now) const { return now >= leaderFrom_; }
   Duration decidedAfter() const { return decidedAfter_; }
   double steps() const { return steps_; }
-  /// The runners that the leader has the proxies avoid.
+  /// The runners that outlier detection has ejected from all proxies.
   std::vector<transport::RunnerEjection> ejections;
 
  private:
   struct CommittedEntry {
     TimePoint at;
-    std::vector<state_machine::Rollout> rollouts;  // after it
+    std::vector<state_machine::Rollout> rollouts;  // state after the entry
   };
   struct PendingRecord {
     TimePoint at;
--- a/tests/rollout_engine_world.cpp
+++ b/tests/rollout_engine_world.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration kTimeStep{10};
 constexpr Duration kFailureLatency{15};
-constexpr Duration kWarmupDuration{4000};  // before the order
+constexpr Duration kWarmupDuration{4000};  // traffic before the rollout begins
 constexpr Duration kDrainDuration{3000};
 constexpr Duration kEvaluationInterval{200};
 constexpr int kPrefixes = 60;
@@ -28,7 +28,7 @@
 /// A kind of request.
 struct Kind {
   std::string route;
-  double part;  // of all requests
+  double part;  // fraction of all requests
   double sharedTokens;
   double ownTokens;
   double outputTokens;
@@ -40,13 +40,13 @@
 struct SimulatedRunner {
   std::string id;
   bool isCandidate = false;
-  bool fails = false;  // two fifths or half of its answers, whatever its revision
+  bool fails = false;  // fails half of its answers with `someRunners`, otherwise two fifths
   Engine engine;
 };
 struct Proxy {
   RunnerPool pool{1};
   balancing::RunnerObserver observer;
-  balancing::LatencyBaseline paceBaseline;  // in place of `StreamPaces`, which reads bytes
+  balancing::LatencyBaseline paceBaseline;  // replaces `StreamPaces`, which parses the bytes of a stream
 };
 /// An attempt in flight.
 struct AttemptInFlight {
@@ -83,7 +83,7 @@
   EngineOutcome run() {
     for (auto now = kStart - kWarmupDuration; now < kStart; now += kTimeStep)
       serve(now);
-    // The candidate's runners are started after the order.
+    // The candidate's runners start after the rollout has begun.
     control_.begin();
     for (int i = plan_.runners; i < 2 * plan_.runners; ++i)
       addRunner(i);
@@ -129,13 +129,14 @@
     for (auto& proxy : proxies_)
       proxy.pool.setRunners(control_.state().runners, now);
   }
-  // --- the control side ---
+  // --- Control plane ---
   void tick(TimePoint now) {
     control_.step(now);
     for (std::size_t i = 0; i < proxies_.size(); ++i) {
       auto& controlled = control_.proxies()[i];
       if (control_.follow(controlled, now))
-        proxies_[i].pool.setRunners(control_.state().runners, now);  // the order is before them
+        // The proxy applies the begin of the rollout before the new runners join.
+        proxies_[i].pool.setRunners(control_.state().runners, now);
       if (!controlled.reportsAt(now))
         continue;
       control_.report(controlled, now);
@@ -146,7 +147,7 @@
       outliers_.evaluate(now, control_.state().runners);
     control_.ejections = outliers_.ejections();
   }
-  // --- traffic ---
+  // --- Traffic ---
   void serve(TimePoint now) {
     const bool surges = plan_.surgeAt > Duration(0) && now >= kStart + plan_.surgeAt;
     const double expected =
@@ -193,7 +194,7 @@
       query.excluded.push_back(chosen);
     }
   }
-  // As the proxy's request handler does.
+  // Chooses a runner like the proxy's request handler.
   static int choose(Proxy& proxy, rollout::RevisionGate& gate, balancing::RunnerQuery& query, bool isRetry,
                     TimePoint now) {
     if (!gate.hasRollouts())
@@ -208,7 +209,7 @@
     query.revisions = std::move(*fallback);
     return proxy.pool.choose(query, now);
   }
-  // False: the runner is full, and another may be tried.
+  // Returns false if the runner's queue is full, so that the caller may try another runner.
   bool startAttempt(std::size_t proxyNumber, int chosen, const Kind& kind, const balancing::RunnerQuery& query,
                     TimePoint now) {
     auto& proxy = proxies_[proxyNumber];
@@ -275,7 +276,7 @@
     }
     return usual;
   }
-  // --- answers ---
+  // --- Answers ---
   void onProgress(const simulated_engine::Progress& progress, TimePoint now) {
     const auto found = attemptsInFlight_.find(progress.id);
     if (found == attemptsInFlight_.end())
@@ -331,13 +332,14 @@
   static bool isSlow(const Proxy& proxy, std::optional<double> pace) {
     return pace && *pace > static_cast<double>(proxy.paceBaseline.slowThreshold().count());
   }
-  // As `Exchange::observeSlowness` does.
+  // Detects slow answers in progress like `Exchange::observeSlowness`.
   void observeSlowness(TimePoint now) {
     for (auto& [id, flight] : attemptsInFlight_) {
       if (!flight.responded || flight.slownessRecorded)
         continue;
       const auto& proxy = proxies_[flight.proxy];
-      // Work that is slow under load has as many times the tokens.
+      // Slowness under load is simulated by a larger number of tokens, so the number of generated tokens is scaled
+      // back.
       const auto tokens = runners_[flight.runner].engine.generated(id).value_or(0) / flight.slowness;
       flight.slowPace = tokens >= kMinEventsMidway * kTokensPerEvent && isSlow(proxy, paceOf(flight, tokens, now));
       flight.slownessRecorded = attemptOf(flight).isSlow();
--- a/tests/rollout_engine_worlds_test.cpp
+++ b/tests/rollout_engine_worlds_test.cpp
@@ -1,9 +1,9 @@
-// Rollouts in seeded worlds whose runners have queues, prompts and a memory (issue 39): a version that fails under load
-// only, or only later, or only on some routes or runners, stays within its exposure and is reverted; a good one is
-// completed, also in a surge.
+// Tests of rollouts in seeded simulations whose runners have queues, prompt processing and a prefix cache (issue 39). A
+// revision that fails only under load, late, on some routes or on some runners must stay within the allowed exposure
+// and be reverted. A good revision must be completed, also during a surge of requests.
 //
-// ZINCCLEAT_WORLDS=300 target/zinccleat_tests --gtest_filter='RolloutEngineWorlds.*' plays more seeds of each kind and
-// prints the table of docs/notes-rollouts.md.
+// ZINCCLEAT_WORLDS=300 target/zinccleat_tests --gtest_filter='RolloutEngineWorlds.*' simulates more seeds of each kind
+// and prints the table of docs/notes-rollouts.md.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -56,7 +56,7 @@
   plan.surgeAt = plan.term / 4;
   return plan;
 }
-// Few runners with many short requests each.
+// A service with few runners and many short requests for each runner.
 EnginePlan smallService(EngineVersion version) {
   EnginePlan plan{.version = version};
   plan.runners = 4;
@@ -67,7 +67,7 @@
 }
 struct Counts {
   int completed = 0, reverted = 0, undecided = 0, overExposed = 0, lateRollbacks = 0;
-  double worstExposure = 0;  // of what is allowed
+  double worstExposure = 0;  // maximum, as a multiple of the allowed number of requests
   double decidedAfterMs = 0;
   double baselineLoad = 0, canaryLoad = 0;
 };
@@ -111,7 +111,8 @@
 TEST_P(RolloutEngineWorlds, EndAsTheVersionDeserves) {
   const auto counts = simulateAll(GetParam());
   const bool isGood = GetParam().plan.version == EngineVersion::good;
-  // All of the usual few; of many more one in a hundred may err, by the test's error rates.
+  // With the default of 6 seeds, all must end as expected. With many seeds, one in a hundred may end otherwise, because
+  // of the error rates of the sequential test.
   EXPECT_GE(isGood ? counts.completed : counts.reverted, worldCount() * 0.99);
   EXPECT_LE(counts.overExposed, worldCount() * 0.01);
   EXPECT_EQ(counts.undecided, 0);
@@ -136,8 +137,9 @@
                     Kind{"some runners, 90 runners", ofSize(V::someRunners, 90)}),
     nameOf);
 
-// Known limits (docs/notes-rollouts.md): both are nearly always reverted, and some of them late. Pace is known late,
-// and seven faulty runners of thirty are hard to tell from runners that ail.
+// Known limits (docs/notes-rollouts.md): both kinds are nearly always reverted, but some of them late. The pace of an
+// answer is known only late, and seven faulty runners of thirty are hard to distinguish from runners with a fault of
+// their own.
 TEST(RolloutEngineWorldsLimits, SlowUnderLoadAndAQuarterOfFewRunnersAreMostlyReverted) {
   for (const auto& kind :
        {Kind{"slow under load", ofSize(V::slowUnderLoad, 30)}, Kind{"some runners", ofSize(V::someRunners, 30)}}) {
--- a/tests/rollout_log_test.cpp
+++ b/tests/rollout_log_test.cpp
@@ -1,7 +1,8 @@
-// Rollouts over the real replicated log: seeded clusters of six controllers, each with the engine, and proxies that
-// follow any of them, while leaders die, networkPartition lose each other, disks are lost and power fails everywhere.
+// Tests of rollouts over the real replicated log in simulated clusters, which are determined by a seed. A cluster has
+// six controllers, each with a rollout tracker, and proxies that follow any of the controllers. In each run one fault
+// occurs: a crash of the leader, a network partition, the loss of a disk, or a power failure of all machines.
 //
-// A longer sweep: ZINCCLEAT_WORLDS=500 target/zinccleat_tests --gtest_filter='RolloutLog.*'
+// More seeds: ZINCCLEAT_WORLDS=500 target/zinccleat_tests --gtest_filter='RolloutLog.*'
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -33,7 +34,7 @@
 
 struct Proxy {
   RevisionGate gate;
-  std::string source;  // the controller that feeds it
+  std::string source;  // the controller whose log the proxy follows
   std::int64_t applied = 0;
 };
 
@@ -61,7 +62,8 @@
         faultInjected = true;
         injectFault(fault);
       }
-      // The order is sent again, and another one in between: the first is acknowledged again, the other never taken.
+      // The begin request is repeated, with requests for another revision in between. The repeated request must be
+      // acknowledged again; the other one must be rejected.
       if (tick % 40 == 20)
         write(rolloutBeginEntry(order, "order/again/" + std::to_string(tick)));
       if (tick % 60 == 30 && !finalPhase_ && cluster_.now < end - 12000ms)
@@ -97,7 +99,7 @@
     order.durationMs = kTermMs;
     return order;
   }
-  /// By any controller, as an operator's call.
+  /// Submits an entry through a random controller, as an operator's call does.
   void write(const LogEntry& entry) {
     const auto ip = anyMachine();
     constexpr int kAttempts = 30;
@@ -112,7 +114,7 @@
     }
     cluster_.runFor(1500ms);
   }
-  // --- faults, each ends by itself ---
+  // --- Faults, each of which ends after some time ---
   void restartLater(const std::string& ip, Duration delay) {
     cluster_.schedule(delay, [this, ip] {
       if (!cluster_.nodes[ip].up)
@@ -151,7 +153,7 @@
     }
     cluster_.schedule(2500ms, [this] { cluster_.cutLinks.clear(); });
   }
-  // --- the fleet ---
+  // --- Controllers and proxies ---
   void step() {
     cluster_.runFor(kTick);
     for (const auto& ip : kMachines)
@@ -166,7 +168,7 @@
       return;
     auto& known = trackers_.try_emplace(ip, node.incarnation, RolloutTracker(kShare)).first->second;
     if (known.first != node.incarnation)
-      known = {node.incarnation, RolloutTracker(kShare)};  // what it knew is lost with its process
+      known = {node.incarnation, RolloutTracker(kShare)};  // a restarted process has lost its tracker
     auto& tracker = known.second;
     tracker.follow(cluster_.now, node.replica.state());
     checkReplica(node);
@@ -224,7 +226,7 @@
     requests_ += ordered ? 1 : 0;
     proxy.gate.recordRequest("s");
     const auto filter = proxy.gate.choose("s", 0, false, cluster_.now);
-    // Before its order has come to a proxy, the new runners have not been started for it.
+    // As long as a proxy does not know the rollout, the candidate's runners do not exist for this proxy.
     const bool toCandidate = filter.rule == RevisionFilter::Rule::only;
     ObservedAttempt seen;
     seen.route = "r";
@@ -239,7 +241,7 @@
   SimulatedCluster cluster_;
   bool isBad_;
   std::vector<Proxy> proxies_;
-  std::map<std::string, std::pair<int, RolloutTracker>> trackers_;  // with the incarnation that made it
+  std::map<std::string, std::pair<int, RolloutTracker>> trackers_;  // by address, with the incarnation of the process
   std::string leader_, orderOperationId_;
   std::optional<RolloutPhase> finalPhase_;
   std::vector<std::string> problems_;
--- a/tests/rollout_state_test.cpp
+++ b/tests/rollout_state_test.cpp
@@ -1,4 +1,4 @@
-// Rollouts in the replicated state: what orders and progress entries change, and what a snapshot keeps of them.
+// Tests of rollouts in the replicated state: the effects of begin and progress entries, and rollouts in snapshots.
 #include <gtest/gtest.h>
 
 #include "state_machine/replicated_state.hpp"
@@ -58,10 +58,11 @@
 
   EXPECT_EQ(begin(rolloutTo("v2")), Verdict::acknowledged);
   EXPECT_FALSE(change_.rollouts);
-  EXPECT_EQ(state_.rollout("s")->percent, 25) << "it does not begin anew";
+  EXPECT_EQ(state_.rollout("s")->percent, 25) << "the rollout does not begin again";
 
   EXPECT_EQ(progress(stepTo(RolloutPhase::reverted)), Verdict::acknowledged);
-  EXPECT_EQ(begin(rolloutTo("v2")), Verdict::acknowledged) << "the acknowledgement may have been lost until now";
+  EXPECT_EQ(begin(rolloutTo("v2")), Verdict::acknowledged)
+      << "the acknowledgements of earlier requests may have been lost";
   EXPECT_EQ(state_.rollout("s")->phase(), RolloutPhase::reverted);
 }
 TEST_F(RolloutState, ASecondRolloutOfAServiceWaitsForTheFirst) {
@@ -92,7 +93,8 @@
 TEST_F(RolloutState, ProgressOfAnotherRolloutChangesNothing) {
   EXPECT_EQ(progress(stepTo(RolloutPhase::completed, 100)), Verdict::conflict);
   begin(rolloutTo("v3"));
-  EXPECT_EQ(progress(stepTo(RolloutPhase::completed, 100)), Verdict::conflict) << "an entry of a rollout before it";
+  EXPECT_EQ(progress(stepTo(RolloutPhase::completed, 100)), Verdict::conflict)
+      << "the entry belongs to another revision";
   EXPECT_TRUE(state_.rollout("s")->inProgress());
 }
 TEST_F(RolloutState, TheElapsedTimeNeverFalls) {
@@ -121,7 +123,7 @@
   auto late = runnerOf("old-1", "v1");
   late.sequence = 9;
   join(late);
-  EXPECT_FALSE(state_.runner("old-1")) << "its heartbeat was under way when the operator stopped it";
+  EXPECT_FALSE(state_.runner("old-1")) << "a late heartbeat of a stopped runner has no effect";
 }
 TEST_F(RolloutState, ASnapshotKeepsRolloutsAndRevisions) {
   join(runnerOf("old-1", "v1"));
@@ -157,7 +159,8 @@
   const auto entry = runnerEntry(plain, "x");
   auto withRevision = plain;
   withRevision.software.revision = "v1";
-  EXPECT_TRUE(encodeRunner(withRevision).starts_with(entry.body)) << "earlier versions ignore what follows";
+  EXPECT_TRUE(encodeRunner(withRevision).starts_with(entry.body))
+      << "earlier versions ignore the bytes after the runner";
   EXPECT_EQ(decodeRunner(entry.body)->software, RunnerSoftware{});
 }
 TEST_F(RolloutState, ManyServicesAreBoundedAndThoseInProgressStay) {
@@ -175,8 +178,9 @@
   EXPECT_TRUE(state_.rollout("s599"));
 }
 
-// Every order of entries up to a length, as leaders that know little of each other may have them committed: which of
-// them are committed, and that all replicas have the same, is what the model checker of the consensus module searches.
+// Exhaustive test of all sequences of entries up to a length, because successive leaders may commit entries without
+// knowledge of each other's. Which entries are committed, and that all replicas commit the same ones, is verified by
+// the model checker of the consensus module.
 namespace {
 std::vector<LogEntry> allEntries() {
   std::vector<LogEntry> entries;
@@ -201,9 +205,9 @@
   if (!old)
     return next && !begins ? 1 : 0;
   if (!next)
-    return 1;  // forgotten
+    return 1;  // the rollout was lost
   if (!next->isSameRollout(*old))
-    return old->inProgress() || !begins ? 1 : 0;  // only a new order takes the place, of one that is over
+    return old->inProgress() || !begins ? 1 : 0;  // only a begin entry may replace a rollout, and only a final one
   const bool regressed = next->phase() < old->phase() ||
                          (next->phase() == old->phase() && next->percent < old->percent && next->inProgress());
   const bool changedFinalPhase = !old->inProgress() && next->phase() != old->phase();
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,4 +1,5 @@
-// The rollout engine: the sequential test, the ledger of evidence, the plan of a rollout, and the gate of a proxy.
+// Tests of the rollout library: the sequential test, the evidence ledger, the rollout plan, the rollout tracker and the
+// revision gate.
 #include <gtest/gtest.h>
 
 #include "rollout/evidence_ledger.hpp"
@@ -41,7 +42,7 @@
   ledger.report(kStart, std::nullopt, {answersOf("", 2000, 4), answersOf("n1", 20, 10), answersOf("n2", 20, 9)});
   return ledger;
 }
-// A proof needs more; a suspicion does not.
+// Enough bad answers for a suspicion, but not for a proof.
 EvidenceLedger suspiciousEvidence() {
   EvidenceLedger ledger;
   ledger.report(kStart, std::nullopt, {answersOf("", 2000, 4), answersOf("n1", 35, 3), answersOf("n2", 35, 4)});
@@ -78,9 +79,10 @@
   EXPECT_LT(logEvidence({0, 100}, rate), 0);
   EXPECT_GT(logEvidence({10, 20}, rate), logEvidence({5, 20}, rate));
   EXPECT_GT(logEvidence({10, 20}, rate), logEvidence({10, 80}, rate));
-  EXPECT_EQ(logEvidence({10, 20}, 0.99), 0) << "no alternative is left above it";
+  EXPECT_EQ(logEvidence({10, 20}, 0.99), 0) << "there is no alternative above this rate";
 }
-// Ville's inequality: at the sound rate itself evidence of 1/alpha is ever reached with a probability of alpha at most.
+// Ville's inequality: if the true rate equals the sound rate, the probability that the evidence ever reaches 1/alpha is
+// at most alpha.
 TEST(SequentialTest, LookingAfterEachAnswerKeepsTheErrorRate) {
   std::mt19937_64 rng(11);
   constexpr double kRate = 0.05;
@@ -99,7 +101,8 @@
   }
   EXPECT_LE(crossed, kRuns * kAlpha);
 }
-// The planted blunder: a test for a fixed sample that is made after each answer. It must show here.
+// Shows that the simulation of `LookingAfterEachAnswerKeepsTheErrorRate` detects a wrong test: a test for a fixed
+// sample size that is repeated after each answer exceeds its error rate.
 TEST(SequentialTest, PeekingWithoutCorrectionIsFoundOut) {
   std::mt19937_64 rng(11);
   constexpr double kRate = 0.05;
@@ -119,11 +122,11 @@
     crossed += ever ? 1 : 0;
     crossedAtTheEnd += now ? 1 : 0;
   }
-  EXPECT_LE(crossedAtTheEnd, kRuns * 0.05) << "one look, at the end";
-  EXPECT_GE(crossed, kRuns * 0.15) << "a look after each answer";
+  EXPECT_LE(crossedAtTheEnd, kRuns * 0.05) << "evaluated once, at the end";
+  EXPECT_GE(crossed, kRuns * 0.15) << "evaluated after each answer";
 }
 
-// --- The ledger ---
+// --- The evidence ledger ---
 
 TEST(EvidenceLedgerTest, ManyFailuresOfSeveralRunnersAreAFault) {
   const auto fault = faultyEvidence().findFault();
@@ -163,7 +166,7 @@
   ledger.report(kStart + 1s, kStart, {answersOf("n1", 0, 0, 0, 30)});
   ledger.report(kStart + 2s, kStart + 1s, {answersOf("n2", 10, 0)});
   EXPECT_FALSE(ledger.findFault());
-  EXPECT_EQ(ledger.candidateBadAnswers(), 30) << "but they count among the bad ones";
+  EXPECT_EQ(ledger.candidateBadAnswers(), 30) << "interrupted answers count as bad answers";
 }
 TEST(EvidenceLedgerTest, AnswersThatBreakOffAtRunnersThatGoOnAreFailures) {
   EvidenceLedger ledger;
@@ -179,7 +182,7 @@
   ledger.report(kStart + 1s, kStart, {answersOf("n1", 0, 0, 0, 30), answersOf("n2", 0, 0, 0, 30)});
   ledger.report(kStart + 4s, kStart + 900ms, {answersOf("n1", 5, 0), answersOf("n2", 5, 0)});
   ledger.report(kStart + 5s, std::nullopt, {answersOf("n1", 5, 0), answersOf("n2", 5, 0)});
-  EXPECT_FALSE(ledger.findFault()) << "those proxies had not reported for a while";
+  EXPECT_FALSE(ledger.findFault()) << "these reports may contain answers from before the interruption";
   ledger.report(kStart + 6s, kStart + 1s, {answersOf("n1", 1, 0), answersOf("n2", 1, 0)});
   EXPECT_TRUE(ledger.findFault());
 }
@@ -195,7 +198,8 @@
   for (int runner = 0; runner < 60; ++runner)
     answers.push_back(answersOf("n" + std::to_string(runner), 5, runner % 3 == 0 ? 1 : 0));
   ledger.report(kStart, std::nullopt, answers);
-  EXPECT_TRUE(ledger.findFault()) << "a third of the runners had one bad answer each, by chance these";
+  EXPECT_TRUE(ledger.findFault())
+      << "a third of the runners had one bad answer each, which is not a fault of these runners";
 }
 TEST(EvidenceLedgerTest, AFaultOfBusyRunnersIsNotTakenForTheFaultOfThoseRunners) {
   EvidenceLedger ledger;
@@ -219,12 +223,12 @@
                  answersOf("n2", 30, 0, 16, 0, stratumOf("r", LoadClass::busy))});
   EXPECT_FALSE(ledger.findFault());
   ledger.report(kStart, std::nullopt, {answersOf("n1", 30, 0, 15), answersOf("n2", 30, 0, 16)});
-  EXPECT_TRUE(ledger.findFault()) << "idle ones are not that slow";
+  EXPECT_TRUE(ledger.findFault()) << "idle runners of the baseline are not that slow";
 }
 TEST(EvidenceLedgerTest, OneRunnerIsEnoughOnlyWhereTheVersionHasNoOther) {
   EvidenceLedger few;
   few.report(kStart, std::nullopt, {answersOf("", 1000, 2), answersOf("n1", 8, 6)});
-  EXPECT_FALSE(few.findFault()) << "others may answer soon";
+  EXPECT_FALSE(few.findFault()) << "other runners may answer soon";
   few.report(kStart, std::nullopt, {answersOf("n1", 30, 15)});
   EXPECT_TRUE(few.findFault());
   EvidenceLedger others;
@@ -246,7 +250,7 @@
   EXPECT_EQ(fault->kind, Fault::Kind::runnersFail);
   EXPECT_EQ(fault->candidate.bad, 19);
   EXPECT_FALSE(ledgerWith(4, 0).findFault());
-  EXPECT_FALSE(ledgerWith(12, 0.18).findFault()) << "the baseline has as many";
+  EXPECT_FALSE(ledgerWith(12, 0.18).findFault()) << "the baseline has as many faulty runners";
   EXPECT_TRUE(ledgerWith(12, 0).isSuspicious());
 }
 TEST(EvidenceLedgerTest, TheCandidateIsNotClearedUntilItsBusyRunnersAre) {
@@ -288,7 +292,7 @@
   EXPECT_EQ(ledger.candidateBadAnswers(), 5);
 }
 
-// --- The plan ---
+// --- The rollout plan ---
 
 TEST(RolloutPlan, TheCanaryLastsForHalfOfTheTerm) {
   const auto canary = rolloutIn(RolloutPhase::canary, kLoadTestGroups);
@@ -304,14 +308,16 @@
         nextStep(rolloutIn(RolloutPhase::canary, group), evidence, kReadyFleet, fractionOfTerm(part), sinceGroup);
     return step && step->phase == RolloutPhase::canary ? step->percent : 0;
   };
-  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.2, fractionOfTerm(0.2)), 0) << "faults that need no load are seen first";
+  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.2, fractionOfTerm(0.2)), 0)
+      << "faults that do not depend on load are detected first";
   EXPECT_EQ(groupAfter(0, soundEvidence(), 0.3, fractionOfTerm(0.3)), 1);
   EXPECT_EQ(groupAfter(1, soundEvidence(), 0.35, fractionOfTerm(0.07)), 0);
   EXPECT_EQ(groupAfter(1, soundEvidence(), 0.45, fractionOfTerm(0.17)), 2);
   EXPECT_EQ(groupAfter(1, suspiciousEvidence(), 0.45, fractionOfTerm(0.17)), 0)
-      << "the group under suspicion stays loaded";
+      << "the load test stays at the group under suspicion";
   EXPECT_EQ(groupAfter(2, soundEvidence(), 0.5, fractionOfTerm(0.08)), 0);
-  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(100)), 0) << "a leader that comes late, too";
+  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(100)), 0)
+      << "a leader that takes over late also waits for the minimum duration of a step";
   EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(450)), 2);
 }
 TEST(RolloutPlan, WithoutALoadTestNothingIsShifted) {
@@ -344,7 +350,7 @@
 TEST(RolloutPlan, EachStepOfTheShiftIsObserved) {
   const auto shifting = rolloutIn(RolloutPhase::shifting, 25);
   EXPECT_FALSE(nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.6), Duration(500)))
-      << "its runners fill up";
+      << "the candidate's runners are still filling up";
   const auto step = nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.66), fractionOfTerm(0.11));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->percent, 50);
@@ -360,7 +366,7 @@
   auto idle = kReadyFleet;
   idle.baselineIsIdle = true;
   EXPECT_FALSE(nextStep(full, soundEvidence(), idle, fractionOfTerm(0.7), Duration(300)))
-      << "the full traffic is observed too";
+      << "the step with all traffic must be observed too";
   EXPECT_EQ(nextStep(full, soundEvidence(), idle, fractionOfTerm(0.7), fractionOfTerm(0.1))->phase,
             RolloutPhase::completed);
   EXPECT_EQ(nextStep(full, soundEvidence(), kReadyFleet, fractionOfTerm(0.89), fractionOfTerm(0.1))->phase,
@@ -383,7 +389,7 @@
     EXPECT_FALSE(nextStep(rolloutIn(phase, 100), faultyEvidence(), kReadyFleet, fractionOfTerm(2), fractionOfTerm(1)));
 }
 
-// --- The tracker ---
+// --- The rollout tracker ---
 
 namespace {
 StateContents stateWith(const Rollout& rollout) {
@@ -513,12 +519,12 @@
   tracker.report(later, "p2", reportOf(5, {}, 100, 2));
   EXPECT_FALSE(decidesAt(later)) << "two attempts are in flight";
   tracker.report(later + 100ms, "p2", reportOf(5, {}, 50, 0));
-  EXPECT_FALSE(decidesAt(later + 100ms)) << "it has not heard of the last step";
+  EXPECT_FALSE(decidesAt(later + 100ms)) << "the proxy does not know the last step yet";
   tracker.report(later + 200ms, "p2", reportOf(5, {}, 100, 0));
   EXPECT_TRUE(decidesAt(later + 200ms));
 }
 
-// --- The gate ---
+// --- The revision gate ---
 
 TEST(RevisionGateTest, WithoutARolloutNothingIsFiltered) {
   RevisionGate gate;
@@ -549,7 +555,8 @@
   gate.addGrants({{"s", "v2", 3}}, kStart);
   const auto retry = gate.choose("s", 1, true, kStart);
   EXPECT_EQ(retry.rule, Rule::except);
-  EXPECT_FALSE(gate.fallback("s", retry)) << "no runner is left, yet the candidate gets nothing beyond its tokens";
+  EXPECT_FALSE(gate.fallback("s", retry))
+      << "the candidate gets no requests without tokens, even if no other runner is available";
   const auto canary = gate.choose("s", 1, false, kStart);
   EXPECT_EQ(gate.fallback("s", canary)->rule, Rule::except);
 }
@@ -565,18 +572,20 @@
 TEST(RevisionGateTest, TheShiftUsesAsManyRunnersAsItMovesTraffic) {
   for (const std::int32_t percent : {25, 50, 100}) {
     auto gate = gateIn(RolloutPhase::shifting, percent);
-    EXPECT_EQ(gate.choose("s", 77, false, kStart).runnerShare, percent / 100.0) << "the prefix decides, in the pool";
+    EXPECT_EQ(gate.choose("s", 77, false, kStart).runnerShare, percent / 100.0)
+        << "the runner pool decides by the prefix";
     int moved = 0;
     for (int i = 0; i < 2000; ++i)
       moved += gate.choose("s", 0, false, kStart).rule == Rule::only ? 1 : 0;
     EXPECT_NEAR(moved, 20.0 * percent, 100);
-    EXPECT_EQ(gate.fallback("s", {Rule::except, "v2", 1})->rule, Rule::only) << "rather than nobody";
+    EXPECT_EQ(gate.fallback("s", {Rule::except, "v2", 1})->rule, Rule::only)
+        << "the candidate serves requests for which no baseline runner is available";
   }
 }
 TEST(RevisionGateTest, TheLoadTestNamesItsGroup) {
   auto gate = gateIn(RolloutPhase::canary, 2);
   gate.setExposureShare(0.05);
-  EXPECT_EQ(gate.choose("s", 1, false, kStart).rule, Rule::except) << "for tokens, as the canary before";
+  EXPECT_EQ(gate.choose("s", 1, false, kStart).rule, Rule::except) << "a load test also requires tokens";
   gate.addGrants({{"s", "v2", 1}}, kStart);
   const auto filter = gate.choose("s", 1, false, kStart);
   EXPECT_EQ(filter.rule, Rule::only);
@@ -603,7 +612,7 @@
   EXPECT_EQ(reports[0].answers[1].slow, 1);
   EXPECT_EQ(reports[0].answers[2].route, stratumOf("r", LoadClass::full));
   EXPECT_EQ(reports[0].answers[2].answered, 2);
-  EXPECT_EQ(reports[0].answers[2].slow, 1) << "its start at a full runner says nothing, its pace does";
+  EXPECT_EQ(reports[0].answers[2].slow, 1) << "a slow start at a full runner is ignored, a slow pace is not";
 }
 TEST(ExposureTest, AGroupIsLoadedBeyondTheLoadAfterCompletionAndNotFarBeyond) {
   for (const std::size_t runners : {4U, 30U, 90U, 600U})
@@ -637,7 +646,8 @@
   const auto filter = gate.choose("s", 1, false, kStart);
   EXPECT_EQ(filter.rule, Rule::except);
   EXPECT_FALSE(gate.fallback("s", filter));
-  EXPECT_EQ(gate.takeReports().at(0).percent, 0) << "the leader learns that it does not follow";
+  EXPECT_EQ(gate.takeReports().at(0).percent, 0)
+      << "the report tells the leader that this proxy sends no traffic to the candidate";
 }
 TEST(RevisionGateTest, FailuresOfBothRevisionsStopNothing) {
   auto gate = gateIn(RolloutPhase::shifting, 100);
@@ -676,8 +686,8 @@
   EXPECT_FALSE(gate.hasRollouts());
 }
 
-// What a rollout adds to a proxy's control traffic, docs/CAPACITY.md: at 21 requests a second on three routes, one
-// report every 400 ms while the canary lasts.
+// The additional control traffic of a proxy during a rollout (docs/CAPACITY.md): one report every 400 ms during the
+// canary phase, at 21 requests a second on three routes.
 TEST(RolloutMessages, AReportOfAUsualProxyIsSmall) {
   auto gate = gateIn(RolloutPhase::canary);
   constexpr int kRequestsPerReport = 9;
--- a/tests/rollout_world.cpp
+++ b/tests/rollout_world.cpp
@@ -14,7 +14,7 @@
   std::string revision;
   bool faulty = false;
   TimePoint crashesAt = TimePoint::max();
-  double load = 0;  // requests lately, decayed
+  double load = 0;  // number of recent requests, with exponential decay
 };
 
 class World {
@@ -68,7 +68,7 @@
     for (int i = 0; i < count; ++i)
       sendRequest(proxy, now);
   }
-  // One request with at most one retry.
+  // Sends one request with at most one retry.
   void sendRequest(ControlledProxy& proxy, TimePoint now) {
     outcome_.requests += 1;
     proxy.gate.recordRequest(kService);
@@ -85,7 +85,8 @@
         return;
     }
   }
-  // As `RunnerPool` does: a prefix has one preferred runner, and fits none if that is not within the share.
+  // Models `RunnerPool`: a prefix has one preferred runner, and matches no runner if the preferred one is not within
+  // the filter's `runnerShare`.
   SimulatedRunner* chooseRunner(const RevisionFilter& filter, std::uint64_t affinity, TimePoint now) {
     const auto runnerCount = static_cast<std::size_t>(plan_.runners);
     const auto limit = std::max<std::size_t>(3, static_cast<std::size_t>(plan_.runners * filter.runnerShare));
@@ -100,7 +101,7 @@
     }
     return fitting.empty() ? nullptr : fitting[rng_() % fitting.size()];
   }
-  // True: the client has its answer.
+  // Returns true if the client has received its answer.
   bool attempt(ControlledProxy& proxy, SimulatedRunner& runner, int route, TimePoint now) {
     const bool isCandidate = runner.revision == kCandidate;
     ObservedAttempt seen;
--- a/tests/rollout_world.hpp
+++ b/tests/rollout_world.hpp
@@ -1,43 +1,45 @@
-// A small fleet around the rollout engine, in simulated time: proxies with their gates, controllers of which one leads,
-// a log whose entries reach everyone late, and runners of two revisions. Everything follows from the seed.
+// A simulation of a rollout in a small fleet: proxies with revision gates, controllers with one leader, a log whose
+// entries reach the proxies with a delay, and runners of two revisions. Deterministic for a given seed.
 #pragma once
 #include "rollout_control.hpp"
 
 namespace zinccleat::rollout_world {
-/// What is wrong with the candidate.
+/// The behaviour of the candidate.
 enum class Version {
   good,
-  bad,        ///< half of its answers fail, from the start
-  late,       ///< from a fifth of the term on
-  faint,      ///< an eighth fails
-  oneRoute,   ///< half fail, on one route
-  slow,       ///< all are eight times slower
-  underLoad,  ///< half fail where a runner has as many requests as usual
+  bad,        ///< half of the answers fail
+  late,       ///< half of the answers fail from a fifth of the term on
+  faint,      ///< an eighth of the answers fails
+  oneRoute,   ///< half of the answers on one route fail
+  slow,       ///< nine tenths of the answers count as slow, as if they took eight times as long
+  underLoad,  ///< half of the answers fail at a runner with as many requests as usual
 };
+/// Parameters of a simulation.
 struct Plan {
   Version version = Version::good;
   std::uint64_t seed = 1;
   int proxies = 40;
-  int runners = 30;          // of each revision
-  double requestsPerS = 12;  // of each proxy
+  int runners = 30;          // number of runners of each revision
+  double requestsPerS = 12;  // request rate of each proxy
   Duration term{14000};
-  int leaderChanges = 0;      // at random times
-  double crashedRunners = 0;  // part of the runners of both revisions that crash at a random time
-  double faultyRunners = 0;   // part of the runners that fail two fifths of their answers, of both revisions
+  int leaderChanges = 0;      // number of changes, at random times
+  double crashedRunners = 0;  // fraction of the runners of both revisions that crash at a time given by the seed
+  double faultyRunners = 0;   // fraction of the runners of both revisions that fail two fifths of their answers
   double baselineFailures = 0.002;
-  double disconnectedProxies = 0;  // part of the proxies that hear nothing for a while
+  double disconnectedProxies = 0;  // fraction of the proxies that are disconnected from the controllers for 3 s
 };
+/// Results of a simulation.
 struct Outcome {
   state_machine::RolloutPhase phase{};
   Duration decidedAfter{0};
-  double requests = 0;           // up to the term
-  double candidateRequests = 0;  // of those, the ones that the candidate got
-  double candidateBad = 0;       // bad answers
-  double afterReversal = 0;      // requests that the candidate got when a second had passed since the reversal
-  std::string reason;            // of the last step
-  double steps = 0;              // records in the log
+  double requests = 0;           // number of requests up to the end of the term
+  double candidateRequests = 0;  // number of attempts at the candidate
+  double candidateBad = 0;       // number of bad answers of the candidate
+  double afterReversal = 0;      // attempts at the candidate later than 1 s after the reversal
+  std::string reason;            // reason of the last step
+  double steps = 0;              // number of progress records in the log
   bool inProgress() const { return !state_machine::isFinal(phase); }
 };
-/// Plays one rollout to its term.
+/// Simulates one rollout until the end of its term.
 Outcome simulate(const Plan& plan);
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_worlds_test.cpp
+++ b/tests/rollout_worlds_test.cpp
@@ -1,6 +1,7 @@
-// Rollouts in seeded worlds: good and bad versions, while leaders die, runners crash and proxies hear nothing.
+// Tests of rollouts of good and bad revisions in seeded simulations, in which leaders change, runners crash and proxies
+// are disconnected.
 //
-// ZINCCLEAT_WORLDS=2000 target/zinccleat_tests --gtest_filter='RolloutWorlds.*' plays more seeds of each kind and
+// ZINCCLEAT_WORLDS=2000 target/zinccleat_tests --gtest_filter='RolloutWorlds.*' simulates more seeds of each kind and
 // prints the table of docs/notes-rollouts.md.
 #include <gtest/gtest.h>
 
@@ -45,7 +46,7 @@
 }
 struct Counts {
   int completed = 0, reverted = 0, undecided = 0, overExposed = 0, lateBad = 0, afterReversal = 0;
-  double worstExposure = 0;  // of what is allowed
+  double worstExposure = 0;  // maximum, as a multiple of the allowed number of requests
 };
 Counts simulateAll(const Kind& kind) {
   Counts counts;
@@ -85,11 +86,13 @@
 TEST_P(RolloutWorlds, EndAsTheVersionDeserves) {
   const auto counts = simulateAll(GetParam());
   const bool isGood = GetParam().plan.version == Version::good;
-  // All of the usual dozen; of many more one in a hundred may err, by the test's error rates.
+  // With the default of 12 seeds, all must end as expected. With many seeds, one in a hundred may end otherwise,
+  // because of the error rates of the sequential test.
   EXPECT_GE(isGood ? counts.completed : counts.reverted, worldCount() * 0.99);
   EXPECT_LE(counts.overExposed, worldCount() * 0.01);
   EXPECT_EQ(counts.undecided, 0);
-  // A proxy that heard nothing may send a little longer, until its lease ends; here it hears nothing for 3 s.
+  // A proxy that is disconnected learns of the reversal only after it is connected again, in this simulation after 3 s.
+  // Until then it may send requests to the candidate; a real proxy stops when its lease expires.
   if (GetParam().plan.disconnectedProxies <= 0) {
     EXPECT_EQ(counts.afterReversal, 0);
   }
@@ -107,7 +110,7 @@
                     Kind{"under load", {.version = Version::underLoad}}),
     nameOf);
 
-// Runners that ail for reasons of their own, of both revisions: the version is not to blame.
+// Some runners of both revisions have a fault of their own. Such faults must not count against the revision.
 TEST(RolloutWorldsAiling, AGoodVersionIsHardlyEverReverted) {
   for (const int runners : {30, 90}) {
     Plan plan{.version = Version::good};
--- a/tests/runner_changes_test.cpp
+++ b/tests/runner_changes_test.cpp
@@ -1,4 +1,5 @@
-// The work that one change of one runner costs is that of this runner, however many there are.
+// Tests of incremental updates of the runner list: a change of one runner must cause work for this runner only,
+// whatever the number of runners.
 #include <gtest/gtest.h>
 
 #include "balancing/runner_membership.hpp"
@@ -31,7 +32,7 @@
   EXPECT_EQ(table.size(), 2999U);
   EXPECT_EQ(table.find("i-9"), nullptr);
   ASSERT_NE(table.find("i-2999"), nullptr);
-  EXPECT_EQ(table.find("i-2999")->id, "i-2999") << "the last one has taken the place of the one that was removed";
+  EXPECT_EQ(table.find("i-2999")->id, "i-2999") << "the last runner has moved to the position of the removed one";
 }
 TEST(RunnerTable, SaysWhenItDoesNotRemember) {
   auto table = tableOf(2);
@@ -41,7 +42,8 @@
   EXPECT_EQ(table.changedSince(before), std::nullopt);
   RunnerTable restored = tableOf(2);
   restored.supersede(table);
-  EXPECT_EQ(restored.changedSince(table.revision()), std::nullopt) << "another list has taken its place";
+  EXPECT_EQ(restored.changedSince(table.revision()), std::nullopt)
+      << "the history does not cover the change to another table";
   table = std::vector<Runner>{runnerOf("i-1")};
   EXPECT_EQ(table.changedSince(before), std::nullopt);
 }
--- a/tests/simulated_engine.cpp
+++ b/tests/simulated_engine.cpp
@@ -34,7 +34,7 @@
     prefixes_.pop_back();
   }
 }
-// Reads prompts, the oldest first; returns the time that was used.
+// Processes prompts in order of admission and returns the time that was used.
 double Engine::processPrompts(double ms) {
   double left = ms * capacity_.prefillTokensPerMs;
   for (auto& each : running_) {
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -1,4 +1,4 @@
-// Snapshots of the replicated state: formats, sizes, what a scope leaves out, what is rejected.
+// Tests of snapshots of the replicated state: formats, sizes, the omissions of each scope, and rejected snapshots.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -10,7 +10,7 @@
 using namespace zinccleat::state_machine;
 using namespace zinccleat::transport;
 namespace {
-// Format 1, field by field, written independently of the code under test.
+// Format 1, defined here independently of the code under test.
 struct AcceptedFormat1 {
   std::int64_t version = 0;
   std::string digest;
@@ -44,7 +44,7 @@
     v("taken", taken), v("runners", runners), v("gone", gone), v("done", done), v("zoneDrains", zoneDrains);
   }
 };
-/// As written at version 70: the newest 64 accepted versions.
+/// A snapshot of format 1 at configuration version 70, with the newest 64 accepted versions.
 SnapshotFormat1 snapshotFormat1() {
   SnapshotFormat1 old;
   old.index = 90, old.term = 4, old.version = 70;
@@ -84,11 +84,11 @@
                           "closure/" + std::to_string(serial));
   return randomRunnerEntry(random, serial);
 }
-/// What a node of the data plane works by.
+/// The contents of a replica that a node of the data plane uses.
 std::string dataPlaneContents(const ReplicatedState& replica) {
   return replica.snapshotFor({});
 }
-/// A replica that accepted this many configurations, each on the one before.
+/// A replica that accepted `count` configurations, each based on the previous one.
 ReplicatedState replicaWithChanges(int count) {
   ReplicatedState replica;
   for (int version = 1; version <= count; ++version) {
@@ -115,7 +115,8 @@
 }
 }  // namespace
 
-// A data plane replica lacks the table of accepted configurations; it must still apply entries as a controller does.
+// A data plane replica lacks the table of accepted configurations. It must nevertheless apply entries exactly as a
+// controller does.
 TEST(Snapshot, DataPlaneReplicaAppliesEntriesAsTheControllerDoes) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     std::mt19937_64 random(seed);
@@ -148,7 +149,7 @@
   ReplicatedState proxy;
   ASSERT_TRUE(proxy.restore(sender.snapshotFor({})));
   EXPECT_EQ(proxy.evaluateReplace(0, 1, digestOf("body 1")), ReplicatedState::Verdict::outcomeUnknown)
-      << "it can't tell, and does not reject";
+      << "the data plane does not know the outcome, and must not reject";
   EXPECT_EQ(proxy.evaluateReplace(999, 1000, digestOf("body 1000")), ReplicatedState::Verdict::acknowledged);
 }
 TEST(Snapshot, SizeIsBounded) {
@@ -173,7 +174,7 @@
   EXPECT_EQ(replica.state().configuration, "body 70");
   EXPECT_EQ(replica.evaluateReplace(6, 7, digestOf("body 7")), ReplicatedState::Verdict::acknowledged);
   EXPECT_EQ(replica.evaluateReplace(5, 6, digestOf("body 6")), ReplicatedState::Verdict::outcomeUnknown)
-      << "dropped by format 1: the outcome is unknown";
+      << "format 1 has dropped this version, so the outcome is unknown";
   EXPECT_EQ(replica.evaluateReplace(6, 7, digestOf("another")), ReplicatedState::Verdict::versionMismatch);
   EXPECT_TRUE(replica.isDetached("i0"));
   EXPECT_EQ(replica.outcomeOf("operator/2@70"), ReplicatedState::Verdict::versionMismatch);
--- a/tests/state_test.cpp
+++ b/tests/state_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state machine: what each kind of log entry changes (docs/design.md).
+// Tests of the replicated state machine: the effect of each kind of log entry (docs/design.md).
 #include <gtest/gtest.h>
 
 #include "state_machine/replicated_state.hpp"
@@ -11,7 +11,7 @@
   return Runner{id, "s", address, "z", 4, sequence, static_cast<std::int32_t>(state)};
 }
 
-/// Applies entries in order, as the log would.
+/// Applies entries with consecutive log indexes.
 class ReplicatedStateTest : public testing::Test {
  protected:
   void apply(LogEntry entry) {
@@ -47,8 +47,8 @@
   EXPECT_EQ(replace(2, 4, "B", "z"), ReplicatedState::Verdict::acknowledged);
 
   EXPECT_EQ(replace(0, 2, "A", "w"), ReplicatedState::Verdict::acknowledged)
-      << "accepted before, though another one is current now";
-  EXPECT_EQ(state_.state().version, 4) << "and nothing is rolled back";
+      << "accepted earlier, although another version is current";
+  EXPECT_EQ(state_.state().version, 4) << "a repeated Replace does not roll back the configuration";
   EXPECT_EQ(replace(0, 2, "A2", "v"), ReplicatedState::Verdict::versionMismatch);
 }
 TEST_F(ReplicatedStateTest, VersionNotAboveTheCurrentOneIsInvalid) {
@@ -71,7 +71,7 @@
   apply(runnerEntry(runner("i1", "a:1", RunnerState::detached, 9), "5"));
   EXPECT_FALSE(state_.runner("i1"));
   apply(runnerEntry(runner("i1", "a:1", RunnerState::inService, 10), "6"));
-  EXPECT_FALSE(state_.runner("i1")) << "it is detached for good";
+  EXPECT_FALSE(state_.runner("i1")) << "the runner is permanently detached";
 }
 TEST_F(ReplicatedStateTest, MissedRunnerMayRejoinAndANewOneReplacesItAtItsAddress) {
   apply(runnerEntry(runner("i1", "a:1", RunnerState::inService, 1), "1"));
@@ -92,9 +92,9 @@
   apply(runnerEntry(runner("i1", "a:1", RunnerState::inService, 3), "join"));
 
   apply(runnerEntry(runner("i1", "a:1", RunnerState::detached, 0), "missed"));
-  EXPECT_TRUE(state_.runner("i1")) << "a late duplicate of an older entry undoes nothing";
+  EXPECT_TRUE(state_.runner("i1")) << "a late duplicate of an older entry has no effect";
   EXPECT_EQ(replace(0, 2, "A", "x"), ReplicatedState::Verdict::acknowledged);
-  EXPECT_EQ(state_.state().index, 5) << "but its index counts as applied";
+  EXPECT_EQ(state_.state().index, 5) << "the index of the duplicate counts as applied";
 }
 TEST_F(ReplicatedStateTest, SnapshotRestoresEverything) {
   replace(0, 2, "A", "x");
