--- a/libs/rollout/include/rollout/rollout_plan.hpp
+++ b/libs/rollout/include/rollout/rollout_plan.hpp
@@ -13,10 +13,10 @@
 namespace zinccleat::rollout {
 /// The state of the fleet on which the leader bases a decision.
 struct FleetView {
-  double baselineCapacity = 0;   ///< maximum number of concurrent requests of the baseline's runners in service
-  double candidateCapacity = 0;  ///< the same for the candidate's runners
-  double allowedExposure = 0;    ///< estimated number of requests that a bad candidate may get over the term
-  bool baselineIsIdle = false;   ///< all proxies send all traffic to the candidate, with no attempt at the baseline
+  double baselineCapacity = 0;          ///< maximum number of concurrent requests of the baseline's runners in service
+  double candidateCapacity = 0;         ///< the same for the candidate's runners
+  double allowedCandidateRequests = 0;  ///< estimated number of requests that a bad candidate may get over the term
+  bool baselineIsIdle = false;  ///< all proxies send all traffic to the candidate, with no attempt at the baseline
 };
 /// A step of a rollout.
 struct Step {
--- a/libs/rollout/include/rollout/rollout_tracker.hpp
+++ b/libs/rollout/include/rollout/rollout_tracker.hpp
@@ -44,10 +44,10 @@
     TimePoint steppedAt{};  ///< time of the newest step
     TimePoint writtenAt{};  ///< time of the leader's newest record
     EvidenceLedger evidence;
-    bool suspicious = false;     ///< whether there was a suspicion at the last decision
-    double unspentExposure = 0;  ///< tokens that result from reported requests and have not been granted yet
-    double dueExposure = 0;      ///< the part of `unspentExposure` that may be granted in the current stage
-    bool slackGranted = false;   ///< whether the exposure slack has been added
+    bool suspicious = false;    ///< whether there was a suspicion at the last decision
+    double unspentTokens = 0;   ///< tokens that result from reported requests and have not been granted yet
+    double dueTokens = 0;       ///< the part of `unspentTokens` that may be granted in the current stage
+    bool slackGranted = false;  ///< whether the exposure slack has been added
     std::map<std::string, ProxyState> proxies;
     std::size_t candidateRunners = 0;
   };
--- a/libs/rollout/src/rollout_plan.cpp
+++ b/libs/rollout/src/rollout_plan.cpp
@@ -100,7 +100,7 @@
                                   Duration elapsed, Duration sinceStep) {
   // While the traffic is being shifted, waiting for a proof exposes a large part of all requests.
   if (evidence.isSuspicious(EvidenceLedger::Suspicion::strong) &&
-      evidence.candidateAnswers() >= fleet.allowedExposure * kSpentExposureFraction)
+      evidence.candidateAnswers() >= fleet.allowedCandidateRequests * kSpentExposureFraction)
     return revert("a suspicion, and most of the exposure is spent");
   if (elapsed >= fractionOfTerm(rollout, kForcedDecisionFraction))
     return mayProceed(rollout, evidence, elapsed) ? complete()
--- a/libs/rollout/src/rollout_tracker.cpp
+++ b/libs/rollout/src/rollout_tracker.cpp
@@ -77,7 +77,7 @@
 void RolloutTracker::startTerm() {
   for (auto& each : tracked_) {
     each.evidence = EvidenceLedger(each.rollout.evidence);
-    each.unspentExposure = each.dueExposure = 0;
+    each.unspentTokens = each.dueTokens = 0;
     each.proxies.clear();
   }
 }
@@ -100,13 +100,13 @@
 // if each proxy has few requests, fractions would remain unused at each proxy until they add up to a token.
 double RolloutTracker::grantTokens(TrackedRollout& tracked, double requests) const {
   const auto exposure = exposureOf(exposureShare_, tracked.candidateRunners);
-  tracked.unspentExposure += requests * exposure.allowed;
+  tracked.unspentTokens += requests * exposure.allowed;
   const double part = tracked.rollout.loadTestGroup() > 0 ? exposure.loadTest : exposure.canary;
-  tracked.dueExposure += requests * (tracked.suspicious ? part / 2 : part);
-  const double tokens = std::floor(std::min(tracked.unspentExposure, tracked.dueExposure));
-  tracked.unspentExposure -= tokens;
+  tracked.dueTokens += requests * (tracked.suspicious ? part / 2 : part);
+  const double tokens = std::floor(std::min(tracked.unspentTokens, tracked.dueTokens));
+  tracked.unspentTokens -= tokens;
   // Due tokens that exceed the unspent exposure are dropped, so that they do not cause a burst later.
-  tracked.dueExposure = std::min(tracked.dueExposure - tokens, 1.0);
+  tracked.dueTokens = std::min(tracked.dueTokens - tokens, 1.0);
   return tokens;
 }
 std::vector<Rollout> RolloutTracker::decide(TimePoint now, const state_machine::StateContents& state,
@@ -129,7 +129,7 @@
       // The slack is added once per rollout: only the leader that takes the step to the first group of the load test
       // adds it, and `slackGranted` prevents a second addition while the record of the step is not committed yet.
       if (each.rollout.phase() == RolloutPhase::canary && each.rollout.loadTestGroup() == 0 && !each.slackGranted)
-        each.unspentExposure += kSlackFraction * exposureSlack_;
+        each.unspentTokens += kSlackFraction * exposureSlack_;
       each.slackGranted = true;
     }
     each.writtenAt = now;
@@ -147,7 +147,7 @@
   FleetView view;
   const auto elapsed = std::max(1ms, toDuration(now - tracked.startedAt));
   const double part = static_cast<double>(elapsed.count()) / static_cast<double>(tracked.rollout.durationMs);
-  view.allowedExposure = exposureShare_ * tracked.evidence.allAnswers() / std::min(1.0, part) + exposureSlack_;
+  view.allowedCandidateRequests = exposureShare_ * tracked.evidence.allAnswers() / std::min(1.0, part) + exposureSlack_;
   for (const auto& runner : state.runners) {
     if (!isInService(runner, tracked.rollout))
       continue;
--- a/libs/state_machine/src/replicated_state.cpp
+++ b/libs/state_machine/src/replicated_state.cpp
@@ -181,18 +181,18 @@
 // --- Rollouts ---
 
 ReplicatedState::Verdict ReplicatedState::applyRolloutBegin(const transport::LogEntry& entry, Change& change) {
-  auto ordered = avro::decode<Rollout>(entry.body);
-  if (!ordered)
+  auto requested = avro::decode<Rollout>(entry.body);
+  if (!requested)
     return Verdict::invalidVersion;
-  const auto known = findRollout(ordered->service);
+  const auto known = findRollout(requested->service);
   if (known != contents_.rollouts.end()) {
-    if (known->isSameRollout(*ordered))
+    if (known->isSameRollout(*requested))
       return Verdict::acknowledged;
     if (known->inProgress())
       return Verdict::conflict;
     contents_.rollouts.erase(known);
   }
-  addRollout(std::move(*ordered));
+  addRollout(std::move(*requested));
   change.rollouts = true;
   return Verdict::acknowledged;
 }
--- a/tests/rollout_log_test.cpp
+++ b/tests/rollout_log_test.cpp
@@ -23,8 +23,8 @@
 constexpr int kProxies = 16;
 constexpr int kRunners = 12;  // of each revision
 constexpr double kRequestsPerTick = 1.0;
-constexpr double kShare = 0.1;
-constexpr double kSlack = 50;
+constexpr double kExposureShare = 0.1;
+constexpr double kExposureSlack = 50;
 constexpr std::int64_t kTermMs = 14000;
 const std::vector<std::string> kFounders = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 const std::vector<std::string> kMachines = {"10.1.0.1", "10.2.0.1", "10.3.0.1", "10.1.0.2", "10.2.0.2", "10.3.0.2"};
@@ -85,7 +85,7 @@
     phase_ = rollout->phase();
     if (isBad_) {
       EXPECT_EQ(phase_, RolloutPhase::reverted) << rollout->reason << ", seed " << cluster_.seed;
-      EXPECT_LE(candidateRequests_, kShare * requests_ + kSlack) << "seed " << cluster_.seed;
+      EXPECT_LE(candidateRequests_, kExposureShare * requests_ + kExposureSlack) << "seed " << cluster_.seed;
     }
   }
   RolloutPhase phase() const { return phase_; }
@@ -166,9 +166,9 @@
     auto& node = cluster_.nodes[ip];
     if (!node.up)
       return;
-    auto& known = trackers_.try_emplace(ip, node.incarnation, RolloutTracker(kShare)).first->second;
+    auto& known = trackers_.try_emplace(ip, node.incarnation, RolloutTracker(kExposureShare)).first->second;
     if (known.first != node.incarnation)
-      known = {node.incarnation, RolloutTracker(kShare)};  // a restarted process has lost its tracker
+      known = {node.incarnation, RolloutTracker(kExposureShare)};  // a restarted process has lost its tracker
     auto& tracker = known.second;
     tracker.follow(cluster_.now, node.replica.state());
     checkReplica(node);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -330,9 +330,9 @@
 TEST(RolloutPlan, AStrongSuspicionRevertsOnceMostOfTheExposureIsSpent) {
   const auto shifting = rolloutIn(RolloutPhase::shifting, 25);
   auto fleet = kReadyFleet;
-  fleet.allowedExposure = 1000;
+  fleet.allowedCandidateRequests = 1000;
   EXPECT_FALSE(nextStep(shifting, suspiciousEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02)));
-  fleet.allowedExposure = 100;
+  fleet.allowedCandidateRequests = 100;
   const auto step = nextStep(shifting, suspiciousEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->phase, RolloutPhase::reverted);
