--- a/libs/rollout/include/rollout/evidence_ledger.hpp
+++ b/libs/rollout/include/rollout/evidence_ledger.hpp
@@ -7,9 +7,9 @@
 ///
 /// Answers of the candidate are counted by runner, to distinguish a fault of the revision, which all its runners have,
 /// from a fault of single runners. Runners with a fault of their own are excluded, see `runner_outliers.hpp`. If a
-/// larger part of the candidate's runners than of the baseline's is faulty, the revision is considered faulty as well.
-/// An attempt whose answer was interrupted counts against the candidate only after its runner has answered a later
-/// request: a crashed runner does not answer again, and a crash is no evidence against the revision.
+/// larger fraction of the candidate's runners than of the baseline's is faulty, the revision is considered faulty as
+/// well. An attempt whose answer was interrupted counts against the candidate only after its runner has answered a
+/// later request: a crashed runner does not answer again, and a crash is no evidence against the revision.
 #pragma once
 #include <set>
 
@@ -23,7 +23,7 @@
   enum class Kind : std::uint8_t {
     answersFail,
     answersAreSlow,
-    runnersFail,  ///< a larger part of the candidate's runners than of the baseline's is faulty
+    runnersFail,  ///< a larger fraction of the candidate's runners than of the baseline's is faulty
   };
   std::string stratum;  ///< see `stratumOf`; empty: all strata together
   Kind kind = Kind::answersFail;
@@ -36,9 +36,8 @@
   /// @param carriedOver the counts that an earlier leader collected, from the log.
   explicit EvidenceLedger(const std::vector<state_machine::RouteEvidence>& carriedOver = {});
   /// Adds the counts of one proxy since the proxy's previous report.
-  /// @param previousReport time of the previous report; none: the first report of the proxy, whose answers may be of
-  /// any
-  ///        age
+  /// @param previousReport time of the previous report; none for the first report of the proxy, whose answers may be of
+  ///        any age.
   void report(TimePoint now, std::optional<TimePoint> previousReport,
               const std::vector<transport::RevisionAnswers>& answers);
   /// Sets the fraction of the baseline's runners that outlier detection has ejected from all proxies. Ejected runners
--- a/libs/rollout/include/rollout/rollout_tracker.hpp
+++ b/libs/rollout/include/rollout/rollout_tracker.hpp
@@ -19,7 +19,8 @@
       : exposureShare_(exposureShare), exposureSlack_(exposureSlack) {}
   /// Updates the tracked rollouts from the replica. Must be called several times a second on every controller.
   void follow(TimePoint now, const state_machine::StateContents& state);
-  /// Must be called when this controller becomes the leader. Resets the evidence to that in the log.
+  /// Must be called when this controller becomes the leader. Resets the evidence to that in the log, and clears the
+  /// tokens and the states of the proxies.
   void startTerm();
   /// Processes a proxy's report on the leader.
   /// @return the number of requests that the proxy may send to the candidate; none if the report belongs to another
--- a/libs/rollout/src/rollout_tracker.cpp
+++ b/libs/rollout/src/rollout_tracker.cpp
@@ -105,7 +105,7 @@
   tracked.dueTokens += requests * (tracked.suspicious ? part / 2 : part);
   const double tokens = std::floor(std::min(tracked.unspentTokens, tracked.dueTokens));
   tracked.unspentTokens -= tokens;
-  // Due tokens that exceed the unspent exposure are dropped, so that they do not cause a burst later.
+  // Due tokens that exceed the unspent tokens are dropped, so that they do not cause a burst later.
   tracked.dueTokens = std::min(tracked.dueTokens - tokens, 1.0);
   return tokens;
 }
--- a/tests/rollout_log_test.cpp
+++ b/tests/rollout_log_test.cpp
@@ -1,6 +1,7 @@
 // Tests of rollouts over the real replicated log in simulated clusters, which are determined by a seed. A cluster has
-// six controllers, each with a rollout tracker, and proxies that follow any of the controllers. In each run one fault
-// occurs: a crash of the leader, a network partition, the loss of a disk, or a power failure of all machines.
+// six controllers, each with a rollout tracker, and proxies that follow any of the controllers. In each run at most
+// one fault occurs: a crash or isolation of the leader, a network partition, the loss of the leader's disk, or a power
+// failure of all machines.
 //
 // More seeds: ZINCCLEAT_WORLDS=500 target/zinccleat_tests --gtest_filter='RolloutLog.*'
 #include <gtest/gtest.h>
