--- a/libs/rollout/include/rollout/evidence_ledger.hpp
+++ b/libs/rollout/include/rollout/evidence_ledger.hpp
@@ -21,13 +21,13 @@
 /// A fault of a candidate.
 struct Fault {
   enum class Kind : std::uint8_t {
-    answersFail,
-    answersAreSlow,
-    runnersFail,  ///< a larger fraction of the candidate's runners than of the baseline's is faulty
+    failedAnswers,
+    slowAnswers,
+    faultyRunners,  ///< a larger fraction of the candidate's runners than of the baseline's is faulty
   };
   std::string stratum;  ///< see `stratumOf`; empty: all strata together
-  Kind kind = Kind::answersFail;
-  BadCount candidate;  ///< bad answers of all answers; for `runnersFail`, faulty runners of all runners
+  Kind kind = Kind::failedAnswers;
+  BadCount candidate;  ///< bad answers of all answers; for `faultyRunners`, faulty runners of all runners
 };
 
 /// Collects the answers of one rollout and tests them for a fault of the candidate.
--- a/libs/rollout/include/rollout/exposure.hpp
+++ b/libs/rollout/include/rollout/exposure.hpp
@@ -6,14 +6,14 @@
 #include <cstddef>
 namespace zinccleat::rollout {
 /// Limits for the candidate, as fractions of all requests of the service.
-struct Exposure {
+struct ExposureLimits {
   double allowed = 0;   ///< in the whole canary phase; requests not used before the load test remain available for it
   double canary = 0;    ///< before the load test
   double loadTest = 0;  ///< during the load test, as long as `allowed` is not exceeded
 };
 /// @param share the deployment's `exposureShare`.
 /// @param candidateRunners number of the candidate's runners in service.
-Exposure exposureOf(double share, std::size_t candidateRunners);
+ExposureLimits exposureLimits(double share, std::size_t candidateRunners);
 
 /// The size of a group of the candidate's runners under load test, and its part of the requests.
 struct LoadTestGroup {
@@ -28,6 +28,6 @@
 /// Computes the group of a load test. The group is so small that each runner gets more requests than after completion
 /// of the rollout. The factor follows from the load of the baseline's runners: the load of the group should come close
 /// to the load of a full runner.
-/// @param loadTestShare `Exposure::loadTest`.
+/// @param loadTestShare `ExposureLimits::loadTest`.
 LoadTestGroup loadTestGroup(std::size_t candidateRunners, double loadTestShare, const BaselineLoad& baseline);
 }  // namespace zinccleat::rollout
--- a/libs/rollout/include/rollout/revision_gate.hpp
+++ b/libs/rollout/include/rollout/revision_gate.hpp
@@ -93,7 +93,7 @@
   struct ServiceRollout {
     state_machine::Rollout rollout;
     double tokens = 0;
-    TimePoint tokensUntil{};
+    TimePoint tokensExpireAt{};
     bool tripped = false;      ///< the circuit breaker has tripped because the candidate failed at this proxy
     double candidateGood = 0;  ///< good attempts in this step of the rollout, with exponential decay
     double candidateBad = 0;
--- a/libs/rollout/src/evidence_ledger.cpp
+++ b/libs/rollout/src/evidence_ledger.cpp
@@ -15,8 +15,8 @@
 // Difference to the sound rate of bad answers that clearing rules out, over all answers and in each frequent group.
 constexpr double kSmallFaultDifference = 0.08;
 constexpr double kGroupFaultDifference = 0.3;
-constexpr double kUsualStratumFraction = 0.05;  // a group with this fraction of the baseline's answers is frequent
-constexpr double kMinBadAnswers = 4;            // fewer bad answers never prove a fault
+constexpr double kFrequentGroupFraction = 0.05;  // a group with this fraction of the baseline's answers is frequent
+constexpr double kMinBadAnswers = 4;             // fewer bad answers never prove a fault
 // Additional fraction of the candidate's runners that may have a fault of their own, beyond the fraction that the
 // baseline's answers explain.
 constexpr double kRunnerTolerance = 0.08;
@@ -149,7 +149,7 @@
       continue;
     const auto baseline = baselineOf(stratum);
     if (isFaultProven(answers.slowness(), baseline.slowness(), kSlowTest, threshold))
-      return Fault{stratum, Fault::Kind::answersAreSlow, answers.slowness()};
+      return Fault{stratum, Fault::Kind::slowAnswers, answers.slowness()};
     for (auto* compared : {&failures[mergeFullIntoBusy(stratum)], &allFailures}) {
       compared->candidate += answers.failures();
       compared->baseline += baseline.failures();
@@ -157,9 +157,9 @@
   }
   for (const auto& [stratum, compared] : failures)
     if (isFaultProven(compared.candidate, compared.baseline, kFailureTest, threshold))
-      return Fault{stratum, Fault::Kind::answersFail, compared.candidate};
+      return Fault{stratum, Fault::Kind::failedAnswers, compared.candidate};
   if (isFaultProven(allFailures.candidate, allFailures.baseline, kFailureTest, threshold))
-    return Fault{"", Fault::Kind::answersFail, allFailures.candidate};
+    return Fault{"", Fault::Kind::failedAnswers, allFailures.candidate};
   return std::nullopt;
 }
 // Tests whether more of the candidate's runners are outliers than of the baseline's can be. The upper limit for the
@@ -177,7 +177,7 @@
       std::max(ejectedBaselineFraction_, soundRate(baseline, kNoTolerance) / outlierRate) + tolerance;
   if (acceptableFraction >= 1 || logEvidence(candidate.runners, acceptableFraction) < threshold)
     return std::nullopt;
-  return Fault{"", Fault::Kind::runnersFail, candidate.runners};
+  return Fault{"", Fault::Kind::faultyRunners, candidate.runners};
 }
 // Alpha is divided among all tests (Bonferroni): two tests for each stratum, one for all strata together and one for
 // the runners.
@@ -213,9 +213,9 @@
     allCandidate += answers;
   }
   for (const auto& [key, answers] : baseline) {
-    const bool isUsual = answers.answered >= allBaseline.answered * kUsualStratumFraction;
+    const bool isFrequent = answers.answered >= allBaseline.answered * kFrequentGroupFraction;
     const double rate = soundRate(answers.failures(), kFailureTest);
-    if (isUsual && logRatio(candidate[key].failures(), rate, kGroupFaultDifference) > std::log(kBeta))
+    if (isFrequent && logRatio(candidate[key].failures(), rate, kGroupFaultDifference) > std::log(kBeta))
       return false;
   }
   const double rate = soundRate(allBaseline.failures(), kFailureTest);
--- a/libs/rollout/src/exposure.cpp
+++ b/libs/rollout/src/exposure.cpp
@@ -24,7 +24,7 @@
 constexpr double kMaxFactor = 2.5;
 }  // namespace
 
-Exposure exposureOf(double share, std::size_t candidateRunners) {
+ExposureLimits exposureLimits(double share, std::size_t candidateRunners) {
   const double allowed = share * kAllowedFraction;
   const double smallService = kSmallServiceFactor / std::max(1.0, static_cast<double>(candidateRunners));
   return {allowed, allowed * kCanaryFraction, std::clamp(smallService, allowed * kLoadTestFactor, kMaxLoadTestShare)};
--- a/libs/rollout/src/revision_gate.cpp
+++ b/libs/rollout/src/revision_gate.cpp
@@ -60,7 +60,7 @@
   return chooseShifted(*found, affinity != 0);
 }
 RevisionFilter RevisionGate::chooseCanary(ServiceRollout& service, bool isRetry, TimePoint now) const {
-  if (now >= service.tokensUntil)
+  if (now >= service.tokensExpireAt)
     service.tokens = 0;
   if (isRetry || service.tokens < 1)
     return {Rule::except, service.rollout.revision, 1};
@@ -131,10 +131,10 @@
     auto* found = find(grant.service);
     if (!found || found->rollout.revision != grant.revision)
       continue;
-    if (now >= found->tokensUntil)
+    if (now >= found->tokensExpireAt)
       found->tokens = 0;
     found->tokens = std::min(kMaxTokens, found->tokens + std::max(0.0, grant.tokens));
-    found->tokensUntil = now + kGrantLifetime;
+    found->tokensExpireAt = now + kGrantLifetime;
   }
 }
 std::vector<transport::RolloutReport> RevisionGate::takeReports() {
--- a/libs/rollout/src/rollout_plan.cpp
+++ b/libs/rollout/src/rollout_plan.cpp
@@ -44,9 +44,9 @@
 std::string describe(const Fault& fault) {
   const auto number = [](double value) { return std::to_string(static_cast<std::int64_t>(value)); };
   const auto counts = number(fault.candidate.bad) + " of " + number(fault.candidate.total);
-  if (fault.kind == Fault::Kind::runnersFail)
+  if (fault.kind == Fault::Kind::faultyRunners)
     return counts + " runners faulty";
-  return counts + " answers " + (fault.kind == Fault::Kind::answersAreSlow ? "slow" : "failed") +
+  return counts + " answers " + (fault.kind == Fault::Kind::slowAnswers ? "slow" : "failed") +
          (fault.stratum.empty() ? "" : " on route " + fault.stratum);
 }
 // The next group of the load test. A leader that takes over late in the load test shortens the remaining groups.
--- a/libs/rollout/src/rollout_tracker.cpp
+++ b/libs/rollout/src/rollout_tracker.cpp
@@ -99,7 +99,7 @@
 // requests, also across changes of the leader. Most tokens are saved for the load test. Only whole tokens are granted:
 // if each proxy has few requests, fractions would remain unused at each proxy until they add up to a token.
 double RolloutTracker::grantTokens(TrackedRollout& tracked, double requests) const {
-  const auto exposure = exposureOf(exposureShare_, tracked.candidateRunners);
+  const auto exposure = exposureLimits(exposureShare_, tracked.candidateRunners);
   tracked.unspentTokens += requests * exposure.allowed;
   const double part = tracked.rollout.loadTestGroup() > 0 ? exposure.loadTest : exposure.canary;
   tracked.dueTokens += requests * (tracked.suspicious ? part / 2 : part);
--- a/tests/rollout_engine_world.cpp
+++ b/tests/rollout_engine_world.cpp
@@ -26,16 +26,16 @@
 constexpr double kNominalEvents = 10;
 
 /// A kind of request.
-struct Kind {
+struct RequestKind {
   std::string route;
   double part;  // fraction of all requests
   double sharedTokens;
   double ownTokens;
   double outputTokens;
 };
-const std::vector<Kind> kStreams{
+const std::vector<RequestKind> kStreams{
     {"long", 0.23, 5400, 6600, 350}, {"short", 0.29, 200, 630, 260}, {"tags", 0.48, 570, 1800, 24}};
-const std::vector<Kind> kSmallRequests{{"ticket", 1, 0, 10, 20}};
+const std::vector<RequestKind> kSmallRequests{{"ticket", 1, 0, 10, 20}};
 
 struct SimulatedRunner {
   std::string id;
@@ -53,7 +53,7 @@
   std::size_t proxy = 0;
   std::size_t runner = 0;
   int poolIndex = 0;
-  const Kind* kind = nullptr;
+  const RequestKind* kind = nullptr;
   TimePoint startedAt;
   TimePoint failsAt = TimePoint::max();
   TimePoint respondedAt;
@@ -66,40 +66,40 @@
   double load = 0;
 };
 
-class EngineWorld {
+class EngineSimulation {
  public:
-  explicit EngineWorld(const EnginePlan& plan)
-      : plan_(plan),
-        rng_(plan.seed * 7919 + 3),
-        kinds_(plan.streams ? kStreams : kSmallRequests),
-        control_({plan.seed, plan.proxies, plan.term, plan.leaderChanges, plan.disconnectedProxies}),
-        proxies_(static_cast<std::size_t>(plan.proxies)) {
+  explicit EngineSimulation(const EngineSimulationOptions& options)
+      : options_(options),
+        rng_(options.seed * 7919 + 3),
+        requestKinds_(options.streams ? kStreams : kSmallRequests),
+        control_({options.seed, options.proxies, options.term, options.leaderChanges, options.disconnectedProxies}),
+        proxies_(static_cast<std::size_t>(options.proxies)) {
     for (std::size_t i = 0; i < proxies_.size(); ++i)
-      proxies_[i].pool = RunnerPool(plan.seed * 100 + i);
-    for (int i = 0; i < plan.runners; ++i)
+      proxies_[i].pool = RunnerPool(options.seed * 100 + i);
+    for (int i = 0; i < options.runners; ++i)
       addRunner(i);
     updateProxyRunners(kStart - kWarmupDuration);
   }
-  EngineOutcome run() {
+  EngineSimulationResult run() {
     for (auto now = kStart - kWarmupDuration; now < kStart; now += kTimeStep)
       serve(now);
     // The candidate's runners start after the rollout has begun.
     control_.begin();
-    for (int i = plan_.runners; i < 2 * plan_.runners; ++i)
+    for (int i = options_.runners; i < 2 * options_.runners; ++i)
       addRunner(i);
-    for (auto now = kStart; now < kStart + plan_.term + kDrainDuration; now += kTimeStep) {
+    for (auto now = kStart; now < kStart + options_.term + kDrainDuration; now += kTimeStep) {
       if ((now - kStart) % kTick == Duration(0))
         tick(now);
       serve(now);
     }
-    outcome_.phase = control_.rollout().phase();
-    outcome_.reason = control_.rollout().reason;
-    outcome_.decidedAfter = control_.decidedAfter();
-    outcome_.baselineLoad = mean(baselineLoads_);
-    outcome_.canaryLoad = mean(canaryLoads_);
+    result_.phase = control_.rollout().phase();
+    result_.reason = control_.rollout().reason;
+    result_.decidedAfter = control_.decidedAfter();
+    result_.baselineLoad = mean(baselineLoads_);
+    result_.canaryLoad = mean(canaryLoads_);
     if (fiftiethBadAt_ != TimePoint{} && lastCandidateRequestAt_ > fiftiethBadAt_)
-      outcome_.afterFiftiethBad = toDuration(lastCandidateRequestAt_ - fiftiethBadAt_);
-    return outcome_;
+      result_.afterFiftiethBad = toDuration(lastCandidateRequestAt_ - fiftiethBadAt_);
+    return result_;
   }
 
  private:
@@ -111,17 +111,17 @@
 
   void addRunner(int number) {
     SimulatedRunner runner;
-    runner.isCandidate = number >= plan_.runners;
+    runner.isCandidate = number >= options_.runners;
     const auto& revision = runner.isCandidate ? kCandidate : kBaseline;
     runner.id = revision + "-" + std::to_string(number);
-    const bool someFail = runner.isCandidate && plan_.version == EngineVersion::someRunners && number % 4 == 0;
-    runner.fails = someFail || uniform() < plan_.faultyRunners;
+    const bool someFail = runner.isCandidate && options_.version == EngineVersion::someRunners && number % 4 == 0;
+    runner.fails = someFail || uniform() < options_.faultyRunners;
     simulated_engine::Capacity capacity;
-    capacity.slots = plan_.slots;
-    if (runner.isCandidate && plan_.version == EngineVersion::slow)
+    capacity.slots = options_.slots;
+    if (runner.isCandidate && options_.version == EngineVersion::slow)
       capacity.slowness = 8;
     runner.engine = Engine(capacity);
-    control_.join(runner.id, revision, static_cast<std::int64_t>(plan_.slots));
+    control_.join(runner.id, revision, static_cast<std::int64_t>(options_.slots));
     indexById_[runner.id] = runners_.size();
     runners_.push_back(std::move(runner));
   }
@@ -149,10 +149,10 @@
   }
   // --- Traffic ---
   void serve(TimePoint now) {
-    const bool surges = plan_.surgeAt > Duration(0) && now >= kStart + plan_.surgeAt;
+    const bool surges = options_.surgeAt > Duration(0) && now >= kStart + options_.surgeAt;
     const double expected =
-        plan_.requestsPerS * (surges ? 1.5 : 1) * kSecondsPerMs * static_cast<double>(kTimeStep.count());
-    const int count = now < kStart + plan_.term ? std::poisson_distribution<int>(expected)(rng_) : 0;
+        options_.requestsPerS * (surges ? 1.5 : 1) * kSecondsPerMs * static_cast<double>(kTimeStep.count());
+    const int count = now < kStart + options_.term ? std::poisson_distribution<int>(expected)(rng_) : 0;
     for (int i = 0; i < count; ++i)
       send(rng_() % proxies_.size(), now);
     for (auto& runner : runners_)
@@ -167,12 +167,12 @@
       each = fails ? attemptsInFlight_.erase(each) : std::next(each);
     }
   }
-  const Kind& drawKind() {
+  const RequestKind& drawKind() {
     double left = uniform();
-    for (const auto& kind : kinds_)
+    for (const auto& kind : requestKinds_)
       if ((left -= kind.part) < 0)
         return kind;
-    return kinds_.back();
+    return requestKinds_.back();
   }
   void send(std::size_t proxyNumber, TimePoint now) {
     auto& proxy = proxies_[proxyNumber];
@@ -181,10 +181,10 @@
     balancing::RunnerQuery query;
     query.service = kService;
     query.zone = "z";
-    query.hasPrefixCache = plan_.streams;
-    if (plan_.streams)
+    query.hasPrefixCache = options_.streams;
+    if (options_.streams)
       query.affinity = hash64(kind.route, rng_() % kPrefixes + 1);
-    query.promptTokens = plan_.streams ? static_cast<std::int64_t>(kind.sharedTokens + kind.ownTokens) : 0;
+    query.promptTokens = options_.streams ? static_cast<std::int64_t>(kind.sharedTokens + kind.ownTokens) : 0;
     query.sharedTokens = static_cast<std::int64_t>(kind.sharedTokens);
     gate.recordRequest(kService);
     for (const bool isRetry : {false, true}) {
@@ -210,7 +210,7 @@
     return proxy.pool.choose(query, now);
   }
   // Returns false if the runner's queue is full, so that the caller may try another runner.
-  bool startAttempt(std::size_t proxyNumber, int chosen, const Kind& kind, const balancing::RunnerQuery& query,
+  bool startAttempt(std::size_t proxyNumber, int chosen, const RequestKind& kind, const balancing::RunnerQuery& query,
                     TimePoint now) {
     auto& proxy = proxies_[proxyNumber];
     const auto runnerNumber = indexById_.at(proxy.pool.at(chosen).id);
@@ -229,8 +229,8 @@
     else if (!runner.engine.submit(
                  {id, query.affinity, kind.sharedTokens, kind.ownTokens * factor, kind.outputTokens * factor}))
       return false;
-    outcome_.requests += now >= kStart ? 1 : 0;
-    outcome_.candidateRequests += runner.isCandidate && now >= kStart ? 1 : 0;
+    result_.requests += now >= kStart ? 1 : 0;
+    result_.candidateRequests += runner.isCandidate && now >= kStart ? 1 : 0;
     proxy.pool.attemptStarted(chosen, static_cast<std::int64_t>(kind.sharedTokens + kind.ownTokens));
     attemptsInFlight_[id] = flight;
     return true;
@@ -243,38 +243,38 @@
     loads.count += 1;
   }
   bool isSlowUnderLoad(const SimulatedRunner& runner) const {
-    return runner.isCandidate && plan_.version == EngineVersion::slowUnderLoad && runner.engine.load() >= 0.5;
+    return runner.isCandidate && options_.version == EngineVersion::slowUnderLoad && runner.engine.load() >= 0.5;
   }
-  double failureRate(const SimulatedRunner& runner, const Kind& kind, TimePoint now) const {
-    const double usual =
-        runner.fails ? (plan_.version == EngineVersion::someRunners ? 0.5 : 0.4) : plan_.baselineFailures;
+  double failureRate(const SimulatedRunner& runner, const RequestKind& kind, TimePoint now) const {
+    const double normalRate =
+        runner.fails ? (options_.version == EngineVersion::someRunners ? 0.5 : 0.4) : options_.baselineFailures;
     if (!runner.isCandidate)
-      return usual;
-    const bool isLate = now >= kStart + plan_.term * 2 / 5;
+      return normalRate;
+    const bool isLate = now >= kStart + options_.term * 2 / 5;
     const bool isLoaded = runner.engine.load() >= 0.4;
-    const bool isFaultyRoute = &kind == &kinds_.back();
-    switch (plan_.version) {
+    const bool isFaultyRoute = &kind == &requestKinds_.back();
+    switch (options_.version) {
       case EngineVersion::bad:
         return 0.5;
       case EngineVersion::late:
-        return isLate ? 0.5 : usual;
+        return isLate ? 0.5 : normalRate;
       case EngineVersion::oneRoute:
-        return isFaultyRoute ? 0.5 : usual;
+        return isFaultyRoute ? 0.5 : normalRate;
       case EngineVersion::underLoad:
-        return isLoaded ? 0.25 : usual;
+        return isLoaded ? 0.25 : normalRate;
       case EngineVersion::underHighLoad:
-        return runner.engine.load() >= 0.7 ? 0.5 : usual;
+        return runner.engine.load() >= 0.7 ? 0.5 : normalRate;
       case EngineVersion::lateUnderLoad:
-        return isLate && isLoaded ? 0.25 : usual;
+        return isLate && isLoaded ? 0.25 : normalRate;
       case EngineVersion::oneRouteUnderLoad:
-        return isLoaded && isFaultyRoute ? 0.5 : usual;
+        return isLoaded && isFaultyRoute ? 0.5 : normalRate;
       case EngineVersion::good:
       case EngineVersion::slow:
       case EngineVersion::slowUnderLoad:
       case EngineVersion::someRunners:
         break;
     }
-    return usual;
+    return normalRate;
   }
   // --- Answers ---
   void onProgress(const simulated_engine::Progress& progress, TimePoint now) {
@@ -319,8 +319,8 @@
     proxy.pool.attemptEnded(flight.poolIndex);
     if (!runner.isCandidate || !(failed || flight.slow || flight.slowPace))
       return;
-    outcome_.candidateBad += 1;
-    if (outcome_.candidateBad == kFiftiethBad)
+    result_.candidateBad += 1;
+    if (result_.candidateBad == kFiftiethBad)
       fiftiethBadAt_ = now;
   }
   static std::optional<double> paceOf(const AttemptInFlight& flight, double tokens, TimePoint now) {
@@ -376,9 +376,9 @@
       record(flight, attempt);
   }
 
-  const EnginePlan plan_;
+  const EngineSimulationOptions options_;
   std::mt19937_64 rng_;
-  const std::vector<Kind>& kinds_;
+  const std::vector<RequestKind>& requestKinds_;
   RolloutControl control_;
   controller::OutlierDetector outliers_;
   std::vector<Proxy> proxies_;
@@ -390,11 +390,11 @@
   Mean canaryLoads_;
   TimePoint fiftiethBadAt_{};
   TimePoint lastCandidateRequestAt_{};
-  EngineOutcome outcome_;
+  EngineSimulationResult result_;
 };
 }  // namespace
 
-EngineOutcome simulate(const EnginePlan& plan) {
-  return EngineWorld(plan).run();
+EngineSimulationResult simulate(const EngineSimulationOptions& options) {
+  return EngineSimulation(options).run();
 }
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_engine_world.hpp
+++ b/tests/rollout_engine_world.hpp
@@ -20,7 +20,7 @@
   someRunners,        ///< a quarter of the runners fails half of its answers
 };
 /// Parameters of a simulation with engines.
-struct EnginePlan {
+struct EngineSimulationOptions {
   EngineVersion version = EngineVersion::good;
   std::uint64_t seed = 1;
   int proxies = 20;
@@ -36,7 +36,7 @@
   double baselineFailures = 0.002;
 };
 /// Results of a simulation with engines.
-struct EngineOutcome {
+struct EngineSimulationResult {
   state_machine::RolloutPhase phase{};
   std::string reason;
   Duration decidedAfter{0};
@@ -49,5 +49,5 @@
   bool inProgress() const { return !state_machine::isFinal(phase); }
 };
 /// Simulates one rollout until the end of its term.
-EngineOutcome simulate(const EnginePlan& plan);
+EngineSimulationResult simulate(const EngineSimulationOptions& options);
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -132,7 +132,7 @@
   const auto fault = faultyEvidence().findFault();
   ASSERT_TRUE(fault);
   EXPECT_EQ(fault->stratum, "r");
-  EXPECT_EQ(fault->kind, Fault::Kind::answersFail);
+  EXPECT_EQ(fault->kind, Fault::Kind::failedAnswers);
   EXPECT_FALSE(soundEvidence().findFault());
   EXPECT_FALSE(soundEvidence().isSuspicious());
 }
@@ -147,7 +147,7 @@
                 {answersOf("", 1000, 0, 30), answersOf("n1", 15, 0, 14), answersOf("n2", 15, 0, 13)});
   const auto fault = ledger.findFault();
   ASSERT_TRUE(fault);
-  EXPECT_EQ(fault->kind, Fault::Kind::answersAreSlow);
+  EXPECT_EQ(fault->kind, Fault::Kind::slowAnswers);
 }
 TEST(EvidenceLedgerTest, OneRouteIsEnough) {
   EvidenceLedger ledger;
@@ -247,7 +247,7 @@
   };
   const auto fault = ledgerWith(19, 0).findFault();
   ASSERT_TRUE(fault);
-  EXPECT_EQ(fault->kind, Fault::Kind::runnersFail);
+  EXPECT_EQ(fault->kind, Fault::Kind::faultyRunners);
   EXPECT_EQ(fault->candidate.bad, 19);
   EXPECT_FALSE(ledgerWith(4, 0).findFault());
   EXPECT_FALSE(ledgerWith(12, 0.18).findFault()) << "the baseline has as many faulty runners";
@@ -617,7 +617,7 @@
 TEST(ExposureTest, AGroupIsLoadedBeyondTheLoadAfterCompletionAndNotFarBeyond) {
   for (const std::size_t runners : {4U, 30U, 90U, 600U})
     for (const double load : {0.0, 0.2, 0.5, 0.7, 1.1}) {
-      const auto exposure = exposureOf(0.1, runners);
+      const auto exposure = exposureLimits(0.1, runners);
       EXPECT_LT(exposure.canary, exposure.allowed);
       EXPECT_GT(exposure.loadTest, exposure.allowed);
       const auto group = loadTestGroup(runners, exposure.loadTest, {load, runners % 4 == 2});
--- a/tests/rollout_world.cpp
+++ b/tests/rollout_world.cpp
@@ -17,23 +17,23 @@
   double load = 0;  // number of recent requests, with exponential decay
 };
 
-class World {
+class RolloutSimulation {
  public:
-  explicit World(const Plan& plan)
-      : plan_(plan),
-        rng_(plan.seed),
-        control_({plan.seed, plan.proxies, plan.term, plan.leaderChanges, plan.disconnectedProxies}) {
+  explicit RolloutSimulation(const SimulationOptions& options)
+      : options_(options),
+        rng_(options.seed),
+        control_({options.seed, options.proxies, options.term, options.leaderChanges, options.disconnectedProxies}) {
     addRunners();
     control_.begin();
   }
-  Outcome run() {
-    for (auto now = kStart; now < kStart + plan_.term; now += kTick)
+  SimulationResult run() {
+    for (auto now = kStart; now < kStart + options_.term; now += kTick)
       step(now);
-    outcome_.phase = control_.rollout().phase();
-    outcome_.reason = control_.rollout().reason;
-    outcome_.decidedAfter = control_.decidedAfter();
-    outcome_.steps = control_.steps();
-    return outcome_;
+    result_.phase = control_.rollout().phase();
+    result_.reason = control_.rollout().reason;
+    result_.decidedAfter = control_.decidedAfter();
+    result_.steps = control_.steps();
+    return result_;
   }
 
  private:
@@ -42,13 +42,13 @@
     return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * part));
   }
   void addRunners() {
-    for (int i = 0; i < 2 * plan_.runners; ++i) {
+    for (int i = 0; i < 2 * options_.runners; ++i) {
       SimulatedRunner runner;
-      runner.revision = i < plan_.runners ? kBaseline : kCandidate;
+      runner.revision = i < options_.runners ? kBaseline : kCandidate;
       runner.id = runner.revision + "-" + std::to_string(i);
-      runner.faulty = uniform() < plan_.faultyRunners;
-      if (uniform() < plan_.crashedRunners)
-        runner.crashesAt = kStart + fractionOf(plan_.term, crashTimeFraction_);
+      runner.faulty = uniform() < options_.faultyRunners;
+      if (uniform() < options_.crashedRunners)
+        runner.crashesAt = kStart + fractionOf(options_.term, crashTimeFraction_);
       control_.join(runner.id, runner.revision, 16);
       runners_.push_back(std::move(runner));
     }
@@ -63,14 +63,14 @@
     }
   }
   void sendRequests(ControlledProxy& proxy, TimePoint now) {
-    const double expected = plan_.requestsPerS * static_cast<double>(kTick.count()) * kSecondsPerMs;
+    const double expected = options_.requestsPerS * static_cast<double>(kTick.count()) * kSecondsPerMs;
     const int count = std::poisson_distribution<int>(expected)(rng_);
     for (int i = 0; i < count; ++i)
       sendRequest(proxy, now);
   }
   // Sends one request with at most one retry.
   void sendRequest(ControlledProxy& proxy, TimePoint now) {
-    outcome_.requests += 1;
+    result_.requests += 1;
     proxy.gate.recordRequest(kService);
     const auto route = static_cast<int>(rng_() % kRoutes);
     const auto affinity = rng_();
@@ -88,8 +88,8 @@
   // Models `RunnerPool`: a prefix has one preferred runner, and matches no runner if the preferred one is not within
   // the filter's `runnerShare`.
   SimulatedRunner* chooseRunner(const RevisionFilter& filter, std::uint64_t affinity, TimePoint now) {
-    const auto runnerCount = static_cast<std::size_t>(plan_.runners);
-    const auto limit = std::max<std::size_t>(3, static_cast<std::size_t>(plan_.runners * filter.runnerShare));
+    const auto runnerCount = static_cast<std::size_t>(options_.runners);
+    const auto limit = std::max<std::size_t>(3, static_cast<std::size_t>(options_.runners * filter.runnerShare));
     if (filter.runnerShare < 1 && affinity % runnerCount >= limit)
       return nullptr;
     std::vector<SimulatedRunner*> fitting;
@@ -110,52 +110,52 @@
     seen.revision = runner.revision;
     seen.answered = now < runner.crashesAt;
     seen.failed = seen.answered && uniform() < failureRate(runner, route, now);
-    seen.slowStart = seen.answered && uniform() < (isCandidate && plan_.version == Version::slow ? 0.9 : 0.02);
+    seen.slowStart = seen.answered && uniform() < (isCandidate && options_.version == Version::slow ? 0.9 : 0.02);
     if (isCandidate)
       countCandidate(seen.isGood(), now);
     proxy.gate.recordAttempt(kService, seen);
     return seen.answered && !seen.failed;
   }
   void countCandidate(bool good, TimePoint now) {
-    outcome_.candidateRequests += 1;
-    outcome_.candidateBad += good ? 0 : 1;
+    result_.candidateRequests += 1;
+    result_.candidateBad += good ? 0 : 1;
     if (control_.rollout().phase() == RolloutPhase::reverted && now > kStart + control_.decidedAfter() + 1s)
-      outcome_.afterReversal += 1;
+      result_.afterReversal += 1;
   }
   double failureRate(SimulatedRunner& runner, int route, TimePoint now) {
     constexpr double kLoadDecay = 0.9;
     runner.load = runner.load * kLoadDecay + 1;
-    const double usual = runner.faulty ? 0.4 : plan_.baselineFailures;
+    const double normalRate = runner.faulty ? 0.4 : options_.baselineFailures;
     if (runner.revision != kCandidate)
-      return usual;
-    switch (plan_.version) {
+      return normalRate;
+    switch (options_.version) {
       case Version::bad:
         return 0.5;
       case Version::late:
-        return now >= kStart + plan_.term / 5 ? 0.5 : usual;
+        return now >= kStart + options_.term / 5 ? 0.5 : normalRate;
       case Version::faint:
-        return std::max(usual, 0.125);
+        return std::max(normalRate, 0.125);
       case Version::oneRoute:
-        return route == 1 ? 0.5 : usual;
+        return route == 1 ? 0.5 : normalRate;
       case Version::underLoad:
-        return runner.load > 5 ? 0.5 : usual;
+        return runner.load > 5 ? 0.5 : normalRate;
       case Version::good:
       case Version::slow:
         break;
     }
-    return usual;
+    return normalRate;
   }
 
-  const Plan plan_;
+  const SimulationOptions options_;
   std::mt19937_64 rng_;
-  const double crashTimeFraction_ = 0.2 + 0.6 * static_cast<double>(plan_.seed % 97) / 97;
+  const double crashTimeFraction_ = 0.2 + 0.6 * static_cast<double>(options_.seed % 97) / 97;
   RolloutControl control_;
   std::vector<SimulatedRunner> runners_;
-  Outcome outcome_;
+  SimulationResult result_;
 };
 }  // namespace
 
-Outcome simulate(const Plan& plan) {
-  return World(plan).run();
+SimulationResult simulate(const SimulationOptions& options) {
+  return RolloutSimulation(options).run();
 }
 }  // namespace zinccleat::rollout_world
--- a/tests/rollout_world.hpp
+++ b/tests/rollout_world.hpp
@@ -15,7 +15,7 @@
   underLoad,  ///< half of the answers fail at a runner with as many requests as usual
 };
 /// Parameters of a simulation.
-struct Plan {
+struct SimulationOptions {
   Version version = Version::good;
   std::uint64_t seed = 1;
   int proxies = 40;
@@ -29,7 +29,7 @@
   double disconnectedProxies = 0;  // fraction of the proxies that are disconnected from the controllers for 3 s
 };
 /// Results of a simulation.
-struct Outcome {
+struct SimulationResult {
   state_machine::RolloutPhase phase{};
   Duration decidedAfter{0};
   double requests = 0;           // number of requests up to the end of the term
@@ -41,5 +41,5 @@
   bool inProgress() const { return !state_machine::isFinal(phase); }
 };
 /// Simulates one rollout until the end of its term.
-Outcome simulate(const Plan& plan);
+SimulationResult simulate(const SimulationOptions& options);
 }  // namespace zinccleat::rollout_world
