--- a/libs/balancing/src/revision_limit.cpp
+++ b/libs/balancing/src/revision_limit.cpp
@@ -31,7 +31,7 @@
     eligible.resize(std::min(eligible.size(), std::max(kMinRunnersWithinShare, static_cast<std::size_t>(wanted))));
     return eligible;
   }
-  const double part = rollout::exposureOf(revisions.exposureShare, eligible.size()).loadTest;
+  const double part = rollout::exposureLimits(revisions.exposureShare, eligible.size()).loadTest;
   const rollout::BaselineLoad baseline{meanLoadOfOthers(runners, query, now), query.hasPrefixCache};
   const auto group = rollout::loadTestGroup(eligible.size(), part, baseline);
   std::vector<int> members;
--- a/libs/state_machine/include/state_machine/fleet_state.hpp
+++ b/libs/state_machine/include/state_machine/fleet_state.hpp
@@ -9,7 +9,7 @@
 #include "state_machine/usage_reports.hpp"
 
 namespace zinccleat::state_machine {
-/// A zone or region that is being evacuated for maintenance.
+/// A zone or region that is being drained for maintenance.
 struct ZoneDrain {
   std::string zone;               ///< name of a zone, or of a region, which stands for all its zones
   std::string note;               ///< free text entered by the operator
