--- a/libs/rollout/include/rollout/rollout_plan.hpp
+++ b/libs/rollout/include/rollout/rollout_plan.hpp
@@ -29,7 +29,7 @@
 
 /// The next step of a rollout; none if the rollout stays in its current step.
 /// @param rollout the newest record in the log.
-/// @param elapsed time since the begin of the rollout.
+/// @param elapsed time since the start of the rollout.
 /// @param sinceStep time since the newest step.
 std::optional<Step> nextStep(const state_machine::Rollout& rollout, const EvidenceLedger& evidence,
                              const FleetView& fleet, Duration elapsed, Duration sinceStep);
--- a/libs/rollout/include/rollout/rollout_tracker.hpp
+++ b/libs/rollout/include/rollout/rollout_tracker.hpp
@@ -41,7 +41,7 @@
   };
   struct TrackedRollout {
     state_machine::Rollout rollout;  ///< newest record in the log
-    TimePoint startedAt{};  ///< begin of the rollout by this controller's clock; may be later than the real begin
+    TimePoint startedAt{};  ///< start of the rollout by this controller's clock; may be later than the real start
     TimePoint steppedAt{};  ///< time of the newest step
     TimePoint writtenAt{};  ///< time of the leader's newest record
     EvidenceLedger evidence;
--- a/libs/rollout/src/rollout_plan.cpp
+++ b/libs/rollout/src/rollout_plan.cpp
@@ -8,7 +8,7 @@
 using state_machine::RolloutPhase;
 
 // Times as fractions of the term.
-constexpr double kLoadTestStartFraction = 0.28;  // begin of the load test
+constexpr double kLoadTestStartFraction = 0.28;  // start of the load test
 constexpr double kLoadTestGroupFraction = 0.14;  // duration of the load test of one group
 constexpr double kCanaryEndFraction = 0.55;      // earliest end of the canary phase
 // From here on, a candidate with few answers may enter the shift phase with weaker evidence, and the first step of the
--- a/libs/state_machine/include/state_machine/rollout.hpp
+++ b/libs/state_machine/include/state_machine/rollout.hpp
@@ -40,13 +40,14 @@
   }
 };
 
+/// The state of a rollout of one service, as recorded in the log.
 struct Rollout {
   std::string service;                  ///< label
   std::string revision;                 ///< revision of the candidate
-  std::int64_t durationMs = 0;          ///< time limit, from the begin to completion or reversal
+  std::int64_t durationMs = 0;          ///< time limit, from the start to completion or reversal
   std::int32_t phaseNumber = 0;         ///< a `RolloutPhase`, as an integer for the encoding
   std::int32_t percent = 0;             ///< shifting: the candidate's part of the traffic; canary: see `loadTestGroup`
-  std::int64_t elapsedMs = 0;           ///< time from the begin of the rollout to this record
+  std::int64_t elapsedMs = 0;           ///< time from the start of the rollout to this record
   std::string reason;                   ///< why the phase was entered, for operators
   std::vector<RouteEvidence> evidence;  ///< counts up to this record
   /// Lists the fields in wire order.
--- a/libs/state_machine/include/state_machine/usage_reports.hpp
+++ b/libs/state_machine/include/state_machine/usage_reports.hpp
@@ -33,7 +33,8 @@
 /// The reports of the newest windows. Replicated to controllers only.
 class UsageReports {
  public:
-  /// Maximum number of windows in the table. A window that is older than all of them can no longer be reported.
+  /// Maximum number of windows in the table. If the table is full, a window older than all of its windows can no longer
+  /// be reported.
   static constexpr std::size_t kMaxTrackedWindows = 64;
 
   /// Adds the report of a window.
--- a/tests/rollout_engine_world.cpp
+++ b/tests/rollout_engine_world.cpp
@@ -135,7 +135,7 @@
     for (std::size_t i = 0; i < proxies_.size(); ++i) {
       auto& controlled = control_.proxies()[i];
       if (control_.follow(controlled, now))
-        // The proxy applies the begin of the rollout before the new runners join.
+        // The proxy applies the start of the rollout before the new runners join.
         proxies_[i].pool.setRunners(control_.state().runners, now);
       if (!controlled.reportsAt(now))
         continue;
--- a/tests/rollout_engine_world.hpp
+++ b/tests/rollout_engine_world.hpp
@@ -29,7 +29,7 @@
   double requestsPerS = 170;  // request rate of all proxies together
   bool streams = true;        // false: short requests without a prompt
   Duration term{16000};
-  Duration surgeAt{0};  // the request rate rises by half this long after the begin of the rollout; 0: no surge
+  Duration surgeAt{0};  // the request rate rises by half this long after the start of the rollout; 0: no surge
   int leaderChanges = 0;
   double disconnectedProxies = 0;
   double faultyRunners = 0;  // fraction of the runners of both revisions that fail two fifths of their answers
