--- a/libs/state_machine/include/state_machine/replicated_state.hpp
+++ b/libs/state_machine/include/state_machine/replicated_state.hpp
@@ -13,7 +13,7 @@
 #include "state_machine/snapshot_codec.hpp"
 
 namespace zinccleat::state_machine {
-/// A replica of the state. See the file comment.
+/// A replica of the fleet's state. The state changes only by committed log entries and by restored snapshots.
 class ReplicatedState {
  public:
   /// The outcome of a log entry. The values equal the HTTP status codes of the API; they are stored and sent as
