--- a/libs/rollout/src/revision_gate.cpp
+++ b/libs/rollout/src/revision_gate.cpp
@@ -9,34 +9,34 @@
 using state_machine::RolloutPhase;
 using Rule = RevisionFilter::Rule;
 
-constexpr double kMaxTokens = 4;             // that one proxy keeps
+constexpr double kMaxTokens = 4;             // of one proxy for one service
 constexpr double kCanaryRunnerShare = 0.08;  // of the candidate's runners
 constexpr std::uint64_t kPercent = 100;
 
-// The fuse: so many bad attempts, and so far above the baseline's part of bad ones.
-constexpr double kTripBad = 2.5;
-constexpr double kTripRate = 0.3;
-constexpr double kTripDifference = 0.25;
-constexpr double kFuseDecay = 0.97;  // for each attempt
+// The circuit breaker trips at this number and rate of bad attempts, and this difference to the baseline's rate.
+constexpr double kTripMinBadAttempts = 2.5;
+constexpr double kTripMinBadRate = 0.3;
+constexpr double kTripMinRateDifference = 0.25;
+constexpr double kAttemptDecay = 0.97;  // decay of the counts of attempts with each new attempt
 
 double badRate(double bad, double good) {
   return bad + good > 0 ? bad / (bad + good) : 0;
 }
-bool sameStep(const Rollout& one, const Rollout& other) {
-  return one.sameOrder(other) && one.phase() == other.phase() && one.percent == other.percent;
+bool isSameStep(const Rollout& one, const Rollout& other) {
+  return one.isSameRollout(other) && one.phase() == other.phase() && one.percent == other.percent;
 }
 }  // namespace
 
 void RevisionGate::setRollouts(const std::vector<Rollout>& rollouts) {
   std::vector<ServiceRollout> services;
   for (const auto& rollout : rollouts) {
-    // A completed rollout has taken the other runners out of the fleet: nothing is left to choose.
+    // A completed rollout has removed the baseline's runners from the fleet, so no filter is needed.
     if (rollout.phase() == RolloutPhase::completed)
       continue;
     ServiceRollout next;
-    if (auto* known = find(rollout.service); known && known->rollout.sameOrder(rollout)) {
+    if (auto* known = find(rollout.service); known && known->rollout.isSameRollout(rollout)) {
       next = std::move(*known);
-      if (!sameStep(next.rollout, rollout))
+      if (!isSameStep(next.rollout, rollout))
         next.candidateGood = next.candidateBad = 0;
     }
     next.rollout = rollout;
@@ -60,7 +60,7 @@
   return chooseShifted(*found, affinity != 0);
 }
 RevisionFilter RevisionGate::chooseCanary(ServiceRollout& service, bool isRetry, TimePoint now) const {
-  if (now >= service.tokensUntil)
+  if (now >= service.tokensExpireAt)
     service.tokens = 0;
   if (isRetry || service.tokens < 1)
     return {Rule::except, service.rollout.revision, 1};
@@ -69,8 +69,9 @@
     return {Rule::only, service.rollout.revision, 1, group, exposureShare_};
   return {Rule::only, service.rollout.revision, kCanaryRunnerShare};
 }
-// As many of the candidate's runners are used as traffic is shifted, each as busy as usual. A request with a prompt
-// prefix goes there if its prefix prefers one of them; so each prefix moves once, at all proxies at the same step.
+// The fraction of the candidate's runners in use equals the shifted fraction of the traffic, so that each runner has
+// its usual load. A request with a prompt prefix goes to the candidate if the prefix prefers one of these runners. So
+// each prefix moves to the candidate once, and at the same step on all proxies.
 RevisionFilter RevisionGate::chooseShifted(const ServiceRollout& service, bool hasAffinity) {
   const auto percent = service.rollout.percent;
   if (!hasAffinity && static_cast<std::int32_t>(rng_() % kPercent) >= percent)
@@ -82,7 +83,7 @@
   if (!found || tried.rule == Rule::any)
     return std::nullopt;
   if (tried.rule == Rule::only) {
-    // The token was spent for nothing.
+    // The token is returned, because no runner matched its filter.
     if (found->rollout.phase() == RolloutPhase::canary)
       found->tokens = std::min(kMaxTokens, found->tokens + 1);
     return RevisionFilter{Rule::except, tried.revision, 1};
@@ -107,18 +108,18 @@
   answers.failed += attempt.answered && attempt.failed ? 1 : 0;
   answers.interrupted += attempt.answered ? 0 : 1;
   answers.slow += attempt.answered && attempt.isSlow() ? 1 : 0;
-  updateFuse(*found, isCandidate, attempt.isGood());
+  updateCircuitBreaker(*found, isCandidate, attempt.isGood());
 }
-void RevisionGate::updateFuse(ServiceRollout& service, bool isCandidate, bool isGood) {
+void RevisionGate::updateCircuitBreaker(ServiceRollout& service, bool isCandidate, bool isGood) {
   auto& good = isCandidate ? service.candidateGood : service.baselineGood;
   auto& bad = isCandidate ? service.candidateBad : service.baselineBad;
-  good = good * kFuseDecay + (isGood ? 1 : 0);
-  bad = bad * kFuseDecay + (isGood ? 0 : 1);
+  good = good * kAttemptDecay + (isGood ? 1 : 0);
+  bad = bad * kAttemptDecay + (isGood ? 0 : 1);
   const double candidateRate = badRate(service.candidateBad, service.candidateGood);
   const double baselineRate = badRate(service.baselineBad, service.baselineGood);
-  const bool fails =
-      service.candidateBad >= kTripBad && candidateRate >= kTripRate && candidateRate >= baselineRate + kTripDifference;
-  if (!fails || service.tripped)
+  const bool isFailing = service.candidateBad >= kTripMinBadAttempts && candidateRate >= kTripMinBadRate &&
+                         candidateRate >= baselineRate + kTripMinRateDifference;
+  if (!isFailing || service.tripped)
     return;
   service.tripped = true;
   log::info("rollout_stopped_here", {{"service", service.rollout.service},
@@ -130,10 +131,10 @@
     auto* found = find(grant.service);
     if (!found || found->rollout.revision != grant.revision)
       continue;
-    if (now >= found->tokensUntil)
+    if (now >= found->tokensExpireAt)
       found->tokens = 0;
     found->tokens = std::min(kMaxTokens, found->tokens + std::max(0.0, grant.tokens));
-    found->tokensUntil = now + kGrantLifetime;
+    found->tokensExpireAt = now + kGrantLifetime;
   }
 }
 std::vector<transport::RolloutReport> RevisionGate::takeReports() {
--- a/libs/rollout/src/rollout_tracker.cpp
+++ b/libs/rollout/src/rollout_tracker.cpp
@@ -9,11 +9,11 @@
 using state_machine::Rollout;
 using state_machine::RolloutPhase;
 
-constexpr auto kProxyLifetime = 1500ms;       // a proxy that has not reported for so long is not waited for
-constexpr auto kCheckpointInterval = 2000ms;  // between two records of the same step
-constexpr std::int32_t kAll = 100;
+constexpr auto kProxyReportTimeout = 1500ms;  // completion does not wait for a proxy without a report for this time
+constexpr auto kCheckpointInterval = 2000ms;  // between two records of the same step of a rollout
+constexpr std::int32_t kFullPercent = 100;
 constexpr double kMaxRequestsPerReport = 1e5;
-constexpr double kSlackPart = 0.8;  // of the requests that are allowed besides the share, for the load test
+constexpr double kSlackFraction = 0.8;  // of the exposure slack; granted for the load test
 
 Rollout recordOf(const Rollout& rollout, const EvidenceLedger& evidence, Duration elapsed) {
   auto record = rollout;
@@ -29,28 +29,28 @@
     return isInService(runner, rollout) && runner.software.revision == rollout.revision;
   }));
 }
-double ejectedBaselinePart(const Rollout& rollout, const state_machine::StateContents& state,
-                           const std::vector<transport::RunnerEjection>& ejections) {
+double ejectedBaselineFraction(const Rollout& rollout, const state_machine::StateContents& state,
+                               const std::vector<transport::RunnerEjection>& ejections) {
   double runners = 0;
   double ejected = 0;
   for (const auto& runner : state.runners) {
     if (!isInService(runner, rollout) || runner.software.revision == rollout.revision)
       continue;
     runners += 1;
-    const auto isThis = [&](const auto& ejection) { return ejection.runner == runner.id; };
-    ejected += std::any_of(ejections.begin(), ejections.end(), isThis) ? 1 : 0;
+    const auto isEjectionOfRunner = [&](const auto& ejection) { return ejection.runner == runner.id; };
+    ejected += std::any_of(ejections.begin(), ejections.end(), isEjectionOfRunner) ? 1 : 0;
   }
   return runners > 0 ? ejected / runners : 0;
 }
 }  // namespace
 
 void RolloutTracker::follow(TimePoint now, const state_machine::StateContents& state) {
-  std::vector<Tracked> tracked;
+  std::vector<TrackedRollout> tracked;
   for (const auto& rollout : state.rollouts) {
     if (!rollout.inProgress())
       continue;
     auto* known = find(rollout.service);
-    if (known && known->rollout.sameOrder(rollout)) {
+    if (known && known->rollout.isSameRollout(rollout)) {
       const bool stepped = known->rollout.phase() != rollout.phase() || known->rollout.percent != rollout.percent;
       known->steppedAt = stepped ? now : known->steppedAt;
       known->startedAt = std::min(known->startedAt, now - Duration(rollout.elapsedMs));
@@ -77,7 +77,7 @@
 void RolloutTracker::startTerm() {
   for (auto& each : tracked_) {
     each.evidence = EvidenceLedger(each.rollout.evidence);
-    each.unspentExposure = each.dueExposure = 0;
+    each.unspentTokens = each.dueTokens = 0;
     each.proxies.clear();
   }
 }
@@ -95,18 +95,18 @@
     grant.tokens = grantTokens(*tracked, std::clamp(report.requests, 0.0, kMaxRequestsPerReport));
   return grant;
 }
-// Each request is reported once and pays for a part of a token: all grants together stay below the share of all
-// requests, whoever leads. Most of that is kept for the load test. In whole tokens: where each proxy has few
-// requests, fractions would wait for their sum at each of them.
-double RolloutTracker::grantTokens(Tracked& tracked, double requests) const {
-  const auto exposure = exposureOf(exposureShare_, tracked.candidateRunners);
-  tracked.unspentExposure += requests * exposure.allowed;
+// Each request is reported once and yields a fraction of a token. So the sum of all grants stays below the share of all
+// requests, also across changes of the leader. Most tokens are saved for the load test. Only whole tokens are granted:
+// if each proxy has few requests, fractions would remain unused at each proxy until they add up to a token.
+double RolloutTracker::grantTokens(TrackedRollout& tracked, double requests) const {
+  const auto exposure = exposureLimits(exposureShare_, tracked.candidateRunners);
+  tracked.unspentTokens += requests * exposure.allowed;
   const double part = tracked.rollout.loadTestGroup() > 0 ? exposure.loadTest : exposure.canary;
-  tracked.dueExposure += requests * (tracked.suspicious ? part / 2 : part);
-  const double tokens = std::floor(std::min(tracked.unspentExposure, tracked.dueExposure));
-  tracked.unspentExposure -= tokens;
-  // What is due and not paid for is not made up for later.
-  tracked.dueExposure = std::min(tracked.dueExposure - tokens, 1.0);
+  tracked.dueTokens += requests * (tracked.suspicious ? part / 2 : part);
+  const double tokens = std::floor(std::min(tracked.unspentTokens, tracked.dueTokens));
+  tracked.unspentTokens -= tokens;
+  // Due tokens that exceed the unspent tokens are dropped, so that they do not cause a burst later.
+  tracked.dueTokens = std::min(tracked.dueTokens - tokens, 1.0);
   return tokens;
 }
 std::vector<Rollout> RolloutTracker::decide(TimePoint now, const state_machine::StateContents& state,
@@ -114,7 +114,7 @@
   std::vector<Rollout> records;
   for (auto& each : tracked_) {
     const auto elapsed = toDuration(now - each.startedAt);
-    each.evidence.setEjectedBaseline(ejectedBaselinePart(each.rollout, state, ejections));
+    each.evidence.setEjectedBaselineFraction(ejectedBaselineFraction(each.rollout, state, ejections));
     each.suspicious = each.evidence.isSuspicious();
     const auto step =
         nextStep(each.rollout, each.evidence, fleetView(now, each, state), elapsed, toDuration(now - each.steppedAt));
@@ -126,27 +126,28 @@
       record.setPhase(step->phase);
       record.percent = step->percent;
       record.reason = step->reason;
-      // Once: the step is taken once, and by this leader.
-      if (each.rollout.phase() == RolloutPhase::canary && each.rollout.loadTestGroup() == 0 && !each.hasSlack)
-        each.unspentExposure += kSlackPart * exposureSlack_;
-      each.hasSlack = true;
+      // The slack is added once per rollout: only the leader that takes the step to the first group of the load test
+      // adds it, and `slackGranted` prevents a second addition while the record of the step is not committed yet.
+      if (each.rollout.phase() == RolloutPhase::canary && each.rollout.loadTestGroup() == 0 && !each.slackGranted)
+        each.unspentTokens += kSlackFraction * exposureSlack_;
+      each.slackGranted = true;
     }
     each.writtenAt = now;
     records.push_back(std::move(record));
   }
   return records;
 }
-RolloutTracker::Tracked* RolloutTracker::find(const std::string& service) {
+RolloutTracker::TrackedRollout* RolloutTracker::find(const std::string& service) {
   const auto found = std::find_if(tracked_.begin(), tracked_.end(),
-                                  [&](const Tracked& each) { return each.rollout.service == service; });
+                                  [&](const TrackedRollout& each) { return each.rollout.service == service; });
   return found == tracked_.end() ? nullptr : &*found;
 }
-FleetView RolloutTracker::fleetView(TimePoint now, const Tracked& tracked,
+FleetView RolloutTracker::fleetView(TimePoint now, const TrackedRollout& tracked,
                                     const state_machine::StateContents& state) const {
   FleetView view;
   const auto elapsed = std::max(1ms, toDuration(now - tracked.startedAt));
   const double part = static_cast<double>(elapsed.count()) / static_cast<double>(tracked.rollout.durationMs);
-  view.allowedExposure = exposureShare_ * tracked.evidence.allAnswers() / std::min(1.0, part) + exposureSlack_;
+  view.allowedCandidateRequests = exposureShare_ * tracked.evidence.allAnswers() / std::min(1.0, part) + exposureSlack_;
   for (const auto& runner : state.runners) {
     if (!isInService(runner, tracked.rollout))
       continue;
@@ -157,15 +158,15 @@
   view.baselineIsIdle = baselineIsIdle(now, tracked);
   return view;
 }
-bool RolloutTracker::baselineIsIdle(TimePoint now, const Tracked& tracked) {
-  bool anyHeard = false;
+bool RolloutTracker::baselineIsIdle(TimePoint now, const TrackedRollout& tracked) {
+  bool anyProxyReported = false;
   for (const auto& [proxy, state] : tracked.proxies) {
-    if (now - state.reportedAt > kProxyLifetime)
+    if (now - state.reportedAt > kProxyReportTimeout)
       continue;
-    anyHeard = true;
-    if (state.percent < kAll || state.baselineInFlight > 0)
+    anyProxyReported = true;
+    if (state.percent < kFullPercent || state.baselineInFlight > 0)
       return false;
   }
-  return anyHeard;
+  return anyProxyReported;
 }
 }  // namespace zinccleat::rollout
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -1,4 +1,5 @@
-// The rollout engine: the sequential test, the ledger of evidence, the plan of a rollout, and the gate of a proxy.
+// Tests of the rollout library: the sequential test, the evidence ledger, the rollout plan, the rollout tracker and the
+// revision gate.
 #include <gtest/gtest.h>
 
 #include "rollout/evidence_ledger.hpp"
@@ -41,14 +42,14 @@
   ledger.report(kStart, std::nullopt, {answersOf("", 2000, 4), answersOf("n1", 20, 10), answersOf("n2", 20, 9)});
   return ledger;
 }
-// A proof needs more; a suspicion does not.
+// Enough bad answers for a suspicion, but not for a proof.
 EvidenceLedger suspiciousEvidence() {
   EvidenceLedger ledger;
   ledger.report(kStart, std::nullopt, {answersOf("", 2000, 4), answersOf("n1", 35, 3), answersOf("n2", 35, 4)});
   return ledger;
 }
-constexpr FleetView kReady{.baselineCapacity = 100, .candidateCapacity = 100, .baselineIsIdle = false};
-Duration partOf(double part) {
+constexpr FleetView kReadyFleet{.baselineCapacity = 100, .candidateCapacity = 100, .baselineIsIdle = false};
+Duration fractionOfTerm(double part) {
   return Duration(static_cast<Duration::rep>(kDurationMs * part));
 }
 RevisionGate gateIn(RolloutPhase phase, std::int32_t percent = 0) {
@@ -78,9 +79,10 @@
   EXPECT_LT(logEvidence({0, 100}, rate), 0);
   EXPECT_GT(logEvidence({10, 20}, rate), logEvidence({5, 20}, rate));
   EXPECT_GT(logEvidence({10, 20}, rate), logEvidence({10, 80}, rate));
-  EXPECT_EQ(logEvidence({10, 20}, 0.99), 0) << "no alternative is left above it";
+  EXPECT_EQ(logEvidence({10, 20}, 0.99), 0) << "there is no alternative above this rate";
 }
-// Ville's inequality: at the sound rate itself evidence of 1/alpha is ever reached with a probability of alpha at most.
+// Ville's inequality: if the true rate equals the sound rate, the probability that the evidence ever reaches 1/alpha is
+// at most alpha.
 TEST(SequentialTest, LookingAfterEachAnswerKeepsTheErrorRate) {
   std::mt19937_64 rng(11);
   constexpr double kRate = 0.05;
@@ -99,7 +101,8 @@
   }
   EXPECT_LE(crossed, kRuns * kAlpha);
 }
-// The planted blunder: a test for a fixed sample that is made after each answer. It must show here.
+// Shows that the simulation of `LookingAfterEachAnswerKeepsTheErrorRate` detects a wrong test: a test for a fixed
+// sample size that is repeated after each answer exceeds its error rate.
 TEST(SequentialTest, PeekingWithoutCorrectionIsFoundOut) {
   std::mt19937_64 rng(11);
   constexpr double kRate = 0.05;
@@ -119,17 +122,17 @@
     crossed += ever ? 1 : 0;
     crossedAtTheEnd += now ? 1 : 0;
   }
-  EXPECT_LE(crossedAtTheEnd, kRuns * 0.05) << "one look, at the end";
-  EXPECT_GE(crossed, kRuns * 0.15) << "a look after each answer";
+  EXPECT_LE(crossedAtTheEnd, kRuns * 0.05) << "evaluated once, at the end";
+  EXPECT_GE(crossed, kRuns * 0.15) << "evaluated after each answer";
 }
 
-// --- The ledger ---
+// --- The evidence ledger ---
 
 TEST(EvidenceLedgerTest, ManyFailuresOfSeveralRunnersAreAFault) {
   const auto fault = faultyEvidence().findFault();
   ASSERT_TRUE(fault);
   EXPECT_EQ(fault->stratum, "r");
-  EXPECT_EQ(fault->kind, Fault::Kind::answersFail);
+  EXPECT_EQ(fault->kind, Fault::Kind::failedAnswers);
   EXPECT_FALSE(soundEvidence().findFault());
   EXPECT_FALSE(soundEvidence().isSuspicious());
 }
@@ -144,7 +147,7 @@
                 {answersOf("", 1000, 0, 30), answersOf("n1", 15, 0, 14), answersOf("n2", 15, 0, 13)});
   const auto fault = ledger.findFault();
   ASSERT_TRUE(fault);
-  EXPECT_EQ(fault->kind, Fault::Kind::answersAreSlow);
+  EXPECT_EQ(fault->kind, Fault::Kind::slowAnswers);
 }
 TEST(EvidenceLedgerTest, OneRouteIsEnough) {
   EvidenceLedger ledger;
@@ -163,7 +166,7 @@
   ledger.report(kStart + 1s, kStart, {answersOf("n1", 0, 0, 0, 30)});
   ledger.report(kStart + 2s, kStart + 1s, {answersOf("n2", 10, 0)});
   EXPECT_FALSE(ledger.findFault());
-  EXPECT_EQ(ledger.candidateBadAnswers(), 30) << "but they count among the bad ones";
+  EXPECT_EQ(ledger.candidateBadAnswers(), 30) << "interrupted answers count as bad answers";
 }
 TEST(EvidenceLedgerTest, AnswersThatBreakOffAtRunnersThatGoOnAreFailures) {
   EvidenceLedger ledger;
@@ -179,7 +182,7 @@
   ledger.report(kStart + 1s, kStart, {answersOf("n1", 0, 0, 0, 30), answersOf("n2", 0, 0, 0, 30)});
   ledger.report(kStart + 4s, kStart + 900ms, {answersOf("n1", 5, 0), answersOf("n2", 5, 0)});
   ledger.report(kStart + 5s, std::nullopt, {answersOf("n1", 5, 0), answersOf("n2", 5, 0)});
-  EXPECT_FALSE(ledger.findFault()) << "those proxies had not reported for a while";
+  EXPECT_FALSE(ledger.findFault()) << "these reports may contain answers from before the interruption";
   ledger.report(kStart + 6s, kStart + 1s, {answersOf("n1", 1, 0), answersOf("n2", 1, 0)});
   EXPECT_TRUE(ledger.findFault());
 }
@@ -195,7 +198,8 @@
   for (int runner = 0; runner < 60; ++runner)
     answers.push_back(answersOf("n" + std::to_string(runner), 5, runner % 3 == 0 ? 1 : 0));
   ledger.report(kStart, std::nullopt, answers);
-  EXPECT_TRUE(ledger.findFault()) << "a third of the runners had one bad answer each, by chance these";
+  EXPECT_TRUE(ledger.findFault())
+      << "a third of the runners had one bad answer each, which is not a fault of these runners";
 }
 TEST(EvidenceLedgerTest, AFaultOfBusyRunnersIsNotTakenForTheFaultOfThoseRunners) {
   EvidenceLedger ledger;
@@ -219,12 +223,12 @@
                  answersOf("n2", 30, 0, 16, 0, stratumOf("r", LoadClass::busy))});
   EXPECT_FALSE(ledger.findFault());
   ledger.report(kStart, std::nullopt, {answersOf("n1", 30, 0, 15), answersOf("n2", 30, 0, 16)});
-  EXPECT_TRUE(ledger.findFault()) << "idle ones are not that slow";
+  EXPECT_TRUE(ledger.findFault()) << "idle runners of the baseline are not that slow";
 }
 TEST(EvidenceLedgerTest, OneRunnerIsEnoughOnlyWhereTheVersionHasNoOther) {
   EvidenceLedger few;
   few.report(kStart, std::nullopt, {answersOf("", 1000, 2), answersOf("n1", 8, 6)});
-  EXPECT_FALSE(few.findFault()) << "others may answer soon";
+  EXPECT_FALSE(few.findFault()) << "other runners may answer soon";
   few.report(kStart, std::nullopt, {answersOf("n1", 30, 15)});
   EXPECT_TRUE(few.findFault());
   EvidenceLedger others;
@@ -238,15 +242,15 @@
     for (int runner = 0; runner < 60; ++runner)
       answers.push_back(answersOf("n" + std::to_string(runner), 20, runner < faulty ? 10 : 0));
     ledger.report(kStart, std::nullopt, answers);
-    ledger.setEjectedBaseline(ejected);
+    ledger.setEjectedBaselineFraction(ejected);
     return ledger;
   };
   const auto fault = ledgerWith(19, 0).findFault();
   ASSERT_TRUE(fault);
-  EXPECT_EQ(fault->kind, Fault::Kind::runnersFail);
+  EXPECT_EQ(fault->kind, Fault::Kind::faultyRunners);
   EXPECT_EQ(fault->candidate.bad, 19);
   EXPECT_FALSE(ledgerWith(4, 0).findFault());
-  EXPECT_FALSE(ledgerWith(12, 0.18).findFault()) << "the baseline has as many";
+  EXPECT_FALSE(ledgerWith(12, 0.18).findFault()) << "the baseline has as many faulty runners";
   EXPECT_TRUE(ledgerWith(12, 0).isSuspicious());
 }
 TEST(EvidenceLedgerTest, TheCandidateIsNotClearedUntilItsBusyRunnersAre) {
@@ -263,8 +267,8 @@
     EXPECT_EQ(routeOf(stratum), "r (x)");
     EXPECT_EQ(loadClassOf(stratum), loadClassOf(load));
   }
-  EXPECT_EQ(withoutFull(stratumOf("r", LoadClass::full)), stratumOf("r", LoadClass::busy));
-  EXPECT_EQ(withoutFull("r"), "r");
+  EXPECT_EQ(mergeFullIntoBusy(stratumOf("r", LoadClass::full)), stratumOf("r", LoadClass::busy));
+  EXPECT_EQ(mergeFullIntoBusy("r"), "r");
 }
 TEST(RunnerOutliersTest, OneRateForAllHasNoOutliers) {
   EXPECT_TRUE(findOutliers({{5, 20}, {4, 20}, {6, 20}, {5, 20}, {3, 20}, {7, 20}}).empty());
@@ -288,52 +292,56 @@
   EXPECT_EQ(ledger.candidateBadAnswers(), 5);
 }
 
-// --- The plan ---
+// --- The rollout plan ---
 
 TEST(RolloutPlan, TheCanaryLastsForHalfOfTheTerm) {
   const auto canary = rolloutIn(RolloutPhase::canary, kLoadTestGroups);
-  EXPECT_FALSE(nextStep(canary, soundEvidence(), kReady, partOf(0.5), partOf(0.5)));
-  const auto step = nextStep(canary, soundEvidence(), kReady, partOf(0.56), partOf(0.56));
+  EXPECT_FALSE(nextStep(canary, soundEvidence(), kReadyFleet, fractionOfTerm(0.5), fractionOfTerm(0.5)));
+  const auto step = nextStep(canary, soundEvidence(), kReadyFleet, fractionOfTerm(0.56), fractionOfTerm(0.56));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->phase, RolloutPhase::shifting);
   EXPECT_LT(step->percent, 100);
 }
 TEST(RolloutPlan, TheLoadTestTakesGroupAfterGroup) {
   const auto groupAfter = [](std::int32_t group, const EvidenceLedger& evidence, double part, Duration sinceGroup) {
-    const auto step = nextStep(rolloutIn(RolloutPhase::canary, group), evidence, kReady, partOf(part), sinceGroup);
+    const auto step =
+        nextStep(rolloutIn(RolloutPhase::canary, group), evidence, kReadyFleet, fractionOfTerm(part), sinceGroup);
     return step && step->phase == RolloutPhase::canary ? step->percent : 0;
   };
-  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.2, partOf(0.2)), 0) << "faults that need no load are seen first";
-  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.3, partOf(0.3)), 1);
-  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.35, partOf(0.07)), 0);
-  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.45, partOf(0.17)), 2);
-  EXPECT_EQ(groupAfter(1, suspiciousEvidence(), 0.45, partOf(0.17)), 0) << "the group under suspicion stays loaded";
-  EXPECT_EQ(groupAfter(2, soundEvidence(), 0.5, partOf(0.08)), 0);
-  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(100)), 0) << "a leader that comes late, too";
+  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.2, fractionOfTerm(0.2)), 0)
+      << "faults that do not depend on load are detected first";
+  EXPECT_EQ(groupAfter(0, soundEvidence(), 0.3, fractionOfTerm(0.3)), 1);
+  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.35, fractionOfTerm(0.07)), 0);
+  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.45, fractionOfTerm(0.17)), 2);
+  EXPECT_EQ(groupAfter(1, suspiciousEvidence(), 0.45, fractionOfTerm(0.17)), 0)
+      << "the load test stays at the group under suspicion";
+  EXPECT_EQ(groupAfter(2, soundEvidence(), 0.5, fractionOfTerm(0.08)), 0);
+  EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(100)), 0)
+      << "a leader that takes over late also waits for the minimum duration of a step";
   EXPECT_EQ(groupAfter(1, soundEvidence(), 0.8, Duration(450)), 2);
 }
 TEST(RolloutPlan, WithoutALoadTestNothingIsShifted) {
   for (const std::int32_t group : {0, 1}) {
-    const auto step =
-        nextStep(rolloutIn(RolloutPhase::canary, group), soundEvidence(), kReady, partOf(0.75), partOf(0.75));
+    const auto step = nextStep(rolloutIn(RolloutPhase::canary, group), soundEvidence(), kReadyFleet,
+                               fractionOfTerm(0.75), fractionOfTerm(0.75));
     EXPECT_TRUE(!step || step->phase == RolloutPhase::canary);
   }
 }
 TEST(RolloutPlan, AStrongSuspicionRevertsOnceMostOfTheExposureIsSpent) {
   const auto shifting = rolloutIn(RolloutPhase::shifting, 25);
-  auto fleet = kReady;
-  fleet.allowedExposure = 1000;
-  EXPECT_FALSE(nextStep(shifting, suspiciousEvidence(), fleet, partOf(0.6), partOf(0.02)));
-  fleet.allowedExposure = 100;
-  const auto step = nextStep(shifting, suspiciousEvidence(), fleet, partOf(0.6), partOf(0.02));
+  auto fleet = kReadyFleet;
+  fleet.allowedCandidateRequests = 1000;
+  EXPECT_FALSE(nextStep(shifting, suspiciousEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02)));
+  fleet.allowedCandidateRequests = 100;
+  const auto step = nextStep(shifting, suspiciousEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->phase, RolloutPhase::reverted);
-  EXPECT_FALSE(nextStep(shifting, soundEvidence(), fleet, partOf(0.6), partOf(0.02)));
+  EXPECT_FALSE(nextStep(shifting, soundEvidence(), fleet, fractionOfTerm(0.6), fractionOfTerm(0.02)));
 }
 TEST(RolloutPlan, AFaultRevertsInEachPhase) {
   for (const auto& rollout : {rolloutIn(RolloutPhase::canary), rolloutIn(RolloutPhase::canary, 1),
                               rolloutIn(RolloutPhase::shifting, 25), rolloutIn(RolloutPhase::shifting, 100)}) {
-    const auto step = nextStep(rollout, faultyEvidence(), kReady, partOf(0.1), Duration(0));
+    const auto step = nextStep(rollout, faultyEvidence(), kReadyFleet, fractionOfTerm(0.1), Duration(0));
     ASSERT_TRUE(step);
     EXPECT_EQ(step->phase, RolloutPhase::reverted);
     EXPECT_NE(step->reason.find("19 of 40"), std::string::npos) << step->reason;
@@ -341,41 +349,47 @@
 }
 TEST(RolloutPlan, EachStepOfTheShiftIsObserved) {
   const auto shifting = rolloutIn(RolloutPhase::shifting, 25);
-  EXPECT_FALSE(nextStep(shifting, soundEvidence(), kReady, partOf(0.6), Duration(500))) << "its runners fill up";
-  const auto step = nextStep(shifting, soundEvidence(), kReady, partOf(0.66), partOf(0.11));
+  EXPECT_FALSE(nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.6), Duration(500)))
+      << "the candidate's runners are still filling up";
+  const auto step = nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.66), fractionOfTerm(0.11));
   ASSERT_TRUE(step);
   EXPECT_EQ(step->percent, 50);
-  EXPECT_EQ(nextStep(shifting, soundEvidence(), kReady, partOf(0.75), Duration(500))->percent, 50)
+  EXPECT_EQ(nextStep(shifting, soundEvidence(), kReadyFleet, fractionOfTerm(0.75), Duration(500))->percent, 50)
       << "late in the term";
   const auto half = rolloutIn(RolloutPhase::shifting, 50);
-  EXPECT_FALSE(nextStep(half, soundEvidence(), kReady, partOf(0.7), Duration(100)));
-  EXPECT_EQ(nextStep(half, soundEvidence(), kReady, partOf(0.7), Duration(500))->percent, 100);
+  EXPECT_FALSE(nextStep(half, soundEvidence(), kReadyFleet, fractionOfTerm(0.7), Duration(100)));
+  EXPECT_EQ(nextStep(half, soundEvidence(), kReadyFleet, fractionOfTerm(0.7), Duration(500))->percent, 100);
 }
 TEST(RolloutPlan, CompletionWaitsForAttemptsAtTheOldRunnersWithinBounds) {
   const auto full = rolloutIn(RolloutPhase::shifting, 100);
-  EXPECT_FALSE(nextStep(full, soundEvidence(), kReady, partOf(0.7), partOf(0.1)));
-  auto idle = kReady;
+  EXPECT_FALSE(nextStep(full, soundEvidence(), kReadyFleet, fractionOfTerm(0.7), fractionOfTerm(0.1)));
+  auto idle = kReadyFleet;
   idle.baselineIsIdle = true;
-  EXPECT_FALSE(nextStep(full, soundEvidence(), idle, partOf(0.7), Duration(300))) << "the full traffic is observed too";
-  EXPECT_EQ(nextStep(full, soundEvidence(), idle, partOf(0.7), partOf(0.1))->phase, RolloutPhase::completed);
-  EXPECT_EQ(nextStep(full, soundEvidence(), kReady, partOf(0.89), partOf(0.1))->phase, RolloutPhase::completed);
+  EXPECT_FALSE(nextStep(full, soundEvidence(), idle, fractionOfTerm(0.7), Duration(300)))
+      << "the step with all traffic must be observed too";
+  EXPECT_EQ(nextStep(full, soundEvidence(), idle, fractionOfTerm(0.7), fractionOfTerm(0.1))->phase,
+            RolloutPhase::completed);
+  EXPECT_EQ(nextStep(full, soundEvidence(), kReadyFleet, fractionOfTerm(0.89), fractionOfTerm(0.1))->phase,
+            RolloutPhase::completed);
 }
 TEST(RolloutPlan, WhatCantBeTestedOrCantCarryTheTrafficIsRevertedBeforeTheTerm) {
   const auto canary = rolloutIn(RolloutPhase::canary, kLoadTestGroups);
   const EvidenceLedger nothing;
-  EXPECT_FALSE(nextStep(canary, nothing, kReady, partOf(0.9), partOf(0.9)));
-  EXPECT_EQ(nextStep(canary, nothing, kReady, partOf(0.95), partOf(0.95))->phase, RolloutPhase::reverted);
-  auto few = kReady;
+  EXPECT_FALSE(nextStep(canary, nothing, kReadyFleet, fractionOfTerm(0.9), fractionOfTerm(0.9)));
+  EXPECT_EQ(nextStep(canary, nothing, kReadyFleet, fractionOfTerm(0.95), fractionOfTerm(0.95))->phase,
+            RolloutPhase::reverted);
+  auto few = kReadyFleet;
   few.candidateCapacity = 40;
-  EXPECT_FALSE(nextStep(canary, soundEvidence(), few, partOf(0.9), partOf(0.9)));
-  EXPECT_EQ(nextStep(canary, soundEvidence(), few, partOf(0.95), partOf(0.95))->phase, RolloutPhase::reverted);
+  EXPECT_FALSE(nextStep(canary, soundEvidence(), few, fractionOfTerm(0.9), fractionOfTerm(0.9)));
+  EXPECT_EQ(nextStep(canary, soundEvidence(), few, fractionOfTerm(0.95), fractionOfTerm(0.95))->phase,
+            RolloutPhase::reverted);
 }
 TEST(RolloutPlan, ARolloutThatIsOverTakesNoStep) {
   for (const auto phase : {RolloutPhase::completed, RolloutPhase::reverted})
-    EXPECT_FALSE(nextStep(rolloutIn(phase, 100), faultyEvidence(), kReady, partOf(2), partOf(1)));
+    EXPECT_FALSE(nextStep(rolloutIn(phase, 100), faultyEvidence(), kReadyFleet, fractionOfTerm(2), fractionOfTerm(1)));
 }
 
-// --- The tracker ---
+// --- The rollout tracker ---
 
 namespace {
 StateContents stateWith(const Rollout& rollout) {
@@ -420,14 +434,14 @@
   double granted = tracker.report(kStart, "p", reportOf(2000, {answersOf("", 2000, 2)}))->tokens;
   EXPECT_NEAR(granted, 49, 1);
   for (int time = 0; time < 3; ++time) {
-    const auto records = tracker.decide(kStart + partOf(0.3), state);
+    const auto records = tracker.decide(kStart + fractionOfTerm(0.3), state);
     ASSERT_EQ(records.size(), 1U);
     EXPECT_EQ(records[0].loadTestGroup(), 1);
   }
   state.rollouts[0].percent = 1;
-  tracker.follow(kStart + partOf(0.31), state);
+  tracker.follow(kStart + fractionOfTerm(0.31), state);
   for (int report = 0; report < 50; ++report)
-    granted += tracker.report(kStart + partOf(0.32), "p", reportOf(40))->tokens;
+    granted += tracker.report(kStart + fractionOfTerm(0.32), "p", reportOf(40))->tokens;
   EXPECT_GT(granted, 0.07 * 4000 + 0.5 * kSlack);
   EXPECT_LE(granted, 0.1 * 4000 + kSlack);
 }
@@ -459,11 +473,11 @@
   const auto state = stateWith(rolloutIn(RolloutPhase::canary, kLoadTestGroups));
   RolloutTracker tracker(0.1);
   tracker.follow(kStart, state);
-  tracker.follow(kStart + partOf(0.6), state);
+  tracker.follow(kStart + fractionOfTerm(0.6), state);
   tracker.startTerm();
   const std::vector<RevisionAnswers> sound{answersOf("", 1000, 1), answersOf("n1", 30, 0), answersOf("n2", 30, 0)};
-  tracker.report(kStart + partOf(0.6), "p", reportOf(100, sound));
-  const auto records = tracker.decide(kStart + partOf(0.6), state);
+  tracker.report(kStart + fractionOfTerm(0.6), "p", reportOf(100, sound));
+  const auto records = tracker.decide(kStart + fractionOfTerm(0.6), state);
   ASSERT_EQ(records.size(), 1U);
   EXPECT_EQ(records[0].phase(), RolloutPhase::shifting);
   EXPECT_GE(records[0].elapsedMs, kDurationMs * 6 / 10);
@@ -505,12 +519,12 @@
   tracker.report(later, "p2", reportOf(5, {}, 100, 2));
   EXPECT_FALSE(decidesAt(later)) << "two attempts are in flight";
   tracker.report(later + 100ms, "p2", reportOf(5, {}, 50, 0));
-  EXPECT_FALSE(decidesAt(later + 100ms)) << "it has not heard of the last step";
+  EXPECT_FALSE(decidesAt(later + 100ms)) << "the proxy does not know the last step yet";
   tracker.report(later + 200ms, "p2", reportOf(5, {}, 100, 0));
   EXPECT_TRUE(decidesAt(later + 200ms));
 }
 
-// --- The gate ---
+// --- The revision gate ---
 
 TEST(RevisionGateTest, WithoutARolloutNothingIsFiltered) {
   RevisionGate gate;
@@ -541,7 +555,8 @@
   gate.addGrants({{"s", "v2", 3}}, kStart);
   const auto retry = gate.choose("s", 1, true, kStart);
   EXPECT_EQ(retry.rule, Rule::except);
-  EXPECT_FALSE(gate.fallback("s", retry)) << "no runner is left, yet the candidate gets nothing beyond its tokens";
+  EXPECT_FALSE(gate.fallback("s", retry))
+      << "the candidate gets no requests without tokens, even if no other runner is available";
   const auto canary = gate.choose("s", 1, false, kStart);
   EXPECT_EQ(gate.fallback("s", canary)->rule, Rule::except);
 }
@@ -557,18 +572,20 @@
 TEST(RevisionGateTest, TheShiftUsesAsManyRunnersAsItMovesTraffic) {
   for (const std::int32_t percent : {25, 50, 100}) {
     auto gate = gateIn(RolloutPhase::shifting, percent);
-    EXPECT_EQ(gate.choose("s", 77, false, kStart).runnerShare, percent / 100.0) << "the prefix decides, in the pool";
+    EXPECT_EQ(gate.choose("s", 77, false, kStart).runnerShare, percent / 100.0)
+        << "the runner pool decides by the prefix";
     int moved = 0;
     for (int i = 0; i < 2000; ++i)
       moved += gate.choose("s", 0, false, kStart).rule == Rule::only ? 1 : 0;
     EXPECT_NEAR(moved, 20.0 * percent, 100);
-    EXPECT_EQ(gate.fallback("s", {Rule::except, "v2", 1})->rule, Rule::only) << "rather than nobody";
+    EXPECT_EQ(gate.fallback("s", {Rule::except, "v2", 1})->rule, Rule::only)
+        << "the candidate serves requests for which no baseline runner is available";
   }
 }
 TEST(RevisionGateTest, TheLoadTestNamesItsGroup) {
   auto gate = gateIn(RolloutPhase::canary, 2);
   gate.setExposureShare(0.05);
-  EXPECT_EQ(gate.choose("s", 1, false, kStart).rule, Rule::except) << "for tokens, as the canary before";
+  EXPECT_EQ(gate.choose("s", 1, false, kStart).rule, Rule::except) << "a load test also requires tokens";
   gate.addGrants({{"s", "v2", 1}}, kStart);
   const auto filter = gate.choose("s", 1, false, kStart);
   EXPECT_EQ(filter.rule, Rule::only);
@@ -595,19 +612,19 @@
   EXPECT_EQ(reports[0].answers[1].slow, 1);
   EXPECT_EQ(reports[0].answers[2].route, stratumOf("r", LoadClass::full));
   EXPECT_EQ(reports[0].answers[2].answered, 2);
-  EXPECT_EQ(reports[0].answers[2].slow, 1) << "its start at a full runner says nothing, its pace does";
+  EXPECT_EQ(reports[0].answers[2].slow, 1) << "a slow start at a full runner is ignored, a slow pace is not";
 }
 TEST(ExposureTest, AGroupIsLoadedBeyondTheLoadAfterCompletionAndNotFarBeyond) {
   for (const std::size_t runners : {4U, 30U, 90U, 600U})
     for (const double load : {0.0, 0.2, 0.5, 0.7, 1.1}) {
-      const auto exposure = exposureOf(0.1, runners);
+      const auto exposure = exposureLimits(0.1, runners);
       EXPECT_LT(exposure.canary, exposure.allowed);
       EXPECT_GT(exposure.loadTest, exposure.allowed);
       const auto group = loadTestGroup(runners, exposure.loadTest, {load, runners % 4 == 2});
       ASSERT_GE(group.runners, 1U);
       // Requests of one runner, as a multiple of those after completion.
       const double factor =
-          exposure.loadTest * group.requestPart * static_cast<double>(runners) / static_cast<double>(group.runners);
+          exposure.loadTest * group.requestFraction * static_cast<double>(runners) / static_cast<double>(group.runners);
       EXPECT_GE(factor, 1.3) << runners << " runners at " << load;
       EXPECT_LE(factor, 2.6) << runners << " runners at " << load;
     }
@@ -629,7 +646,8 @@
   const auto filter = gate.choose("s", 1, false, kStart);
   EXPECT_EQ(filter.rule, Rule::except);
   EXPECT_FALSE(gate.fallback("s", filter));
-  EXPECT_EQ(gate.takeReports().at(0).percent, 0) << "the leader learns that it does not follow";
+  EXPECT_EQ(gate.takeReports().at(0).percent, 0)
+      << "the report tells the leader that this proxy sends no traffic to the candidate";
 }
 TEST(RevisionGateTest, FailuresOfBothRevisionsStopNothing) {
   auto gate = gateIn(RolloutPhase::shifting, 100);
@@ -668,8 +686,8 @@
   EXPECT_FALSE(gate.hasRollouts());
 }
 
-// What a rollout adds to a proxy's control traffic, docs/CAPACITY.md: at 21 requests a second on three routes, one
-// report every 400 ms while the canary lasts.
+// The additional control traffic of a proxy during a rollout (docs/CAPACITY.md): one report every 400 ms during the
+// canary phase, at 21 requests a second on three routes.
 TEST(RolloutMessages, AReportOfAUsualProxyIsSmall) {
   auto gate = gateIn(RolloutPhase::canary);
   constexpr int kRequestsPerReport = 9;
