--- a/libs/controller/src/controller_node.hpp
+++ b/libs/controller/src/controller_node.hpp
@@ -52,7 +52,8 @@
     return writes_.write(entry, timeout);
   }
   Result<void> awaitReadIndex(Duration timeout) override { return reads_.awaitReadIndex(timeout); }
-  Result<coordination::Outcome> coordinate(const coordination::Command& command, Duration timeout) override {
+  Result<coordination::Outcome> executeCoordinationCommand(const coordination::Command& command,
+                                                           Duration timeout) override {
     return coordination_.call(command, timeout);
   }
   Result<coordination::WatchedEvents> watch(const std::string& group, std::int64_t after, Duration wait) override {
--- a/libs/controller/src/controller_services.hpp
+++ b/libs/controller/src/controller_services.hpp
@@ -33,7 +33,8 @@
   virtual Result<void> awaitReadIndex(Duration timeout) = 0;
   /// Parks the calling fiber until the leaseholder of the command's shard has answered.
   /// @return `ErrorCode::unavailable`: not executed, and it never will be; `ErrorCode::outcomeUnknown`.
-  virtual Result<coordination::Outcome> coordinate(const coordination::Command& command, Duration timeout) = 0;
+  virtual Result<coordination::Outcome> executeCoordinationCommand(const coordination::Command& command,
+                                                                   Duration timeout) = 0;
   /// Parks the calling fiber until there are puts above a revision, or the time is up; see
   /// `CoordinationService::watch`.
   virtual Result<coordination::WatchedEvents> watch(const std::string& group, std::int64_t after, Duration wait) = 0;
--- a/libs/controller/src/coordination_handlers.cpp
+++ b/libs/controller/src/coordination_handlers.cpp
@@ -49,7 +49,7 @@
   const ResponseDeadline deadline;
   if (auto named = config::checkName(command.name); !named)
     return errorResponse(named.error());
-  const auto outcome = call.services.coordinate(command, deadline.left());
+  const auto outcome = call.services.executeCoordinationCommand(command, deadline.left());
   if (!outcome)
     return errorResponse(outcome.error());
   return outcome->result() == OutcomeKind::done ? answerTo(*outcome) : otherOutcome(*outcome);
--- a/libs/controller/src/coordination_service.cpp
+++ b/libs/controller/src/coordination_service.cpp
@@ -29,19 +29,19 @@
                onMessage(link, envelope);
              }) {
   for (int number = 0; number < coordination::kShardCount; ++number)
-    shards_.push_back(std::make_unique<CoordinationShard>(context, number, surroundingsOf(number)));
+    shards_.push_back(std::make_unique<CoordinationShard>(context, number, callbacksFor(number)));
 }
-CoordinationShard::Surroundings CoordinationService::surroundingsOf(int shard) {
-  CoordinationShard::Surroundings surroundings;
-  surroundings.send = [this, shard](const consensus::MemberId& to, const consensus::ConsensusMessage& message) {
+CoordinationShard::Callbacks CoordinationService::callbacksFor(int shard) {
+  CoordinationShard::Callbacks callbacks;
+  callbacks.send = [this, shard](const consensus::MemberId& to, const consensus::ConsensusMessage& message) {
     const coordination::ShardConsensus wrapped{shard, consensus::encodeMessage(message)};
     (void)links_.sendEnvelope(to, transport::pack(wrapped, shardAt(shard).raft().self()));
   };
-  surroundings.onResult = [this, shard](const CallResult& result) { onResult(shard, result); };
-  surroundings.onLeaderChanged = [this, shard] { onLeaderChanged(shard); };
-  surroundings.onApplied = [this, shard] { onApplied(shard); };
-  surroundings.onRestored = [this, shard] { wakeWatches(shard); };
-  return surroundings;
+  callbacks.onResult = [this, shard](const CallResult& result) { onResult(shard, result); };
+  callbacks.onLeaderChanged = [this, shard] { onLeaderChanged(shard); };
+  callbacks.onApplied = [this, shard] { onApplied(shard); };
+  callbacks.onRestored = [this, shard] { wakeWatches(shard); };
+  return callbacks;
 }
 Result<void> CoordinationService::recover(std::uint64_t incarnation) {
   for (auto& shard : shards_)
@@ -66,20 +66,20 @@
       links_.dial(consensus::addressOf(voter));
 }
 void CoordinationService::tick(TimePoint now) {
-  agreeOnFounding(now);
+  proposeFoundingIfDecided(now);
   for (auto& shard : shards_)
     shard->tick(now);
 }
 bool CoordinationService::hasRecords() const {
   return std::any_of(shards_.begin(), shards_.end(), [](const auto& shard) { return shard->hasRecords(); });
 }
-void CoordinationService::agreeOnFounding(TimePoint now) {
+void CoordinationService::proposeFoundingIfDecided(TimePoint now) {
   const auto& raft = *context_.raft;
   if (context_.replica.state().shardFounding.isAgreed() || !raft.hasLease(now))
     return founder_.reset();
   const ShardFounder::Leader leader{raft.self(), raft.config(), hasRecords()};
   const auto founding = founder_.decide(now, leader);
-  for (const auto& member : founder_.dueQueries(now, leader))
+  for (const auto& member : founder_.membersToQuery(now, leader))
     (void)links_.sendEnvelope(member, transport::pack(coordination::ShardRecordsQuery{++lastCallId_}, raft.self()));
   if (!founding || now - proposedAt_ < kProposalInterval)
     return;
--- a/libs/controller/src/coordination_service.hpp
+++ b/libs/controller/src/coordination_service.hpp
@@ -64,11 +64,11 @@
     coordination::WatchQuery query;
   };
 
-  CoordinationShard::Surroundings surroundingsOf(int shard);
+  CoordinationShard::Callbacks callbacksFor(int shard);
   void dialOthers();
   bool hasRecords() const;
   /// At the leader of the fleet's log: has it agreed on once who founds the shards.
-  void agreeOnFounding(TimePoint now);
+  void proposeFoundingIfDecided(TimePoint now);
   void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
   void onRecordsQuery(const transport::PeerLinkPtr& link, const coordination::ShardRecordsQuery& query);
   void onShardCall(const consensus::MemberId& from, const coordination::ShardCall& message);
--- a/libs/controller/src/coordination_shard.cpp
+++ b/libs/controller/src/coordination_shard.cpp
@@ -20,10 +20,10 @@
 }
 }  // namespace
 
-CoordinationShard::CoordinationShard(const ControllerContext& context, int number, Surroundings surroundings)
+CoordinationShard::CoordinationShard(const ControllerContext& context, int number, Callbacks callbacks)
     : context_(context),
       number_(number),
-      surroundings_(std::move(surroundings)),
+      callbacks_(std::move(callbacks)),
       leaseholder_(state_, [this] { return raft_->hasLease(Clock::now()); }) {}
 
 Result<void> CoordinationShard::recover(std::uint64_t incarnation) {
@@ -35,8 +35,8 @@
   options_.snapshotIsValid = isShardSnapshot;
   incarnation_ = incarnation;
   raft_ = startShardMember(context_, disk->recovery, options_, incarnation);
-  hasRecords_ = takesPart_ = !disk->recovery.records.empty();
-  mayFound_ = !hasRecords_ && !disk->recovery.identityLost;
+  hasRecords_ = isParticipating_ = !disk->recovery.records.empty();
+  canFoundShard_ = !hasRecords_ && !disk->recovery.identityLost;
   recoveredStorage_ = std::move(disk->storage);
   leaseholder_.setHistory(context_.settings.timers.history * kHistoryFactor);
   return {};
@@ -46,20 +46,20 @@
   recoveredStorage_.reset();
   run();
 }
-void CoordinationShard::takePartIfAgreed() {
+void CoordinationShard::participateIfAgreed() {
   const auto& founding = context_.replica.state().shardFounding;
-  if (takesPart_ || founding.shards != coordination::kShardCount)
+  if (isParticipating_ || founding.shards != coordination::kShardCount)
     return;
-  takesPart_ = true;
-  auto founder = mayFound_ ? foundShardMember(context_, options_, incarnation_) : nullptr;
+  isParticipating_ = true;
+  auto founder = canFoundShard_ ? foundShardMember(context_, options_, incarnation_) : nullptr;
   log::debug(founder ? "shard_founded" : "shard_joining", {{"shard", number_}, {"founders", founding.founders.size()}});
   if (founder)
     raft_ = std::move(founder);
   run();
 }
 void CoordinationShard::tick(TimePoint now) {
-  takePartIfAgreed();
-  if (!takesPart_)
+  participateIfAgreed();
+  if (!isParticipating_)
     return;
   raft_->tick(now);
   leaseholder_.tick(now);
@@ -67,8 +67,8 @@
 }
 void CoordinationShard::receive(const consensus::MemberId& from, consensus::ConsensusMessage message) {
   // Another founder may be ahead; what is lost is sent again.
-  takePartIfAgreed();
-  if (!takesPart_)
+  participateIfAgreed();
+  if (!isParticipating_)
     return;
   raft_->receive(Clock::now(), from, std::move(message));
   run();
@@ -78,7 +78,7 @@
   run();
 }
 void CoordinationShard::leave(TimePoint now) {
-  if (!takesPart_)
+  if (!isParticipating_)
     return;
   raft_->leave(now);
   run();
@@ -90,25 +90,25 @@
     return;
   running_ = true;
   do {
-    carryOutActions();
-    followRole();
+    executeActions();
+    syncLeaseholderTerm();
   } while (propose());
   running_ = false;
   while (leaseholder_.hasResults())
     for (const auto& result : leaseholder_.takeResults())
-      surroundings_.onResult(result);
+      callbacks_.onResult(result);
   if (const auto leader = raft_->leader(); leader != leader_) {
     leader_ = leader;
     log::debug("shard_leader_changed", {{"shard", number_}, {"term", raft_->term()}, {"leader", leader}});
-    surroundings_.onLeaderChanged();
+    callbacks_.onLeaderChanged();
   }
 }
-void CoordinationShard::carryOutActions() {
+void CoordinationShard::executeActions() {
   for (auto actions = raft_->takeActions(); !actions.empty(); actions = raft_->takeActions())
     for (auto& action : actions)
-      std::visit([this](auto& alternative) { carryOut(alternative); }, action);
+      std::visit([this](auto& alternative) { executeAction(alternative); }, action);
 }
-void CoordinationShard::followRole() {
+void CoordinationShard::syncLeaseholderTerm() {
   const auto ledTerm = raft_->role() == consensus::Role::leader ? raft_->term() : 0;
   if (ledTerm == ledTerm_)
     return;
@@ -127,13 +127,13 @@
   if (!entry)
     return false;
   ++operations_;
-  (void)raft_->submit(now, std::move(*entry));  // it leads: `followRole` has just looked
+  (void)raft_->submit(now, std::move(*entry));  // it leads: `syncLeaseholderTerm` has just looked
   return true;
 }
-void CoordinationShard::carryOut(const consensus::SendMessage& action) const {
-  surroundings_.send(action.to, action.message);
+void CoordinationShard::executeAction(const consensus::SendMessage& action) const {
+  callbacks_.send(action.to, action.message);
 }
-void CoordinationShard::carryOut(consensus::PersistRecord& action) {
+void CoordinationShard::executeAction(consensus::PersistRecord& action) {
   hasRecords_ = true;
   storage_->append(std::move(action.record), [this, ticket = action.ticket](const Result<void>& appended) {
     if (!appended)
@@ -142,19 +142,19 @@
     run();
   });
 }
-void CoordinationShard::carryOut(consensus::ApplyEntry& action) {
+void CoordinationShard::executeAction(consensus::ApplyEntry& action) {
   const auto outcomes = state_.apply(action.entry);
   leaseholder_.onApplied(action.entry, outcomes);
-  surroundings_.onApplied();
+  callbacks_.onApplied();
   bytesSinceCompaction_ += action.entry.body.size() + action.entry.operationId.size();
   ++entriesSinceCompaction_;
   compactIfDue();
 }
-void CoordinationShard::carryOut(consensus::RestoreSnapshot& action) {
+void CoordinationShard::executeAction(consensus::RestoreSnapshot& action) {
   // Validated before it gets here, by `recoverDisk` or by `RaftOptions::snapshotIsValid`.
   checkInvariant(state_.restore(action.state).has_value(), "a shard's snapshot that was found valid restores");
   snapshotBytes_ = action.state.size();
-  surroundings_.onRestored();
+  callbacks_.onRestored();
 }
 void CoordinationShard::compactIfDue() {
   if (entriesSinceCompaction_ < kMinCompactionInterval)
--- a/libs/controller/src/coordination_shard.hpp
+++ b/libs/controller/src/coordination_shard.hpp
@@ -12,7 +12,7 @@
 class CoordinationShard {
  public:
   /// What a shard needs of the service that it is a part of.
-  struct Surroundings {
+  struct Callbacks {
     std::function<void(const consensus::MemberId& to, const consensus::ConsensusMessage& message)> send;
     std::function<void(const coordination::CallResult&)> onResult;
     /// Another leader, or none, is followed now.
@@ -22,14 +22,14 @@
     /// The replica was restored from a snapshot, which may hold puts of any group.
     std::function<void()> onRestored;
   };
-  CoordinationShard(const ControllerContext& context, int number, Surroundings surroundings);
+  CoordinationShard(const ControllerContext& context, int number, Callbacks callbacks);
   /// Recovers the shard's files and makes its member. Blocks while the disk can't be read.
   Result<void> recover(std::uint64_t incarnation);
   /// Begins to write. To be called once all storages of the process are recovered.
   void start(const std::shared_ptr<DiskThread>& disk);
   void tick(TimePoint now);
   void receive(const consensus::MemberId& from, consensus::ConsensusMessage message);
-  /// Passes a call to the leaseholder; its result comes by `Surroundings::onResult`, perhaps during this call.
+  /// Passes a call to the leaseholder; its result comes by `Callbacks::onResult`, perhaps during this call.
   void call(std::int64_t callId, const coordination::Command& command);
   /// Starts to leave the shard for a planned end of the process.
   void leave(TimePoint now);
@@ -37,7 +37,7 @@
   /// Whether this machine's disk has records of the shard.
   bool hasRecords() const { return hasRecords_; }
   /// Whether the others can do without this machine, after `leave`.
-  bool mayExit() const { return !takesPart_ || raft_->mayExit(); }
+  bool mayExit() const { return !isParticipating_ || raft_->mayExit(); }
 
   int number() const { return number_; }
   const consensus::RaftNode& raft() const { return *raft_; }
@@ -46,28 +46,28 @@
 
  private:
   void run();
-  void carryOut(const consensus::SendMessage& action) const;
-  void carryOut(consensus::PersistRecord& action);
-  void carryOut(consensus::ApplyEntry& action);
-  void carryOut(consensus::RestoreSnapshot& action);
-  void carryOutActions();
-  void followRole();
+  void executeAction(const consensus::SendMessage& action) const;
+  void executeAction(consensus::PersistRecord& action);
+  void executeAction(consensus::ApplyEntry& action);
+  void executeAction(consensus::RestoreSnapshot& action);
+  void executeActions();
+  void syncLeaseholderTerm();
   /// @return whether a batch was proposed.
   bool propose();
   std::string nextOperationId() const;
   void compactIfDue();
   /// Founds or joins the shard's log once it is agreed who founds it.
-  void takePartIfAgreed();
+  void participateIfAgreed();
 
   const ControllerContext& context_;
   const int number_;
-  Surroundings surroundings_;
+  Callbacks callbacks_;
   std::unique_ptr<consensus::RaftNode> raft_;
   consensus::RaftOptions options_;
   std::uint64_t incarnation_ = 0;
   bool hasRecords_ = false;
-  bool mayFound_ = false;                             // its disk has lost no records of the shard
-  bool takesPart_ = false;                            // else it waits for the agreement
+  bool canFoundShard_ = false;                        // its disk has lost no records of the shard
+  bool isParticipating_ = false;                      // else it waits for the agreement
   std::optional<storage::Storage> recoveredStorage_;  // until `start`
   std::unique_ptr<StorageThread> storage_;
   coordination::ShardState state_;
--- a/libs/controller/src/counter_service.cpp
+++ b/libs/controller/src/counter_service.cpp
@@ -92,11 +92,11 @@
   if (now - membershipFollowedAt_ >= kMembershipInterval) {
     membershipFollowedAt_ = now;
     followMembership();
-    logChanges(now);
+    logReachabilityChanges(now);
   }
   run();
 }
-void CounterService::logChanges(TimePoint now) {
+void CounterService::logReachabilityChanges(TimePoint now) {
   if (replica_->mayRead() && !std::exchange(caughtUp_, true))
     log::debug("counters_caught_up", {{"ids", replica_->state().keptIncrements()}});
   std::set<std::string> unreachable;
@@ -141,7 +141,7 @@
 
 // --- the disk ---
 
-void CounterService::carryOut(replicated_counters::PersistBatch& action) {
+void CounterService::executeAction(replicated_counters::PersistBatch& action) {
   consensus::DiskRecord record;
   record.seq = ++lastRecord_;
   record.self = context_.raft->self();
@@ -170,12 +170,12 @@
     return;
   for (auto actions = replica_->takeActions(); !actions.empty(); actions = replica_->takeActions())
     for (auto& action : actions)
-      std::visit([this](auto& alternative) { carryOut(alternative); }, action);
+      std::visit([this](auto& alternative) { executeAction(alternative); }, action);
 }
 
 // --- calls ---
 
-void CounterService::carryOut(const replicated_counters::Acknowledge& action) {
+void CounterService::executeAction(const replicated_counters::Acknowledge& action) {
   const auto call = calls_.find(action.callId);
   if (call == calls_.end())
     return;
--- a/libs/controller/src/counter_service.hpp
+++ b/libs/controller/src/counter_service.hpp
@@ -41,15 +41,15 @@
   void followMembership();
   template <class Message>
   void send(const std::string& address, const Message& message);
-  void carryOut(const replicated_counters::SendReport& action) { send(action.to, action.message); }
-  void carryOut(const replicated_counters::SendRequest& action) { send(action.to, action.message); }
-  void carryOut(const replicated_counters::SendTransfer& action) { send(action.to, action.message); }
-  void carryOut(replicated_counters::PersistBatch& action);
-  void carryOut(const replicated_counters::Acknowledge& action);
+  void executeAction(const replicated_counters::SendReport& action) { send(action.to, action.message); }
+  void executeAction(const replicated_counters::SendRequest& action) { send(action.to, action.message); }
+  void executeAction(const replicated_counters::SendTransfer& action) { send(action.to, action.message); }
+  void executeAction(replicated_counters::PersistBatch& action);
+  void executeAction(const replicated_counters::Acknowledge& action);
   void appendRecord(const consensus::DiskRecord& record,
                     const std::shared_ptr<replicated_counters::IncrementBatch>& batch);
   /// Writes to the log who became unreachable or came back.
-  void logChanges(TimePoint now);
+  void logReachabilityChanges(TimePoint now);
   void run();
 
   ControllerContext& context_;
--- a/libs/controller/src/raft_driver.cpp
+++ b/libs/controller/src/raft_driver.cpp
@@ -19,16 +19,16 @@
   running_ = true;
   for (auto actions = context_.raft->takeActions(); !actions.empty(); actions = context_.raft->takeActions())
     for (auto& action : actions)
-      std::visit([this](auto& alternative) { carryOut(alternative); }, action);
+      std::visit([this](auto& alternative) { executeAction(alternative); }, action);
   running_ = false;
   components_.roles.update();
   components_.agents.feedAll();
 }
-void RaftDriver::carryOut(consensus::SendMessage& action) {
+void RaftDriver::executeAction(consensus::SendMessage& action) {
   components_.peers.send(action.to, action.message);
 }
 // Answered on the event loop, once the storage thread has synced the record or failed to.
-void RaftDriver::carryOut(consensus::PersistRecord& action) {
+void RaftDriver::executeAction(consensus::PersistRecord& action) {
   storage_->append(std::move(action.record), [this, ticket = action.ticket](const Result<void>& appended) {
     if (!appended)
       log::error("storage_append_failed", {{"reason", appended.error().message}});
@@ -36,7 +36,7 @@
     run();
   });
 }
-void RaftDriver::carryOut(consensus::ApplyEntry& action) {
+void RaftDriver::executeAction(consensus::ApplyEntry& action) {
   const auto change = context_.replica.apply(action.entry);
   // The entry had another effect here than at all other members. Ending helps: the records on the disk, replayed by
   // the next start, restore the replica.
@@ -47,7 +47,7 @@
   components_.reads.onApplied();
   compactIfDue();
 }
-void RaftDriver::carryOut(consensus::RestoreSnapshot& action) {
+void RaftDriver::executeAction(consensus::RestoreSnapshot& action) {
   // Every snapshot is validated before it gets here: those of the disk by `recoverDisk`, those of other members by
   // `snapshotIsValid`. A committed state that can't be restored must not be replaced by anything else.
   checkInvariant(context_.replica.restore(action.state).has_value(), "a snapshot that was found valid restores");
--- a/libs/controller/src/raft_driver.hpp
+++ b/libs/controller/src/raft_driver.hpp
@@ -33,10 +33,10 @@
   void run();
 
  private:
-  void carryOut(consensus::SendMessage& action);
-  void carryOut(consensus::PersistRecord& action);
-  void carryOut(consensus::ApplyEntry& action);
-  void carryOut(consensus::RestoreSnapshot& action);
+  void executeAction(consensus::SendMessage& action);
+  void executeAction(consensus::PersistRecord& action);
+  void executeAction(consensus::ApplyEntry& action);
+  void executeAction(consensus::RestoreSnapshot& action);
   std::int64_t compactionInterval() const;
   void compactIfDue();
   void adoptConfiguration();
--- a/libs/controller/src/shard_founder.cpp
+++ b/libs/controller/src/shard_founder.cpp
@@ -16,8 +16,8 @@
     withoutRecords_.insert(member);
 }
 std::optional<state_machine::ShardFounding> ShardFounder::decide(TimePoint now, const Leader& leader) {
-  if (!askedSince_)
-    askedSince_ = now;
+  if (!queryingSince_)
+    queryingSince_ = now;
   if (leader.hasRecords || anyHasRecords_)
     return state_machine::ShardFounding{coordination::kShardCount, {}};
   // In a change of voters it is not settled who they are.
@@ -28,16 +28,16 @@
   };
   const auto& voters = leader.config.voters;
   const bool all = std::all_of(voters.begin(), voters.end(), lacksRecords);
-  const bool waitedLong = now - *askedSince_ >= kPatience;
-  if (!all && !(waitedLong && leader.config.hasQuorum(lacksRecords)))
+  const bool waitedFullTimeout = now - *queryingSince_ >= kSilentVoterTimeout;
+  if (!all && !(waitedFullTimeout && leader.config.hasQuorum(lacksRecords)))
     return std::nullopt;
   return state_machine::ShardFounding{coordination::kShardCount, voters};
 }
-std::vector<consensus::MemberId> ShardFounder::dueQueries(TimePoint now, const Leader& leader) {
+std::vector<consensus::MemberId> ShardFounder::membersToQuery(TimePoint now, const Leader& leader) {
   std::vector<consensus::MemberId> due;
-  if (leader.hasRecords || anyHasRecords_ || now - askedAt_ < kQueryInterval)
+  if (leader.hasRecords || anyHasRecords_ || now - lastQueriedAt_ < kQueryInterval)
     return due;
-  askedAt_ = now;
+  lastQueriedAt_ = now;
   for (const auto& member : leader.config.allVoters())
     if (member != leader.self && !withoutRecords_.contains(member))
       due.push_back(member);
--- a/libs/controller/src/shard_founder.hpp
+++ b/libs/controller/src/shard_founder.hpp
@@ -27,15 +27,15 @@
   /// @return what is to be agreed on; none: not enough is known yet.
   std::optional<state_machine::ShardFounding> decide(TimePoint now, const Leader& leader);
   /// The voters that are to be asked now: those that have not answered, a few times a second.
-  std::vector<consensus::MemberId> dueQueries(TimePoint now, const Leader& leader);
+  std::vector<consensus::MemberId> membersToQuery(TimePoint now, const Leader& leader);
 
   /// How long silent voters are waited for; longer than a voter that is down stays one, where others can replace it.
-  static constexpr Duration kPatience{4000};
+  static constexpr Duration kSilentVoterTimeout{4000};
 
  private:
   std::set<consensus::MemberId> withoutRecords_;
   bool anyHasRecords_ = false;
-  std::optional<TimePoint> askedSince_;
-  TimePoint askedAt_{};
+  std::optional<TimePoint> queryingSince_;
+  TimePoint lastQueriedAt_{};
 };
 }  // namespace zinccleat::controller
--- a/tests/fake_controller.hpp
+++ b/tests/fake_controller.hpp
@@ -56,7 +56,8 @@
   /// The only shard, whose leaseholder is this controller; its log commits at once.
   coordination::ShardState shard;
   bool outcomeGetsLost = false;  ///< a command is executed, and its outcome never becomes known
-  Result<coordination::Outcome> coordinate(const coordination::Command& command, Duration timeout) override {
+  Result<coordination::Outcome> executeCoordinationCommand(const coordination::Command& command,
+                                                           Duration timeout) override {
     if (!hasContact) {
       waited += timeout;
       return makeError(ErrorCode::unavailable, "no leaseholder");
--- a/tests/golden_calls_test.cpp
+++ b/tests/golden_calls_test.cpp
@@ -53,7 +53,7 @@
       return makeError(ErrorCode::unavailable, "no fresh lease");
     return {};
   }
-  Result<coordination::Outcome> coordinate(const coordination::Command&, Duration) override {
+  Result<coordination::Outcome> executeCoordinationCommand(const coordination::Command&, Duration) override {
     return makeError(ErrorCode::unavailable, "not here");
   }
   Result<coordination::WatchedEvents> watch(const std::string&, std::int64_t, Duration) override {
--- a/tests/shard_startup_test.cpp
+++ b/tests/shard_startup_test.cpp
@@ -152,11 +152,11 @@
   const auto config = configOf(kFounders);
   const ShardFounder::Leader leader{kFounders[0], config, false};
   EXPECT_FALSE(founder.decide(kStart, leader));
-  EXPECT_EQ(founder.dueQueries(kStart, leader).size(), 2U);
-  EXPECT_TRUE(founder.dueQueries(kStart + 100ms, leader).empty());
+  EXPECT_EQ(founder.membersToQuery(kStart, leader).size(), 2U);
+  EXPECT_TRUE(founder.membersToQuery(kStart + 100ms, leader).empty());
   founder.recordAnswer(kFounders[1], false);
   EXPECT_FALSE(founder.decide(kStart + 200ms, leader)) << "the third may have records";
-  EXPECT_EQ(founder.dueQueries(kStart + 300ms, leader), std::vector<consensus::MemberId>{kFounders[2]});
+  EXPECT_EQ(founder.membersToQuery(kStart + 300ms, leader), std::vector<consensus::MemberId>{kFounders[2]});
   founder.recordAnswer(kFounders[2], false);
   const auto founding = founder.decide(kStart + 400ms, leader);
   ASSERT_TRUE(founding);
@@ -177,18 +177,18 @@
   ShardFounder knows;
   const ShardFounder::Leader with{kFounders[0], config, true};
   EXPECT_TRUE(knows.decide(kStart, with)->founders.empty());
-  EXPECT_TRUE(knows.dueQueries(kStart, with).empty());
+  EXPECT_TRUE(knows.membersToQuery(kStart, with).empty());
 }
 TEST(ShardFounder, AMajorityFoundsOnceTheOthersWereSilentForLong) {
   ShardFounder founder;
   const auto config = configOf(kFounders);
   const ShardFounder::Leader leader{kFounders[0], config, false};
   EXPECT_FALSE(founder.decide(kStart, leader));
-  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kPatience, leader)) << "alone it is no majority";
+  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kSilentVoterTimeout, leader)) << "alone it is no majority";
   founder.recordAnswer(kFounders[1], false);
-  EXPECT_FALSE(founder.decide(kStart + ShardFounder::kPatience - 1ms, leader));
-  ASSERT_TRUE(founder.decide(kStart + ShardFounder::kPatience, leader));
-  EXPECT_EQ(founder.decide(kStart + ShardFounder::kPatience, leader)->founders, kFounders);
+  EXPECT_FALSE(founder.decide(kStart + ShardFounder::kSilentVoterTimeout - 1ms, leader));
+  ASSERT_TRUE(founder.decide(kStart + ShardFounder::kSilentVoterTimeout, leader));
+  EXPECT_EQ(founder.decide(kStart + ShardFounder::kSilentVoterTimeout, leader)->founders, kFounders);
 }
 TEST(ShardFounder, NothingIsDecidedDuringAChangeOfVoters) {
   ShardFounder founder;
@@ -198,7 +198,7 @@
   for (const auto& member : config.allVoters())
     founder.recordAnswer(member, false);
   EXPECT_FALSE(founder.decide(kStart, leader));
-  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kPatience, leader));
+  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kSilentVoterTimeout, leader));
 }
 // An answer was given to an earlier leadership: since then a disk may have been lost, or the shards founded.
 TEST(ShardFounder, AnswersCountForOneLeadership) {
