--- a/libs/controller/src/api_responses.cpp
+++ b/libs/controller/src/api_responses.cpp
@@ -52,7 +52,7 @@
     return zoneToRegion.first == name || zoneToRegion.second == name;
   });
 }
-std::optional<ApiResponse> unlessFresh(ControllerServices& services, const ResponseDeadline& deadline) {
+std::optional<ApiResponse> errorUnlessFresh(ControllerServices& services, const ResponseDeadline& deadline) {
   if (!services.awaitContact(kContactTimeout))
     return noContactResponse();
   if (auto fresh = services.awaitReadIndex(deadline.left()); !fresh)
--- a/libs/controller/src/api_responses.hpp
+++ b/libs/controller/src/api_responses.hpp
@@ -31,5 +31,5 @@
 bool isZoneOrRegion(const config::Settings& settings, const std::string& name);
 /// Waits until this controller has contact with a majority and its replica is as new as the newest acknowledgement.
 /// @return the response if that fails in time; none: the replica may be read.
-std::optional<ApiResponse> unlessFresh(ControllerServices& services, const ResponseDeadline& deadline);
+std::optional<ApiResponse> errorUnlessFresh(ControllerServices& services, const ResponseDeadline& deadline);
 }  // namespace zinccleat::controller
--- a/libs/controller/src/configuration_handlers.cpp
+++ b/libs/controller/src/configuration_handlers.cpp
@@ -72,7 +72,7 @@
 ApiResponse handleRetrieveConfiguration(const ApiCall& call) {
   const ResponseDeadline deadline;
   auto& services = call.services;
-  if (auto response = unlessFresh(services, deadline))
+  if (auto response = errorUnlessFresh(services, deadline))
     return *response;
   const auto& configuration = services.replica().state().configuration;
   if (configuration.empty())
--- a/libs/controller/src/control_api.hpp
+++ b/libs/controller/src/control_api.hpp
@@ -28,9 +28,9 @@
 /// What the control API puts into an HTTP response.
 struct ApiResponse {
   HttpStatus status = HttpStatus::ok;
-  std::string body = "{}";  ///< JSON, except for prefix hints
-  std::string headers;      ///< complete lines
-  bool silent = false;      ///< nothing is sent and the connection ends: any status would promise too much
+  std::string body = "{}";            ///< JSON, except for prefix hints
+  std::string headers;                ///< complete lines
+  bool closeWithoutResponse = false;  ///< nothing is sent and the connection ends: any status would promise too much
 };
 /// May park the calling fiber.
 /// @param heartbeatUri where a runner that is acknowledged here is to send its next heartbeats.
--- a/libs/controller/src/control_server.cpp
+++ b/libs/controller/src/control_server.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::size_t kMaxBodyBytes = 16U << 20;
 constexpr auto kWriteTimeout = 5s;
-constexpr std::string_view kJson = "application/json";
+constexpr std::string_view kJsonContentType = "application/json";
 
 using HttpRequest = proxy::RequestParser::value_type;
 
@@ -21,17 +21,18 @@
           headerOf(request, "X-Base-Version"), headerOf(request, "X-Hint-Seal")};
 }
 /// The answer to a request that could not be read; the connection ends with it.
-void refuse(runtime::Connection& connection, int status) {
+void writeErrorResponse(runtime::Connection& connection, int status) {
   runtime::SocketError ignored;
   const auto body = proxy::jsonError(proxy::reasonPhrase(status));
-  connection.write(asio::buffer(proxy::plainResponse(status, "", kJson, body, false)), ignored);
+  connection.write(asio::buffer(proxy::plainResponse(status, "", kJsonContentType, body, false)), ignored);
 }
 /// @return whether the response was written completely.
 bool writeResponse(runtime::Connection& connection, const ApiResponse& response, bool keepAlive) {
   runtime::SocketError ec;
   const auto status = static_cast<int>(response.status);
   connection.setDeadline(Clock::now() + kWriteTimeout);
-  connection.write(asio::buffer(proxy::plainResponse(status, response.headers, kJson, response.body, keepAlive)), ec);
+  connection.write(
+      asio::buffer(proxy::plainResponse(status, response.headers, kJsonContentType, response.body, keepAlive)), ec);
   connection.clearDeadline();
   return !ec;
 }
@@ -70,18 +71,18 @@
     if (read.outcome == proxy::ReadOutcome::closed)
       return;
     if (read.outcome == proxy::ReadOutcome::rejected)
-      return refuse(connection, read.status);
+      return writeErrorResponse(connection, read.status);
     ++inFlight_;
-    const bool staysOpen = answerOn(connection, parser);
+    const bool staysOpen = handleRequest(connection, parser);
     --inFlight_;
     if (!staysOpen)
       return;
   }
 }
-bool ControlServer::answerOn(runtime::Connection& connection, const proxy::RequestParser& parser) {
+bool ControlServer::handleRequest(runtime::Connection& connection, const proxy::RequestParser& parser) {
   const auto response = accepting_ ? answerApiRequest(services_, apiRequestOf(parser.get()), "http://" + address_)
                                    : errorResponse(HttpStatus::service_unavailable, "shutting down");
-  if (response.silent)
+  if (response.closeWithoutResponse)
     return false;
   const bool keepAlive = parser.get().keep_alive() && accepting_;
   return writeResponse(connection, response, keepAlive) && keepAlive;
--- a/libs/controller/src/control_server.hpp
+++ b/libs/controller/src/control_server.hpp
@@ -27,7 +27,7 @@
 
  private:
   /// @return whether the connection stays open after the response.
-  bool answerOn(runtime::Connection& connection, const proxy::RequestParser& parser);
+  bool handleRequest(runtime::Connection& connection, const proxy::RequestParser& parser);
 
   ControllerServices& services_;
   const std::string address_;
--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -18,14 +18,14 @@
   ControllerNode node(settings);
   ControlServer server(node, settings.controlAddress);
   // Once the others can go on without this member: what was accepted is answered, and nothing more is accepted.
-  const auto endRequests = [&](bool deadlinePassed) {
+  const auto stopServing = [&](bool deadlinePassed) {
     server.stopAccepting();
     if (deadlinePassed || server.inFlight() == 0)
       loop.stop();
   };
   return config::runDaemon(loop, "controller", settings,
                            {.start = [&] { return startController(node, server); },
-                            .shutDown = [&] { node.shutDown(endRequests); },
+                            .shutDown = [&] { node.shutDown(stopServing); },
                             .reloadSettings = [&](const config::Settings& changed) { node.reloadSettings(changed); }});
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/controller_context.cpp
+++ b/libs/controller/src/controller_context.cpp
@@ -8,8 +8,8 @@
 std::string viewNameOfController(const std::string& address) {
   return address + "/core";
 }
-ControllerContext::ControllerContext(config::Settings given)
-    : settings(std::move(given)),
+ControllerContext::ControllerContext(config::Settings initialSettings)
+    : settings(std::move(initialSettings)),
       zones(settings.ip, settings.zone),
       view(viewNameOfController(settings.ip), kViewSize, randomSeed()) {}
 }  // namespace zinccleat::controller
--- a/libs/controller/src/controller_context.hpp
+++ b/libs/controller/src/controller_context.hpp
@@ -13,8 +13,8 @@
 
 /// Each member has one writer, named beside it; all other components only read.
 struct ControllerContext {
-  /// @param given the settings as they were read at the start.
-  explicit ControllerContext(config::Settings given);
+  /// @param initialSettings the settings as they were read at the start.
+  explicit ControllerContext(config::Settings initialSettings);
   config::Settings settings;                                   ///< written by `ControllerNode`
   std::unique_ptr<consensus::RaftNode> raft;                   ///< set once, by `ControllerNode::start`
   state_machine::ReplicatedState replica;                      ///< written by `RaftDriver`
--- a/libs/controller/src/controller_node.cpp
+++ b/libs/controller/src/controller_node.cpp
@@ -95,7 +95,7 @@
 void ControllerNode::startTimers() {
   auto& loop = runtime::EventLoop::get();
   loop.callEvery(kTickInterval, [this] { onTick(); });
-  loop.callEvery(kMaintenanceInterval, [this] { onSecond(); });
+  loop.callEvery(kMaintenanceInterval, [this] { onMaintenanceTimer(); });
   loop.callEvery(kForwardInterval, [this] { runners_.forwardHeartbeats(Clock::now()); });
 }
 void ControllerNode::onTick() {
@@ -128,7 +128,7 @@
 void ControllerNode::proposeFounding(const state_machine::ShardFounding& founding) {
   context_.raft->submit(Clock::now(), state_machine::shardsFoundedEntry(founding, operationIds_->next()));
 }
-void ControllerNode::onSecond() {
+void ControllerNode::onMaintenanceTimer() {
   const auto now = Clock::now();
   requests_.expireSilentMachines(now);
   agents_.closeSilentSessions(now);
@@ -145,8 +145,8 @@
   context_.settings.timers = settings.timers;
   log::debug("settings_reloaded", {{"seeds", seeds.size()}});
 }
-void ControllerNode::shutDown(const std::function<void(bool deadlinePassed)>& mayEnd) {
-  if (shutdown_.begin(mayEnd))
+void ControllerNode::shutDown(const std::function<void(bool deadlinePassed)>& onReadyToExit) {
+  if (shutdown_.begin(onReadyToExit))
     driver_.run();
 }
 bool ControllerNode::heartbeatsReachLeader() const {
--- a/libs/controller/src/controller_node.hpp
+++ b/libs/controller/src/controller_node.hpp
@@ -36,7 +36,7 @@
   /// Takes over what may change in the settings of a running controller: seeds and timers.
   void reloadSettings(const config::Settings& settings);
   /// Ends in good order; see `GracefulShutdown`.
-  void shutDown(const std::function<void(bool deadlinePassed)>& mayEnd);
+  void shutDown(const std::function<void(bool deadlinePassed)>& onReadyToExit);
 
   // ControllerServices, for the control API: see there.
   const config::Settings& settings() const override { return context_.settings; }
@@ -82,7 +82,7 @@
   Result<void> startLinks();
   void startTimers();
   void onTick();
-  void onSecond();
+  void onMaintenanceTimer();
   void writeRollouts(TimePoint now);
   void proposeFounding(const state_machine::ShardFounding& founding);
   std::string controlAddressAt(const std::string& ip) const;
--- a/libs/controller/src/coordination_handlers.cpp
+++ b/libs/controller/src/coordination_handlers.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// The calls of applications for coordination: locks, numbers, cells, watches.
 ///
-/// A 409 or 412 is the outcome of a committed entry. A 503 or 429 is given only where nothing was executed and never
-/// will be; a call whose outcome is not known ends without an answer, and its caller sends it again.
+/// A 409 or 412 is the outcome of a committed entry. A 503 or 429 is given only where nothing was executeCommand and
+/// never will be; a call whose outcome is not known ends without an answer, and its caller sends it again.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/coordination_requests.hpp"
@@ -28,7 +28,7 @@
   return {status, JsonObject().number(name, number).json(), ""};
 }
 /// What a call answers whose outcome is not `OutcomeKind::done`.
-ApiResponse otherOutcome(const Outcome& outcome) {
+ApiResponse failureResponse(const Outcome& outcome) {
   switch (outcome.result()) {
     case OutcomeKind::lockTaken:
       return errorResponse(HttpStatus::conflict, "another holds the lock, or the hold is over");
@@ -43,20 +43,20 @@
   }
   return okResponse("{}");
 }
-/// Has a command executed, and makes the answer of its outcome.
+/// Has a command executeCommand, and makes the answer of its outcome.
 template <class Answer>
-ApiResponse executed(const ApiCall& call, const Command& command, Answer&& answerTo) {
+ApiResponse executeCommand(const ApiCall& call, const Command& command, Answer&& makeResponse) {
   const ResponseDeadline deadline;
   if (auto named = config::checkName(command.name); !named)
     return errorResponse(named.error());
   const auto outcome = call.services.executeCoordinationCommand(command, deadline.left());
   if (!outcome)
     return errorResponse(outcome.error());
-  return outcome->result() == OutcomeKind::done ? answerTo(*outcome) : otherOutcome(*outcome);
+  return outcome->result() == OutcomeKind::done ? makeResponse(*outcome) : failureResponse(*outcome);
 }
 /// One of the calls on a lock.
 template <class Answer>
-ApiResponse lockCall(const ApiCall& call, CommandKind kind, config::LockFields required, Answer&& answerTo) {
+ApiResponse lockCall(const ApiCall& call, CommandKind kind, config::LockFields required, Answer&& makeResponse) {
   const auto request = config::parseLockRequest(call.request.body, required);
   if (!request)
     return errorResponse(request.error());
@@ -64,9 +64,9 @@
   command.holder = request->holder;
   command.fence = request->fence;
   command.holdMs = request->holdMs;
-  return executed(call, command, answerTo);
+  return executeCommand(call, command, makeResponse);
 }
-ApiResponse emptyAnswer(const Outcome&) {
+ApiResponse emptyResponse(const Outcome&) {
   return okResponse("{}");
 }
 std::string eventJson(const coordination::CellEvent& event) {
@@ -79,14 +79,14 @@
                   [](const Outcome& outcome) { return numberResponse(HttpStatus::ok, "fenceNumber", outcome.number); });
 }
 ApiResponse handleRenewLock(const ApiCall& call) {
-  return lockCall(call, CommandKind::renewLock, {.fence = true, .hold = true}, emptyAnswer);
+  return lockCall(call, CommandKind::renewLock, {.fence = true, .hold = true}, emptyResponse);
 }
 ApiResponse handleReleaseLock(const ApiCall& call) {
-  return lockCall(call, CommandKind::releaseLock, {.fence = true, .hold = false}, emptyAnswer);
+  return lockCall(call, CommandKind::releaseLock, {.fence = true, .hold = false}, emptyResponse);
 }
 ApiResponse handleNextNumber(const ApiCall& call) {
-  return executed(call, commandOf(CommandKind::nextNumber, call.subject),
-                  [](const Outcome& outcome) { return numberResponse(HttpStatus::ok, "value", outcome.number); });
+  return executeCommand(call, commandOf(CommandKind::nextNumber, call.subject),
+                        [](const Outcome& outcome) { return numberResponse(HttpStatus::ok, "value", outcome.number); });
 }
 ApiResponse handleReplaceCell(const ApiCall& call) {
   const auto request = config::parsePutRequest(call.request.body);
@@ -95,11 +95,11 @@
   auto command = commandOf(CommandKind::putCell, call.subject);
   command.value = request->value;
   command.argument = request->appliesTo.value_or(coordination::kAnyRevision);
-  return executed(call, command,
-                  [](const Outcome& outcome) { return numberResponse(HttpStatus::ok, "revision", outcome.number); });
+  return executeCommand(
+      call, command, [](const Outcome& outcome) { return numberResponse(HttpStatus::ok, "revision", outcome.number); });
 }
 ApiResponse handleRetrieveCell(const ApiCall& call) {
-  return executed(call, commandOf(CommandKind::getCell, call.subject), [](const Outcome& outcome) {
+  return executeCommand(call, commandOf(CommandKind::getCell, call.subject), [](const Outcome& outcome) {
     return okResponse(JsonObject().text("value", outcome.value).number("revision", outcome.number).json());
   });
 }
--- a/libs/controller/src/graceful_shutdown.cpp
+++ b/libs/controller/src/graceful_shutdown.cpp
@@ -6,23 +6,23 @@
 namespace zinccleat::controller {
 namespace {
 constexpr auto kPollInterval = 50ms;
-constexpr Duration kMinDuration = 400ms;   // answers under way are sent before the process ends
-constexpr Duration kKillReserve = 1500ms;  // the process ends so long before it would be killed
+constexpr Duration kMinDuration = 400ms;        // answers under way are sent before the process ends
+constexpr Duration kMarginBeforeKill = 1500ms;  // the process ends so long before it would be killed
 }  // namespace
 
-bool GracefulShutdown::begin(const std::function<void(bool deadlinePassed)>& mayEnd) {
+bool GracefulShutdown::begin(const std::function<void(bool deadlinePassed)>& onReadyToExit) {
   if (std::exchange(inProgress_, true))
     return false;
   const auto begun = Clock::now();
-  const auto deadline = begun + std::max(kMinDuration, context_.settings.timers.grace - kKillReserve);
+  const auto deadline = begun + std::max(kMinDuration, context_.settings.timers.grace - kMarginBeforeKill);
   log::debug("shutdown_started", {{"term", context_.raft->term()}, {"member", context_.raft->self()}});
   context_.raft->leave(begun);
   coordination_.leave(begun);
-  runtime::EventLoop::get().callEvery(kPollInterval, [this, mayEnd, begun, deadline] {
+  runtime::EventLoop::get().callEvery(kPollInterval, [this, onReadyToExit, begun, deadline] {
     const auto now = Clock::now();
     const bool othersCanGoOn = context_.raft->mayExit() && coordination_.mayExit();
     if (now - begun >= kMinDuration && (othersCanGoOn || now >= deadline))
-      mayEnd(now >= deadline);
+      onReadyToExit(now >= deadline);
   });
   return true;
 }
--- a/libs/controller/src/graceful_shutdown.hpp
+++ b/libs/controller/src/graceful_shutdown.hpp
@@ -11,10 +11,11 @@
   GracefulShutdown(ControllerContext& context, CoordinationService& coordination)
       : context_(context), coordination_(coordination) {}
   /// Begins the shutdown; a second call does nothing. The raft node then has actions to carry out.
-  /// @param mayEnd is called on the event loop, again and again, once the others can go on without this member or the
+  /// @param onReadyToExit is called on the event loop, again and again, once the others can go on without this member
+  /// or the
   ///   deadline has passed; with `true` for the latter: nothing more may be waited for.
   /// @return whether this call began it.
-  bool begin(const std::function<void(bool deadlinePassed)>& mayEnd);
+  bool begin(const std::function<void(bool deadlinePassed)>& onReadyToExit);
   /// Whether `begin` was called: runners are then sent to other controllers.
   bool inProgress() const { return inProgress_; }
 
--- a/libs/controller/src/rollout_handlers.cpp
+++ b/libs/controller/src/rollout_handlers.cpp
@@ -86,7 +86,7 @@
   if (known && known->sameOrder(ordered))
     return {HttpStatus::ok, "{}", ""};
   if (!isConfigured(services, ordered.service)) {
-    if (auto response = unlessFresh(call.services, deadline))
+    if (auto response = errorUnlessFresh(call.services, deadline))
       return *response;
     if (!isConfigured(services, ordered.service))
       return errorResponse(HttpStatus::not_found, "no service '" + ordered.service + "'");
@@ -98,7 +98,7 @@
 }
 ApiResponse handleRetrieveRollout(const ApiCall& call) {
   const ResponseDeadline deadline;
-  if (auto response = unlessFresh(call.services, deadline))
+  if (auto response = errorUnlessFresh(call.services, deadline))
     return *response;
   const auto* rollout = call.services.replica().rollout(call.subject);
   if (!rollout)
@@ -110,7 +110,7 @@
   const auto service = config::parseRolloutRevertRequest(call.request.body);
   if (!service)
     return errorResponse(service.error());
-  if (auto response = unlessFresh(call.services, deadline))
+  if (auto response = errorUnlessFresh(call.services, deadline))
     return *response;
   const auto* known = call.services.replica().rollout(*service);
   if (!known)
--- a/libs/controller/src/runner_handlers.cpp
+++ b/libs/controller/src/runner_handlers.cpp
@@ -9,7 +9,7 @@
 using state_machine::Runner;
 using state_machine::RunnerState;
 
-bool describesSame(const Runner& one, const Runner& other) {
+bool hasSameDescription(const Runner& one, const Runner& other) {
   return one.address == other.address && one.service == other.service && one.capacity == other.capacity &&
          one.zone == other.zone && one.software.revision == other.software.revision;
 }
@@ -27,7 +27,7 @@
 }
 /// Whether a heartbeat says what the replica does not hold yet. One that comes out of order does not; a runner that
 /// drains never returns to service.
-bool isUpdate(const Runner& reported, const ControllerServices& services) {
+bool updatesReplica(const Runner& reported, const ControllerServices& services) {
   const auto& replica = services.replica();
   if (replica.isDetached(reported.id))
     return false;
@@ -37,7 +37,7 @@
   if (reported.sequence < known->sequence)
     return false;
   const bool stateChanges = reported.state != known->state && known->runnerState() != RunnerState::draining;
-  return stateChanges || !describesSame(reported, *known) || services.changesWarmup(reported);
+  return stateChanges || !hasSameDescription(reported, *known) || services.changesWarmup(reported);
 }
 /// The id names the content: the same update brought to two controllers is one write.
 std::string operationIdOf(const Runner& reported) {
@@ -71,7 +71,7 @@
     return errorResponse(HttpStatus::service_unavailable, "the leader does not answer");
   const auto reported = runnerOf(*heartbeat);
   services.recordHeartbeat(reported.id);
-  if (isUpdate(reported, services)) {
+  if (updatesReplica(reported, services)) {
     auto entry = state_machine::runnerEntry(reported, operationIdOf(reported));
     if (auto written = services.write(std::move(entry), deadline.left()); !written)
       return errorResponse(written.error());
--- a/libs/controller/src/zone_drain_handlers.cpp
+++ b/libs/controller/src/zone_drain_handlers.cpp
@@ -6,62 +6,64 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::int32_t kFullDrain = 100;  // percent
+constexpr std::int32_t kFullDrainPercent = 100;  // percent
 
 /// Whether a call drains more than what is in force.
-bool drainsMore(const config::ZoneDrainRequest& wanted, const std::vector<state_machine::ZoneDrain>& drains) {
+bool drainsMore(const config::ZoneDrainRequest& requested, const std::vector<state_machine::ZoneDrain>& drains) {
   const auto current =
-      std::find_if(drains.begin(), drains.end(), [&](const auto& drain) { return drain.zone == wanted.zone; });
+      std::find_if(drains.begin(), drains.end(), [&](const auto& drain) { return drain.zone == requested.zone; });
   if (current == drains.end())
-    return wanted.drainPercent > 0 || wanted.notAccepting;
-  return wanted.drainPercent > current->drainPercent || (wanted.notAccepting && !current->notAccepting);
+    return requested.drainPercent > 0 || requested.notAccepting;
+  return requested.drainPercent > current->drainPercent || (requested.notAccepting && !current->notAccepting);
 }
 /// Refuses a call that must not be carried out now; none: it may be.
-std::optional<ApiResponse> refusalOf(const config::ZoneDrainRequest& wanted, const ControllerServices& services) {
-  if (!isZoneOrRegion(services.settings(), wanted.zone))
-    return errorResponse(HttpStatus::bad_request, "no zone or region '" + wanted.zone + "'");
+std::optional<ApiResponse> validateRequest(const config::ZoneDrainRequest& requested,
+                                           const ControllerServices& services) {
+  if (!isZoneOrRegion(services.settings(), requested.zone))
+    return errorResponse(HttpStatus::bad_request, "no zone or region '" + requested.zone + "'");
   // While the fleet is busier than the operator allows, a drain goes no further, unless it is forced.
   const double requestsPerS = services.requestsPerS();
-  const bool busy = wanted.calmBelowPerS > 0 && requestsPerS > wanted.calmBelowPerS;
-  if (busy && !wanted.force && drainsMore(wanted, services.replica().state().zoneDrains))
+  const bool busy = requested.calmBelowPerS > 0 && requestsPerS > requested.calmBelowPerS;
+  if (busy && !requested.force && drainsMore(requested, services.replica().state().zoneDrains))
     return errorResponse(HttpStatus::conflict,
                          "live play: " + std::to_string(static_cast<int>(requestsPerS)) + " requests a second");
-  if (wanted.notAccepting && wanted.drainPercent < kFullDrain)
+  if (requested.notAccepting && requested.drainPercent < kFullDrainPercent)
     return errorResponse(HttpStatus::bad_request, "doors are shut only once all new work keeps away (share 100)");
   return std::nullopt;
 }
 ApiResponse setZoneDrain(const ApiCall& call, const ResponseDeadline& deadline) {
   auto& services = call.services;
-  const auto wanted = config::parseZoneDrainRequest(call.request.body);
-  if (!wanted)
-    return errorResponse(wanted.error());
-  if (auto refusal = refusalOf(*wanted, services))
+  const auto requested = config::parseZoneDrainRequest(call.request.body);
+  if (!requested)
+    return errorResponse(requested.error());
+  if (auto refusal = validateRequest(*requested, services))
     return *refusal;
-  const state_machine::ZoneDrain drain{wanted->zone, wanted->note, wanted->drainPercent, wanted->notAccepting};
-  auto entry = state_machine::zoneDrainEntry(drain, wanted->open, services.nextOperationId());
+  const state_machine::ZoneDrain drain{requested->zone, requested->note, requested->drainPercent,
+                                       requested->notAccepting};
+  auto entry = state_machine::zoneDrainEntry(drain, requested->open, services.nextOperationId());
   if (auto written = services.write(std::move(entry), deadline.left()); !written)
     return errorResponse(written.error());
   return {HttpStatus::ok, services.zoneDrainsJson(), ""};
 }
 /// Refuses or redirects a call that this controller can't answer; none: it leads, and its replica is fresh.
-std::optional<ApiResponse> unlessFreshLeader(const ApiCall& call, const ResponseDeadline& deadline) {
+std::optional<ApiResponse> errorUnlessFreshLeader(const ApiCall& call, const ResponseDeadline& deadline) {
   if (!call.services.awaitContact(kContactTimeout))
     return noContactResponse();
   if (const auto leader = call.services.leaderControlAddress())
     return redirectTo(*leader, call.path);
-  return unlessFresh(call.services, deadline);
+  return errorUnlessFresh(call.services, deadline);
 }
 }  // namespace
 
 ApiResponse handleSetZoneDrain(const ApiCall& call) {
   const ResponseDeadline deadline;
-  if (auto response = unlessFreshLeader(call, deadline))
+  if (auto response = errorUnlessFreshLeader(call, deadline))
     return *response;
   return setZoneDrain(call, deadline);
 }
 ApiResponse handleListZoneDrains(const ApiCall& call) {
   const ResponseDeadline deadline;
-  if (auto response = unlessFreshLeader(call, deadline))
+  if (auto response = errorUnlessFreshLeader(call, deadline))
     return *response;
   return {HttpStatus::ok, call.services.zoneDrainsJson(), ""};
 }
