--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -134,8 +134,8 @@
   if (raft.voters().size() > kLinksPerAgent)
     return feed;
   for (auto& entry : feed.entries) {
-    const bool takenHere = entry.operationId.starts_with(raft.self() + "/");
-    if (takenHere || entry.digest.empty() || entry.body.size() <= kLargeBodyBytes)
+    const bool acceptedHere = entry.operationId.starts_with(raft.self() + "/");
+    if (acceptedHere || entry.digest.empty() || entry.body.size() <= kLargeBodyBytes)
       continue;
     entry.body.clear();
     entry.omitted = true;
--- a/libs/controller/src/append_queue.cpp
+++ b/libs/controller/src/append_queue.cpp
@@ -6,27 +6,27 @@
 }
 std::vector<PendingAppend> AppendQueue::takeBatch() {
   const auto isConsensus = [](const PendingAppend& append) { return append.urgency == AppendUrgency::consensus; };
-  const bool consensusWaits = std::any_of(waiting_.begin(), waiting_.end(), isConsensus);
-  const bool countersGo = !consensusWaits || std::exchange(countersAreDue_, false);
+  const bool hasConsensusRecord = std::any_of(waiting_.begin(), waiting_.end(), isConsensus);
+  const bool includeCounters = !hasConsensusRecord || std::exchange(countersPostponed_, false);
   std::vector<PendingAppend> batch;
-  std::deque<PendingAppend> later;
+  std::deque<PendingAppend> remaining;
   for (auto& append : waiting_) {
-    const bool isSecondOfStorage = std::any_of(
+    const bool hasRecordOfStorage = std::any_of(
         batch.begin(), batch.end(), [&](const PendingAppend& other) { return other.storage == append.storage; });
-    const bool goes = !isSecondOfStorage && (countersGo || isConsensus(append));
-    if (goes)
+    const bool isSelected = !hasRecordOfStorage && (includeCounters || isConsensus(append));
+    if (isSelected)
       batch.push_back(std::move(append));
     else
-      later.push_back(std::move(append));
+      remaining.push_back(std::move(append));
   }
-  waiting_ = std::move(later);
-  if (!countersGo)
-    countersAreDue_ = true;
+  waiting_ = std::move(remaining);
+  if (!includeCounters)
+    countersPostponed_ = true;
   return batch;
 }
-std::vector<std::shared_ptr<storage::Storage>> AppendQueue::runNext() {
+std::vector<std::shared_ptr<storage::Storage>> AppendQueue::appendNextBatch() {
   auto batch = takeBatch();
-  std::vector<std::shared_ptr<storage::Storage>> withFullRecords;
+  std::vector<std::shared_ptr<storage::Storage>> storagesWithFullRecord;
   std::vector<Result<void>> results;
   results.reserve(batch.size());
   for (auto& append : batch) {
@@ -47,8 +47,8 @@
       batch[i].storage->confirm(batch[i].record);
     batch[i].onAppended(results[i]);
     if (results[i] && batch[i].record.full)
-      withFullRecords.push_back(batch[i].storage);
+      storagesWithFullRecord.push_back(batch[i].storage);
   }
-  return withFullRecords;
+  return storagesWithFullRecord;
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/append_queue.hpp
+++ b/libs/controller/src/append_queue.hpp
@@ -33,12 +33,12 @@
   bool empty() const { return waiting_.empty(); }
   /// Makes the next ones durable and tells those who wait.
   /// @return the storages that got a full record: obsolete files may be removed.
-  std::vector<std::shared_ptr<storage::Storage>> runNext();
+  std::vector<std::shared_ptr<storage::Storage>> appendNextBatch();
 
  private:
   std::vector<PendingAppend> takeBatch();
 
   std::deque<PendingAppend> waiting_;  // in the order in which they came
-  bool countersAreDue_ = false;        // they waited while a batch of consensus records was written
+  bool countersPostponed_ = false;     // they waited while a batch of consensus records was written
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/controller_node.cpp
+++ b/libs/controller/src/controller_node.cpp
@@ -53,7 +53,7 @@
   return submitters;
 }
 Result<void> ControllerNode::start() {
-  if (const auto reason = unusableSettings(context_.settings))
+  if (const auto reason = settingsError(context_.settings))
     return makeError(ErrorCode::invalidArgument, *reason);
   const auto& dataDir = context_.settings.dataDir;
   auto recovered = recoverDisk(dataDir, storage::Storage(dataDir), snapshotIsValid);
--- a/libs/controller/src/coordination_shard.cpp
+++ b/libs/controller/src/coordination_shard.cpp
@@ -42,7 +42,7 @@
   return {};
 }
 void CoordinationShard::start(const std::shared_ptr<DiskThread>& disk) {
-  storage_ = std::make_unique<StorageThread>(disk, std::move(*recoveredStorage_), AppendUrgency::consensus);
+  storage_ = std::make_unique<AsyncStorage>(disk, std::move(*recoveredStorage_), AppendUrgency::consensus);
   recoveredStorage_.reset();
   run();
 }
--- a/libs/controller/src/coordination_shard.hpp
+++ b/libs/controller/src/coordination_shard.hpp
@@ -69,7 +69,7 @@
   bool canFoundShard_ = false;                        // its disk has lost no records of the shard
   bool isParticipating_ = false;                      // else it waits for the agreement
   std::optional<storage::Storage> recoveredStorage_;  // until `start`
-  std::unique_ptr<StorageThread> storage_;
+  std::unique_ptr<AsyncStorage> storage_;
   coordination::ShardState state_;
   coordination::Leaseholder leaseholder_;
   std::int64_t ledTerm_ = 0;  // the term that the leaseholder works in; 0: this member does not lead
--- a/libs/controller/src/counter_service.cpp
+++ b/libs/controller/src/counter_service.cpp
@@ -69,7 +69,7 @@
 Result<void> CounterService::start(const std::shared_ptr<DiskThread>& disk) {
   if (auto listening = links_.listen(); !listening)
     return listening;
-  storage_ = std::make_unique<StorageThread>(disk, std::move(*recoveredStorage_), AppendUrgency::counters);
+  storage_ = std::make_unique<AsyncStorage>(disk, std::move(*recoveredStorage_), AppendUrgency::counters);
   recoveredStorage_.reset();
   followMembership();
   run();
--- a/libs/controller/src/counter_service.hpp
+++ b/libs/controller/src/counter_service.hpp
@@ -56,7 +56,7 @@
   PeerLinks links_;
   std::optional<replicated_counters::CounterReplica> replica_;
   std::optional<storage::Storage> recoveredStorage_;  // until `start`
-  std::unique_ptr<StorageThread> storage_;
+  std::unique_ptr<AsyncStorage> storage_;
   std::int64_t lastRecord_ = 0;
   std::map<std::string, consensus::MemberId> heardMembers_;  // by address
   std::map<std::int64_t, PendingCall*> calls_;               // by id, on the stacks of the fibers that wait
--- a/libs/controller/src/peer_links.cpp
+++ b/libs/controller/src/peer_links.cpp
@@ -6,7 +6,7 @@
 namespace {
 // Bytes that wait for a member before further messages to it are dropped.
 constexpr std::size_t kMaxBacklogBytes = 4U << 20;
-constexpr auto kRecentlyUsed = 1s;
+constexpr auto kRecentUseWindow = 1s;
 
 bool sendUnlessBacklogged(transport::PeerLink& link, const transport::Envelope& envelope) {
   // The replicated log tolerates losses: a member that reads slowly is sent the same again later.
@@ -55,7 +55,7 @@
   if (it == inboundLinks_.end())
     return nullptr;
   auto link = it->second.lock();
-  const bool recentlyUsed = link && link->open() && Clock::now() - link->lastReceivedAt() < kRecentlyUsed;
+  const bool recentlyUsed = link && link->open() && Clock::now() - link->lastReceivedAt() < kRecentUseWindow;
   return recentlyUsed ? link : nullptr;
 }
 bool PeerLinks::sendEnvelope(const consensus::MemberId& to, const transport::Envelope& envelope) {
--- a/libs/controller/src/raft_driver.cpp
+++ b/libs/controller/src/raft_driver.cpp
@@ -4,12 +4,12 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::int64_t kMinCompactionInterval = 96;  // applied entries
-constexpr std::int64_t kMaxIntervals = 4;            // whether or not agents lag behind
+constexpr std::int64_t kMinCompactionInterval = 96;         // applied entries
+constexpr std::int64_t kMaxIntervalsWithLaggingAgents = 4;  // whether or not agents lag behind
 }  // namespace
 
 void RaftDriver::startStorage(const std::shared_ptr<DiskThread>& disk, storage::Storage storage) {
-  storage_ = std::make_unique<StorageThread>(disk, std::move(storage), AppendUrgency::consensus);
+  storage_ = std::make_unique<AsyncStorage>(disk, std::move(storage), AppendUrgency::consensus);
 }
 // The way from a decision of the raft node to the rest of the controller: its actions first, then what a change of the
 // role brings with it, then the entries that were committed go to the agents.
@@ -65,8 +65,8 @@
   const auto newest = context_.replica.state().index;
   const auto interval = compactionInterval();
   // Entries that a linked agent still lacks are kept for a while; an agent far behind gets a snapshot in the end.
-  const bool agentsAreClose = components_.agents.lowestApplied(newest) + interval / 2 >= newest;
-  if (++appliedSinceCompaction_ < (agentsAreClose ? interval : kMaxIntervals * interval))
+  const bool agentsAreNearlyCaughtUp = components_.agents.lowestApplied(newest) + interval / 2 >= newest;
+  if (++appliedSinceCompaction_ < (agentsAreNearlyCaughtUp ? interval : kMaxIntervalsWithLaggingAgents * interval))
     return;
   appliedSinceCompaction_ = 0;
   context_.raft->compact(newest, context_.replica.snapshot(), Clock::now());
--- a/libs/controller/src/raft_driver.hpp
+++ b/libs/controller/src/raft_driver.hpp
@@ -43,7 +43,7 @@
 
   ControllerContext& context_;
   Components components_;
-  std::unique_ptr<StorageThread> storage_;
+  std::unique_ptr<AsyncStorage> storage_;
   std::int64_t appliedSinceCompaction_ = 0;  // entries
   bool running_ = false;
 };
--- a/libs/controller/src/startup.cpp
+++ b/libs/controller/src/startup.cpp
@@ -82,16 +82,16 @@
     addresses.push_back(seed.substr(0, seed.rfind(':')));
   return addresses;
 }
-bool seedsNameOnlySelf(const config::Settings& settings) {
+bool seedsContainOnlySelf(const config::Settings& settings) {
   const auto seeds = seedAddresses(settings);
   return std::all_of(seeds.begin(), seeds.end(), [&](const auto& seed) { return seed == settings.ip; });
 }
-std::optional<std::string> unusableSettings(const config::Settings& settings) {
+std::optional<std::string> settingsError(const config::Settings& settings) {
   if (settings.dataDir.empty())
     return "settings name no dataDir for a core machine";
   if (settings.lastPort < settings.firstPort + kCounterPortOffset)
     return "internalPorts hold fewer than four ports";
-  if (settings.initialAttach && seedsNameOnlySelf(settings) && settings.toleratedMachineFailures > 0)
+  if (settings.initialAttach && seedsContainOnlySelf(settings) && settings.toleratedMachineFailures > 0)
     return "seedNodes hold this machine alone, and faultTolerance.machines is " +
            std::to_string(settings.toleratedMachineFailures) + ": a core of one bears no loss";
   return std::nullopt;
@@ -133,7 +133,7 @@
   if (kind == StartKind::founds)
     context.raft->bootstrap(founderIds(settings), now);
   // The process goes on all the same: the others may only be down, and reloaded settings may name them.
-  if (kind == StartKind::joins && seedsNameOnlySelf(settings)) {
+  if (kind == StartKind::joins && seedsContainOnlySelf(settings)) {
     ++context.seedsDeclined;
     log::info("no_seed_to_join", {{"member", self}, {"reason", "seedNodes name only this machine"}});
   }
--- a/libs/controller/src/startup.hpp
+++ b/libs/controller/src/startup.hpp
@@ -9,9 +9,9 @@
 /// The port of the links between replicated counters, counted likewise.
 constexpr int kCounterPortOffset = 3;
 /// Whether the settings name no other controller that this one could join.
-bool seedsNameOnlySelf(const config::Settings& settings);
+bool seedsContainOnlySelf(const config::Settings& settings);
 /// Why no controller can start with these settings, as one line; none: it can.
-std::optional<std::string> unusableSettings(const config::Settings& settings);
+std::optional<std::string> settingsError(const config::Settings& settings);
 /// Whether this program can restore a snapshot of the replicated state. Used before a snapshot is installed.
 bool snapshotIsValid(const std::string& snapshot);
 /// The addresses of the seeds, without ports.
--- a/libs/controller/src/storage_thread.hpp
+++ b/libs/controller/src/storage_thread.hpp
@@ -25,41 +25,41 @@
     asio::post(io_, [this, append = std::move(append)]() mutable {
       queue_.add(std::move(append));
       // Behind all that is posted already: what comes while the disk is busy is taken together.
-      if (!std::exchange(runIsPosted_, true))
-        asio::post(io_, [this] { runNext(); });
+      if (!std::exchange(isBatchPosted_, true))
+        asio::post(io_, [this] { appendNextBatch(); });
     });
   }
 
  private:
-  static constexpr std::size_t kFilesRemovedAtOnce = 8;
-  void runNext() {
-    for (auto& storage : queue_.runNext())
+  static constexpr std::size_t kMaxFilesPerRemoval = 8;
+  void appendNextBatch() {
+    for (auto& storage : queue_.appendNextBatch())
       removeObsolete(std::move(storage));
-    runIsPosted_ = !queue_.empty();
-    if (runIsPosted_)
-      asio::post(io_, [this] { runNext(); });
+    isBatchPosted_ = !queue_.empty();
+    if (isBatchPosted_)
+      asio::post(io_, [this] { appendNextBatch(); });
   }
   // After the answer, and a few files at a time: a record that comes meanwhile waits for these few only.
   void removeObsolete(std::shared_ptr<storage::Storage> storage) {
     asio::post(io_, [this, storage = std::move(storage)] {
-      if (storage->removeObsolete(kFilesRemovedAtOnce))
+      if (storage->removeObsolete(kMaxFilesPerRemoval))
         removeObsolete(storage);
     });
   }
 
-  AppendQueue queue_;         // of the thread alone
-  bool runIsPosted_ = false;  // of the thread alone
+  AppendQueue queue_;           // of the thread alone
+  bool isBatchPosted_ = false;  // of the thread alone
   asio::io_context io_{1};
   asio::executor_work_guard<asio::io_context::executor_type> guard_;
   std::thread thread_;
 };
 
 /// One storage on the disk's thread; see the file's comment.
-class StorageThread {
+class AsyncStorage {
  public:
   using OnAppended = std::function<void(const Result<void>&)>;
   /// Takes over a storage that has been recovered. All storages of one thread are in one folder.
-  StorageThread(std::shared_ptr<DiskThread> disk, storage::Storage storage, AppendUrgency urgency)
+  AsyncStorage(std::shared_ptr<DiskThread> disk, storage::Storage storage, AppendUrgency urgency)
       : disk_(std::move(disk)), storage_(std::make_shared<storage::Storage>(std::move(storage))), urgency_(urgency) {}
   /// Appends in the order of the calls. A record that failed may be appended again.
   /// @param onAppended is called on the event loop, without an error once the record is durable.
--- a/tests/append_queue_test.cpp
+++ b/tests/append_queue_test.cpp
@@ -33,7 +33,7 @@
     };
     appendedNames.clear();
     failedNames.clear();
-    (void)queue.runNext();
+    (void)queue.appendNextBatch();
     disk.fate = nullptr;
     return syncs;
   }
@@ -105,7 +105,7 @@
   folder.disk.fate = [](Operation operation, int) {
     return operation == Operation::syncFolder ? Fate::failsBefore : Fate::succeeds;
   };
-  (void)folder.queue.runNext();
+  (void)folder.queue.appendNextBatch();
   folder.disk.fate = nullptr;
   EXPECT_TRUE(fleet->append(recordOf(1, false)));
 }
@@ -120,7 +120,7 @@
   folder.queue.add({counters, recordOf(1, true), AppendUrgency::counters, encode,
                     [](const auto& appended) { EXPECT_TRUE(appended); }});
   EXPECT_EQ(encoded, 0);
-  (void)folder.queue.runNext();
+  (void)folder.queue.appendNextBatch();
   EXPECT_EQ(encoded, 1);
   EXPECT_EQ(folder.open("counters-")->load()->front().state, "state");
 }
--- a/tests/controller_node_test.cpp
+++ b/tests/controller_node_test.cpp
@@ -288,13 +288,13 @@
   settings.initialAttach = true;
   settings.toleratedMachineFailures = 0;
   settings.firstPort = 7960, settings.lastPort = 7962;
-  EXPECT_TRUE(unusableSettings(settings)) << "no port for the links of the replicated counters";
+  EXPECT_TRUE(settingsError(settings)) << "no port for the links of the replicated counters";
   settings.lastPort = 7963;
-  EXPECT_FALSE(unusableSettings(settings)) << "a cluster of one";
+  EXPECT_FALSE(settingsError(settings)) << "a cluster of one";
   settings.toleratedMachineFailures = 1;
-  EXPECT_TRUE(unusableSettings(settings)) << "a cluster of one tolerates no loss";
+  EXPECT_TRUE(settingsError(settings)) << "a cluster of one tolerates no loss";
   settings.seeds.emplace_back("10.0.0.5:8080");
-  EXPECT_FALSE(unusableSettings(settings));
+  EXPECT_FALSE(settingsError(settings));
 }
 // A later start may find a list from which all others are missing because they are down. It must not end in a loop, and
 // it must neither found a cluster of its own nor acknowledge anything.
