--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -46,7 +46,7 @@
   status.voters = raft.voters();
   status.commitIndex = raft.commitIndex();
   status.view = context_.view.sample();
-  status.extension.members = context_.zones.present(Clock::now());
+  status.extension.members = context_.zones.membersUp(Clock::now());
   return status;
 }
 template <class Message>
--- a/libs/controller/src/member_zones.cpp
+++ b/libs/controller/src/member_zones.cpp
@@ -9,7 +9,7 @@
   others_[address] = {zone, now};
   return !wasUp;
 }
-std::vector<transport::MemberZone> MemberZones::present(TimePoint now) const {
+std::vector<transport::MemberZone> MemberZones::membersUp(TimePoint now) const {
   std::map<std::string, std::string> zones{{address_, zone_}};
   for (const auto& [address, other] : others_)
     if (now - other.heardAt <= kLifetime)
--- a/libs/controller/src/member_zones.hpp
+++ b/libs/controller/src/member_zones.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// In which zones the core machines stand that are up. Pure: the present time is passed in.
+/// In which zones the core machines stand that are up. Pure: the membersUp time is passed in.
 ///
 /// Each follower tells the leader its zone with the heartbeats that it forwards; the leader tells all followers, with
 /// its acknowledgement, whom it has heard lately. What is not repeated within `MemberZones::kLifetime` is dropped, so
@@ -21,7 +21,7 @@
   /// @return whether it was not known before, or not as up.
   bool record(const std::string& address, const std::string& zone, TimePoint now);
   /// This controller and the others heard lately, by address.
-  std::vector<transport::MemberZone> present(TimePoint now) const;
+  std::vector<transport::MemberZone> membersUp(TimePoint now) const;
   /// The address of a controller in a zone, this one if it stands there; none: no controller there is known to be up.
   std::optional<std::string> addressIn(const std::string& zone, TimePoint now) const;
 
--- a/libs/controller/src/outlier_detector.cpp
+++ b/libs/controller/src/outlier_detector.cpp
@@ -12,19 +12,19 @@
 constexpr double kMaxSucceededPerReport = 50;
 constexpr double kMaxFailedPerReport = 4;
 
-constexpr double kMinFailures = 2.5;         // decayed; below this nobody is ejected
-constexpr std::size_t kMinReporters = 2;     // proxies: one alone ejects nobody
-constexpr double kMinFailureRate = 0.25;     // of the runner's attempts, and
-constexpr double kPeerRateFactor = 3;        // so many times the rate of its peers,
-constexpr double kPeerRateDifference = 0.4;  // or so much above it, where many peers fail too
-constexpr std::size_t kEjectedOneIn = 5;     // runners of a service, at most
-constexpr auto kBaseEjectionTime = 1500ms;   // doubled with each consecutive ejection
+constexpr double kMinFailures = 2.5;            // decayed; below this nobody is ejected
+constexpr std::size_t kMinReporters = 2;        // proxies: one alone ejects nobody
+constexpr double kMinFailureRate = 0.25;        // of the runner's attempts, and
+constexpr double kPeerRateFactor = 3;           // so many times the rate of its peers,
+constexpr double kPeerRateDifference = 0.4;     // or so much above it, where many peers fail too
+constexpr std::size_t kRunnersPerEjection = 5;  // runners of a service, at most
+constexpr auto kBaseEjectionTime = 1500ms;      // doubled with each consecutive ejection
 constexpr int kMaxDoublings = 3;
 constexpr auto kProbationTime = 1500ms;
 constexpr double kProbationLevel = 0.5;
 constexpr double kProbationMinFailures = 0.9;         // that send a runner back from probation, and
 constexpr double kProbationFailuresPerSuccess = 0.5;  // so many for each success
-constexpr auto kForgetAfter = 15s;                    // of good health
+constexpr auto kHealthyTimeBeforeReset = 15s;         // of good health
 constexpr double kNegligibleAttempts = 0.01;
 }  // namespace
 
@@ -121,7 +121,7 @@
     setHealth(runner, stats, Health::ejected, now);
   else if (stats.health == Health::probation && expired)
     setHealth(runner, stats, Health::healthy, now);
-  if (stats.health == Health::healthy && now - stats.healthSince > kForgetAfter)
+  if (stats.health == Health::healthy && now - stats.healthSince > kHealthyTimeBeforeReset)
     stats.ejectionCount = 0;
 }
 bool OutlierDetector::isOutlier(const RunnerStats& stats, const ServiceTotals& service) {
@@ -151,7 +151,7 @@
   for (auto& suspect : suspects) {
     // With many ejected the remaining runners would be overloaded, and the fault is then hardly the runners'.
     auto& service = *suspect.service;
-    const std::size_t limit = service.runners < 2 ? 0 : std::max<std::size_t>(1, service.runners / kEjectedOneIn);
+    const std::size_t limit = service.runners < 2 ? 0 : std::max<std::size_t>(1, service.runners / kRunnersPerEjection);
     if (service.unhealthy >= limit)
       continue;
     ++service.unhealthy;
@@ -181,7 +181,7 @@
     if (!knownRunners_.contains(runner))
       return true;
     const bool negligible = stats.succeeded + stats.failed < kNegligibleAttempts;
-    return stats.health == Health::healthy && negligible && now - stats.healthSince > kForgetAfter;
+    return stats.health == Health::healthy && negligible && now - stats.healthSince > kHealthyTimeBeforeReset;
   });
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/platform_functions.cpp
+++ b/libs/controller/src/platform_functions.cpp
@@ -119,8 +119,8 @@
 void PlatformFunctions::sendReport(const state_machine::UsageReport& report) {
   const auto window = report.window;
   client_.call({kUsageSubject, "/usage-reports", bodyOf(report)}, [this, window](platform::CallOutcome outcome) {
-    const bool isOver = outcome == platform::CallOutcome::accepted || outcome == platform::CallOutcome::invalid;
-    if (!isOver)
+    const bool isFinal = outcome == platform::CallOutcome::accepted || outcome == platform::CallOutcome::invalid;
+    if (!isFinal)
       return;
     reportsAccepted_ += outcome == platform::CallOutcome::accepted ? 1 : 0;
     log::debug("usage_reported", {{"window", window}, {"accepted", outcome == platform::CallOutcome::accepted}});
--- a/libs/controller/src/quota_allocator.cpp
+++ b/libs/controller/src/quota_allocator.cpp
@@ -7,9 +7,9 @@
 // An access machine not heard from for so long has used its local reserve or lost it.
 constexpr auto kReserveLifetime = 4s;
 // After a change of the leader: until each local reserve has been reported here or has expired.
-constexpr auto kUnknownReservesFor = 4500ms;
-// How the allowed excess is divided: a fraction of it goes to the refill rate. The rest, with most of the slack, goes
-// to what may be used at once, in the bucket and in the local reserves together.
+constexpr auto kUnknownReservesPeriod = 4500ms;
+// How the allowed excess is divided: a fraction of it goes to the refill rate. The rest, with bucketLimit of the slack,
+// goes to what may be used at once, in the bucket and in the local reserves together.
 constexpr double kExcessInRate = 0.3;
 constexpr double kExcessInCapacity = 0.5;
 constexpr double kSlackInCapacity = 0.7;
@@ -82,12 +82,12 @@
   return tokens;
 }
 void QuotaAllocator::refill(TokenBucket& bucket, const BucketLimits& limits, double unreserved, TimePoint now) const {
-  const double least = limits.capacity * kBucketFraction;
+  const double baseLimit = limits.capacity * kBucketFraction;
   // Less after a change of the leader: reserves that nobody has reported yet may still be out there.
-  const bool reservesUnknown = now - termStartedAt_ < kUnknownReservesFor;
-  const double most = reservesUnknown ? least : std::max(least, unreserved);
+  const bool reservesUnknown = now - termStartedAt_ < kUnknownReservesPeriod;
+  const double bucketLimit = reservesUnknown ? baseLimit : std::max(baseLimit, unreserved);
   const double elapsedS = std::chrono::duration<double>(now - bucket.refilledAt).count();
-  bucket.tokens = std::min(most, bucket.tokens + elapsedS * limits.tokensPerS);
+  bucket.tokens = std::min(bucketLimit, bucket.tokens + elapsedS * limits.tokensPerS);
   bucket.refilledAt = now;
 }
 transport::QuotaGrant QuotaAllocator::allocateOne(TimePoint now, const std::string& holder,
--- a/libs/controller/src/runner_liveness.cpp
+++ b/libs/controller/src/runner_liveness.cpp
@@ -61,7 +61,7 @@
     monitor_.recordHeartbeat(runner.id, now - Duration(runner.ageMs));
   transport::HeartbeatBatchResponse response;
   response.number = batch.number;
-  response.extension.members = context_.zones.present(now);
+  response.extension.members = context_.zones.membersUp(now);
   link->send(transport::pack(response, context_.raft->self()));
 }
 void RunnerLiveness::onHeartbeatBatchResponse(const consensus::MemberId& from,
--- a/libs/controller/src/runner_monitor.cpp
+++ b/libs/controller/src/runner_monitor.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr int kIntervalsUntilExpiry = 3;
 constexpr Duration kFailoverAllowance = 1500ms;  // a runner's search for a controller that answers, and the forwarding
-constexpr auto kForgetAfter = 30s;               // heartbeats of a runner that is no longer present
+constexpr auto kAbsentRunnerRetention = 30s;     // heartbeats of a runner that is no longer present
 constexpr auto kSuspendedAfter = 2500ms;         // a longer gap between checks: this process itself stood still
 }  // namespace
 
@@ -25,17 +25,17 @@
   }
   if (!monitoringSince_ || wasSuspended)
     monitoringSince_ = now;
-  const bool hasListened = now - *monitoringSince_ >= timeout_;
+  const bool hasMonitoredFullTimeout = now - *monitoringSince_ >= timeout_;
   std::set<std::string> present;
   std::vector<state_machine::Runner> expired;
   for (const auto& runner : runners) {
     present.insert(runner.id);
     const auto last = lastHeartbeat_.try_emplace(runner.id, now).first->second;
-    if (hasListened && now - last > timeout_)
+    if (hasMonitoredFullTimeout && now - last > timeout_)
       expired.push_back(runner);
   }
   std::erase_if(lastHeartbeat_, [&](const auto& heartbeat) {
-    return !present.contains(heartbeat.first) && now - heartbeat.second > kForgetAfter;
+    return !present.contains(heartbeat.first) && now - heartbeat.second > kAbsentRunnerRetention;
   });
   return expired;
 }
--- a/libs/controller/src/warmup_allocator.cpp
+++ b/libs/controller/src/warmup_allocator.cpp
@@ -5,10 +5,10 @@
 // Parts of what a runner may get in any second. A grant is used within its lifetime, 0.7 s, so a second holds what the
 // bucket refilled in 1.7 s and what it held before: 1.7 x 0.4 + 0.15 = 0.83 of the bound. Where the bound is small the
 // bucket holds one all the same, and refills no faster than the runner bears.
-constexpr double kRefillPart = 0.4;
-constexpr double kCapacityPart = 0.15;
-constexpr std::size_t kMaxGrants = 24;  // in one answer
-constexpr Duration kKnownWithin{400};   // heartbeats of one warm-up differ by their delay
+constexpr double kRefillFraction = 0.4;
+constexpr double kCapacityFraction = 0.15;
+constexpr std::size_t kMaxGrants = 24;        // in one answer
+constexpr Duration kWarmupEndTolerance{400};  // heartbeats of one warm-up differ by their delay
 }  // namespace
 
 void WarmupAllocator::follow(TimePoint now, const state_machine::StateContents& state,
@@ -36,16 +36,16 @@
 }
 void WarmupAllocator::startTerm(TimePoint now) {
   buckets_.clear();
-  grantsFrom_ = now + transport::kWarmupGrantLifetime;
+  grantsAllowedFrom_ = now + transport::kWarmupGrantLifetime;
 }
 double WarmupAllocator::allowedPerS(const std::string& runner) const {
   return warmups_.requestsPerS(runner) * bounds_.excess + bounds_.slack;
 }
 double WarmupAllocator::tokensPerS(const std::string& runner) const {
-  return std::min(warmups_.requestsPerS(runner), kRefillPart * allowedPerS(runner));
+  return std::min(warmups_.requestsPerS(runner), kRefillFraction * allowedPerS(runner));
 }
 double WarmupAllocator::capacity(const std::string& runner) const {
-  return std::max(1.0, kCapacityPart * allowedPerS(runner));
+  return std::max(1.0, kCapacityFraction * allowedPerS(runner));
 }
 WarmupAllocator::TokenBucket& WarmupAllocator::refilledBucket(TimePoint now, const std::string& runner) {
   auto& bucket = buckets_[runner];
@@ -62,15 +62,15 @@
   const auto limited = warmups_.limitedRunners(now);
   if (limited.empty())
     buckets_.clear();
-  if (limited.empty() || now < grantsFrom_)
+  if (limited.empty() || now < grantsAllowedFrom_)
     return grants;
   const auto first = nextRunner_++ % limited.size();
   for (std::size_t i = 0; i < limited.size() && grants.size() < kMaxGrants; ++i) {
     const auto& runner = limited[(first + i) % limited.size()];
     auto& bucket = refilledBucket(now, runner);
     // Other zones get what the proxies of the runner's own zone leave.
-    const bool isNear = warmups_.zoneOf(runner) == zone;
-    const bool mayTake = bucket.tokens >= 1 && (isNear || bucket.tokens >= capacity(runner));
+    const bool isInRunnerZone = warmups_.zoneOf(runner) == zone;
+    const bool mayTake = bucket.tokens >= 1 && (isInRunnerZone || bucket.tokens >= capacity(runner));
     if (!mayTake)
       continue;
     bucket.tokens -= 1;
@@ -84,6 +84,6 @@
   const Duration left(reported.software.warmupMs);
   if (left <= Duration(0))
     return warmups_.isAnnounced(reported.id);
-  return now + left > warmups_.warmAt(reported.id) + kKnownWithin;
+  return now + left > warmups_.warmAt(reported.id) + kWarmupEndTolerance;
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/warmup_allocator.hpp
+++ b/libs/controller/src/warmup_allocator.hpp
@@ -52,7 +52,7 @@
   std::int64_t followedRunners_ = 0;            // the revision of their table
   std::int64_t followedVersion_ = -1;           // of the configuration
   std::map<std::string, TokenBucket> buckets_;  // by runner
-  TimePoint grantsFrom_{};
+  TimePoint grantsAllowedFrom_{};
   std::size_t nextRunner_ = 0;  // grants begin at another runner each time
 };
 }  // namespace zinccleat::controller
--- a/tests/member_zones_test.cpp
+++ b/tests/member_zones_test.cpp
@@ -13,9 +13,9 @@
 
 TEST(MemberZones, KnowsItselfAndWhomItHeard) {
   MemberZones zones("10.0.0.1", "a");
-  EXPECT_EQ(zones.present(kNow), (std::vector<MemberZone>{{"10.0.0.1", "a"}}));
+  EXPECT_EQ(zones.membersUp(kNow), (std::vector<MemberZone>{{"10.0.0.1", "a"}}));
   zones.record("10.0.0.2", "b", kNow);
-  EXPECT_EQ(zones.present(kNow), (std::vector<MemberZone>{{"10.0.0.1", "a"}, {"10.0.0.2", "b"}}));
+  EXPECT_EQ(zones.membersUp(kNow), (std::vector<MemberZone>{{"10.0.0.1", "a"}, {"10.0.0.2", "b"}}));
   EXPECT_EQ(zones.addressIn("a", kNow), "10.0.0.1");
   EXPECT_EQ(zones.addressIn("b", kNow), "10.0.0.2");
   EXPECT_EQ(zones.addressIn("c", kNow), std::nullopt);
@@ -25,12 +25,12 @@
   zones.record("10.0.0.2", "b", kNow);
   EXPECT_TRUE(zones.addressIn("b", kNow + MemberZones::kLifetime));
   EXPECT_FALSE(zones.addressIn("b", kNow + MemberZones::kLifetime + 1ms));
-  EXPECT_EQ(zones.present(kNow + MemberZones::kLifetime + 1ms).size(), 1U);
+  EXPECT_EQ(zones.membersUp(kNow + MemberZones::kLifetime + 1ms).size(), 1U);
 }
 // A controller of an earlier version names no zone, and nobody can overwrite this one's own.
 TEST(MemberZones, IgnoresWhatCannotBeRight) {
   MemberZones zones("10.0.0.1", "a");
   zones.record("10.0.0.2", "", kNow);
   zones.record("10.0.0.1", "b", kNow);
-  EXPECT_EQ(zones.present(kNow), (std::vector<MemberZone>{{"10.0.0.1", "a"}}));
+  EXPECT_EQ(zones.membersUp(kNow), (std::vector<MemberZone>{{"10.0.0.1", "a"}}));
 }
--- a/tests/shard_startup_test.cpp
+++ b/tests/shard_startup_test.cpp
@@ -20,22 +20,22 @@
   return settings;
 }
 /// A controller whose fleet member has started from an empty disk.
-struct Started {
+struct StartedController {
   ControllerContext context;
-  Started(const std::string& ip, bool firstStart) : context(settingsOf(ip, firstStart)) {
+  StartedController(const std::string& ip, bool firstStart) : context(settingsOf(ip, firstStart)) {
     startRaft(context, {}, kIncarnation);
   }
   std::unique_ptr<consensus::RaftNode> shardFrom(const storage::Recovery& recovery) const {
     return startShardMember(context, recovery, {}, kIncarnation);
   }
   /// The fleet's log says who founds the shards.
-  void agree(const std::vector<consensus::MemberId>& founders) {
+  void applyFounding(const std::vector<consensus::MemberId>& founders) {
     transport::LogEntry entry = state_machine::shardsFoundedEntry({coordination::kShardCount, founders}, "founding");
     entry.index = context.replica.state().index + 1;
     entry.term = 1;
     (void)context.replica.apply(entry);
   }
-  std::unique_ptr<consensus::RaftNode> found() const { return foundShardMember(context, {}, kIncarnation); }
+  std::unique_ptr<consensus::RaftNode> foundShard() const { return foundShardMember(context, {}, kIncarnation); }
 };
 const std::vector<consensus::MemberId> kFounders{"10.0.0.1#0", "10.0.0.2#0", "10.0.0.3#0"};
 consensus::ClusterConfig configOf(const std::vector<consensus::MemberId>& voters) {
@@ -53,15 +53,15 @@
 }  // namespace
 
 TEST(ShardStartup, NobodyFoundsBeforeItIsAgreed) {
-  const Started founder("10.0.0.1", true);
+  const StartedController founder("10.0.0.1", true);
   EXPECT_TRUE(founder.shardFrom({})->voters().empty());
-  EXPECT_FALSE(founder.found());
+  EXPECT_FALSE(founder.foundShard());
 }
 TEST(ShardStartup, ThoseWhoAreNamedFoundTheShardFromTheSameState) {
   for (const auto* ip : {"10.0.0.1", "10.0.0.2", "10.0.0.3"}) {
-    Started founder(ip, true);
-    founder.agree(kFounders);
-    const auto member = founder.found();
+    StartedController founder(ip, true);
+    founder.applyFounding(kFounders);
+    const auto member = founder.foundShard();
     ASSERT_TRUE(member) << ip;
     EXPECT_EQ(member->self(), founder.context.raft->self());
     EXPECT_EQ(member->voters(), kFounders);
@@ -69,19 +69,19 @@
   }
 }
 TEST(ShardStartup, AMachineThatIsNotNamedJoins) {
-  Started newcomer("10.0.0.9", true);
-  newcomer.agree(kFounders);
-  EXPECT_FALSE(newcomer.found());
+  StartedController newcomer("10.0.0.9", true);
+  newcomer.applyFounding(kFounders);
+  EXPECT_FALSE(newcomer.foundShard());
   EXPECT_TRUE(newcomer.shardFrom({})->voters().empty());
-  Started wiped("10.0.0.1", false);
-  wiped.agree(kFounders);
-  EXPECT_FALSE(wiped.found()) << "a lost disk is a new member";
+  StartedController wiped("10.0.0.1", false);
+  wiped.applyFounding(kFounders);
+  EXPECT_FALSE(wiped.foundShard()) << "a lost disk is a new member";
   EXPECT_NE(wiped.shardFrom({})->self(), "10.0.0.1#0");
 }
 TEST(ShardStartup, OnlyTheFirstAgreementCounts) {
-  Started founder("10.0.0.1", true);
-  founder.agree(kFounders);
-  founder.agree({"10.0.0.7#7", "10.0.0.8#8"});
+  StartedController founder("10.0.0.1", true);
+  founder.applyFounding(kFounders);
+  founder.applyFounding({"10.0.0.7#7", "10.0.0.8#8"});
   EXPECT_EQ(founder.context.replica.state().shardFounding.founders, kFounders);
   auto invalid = state_machine::shardsFoundedEntry({0, kFounders}, "other");
   invalid.index = 9;
@@ -89,8 +89,8 @@
   EXPECT_EQ(founder.context.replica.state().shardFounding.shards, coordination::kShardCount);
 }
 TEST(ShardStartup, TheAgreementIsInAControllersSnapshotAndInNoOther) {
-  Started founder("10.0.0.1", true);
-  founder.agree(kFounders);
+  StartedController founder("10.0.0.1", true);
+  founder.applyFounding(kFounders);
   state_machine::ReplicatedState restored;
   ASSERT_TRUE(restored.restore(founder.context.replica.snapshot()));
   EXPECT_EQ(restored.state().shardFounding, founder.context.replica.state().shardFounding);
@@ -98,30 +98,30 @@
   EXPECT_FALSE(restored.state().shardFounding.isAgreed());
 }
 TEST(ShardStartup, RecordsAreResumedUnderTheirIdentity) {
-  Started founder("10.0.0.1", true);
-  founder.agree(kFounders);
-  const auto recovery = recordsOf(*founder.found());
+  StartedController founder("10.0.0.1", true);
+  founder.applyFounding(kFounders);
+  const auto recovery = recordsOf(*founder.foundShard());
   ASSERT_FALSE(recovery.records.empty());
-  const Started later("10.0.0.1", false);
+  const StartedController later("10.0.0.1", false);
   const auto member = later.shardFrom(recovery);
   EXPECT_EQ(member->self(), "10.0.0.1#0");
   EXPECT_EQ(member->voters().size(), 3U);
 }
 // A founder that was down, or ended before its first record was on the disk, founds the shard when it comes back.
 TEST(ShardStartup, AFounderThatComesLateFoundsTheSameShard) {
-  const Started before("10.0.0.2", true);
+  const StartedController before("10.0.0.2", true);
   const auto fleetRecords = recordsOf(*before.context.raft);
-  Started later("10.0.0.2", false);
+  StartedController later("10.0.0.2", false);
   startRaft(later.context, fleetRecords, kIncarnation);
-  later.agree(kFounders);
-  ASSERT_TRUE(later.found());
-  EXPECT_EQ(later.found()->self(), "10.0.0.2#0");
-  EXPECT_EQ(later.found()->voters(), kFounders);
+  later.applyFounding(kFounders);
+  ASSERT_TRUE(later.foundShard());
+  EXPECT_EQ(later.foundShard()->self(), "10.0.0.2#0");
+  EXPECT_EQ(later.foundShard()->voters(), kFounders);
 }
 // An update in the middle of a replacement: one machine knows the voters from before it, another those from after it.
-// Each would found a log of its own.
+// Each would foundShard a log of its own.
 TEST(ShardStartup, MachinesThatKnowDifferentVotersDoNotFoundTwoLogs) {
-  const Started before("10.0.0.2", true);
+  const StartedController before("10.0.0.2", true);
   const auto fleetRecords = recordsOf(*before.context.raft);
   auto laterRecords = fleetRecords;
   laterRecords.records.front().snapshotConfig = "10.0.0.1#0 10.0.0.2#0 10.0.0.9#5";
@@ -137,7 +137,7 @@
 }
 // Its shard's records were corrupted and set aside: it may have voted under its identity, and must not again.
 TEST(ShardStartup, AQuarantinedShardJoinsAsANewMember) {
-  const Started founder("10.0.0.1", true);
+  const StartedController founder("10.0.0.1", true);
   storage::Recovery quarantined;
   quarantined.identityLost = true;
   const auto member = founder.shardFrom(quarantined);
