--- a/libs/controller/src/agent_request_handler.cpp
+++ b/libs/controller/src/agent_request_handler.cpp
@@ -2,8 +2,8 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr auto kMachineLifetime = 30s;  // an access machine counts for so long after its last lease request
-constexpr auto kLoadLifetime = 5s;      // a load report counts for so long
+constexpr auto kMachineLifetime = 30s;  // an access machine counts as active for this long after its last lease request
+constexpr auto kLoadLifetime = 5s;      // a load report is used for this long
 }  // namespace
 
 AgentRequestHandler::AgentRequestHandler(const ControllerContext& context)
@@ -46,7 +46,7 @@
       response.extension.exposures.push_back(std::move(*grant));
   if (const auto& zone = request.extension.extension.warmupZone; !zone.empty())
     response.extension.extension.warmups = warmups_.allocate(now, zone);
-  // The list goes only to those that have an older version of it.
+  // The ejection list is sent only to agents that hold an older version of it.
   response.outliersVersion = outliers_.version();
   if (request.outliersVersion != response.outliersVersion)
     response.outliers = outliers_.ejections();
@@ -57,7 +57,7 @@
   transport::QuotaTokenResponse response;
   response.requestId = request.requestId;
   response.granted = context_.raft->hasLease(now);
-  // For no holder in particular: tokens for waiting requests are spent at once and enter no local reserve.
+  // No holder is named: tokens for waiting requests are spent at once and do not enter a local reserve.
   if (response.granted)
     response.grants = quota_.allocate(now, {}, request.waiting, {}, context_.configuration.get());
   return response;
@@ -67,7 +67,7 @@
   for (const auto& [agent, load] : loads_) {
     if (now - load.reportedAt >= kLoadLifetime)
       continue;
-    // The record without a zone is the proxy's own rate.
+    // The record without a zone holds the proxy's own request rate.
     for (const auto& zone : load.zones)
       if (zone.zone.empty())
         sum += zone.runnerRequests;
--- a/libs/controller/src/agent_request_handler.hpp
+++ b/libs/controller/src/agent_request_handler.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// The leader's answers to access machines: leases, tokens of tenants' quotas and runners to avoid. Their requests also
-/// report how busy the fleet is and how attempts at runners went.
+/// Handles the requests that access machines send to the leader: leases, quota tokens and the list of ejected runners.
+/// The requests also carry the load of each proxy and the outcomes of its attempts at runners.
 ///
-/// Owns the soft state behind the answers (token buckets, outlier detection, reported load), which no other component
-/// changes. On the event-loop thread.
+/// Owns the state behind the answers (token buckets, outlier detection, reported load). This state is not replicated,
+/// and no other component changes it. Runs on the event-loop thread.
 #pragma once
 #include "controller_context.hpp"
 #include "outlier_detector.hpp"
@@ -12,47 +12,48 @@
 #include "transport/access_messages.hpp"
 #include "warmup_allocator.hpp"
 namespace zinccleat::controller {
-/// What still runs in a zone or region that is being drained.
+/// Remaining load in a zone or region that is being drained.
 struct ZoneDrainProgress {
-  double runnerRequests = 0;  ///< requests in flight at its runners
-  double proxyRequests = 0;   ///< requests in flight at its proxies
-  int reportingProxies = 0;   ///< proxies of the fleet that reported their load lately
+  double runnerRequests = 0;  ///< requests in flight at the runners of the zone
+  double proxyRequests = 0;   ///< requests in flight at the proxies of the zone
+  int reportingProxies = 0;   ///< proxies of the whole fleet with a recent load report
 };
 
-/// Answers the requests of access machines; see the file's comment.
+/// Handles the requests of access machines; see the file comment.
 class AgentRequestHandler {
  public:
-  /// @param context must outlive this; its settings bound the quota.
+  /// @param context must outlive this object; its settings set the quota bounds.
   explicit AgentRequestHandler(const ControllerContext& context);
-  /// This controller has become the leader: what was learned in an earlier term is dropped.
+  /// Called when this controller becomes the leader. Discards the state of any earlier term.
   void startTerm(TimePoint now);
-  /// Has outlier detection judge the runners again. For the leader, several times a second.
+  /// Re-evaluates which runners are outliers. Called several times a second on the leader.
   void evaluateRunners(TimePoint now);
-  /// Keeps track of the rollouts of the replica; for every controller, several times a second.
+  /// Updates the tracked rollouts from the replica. Called several times a second on every controller.
   void followRollouts(TimePoint now) { rollouts_.follow(now, context_.replica.state()); }
-  /// Keeps track of the runners that are warming up; for every controller, several times a second.
+  /// Updates the tracked warm-ups from the replica. Called several times a second on every controller.
   void followWarmups(TimePoint now) { warmups_.follow(now, context_.replica.state(), context_.configuration.get()); }
-  /// Whether a heartbeat says of its runner's warm-up what is not known.
+  /// Whether a heartbeat carries warm-up information that differs from the tracked state.
   bool changesWarmup(TimePoint now, const state_machine::Runner& reported) const {
     return warmups_.isChangedBy(now, reported);
   }
-  /// The records of rollouts that the leader is to write to the log now.
+  /// Returns the rollout records that the leader must append to the log now.
   std::vector<state_machine::Rollout> decideRollouts(TimePoint now) {
     return rollouts_.decide(now, context_.replica.state(), outliers_.ejections());
   }
-  /// Forgets access machines that have not asked for long. To be called each second.
+  /// Removes access machines that have sent no request for a long time. Called once a second.
   void expireSilentMachines(TimePoint now);
-  /// A lease is granted by a leader with a valid lease of its own; every answer tells how far the log is committed.
+  /// Handles a lease request. A lease is granted only by a leader that holds a valid lease of its own. Every response
+  /// carries the commit index.
   transport::LeaseResponse onLeaseRequest(TimePoint now, const std::string& agent,
                                           const transport::LeaseRequest& request);
-  /// Tokens for requests that wait right now; granted by a leader with a valid lease.
+  /// Grants quota tokens for requests that are waiting at a proxy. Only a leader with a valid lease grants tokens.
   transport::QuotaTokenResponse onQuotaTokenRequest(TimePoint now, const transport::QuotaTokenRequest& request);
 
-  /// Requests a second of all proxies that reported lately.
+  /// Total request rate of all proxies with a recent load report.
   double requestsPerS(TimePoint now) const;
-  /// @param zone a zone or region.
+  /// @param zone name of a zone or region.
   ZoneDrainProgress drainProgressOf(const std::string& zone, TimePoint now) const;
-  /// For reports.
+  /// Read access for status reports.
   const OutlierDetector& outliers() const { return outliers_; }
 
  private:
@@ -65,7 +66,7 @@
   OutlierDetector outliers_;
   rollout::RolloutTracker rollouts_;
   WarmupAllocator warmups_;
-  std::map<std::string, ReportedLoad> loads_;  // by agent
-  std::int64_t accessMachines_ = 0;            // that asked for a lease lately
+  std::map<std::string, ReportedLoad> loads_;  // by agent id
+  std::int64_t accessMachines_ = 0;            // access machines with a recent lease request
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/agent_sessions.cpp
+++ b/libs/controller/src/agent_sessions.cpp
@@ -6,20 +6,21 @@
 
 namespace zinccleat::controller {
 namespace {
-// Bytes that wait for one agent before further entries are sent later.
+// Backlog of one agent, in bytes, above which no further entries are sent to it for now.
 constexpr std::size_t kMaxBacklogBytes = std::size_t{64} * 1024;
-// An agent links to so many controllers. With more voters it misses bodies that were sent ahead.
+// Number of controllers that an agent connects to. With more voters than this, an agent would miss bodies that another
+// controller sends ahead.
 constexpr std::size_t kLinksPerAgent = 3;
-// A cached snapshot is sent on with the entries behind it, up to so many, or half as many as there are runners; then a
-// new one is made.
+// A cached snapshot is reused together with the entries after it while there are at most this many of them, or half as
+// many as there are runners if that is more. After that a new snapshot is made.
 constexpr std::int64_t kMinEntriesBehindSnapshot = 256;
-// By the configurations that agents have cached: those of the last few versions.
+// Snapshots are cached per configuration digest that agents have; this covers the last few configuration versions.
 constexpr std::size_t kMaxCachedSnapshots = 8;
 constexpr auto kSessionTimeout = 6s;
-// Every so many answers to an agent's state hold voters, zones and view, changed or not.
+// One in this many answers to an agent's state messages includes voters, zones and view even if they are unchanged.
 constexpr int kFullStatusInterval = 8;
 
-/// Reports of usage grow with the tenants and concern controllers only.
+/// Removes the body of usage reports: their size grows with the number of tenants, and only controllers need them.
 transport::LogEntry forDataPlane(const transport::LogEntry& entry) {
   if (entry.op() != transport::OperationKind::usageReport)
     return entry;
@@ -27,7 +28,7 @@
   stripped.body.clear();
   return stripped;
 }
-/// Of what a status says of the core's members.
+/// Hash of the voters, addresses and zones in a status message.
 std::size_t membersHashOf(const transport::ClusterStatus& status) {
   std::size_t hash = 0;
   for (const auto& voter : status.voters)
@@ -66,7 +67,7 @@
   context_.view.merge(state.view);
   session.lastApplied = state.lastApplied;
   auto status = clusterStatus();
-  // Voters, zones and view are left out where this link has carried them already.
+  // Voters, zones and view are left out if this connection has carried the same values already.
   const auto membersHash = membersHashOf(status);
   const bool membersKnown = std::exchange(session.sentMembersHash, membersHash) == membersHash;
   if (membersKnown && session.statesAnswered % kFullStatusInterval != 0) {
@@ -85,7 +86,8 @@
     return;
   }
   auto& session = sessions_[agent];
-  // While an answer is under way a refetch is ignored: a slow reader would be sent the same again and again.
+  // A refetch is ignored while an earlier answer is still queued: a slow reader would otherwise be sent the same
+  // entries repeatedly.
   if (request.refetch && session.link == link && session.sentIndex && link->backlog() > 0)
     return;
   const auto from = std::max<std::int64_t>(0, request.lastApplied);
@@ -98,10 +100,10 @@
     return link->send(pack(clusterStatus()));
   }
   session.sentIndex = from;
-  // An agent that does not trust what it has applied needs a snapshot that is no older than that.
+  // An agent that discards its applied state needs a snapshot at least as new as that state.
   if (request.refetch && from == 0)
     snapshots_.clear();
-  // An agent that has nothing, or nothing that it trusts, gets a snapshot instead of entries.
+  // An agent that starts from index 0 gets a snapshot instead of entries.
   if (request.refetch && from > 0 && from + 1 >= context_.raft->firstIndex())
     return feedWithBodies(session);
   feed(session);
@@ -120,7 +122,7 @@
   transport::FeedSnapshot feed;
   feed.term = context_.raft->term();
   feed.lastIncludedIndex = context_.replica.state().index;
-  // A configuration that the agent has cached is not sent again, unless it starts from nothing.
+  // A configuration that the agent has cached is not sent again, unless the agent starts from index 0.
   feed.state = context_.replica.snapshotFor(index == 0 ? std::string{} : cachedDigest);
   return feed;
 }
@@ -146,7 +148,7 @@
   return index == 0 || index + 1 < context_.raft->firstIndex();
 }
 const AgentSessions::SnapshotFrame& AgentSessions::snapshotFrame(std::int64_t index, const std::string& cachedDigest) {
-  // An agent that has nothing, or nothing that it trusts, gets a complete one.
+  // An agent that starts from index 0 gets a complete snapshot.
   const auto digest = index == 0 ? std::string{} : cachedDigest;
   if (!snapshots_.contains(digest) && snapshots_.size() >= kMaxCachedSnapshots)
     snapshots_.clear();
@@ -217,7 +219,8 @@
   });
 }
 void AgentSessions::sendBodyAhead(const transport::LogEntry& entry) {
-  // With more voters most agents are not linked to this one, and entries go to all with their bodies.
+  // With more voters than connections per agent, most agents are not connected to this controller. Entries then carry
+  // their bodies for all agents.
   if (context_.raft->voters().size() > kLinksPerAgent)
     return;
   const auto frame =
--- a/libs/controller/src/api_handlers.hpp
+++ b/libs/controller/src/api_handlers.hpp
@@ -1,65 +1,74 @@
 /// @file
-/// The handlers behind the control API, one a call. They hold no state.
+/// Request handlers of the control API, one function per call. They hold no state.
 #pragma once
 #include "control_api.hpp"
 namespace zinccleat::controller {
-/// One request on its way through its handler.
+/// A request together with the services that its handler uses.
 struct ApiCall {
   ControllerServices& services;
   const ApiRequest& request;
-  std::string_view path;     ///< without the query
-  std::string_view subject;  ///< what stands last in the path, in calls with one: a runner's id or a service's label
+  std::string_view path;     ///< path without the query string
+  std::string_view subject;  ///< last path segment in calls that name a subject: a runner id or a service label
   const std::string& heartbeatUri;
 };
 
-/// A join is acknowledged only once it is committed, like a draining heartbeat. The next heartbeat would find the
-/// runner unknown and write it again, but the response names a `heartbeatUri`: a runner whose joins get no further from
-/// here would be kept here, alive and unknown. A 503 sends it to a controller that can write.
+/// Handles a runner's heartbeat. A join, and a heartbeat that reports draining, is acknowledged only after its write is
+/// committed. Acknowledging an uncommitted join would be unsafe although the next heartbeat finds the runner unknown
+/// and writes it again: the response names a `heartbeatUri`, so a runner whose joins cannot be committed by this
+/// controller would stay here, alive but unknown to the fleet. A 503 sends the runner to a controller that can write.
 ApiResponse handleHeartbeat(const ApiCall& call);
-/// A runner leaves for good: its id is never accepted again. Acknowledged once committed.
+/// Detaches a runner permanently: its id is never accepted again. Acknowledged once committed.
 ApiResponse handleDetach(const ApiCall& call);
-/// Replaces the configuration if the base version named by the caller is the one in force. Acknowledged once committed.
+/// Replaces the configuration if the base version named by the caller is the version in force. Acknowledged once
+/// committed.
 ApiResponse handleReplaceConfiguration(const ApiCall& call);
-/// The configuration in force; a linearizable read.
+/// Returns the configuration in force; a linearizable read.
 ApiResponse handleRetrieveConfiguration(const ApiCall& call);
-/// Begins, changes or ends the drain of a zone or region. Answered by the leader, which alone knows how busy the fleet
-/// is; the others redirect to it.
+/// Begins, changes or ends the drain of a zone or region. Answered by the leader, because only the leader knows the
+/// load of the fleet; other controllers redirect to it.
 ApiResponse handleSetZoneDrain(const ApiCall& call);
-/// The drains in force and how far they have come. Answered by the leader; the others redirect to it.
+/// Lists the active drains and their progress. Answered by the leader; other controllers redirect to it.
 ApiResponse handleListZoneDrains(const ApiCall& call);
-/// Has nothing more sent to the runners of a zone or region. Acknowledged once committed, by any controller.
+/// Evacuates a zone or region: its runners get no further requests. Acknowledged once committed, by any controller.
 ApiResponse handleBeginEvacuation(const ApiCall& call);
-/// Takes an evacuated zone or region back in use; its runners warm up. Acknowledged once committed.
+/// Ends the evacuation of a zone or region; its runners warm up again. Acknowledged once committed.
 ApiResponse handleReleaseEvacuation(const ApiCall& call);
-/// Has the traffic of a service moved to another revision of its runners. Acknowledged once committed, and again
-/// whenever the same order is repeated.
+/// Starts a rollout that moves the traffic of a service to another revision of its runners. Acknowledged once
+/// committed, and again whenever the same order is repeated.
 ApiResponse handleBeginRollout(const ApiCall& call);
-/// How far the newest rollout of a service has come; a linearizable read.
+/// Returns the progress of the newest rollout of a service; a linearizable read.
 ApiResponse handleRetrieveRollout(const ApiCall& call);
-/// Takes a rollout that is in progress back.
+/// Reverts a rollout that is in progress.
 ApiResponse handleRevertRollout(const ApiCall& call);
-/// Prefix hints of the partner site. Answered by the leader; the others redirect to it.
+/// Exchanges prefix hints with the partner site. Answered by the leader; other controllers redirect to it.
 ApiResponse handleExchangeHints(const ApiCall& call);
-/// Calls of applications; see coordination_handlers.cpp. Each is passed to the leaseholder of its shard.
+/// Coordination calls of applications; see coordination_handlers.cpp. Each call is forwarded to the leaseholder of its
+/// shard.
 ApiResponse handleBeginLock(const ApiCall& call);
 ApiResponse handleRenewLock(const ApiCall& call);
 ApiResponse handleReleaseLock(const ApiCall& call);
 ApiResponse handleNextNumber(const ApiCall& call);
 ApiResponse handleReplaceCell(const ApiCall& call);
 ApiResponse handleRetrieveCell(const ApiCall& call);
-/// Answered from this controller's replica, once that is as new as the leaseholder's was at the call.
+/// Waits for changes of cells. Answered from this controller's replica once it is as new as the leaseholder's replica
+/// was when the call arrived.
 ApiResponse handleWatch(const ApiCall& call);
-/// Adds to a replicated counter. Acknowledged once it is on as many disks as can be had; without contact too.
+/// Adds to a replicated counter. Acknowledged once the increment is on as many disks as are currently available; works
+/// without contact to a majority.
 ApiResponse handleModifyTally(const ApiCall& call);
-/// A replicated counter's total, as far as this controller knows; answered without contact too.
+/// Returns the total of a replicated counter as known to this controller; works without contact to a majority.
 ApiResponse handleRetrieveTally(const ApiCall& call);
-/// This controller's view of the replicated counters and of what they lack; answered without contact too.
+/// Lists this controller's view of the replicated counters and of the increments missing on each side; works without
+/// contact to a majority.
 ApiResponse handleListTallies(const ApiCall& call);
-/// This controller's view of the coordination service; answered without contact too.
+/// Reports this controller's view of the coordination service; works without contact to a majority.
 ApiResponse handleShards(const ApiCall& call);
-/// This controller's own view; answered without contact too.
+/// Reports this controller's own status; works without contact to a majority.
 ApiResponse handleStatus(const ApiCall& call);
-/// What this controller has sent, by zone and type of message, and how its disk does; answered without contact too.
+/// Reports the state of the functions at the platform. A controller that knows another leader redirects to it; it works
+/// without contact to a majority otherwise.
 ApiResponse handleListFunctions(const ApiCall& call);
+/// Reports the traffic that this controller has sent, by zone and message type, and the duration of its last disk sync;
+/// works without contact to a majority.
 ApiResponse handleCounters(const ApiCall& call);
 }  // namespace zinccleat::controller
--- a/libs/controller/src/api_responses.cpp
+++ b/libs/controller/src/api_responses.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::controller {
 namespace {
-// A caller goes on to the next controller after a second of silence; the rest of it is for the network.
+// Callers give up on a controller after one second without an answer; the remaining 150 ms cover network latency.
 constexpr Duration kResponseTimeout{850};
 constexpr Duration kMaxResponseTimeout{2500};
 constexpr std::size_t kBodyBytesPerExtraMs = 1024;
--- a/libs/controller/src/append_queue.hpp
+++ b/libs/controller/src/append_queue.hpp
@@ -1,44 +1,45 @@
 /// @file
-/// Records of several storages in one folder that wait for the disk: which of them are made durable together, and in
-/// which order. Blocks for the disk; used by the disk's thread alone.
+/// Queue of records from several storages in one folder that wait to be written to disk. It decides which records are
+/// made durable together and in which order. Calls block on disk operations; the queue is used only by the disk thread.
 #pragma once
 #include <deque>
 
 #include "storage/storage.hpp"
 
 namespace zinccleat::controller {
-/// What waits for a record.
+/// Priority class of a record.
 enum class AppendUrgency {
-  consensus,  ///< votes, entries of a log: an election or a commit may wait for it
-  counters,   ///< copies of it are on other disks as well
+  consensus,  ///< votes and log entries: an election or a commit may be waiting for the record
+  counters,   ///< increments of replicated counters, of which other disks hold copies
 };
-/// A record on its way to the disk.
+/// A record that waits to be appended to its storage.
 struct PendingAppend {
   std::shared_ptr<storage::Storage> storage;
   consensus::DiskRecord record;
   AppendUrgency urgency = AppendUrgency::consensus;
-  /// Encodes the record's state just before it is written; empty: it is there already. For states that would hold the
-  /// event loop up. Called on the disk's thread, once.
+  /// Encodes the record's state just before it is written; empty if `record` already holds the encoded state. Used for
+  /// states whose encoding would block the event loop. Called once, on the disk thread.
   std::function<std::string()> encodeState;
-  std::function<void(const Result<void>&)> onAppended;  ///< called by the queue, on the disk's thread
+  std::function<void(const Result<void>&)> onAppended;  ///< called by the queue on the disk thread
 };
 
-/// Guarantees:
-/// - Records that wait at one moment share the sync of the folder: n of them take n + 1 syncs, not 2 n.
-/// - A consensus record waits for no more than the batch that was under way as it came; a counters record for one more.
-/// - The records of one storage are appended in the order in which they came, one in a batch.
+/// Orders and batches appends. Guarantees:
+/// - Records that wait at the same moment share one sync of the folder: n records take n + 1 syncs instead of 2 n.
+/// - A consensus record waits at most for the batch in progress when it was added; a counters record waits for at most
+///   one more batch.
+/// - Records of one storage are appended in the order in which they were added, one per batch.
 class AppendQueue {
  public:
   void add(PendingAppend append);
   bool empty() const { return waiting_.empty(); }
-  /// Makes the next ones durable and tells those who wait.
-  /// @return the storages that got a full record: obsolete files may be removed.
+  /// Appends the next batch and calls `onAppended` for each of its records.
+  /// @return the storages that received a full record, whose obsolete files may now be removed.
   std::vector<std::shared_ptr<storage::Storage>> appendNextBatch();
 
  private:
   std::vector<PendingAppend> takeBatch();
 
-  std::deque<PendingAppend> waiting_;  // in the order in which they came
-  bool countersPostponed_ = false;     // they waited while a batch of consensus records was written
+  std::deque<PendingAppend> waiting_;  // in order of arrival
+  bool countersPostponed_ = false;     // counters records were left out of the previous batch and must be in the next
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/configuration_handlers.cpp
+++ b/libs/controller/src/configuration_handlers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The calls of operators that replace and retrieve the configuration.
+/// Handlers of the operators' calls that replace and retrieve the configuration.
 #include <charconv>
 
 #include "api_handlers.hpp"
@@ -10,10 +10,10 @@
 namespace {
 using state_machine::ReplicatedState;
 
-/// What a Replace asks for, beside the configuration's text.
+/// The version numbers in a Replace call.
 struct Replacement {
-  std::int64_t baseVersion = 0;  ///< of the configuration that it replaces
-  std::int64_t version = 0;      ///< its own
+  std::int64_t baseVersion = 0;  ///< version of the configuration that the call replaces
+  std::int64_t version = 0;      ///< version of the new configuration
 };
 Result<std::int64_t> parseBaseVersion(std::string_view header) {
   constexpr std::uint64_t kMaxVersion = 10'000'000'000'000'009;
@@ -59,7 +59,8 @@
   if (!replacement)
     return errorResponse(replacement.error());
   const auto [base, version] = *replacement;
-  // This replica may be old, but what was accepted once stays accepted. It may confirm that and nothing else.
+  // This replica may lag, but an accepted configuration stays accepted. A lagging replica may therefore confirm an
+  // earlier acceptance, and nothing else.
   if (services.replica().evaluateReplace(base, version, digestOf(body)) == ReplicatedState::Verdict::acknowledged)
     return acceptedResponse(version);
   if (!services.awaitContact(kContactTimeout))
--- a/libs/controller/src/control_api.cpp
+++ b/libs/controller/src/control_api.cpp
@@ -9,7 +9,7 @@
 namespace {
 struct Route {
   std::string_view method;
-  std::string_view path;  ///< one that ends in a slash is followed by an id or a label
+  std::string_view path;  ///< a path that ends in a slash is followed by an id or a label
   ApiResponse (*handler)(const ApiCall& call);
 
   bool namesSubject() const { return path.ends_with('/'); }
--- a/libs/controller/src/control_server.cpp
+++ b/libs/controller/src/control_server.cpp
@@ -20,7 +20,7 @@
   return {std::string(request.method_string()), std::string(request.target()), request.body(),
           headerOf(request, "X-Base-Version"), headerOf(request, "X-Hint-Seal")};
 }
-/// The answer to a request that could not be read; the connection ends with it.
+/// Writes an error response to a request that could not be read. The caller then closes the connection.
 void writeErrorResponse(runtime::Connection& connection, int status) {
   runtime::SocketError ignored;
   const auto body = proxy::jsonError(proxy::reasonPhrase(status));
--- a/libs/controller/src/control_server.hpp
+++ b/libs/controller/src/control_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Serves the control API over HTTP, until the controller shuts down.
+/// Serves the control API over HTTP until the controller shuts down.
 #pragma once
 #include <optional>
 
@@ -9,24 +9,25 @@
 #include "runtime/event_loop.hpp"
 #include "transport/listener.hpp"
 namespace zinccleat::controller {
-/// The HTTP server of the calls of runners and operators. It must outlive the fibers of its connections.
+/// The HTTP server for calls of runners and operators. It must outlive the fibers of its connections.
 class ControlServer {
  public:
   /// @param services must outlive the server.
-  /// @param address IP:PORT; also where a runner that was acknowledged here may send its next heartbeats.
+  /// @param address IP:PORT of the control API; runners acknowledged by this controller are told to send their next
+  /// heartbeats there.
   ControlServer(ControllerServices& services, std::string address);
-  /// Listens and serves each connection on a fiber of its own.
+  /// Starts to listen and serves each connection on a fiber of its own.
   Result<void> start();
-  /// Serves a connection until it ends; parks the calling fiber.
+  /// Serves a connection until it is closed; suspends the calling fiber.
   void serve(tcp::socket socket);
-  /// The process is about to end: the listener and idle connections close, and a request that arrives all the same gets
-  /// 503 with `Retry-After`, so that its caller goes on to another machine. Requests in flight are answered as usual.
+  /// Called before the process exits. Closes the listener and idle connections. A request that still arrives gets a 503
+  /// with `Retry-After`, so that its caller tries another machine. Requests in flight are answered as usual.
   void stopAccepting();
-  /// Requests that were read completely and are not answered yet.
+  /// Number of requests that were read completely and are not answered yet.
   int inFlight() const { return inFlight_; }
 
  private:
-  /// @return whether the connection stays open after the response.
+  /// whether the connection stays open after the response.
   bool handleRequest(runtime::Connection& connection, const proxy::RequestParser& parser);
 
   ControllerServices& services_;
--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -17,7 +17,8 @@
   runtime::EventLoop loop;
   ControllerNode node(settings);
   ControlServer server(node, settings.controlAddress);
-  // Once the others can go on without this member: what was accepted is answered, and nothing more is accepted.
+  // Called once the other controllers can operate without this member: answers the accepted requests and accepts no
+  // more.
   const auto stopServing = [&](bool deadlinePassed) {
     server.stopAccepting();
     if (deadlinePassed || server.inFlight() == 0)
--- a/libs/controller/src/controller_context.cpp
+++ b/libs/controller/src/controller_context.cpp
@@ -2,7 +2,7 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::size_t kViewSize = 12;  // machines
+constexpr std::size_t kViewSize = 12;  // number of machines
 }
 
 std::string viewNameOfController(const std::string& address) {
--- a/libs/controller/src/controller_context.hpp
+++ b/libs/controller/src/controller_context.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The state that the components of one controller share. Everything here belongs to the event-loop thread.
+/// State shared by the components of one controller. All of it belongs to the event-loop thread.
 #pragma once
 #include "config/configuration.hpp"
 #include "config/settings.hpp"
@@ -8,26 +8,30 @@
 #include "state_machine/replicated_state.hpp"
 #include "transport/partial_view.hpp"
 namespace zinccleat::controller {
-/// Bytes. The body of a larger write is sent ahead of its log entry by the controller that took the write.
+/// Size in bytes above which the body of a write is sent ahead of its log entry, by the controller that accepted the
+/// write.
 constexpr std::size_t kLargeBodyBytes = 16384;
 
-/// Each member has one writer, named beside it; all other components only read.
+/// Shared state. Each data member has a single writer, named in its comment; all other components only read it.
 struct ControllerContext {
-  /// @param initialSettings the settings as they were read at the start.
+  /// @param initialSettings the settings as read at startup.
   explicit ControllerContext(config::Settings initialSettings);
-  config::Settings settings;                                   ///< written by `ControllerNode`
-  std::unique_ptr<consensus::RaftNode> raft;                   ///< set once, by `ControllerNode::start`
-  state_machine::ReplicatedState replica;                      ///< written by `RaftDriver`
-  std::shared_ptr<const config::Configuration> configuration;  ///< the replica's, parsed; null: none. By `RaftDriver`
-  MemberZones zones;               ///< of the controllers that are up; written by `RunnerLiveness`
-  transport::PartialView view;     ///< of the other machines; written by whoever receives a message
-  std::int64_t seedsDeclined = 0;  ///< starts that found nobody to join in the settings; written at startup
+  config::Settings settings;                  ///< written by `ControllerNode`
+  std::unique_ptr<consensus::RaftNode> raft;  ///< set once, by `ControllerNode::start`
+  state_machine::ReplicatedState replica;     ///< written by `RaftDriver`
+  /// parsed configuration of the replica; null: none yet; written by `RaftDriver`
+  std::shared_ptr<const config::Configuration> configuration;
+  MemberZones zones;  ///< zones of the controllers that are up; written by `RunnerLiveness`
+  /// partial view of the other machines; written by each component that receives messages
+  transport::PartialView view;
+  /// number of starts whose settings named no other controller to join; written at startup
+  std::int64_t seedsDeclined = 0;
 
-  /// Whether this controller leads; it may hold no lease yet.
+  /// Whether this controller is the leader. A leader does not necessarily hold a lease yet.
   bool isLeader() const { return raft->role() == consensus::Role::leader; }
-  /// Whether another controller leads, as far as is known here.
+  /// Whether this controller knows of another controller that is the leader.
   bool knowsOtherLeader() const { return !raft->leader().empty() && raft->leader() != raft->self(); }
 };
-/// The name under which a controller at this address stands in the partial views of all machines.
+/// Returns the name under which the controller at this address appears in the partial views of all machines.
 std::string viewNameOfController(const std::string& address);
 }  // namespace zinccleat::controller
--- a/libs/controller/src/controller_node.cpp
+++ b/libs/controller/src/controller_node.cpp
@@ -7,7 +7,7 @@
 namespace zinccleat::controller {
 namespace {
 constexpr auto kTickInterval = 50ms;
-constexpr int kTicksPerEvaluation = 4;  // of the runners, by the leader
+constexpr int kTicksPerEvaluation = 4;  // ticks between two outlier evaluations on the leader
 constexpr auto kForwardInterval = 500ms;
 constexpr auto kMaintenanceInterval = 1000ms;
 }  // namespace
@@ -35,8 +35,8 @@
       dispatcher_(context_, {peers_, driver_, reads_, runners_, agents_, requests_, hints_, platform_}) {}
 ControllerNode::~ControllerNode() = default;
 
-// At the leader, `MessageDispatcher::onSubmitEntry` receives what is forwarded; the raft nodes and the agents keep a
-// body that was sent ahead until its entry comes.
+// On the leader, `MessageDispatcher::onSubmitEntry` receives forwarded entries. Raft nodes and agents keep a body that
+// was sent ahead until its entry arrives.
 PendingWrites::Submitters ControllerNode::submitters() {
   PendingWrites::Submitters submitters;
   submitters.submitHere = [this](const transport::LogEntry& entry) {
@@ -83,7 +83,8 @@
   const auto& settings = context_.settings;
   if (auto listening = peers_.listen(); !listening)
     return listening;
-  // At once, so that the first request to the others is not lost to a connection that is not open yet.
+  // Dials at startup, so that the first request to another controller is not lost because its connection is not open
+  // yet.
   const auto voters = context_.raft->voters();
   for (const auto& voter : voters)
     peers_.dial(consensus::addressOf(voter));
@@ -150,7 +151,7 @@
     driver_.run();
 }
 bool ControllerNode::heartbeatsReachLeader() const {
-  // One that shuts down sends runners to other controllers before it ends.
+  // A controller that is shutting down sends runners to other controllers before it exits.
   return !shutdown_.inProgress() && runners_.heartbeatsReachLeader(Clock::now());
 }
 std::optional<std::string> ControllerNode::leaderControlAddress() const {
--- a/libs/controller/src/controller_node.hpp
+++ b/libs/controller/src/controller_node.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// One controller: a member of the replicated log with its replica, its links and the control API's services.
+/// A controller process: a member of the replicated log with its replica, its connections and the services of the
+/// control API.
 ///
-/// It wires its components and passes events on; each component owns its own state (see its header). All of them run on
-/// the one event-loop thread; only the storage has a thread of its own.
+/// `ControllerNode` constructs the components and passes events between them. Each component owns its own state, as
+/// described in its header. All components run on a single event-loop thread; only storage has a thread of its own.
 #pragma once
 #include "agent_request_handler.hpp"
 #include "agent_sessions.hpp"
@@ -23,22 +24,22 @@
 #include "runner_liveness.hpp"
 #include "status_report.hpp"
 namespace zinccleat::controller {
-/// The controller; see the file's comment.
+/// A controller; see the file comment.
 class ControllerNode final : public ControllerServices {
  public:
-  /// Does nothing until `start`.
+  /// Constructs the components; nothing runs before `start`.
   explicit ControllerNode(config::Settings settings);
   ~ControllerNode() override;
-  /// Recovers the disk, joins the other controllers and starts the timers. Blocks while the disk can't be read.
-  /// @return `ErrorCode::invalidArgument` for settings that no controller can start with, or the error of the disk,
-  /// of the listening socket or of the partner's secret.
+  /// Recovers the disk, joins the other controllers and starts the timers. Blocks while the disk cannot be read.
+  /// @return `ErrorCode::invalidArgument` for settings with which no controller can start, or an error of the disk, of
+  /// the listening socket or of the partner site's secret.
   Result<void> start();
-  /// Takes over what may change in the settings of a running controller: seeds and timers.
+  /// Applies the settings that may change while a controller runs: seeds and timers.
   void reloadSettings(const config::Settings& settings);
-  /// Ends in good order; see `GracefulShutdown`.
+  /// Starts a graceful shutdown; see `GracefulShutdown`.
   void shutDown(const std::function<void(bool deadlinePassed)>& onReadyToExit);
 
-  // ControllerServices, for the control API: see there.
+  // Implementation of `ControllerServices` for the control API; see that interface for documentation.
   const config::Settings& settings() const override { return context_.settings; }
   const state_machine::ReplicatedState& replica() const override { return context_.replica; }
   bool inContact() const override { return contact_.inContact(); }
@@ -88,9 +89,9 @@
   std::string controlAddressAt(const std::string& ip) const;
   StatusSources statusSources() const { return {context_, agents_, requests_, hints_}; }
 
-  const std::uint64_t incarnation_ = randomSeed();  // of this process
+  const std::uint64_t incarnation_ = randomSeed();  // drawn at random by each process
   ControllerContext context_;
-  std::optional<OperationIds> operationIds_;  // once the member's id is known
+  std::optional<OperationIds> operationIds_;  // set once the member's id is known
   MajorityContact contact_;
   PeerLinks peers_;
   AgentSessions agents_;
--- a/libs/controller/src/coordination_handlers.cpp
+++ b/libs/controller/src/coordination_handlers.cpp
@@ -1,8 +1,9 @@
 /// @file
-/// The calls of applications for coordination: locks, numbers, cells, watches.
+/// Handlers of the coordination calls of applications: locks, numbers, cells and watches.
 ///
-/// A 409 or 412 is the outcome of a committed entry. A 503 or 429 is given only where nothing was executeCommand and
-/// never will be; a call whose outcome is not known ends without an answer, and its caller sends it again.
+/// Status 409 and 412 report the outcome of a committed entry. Status 503 and 429 are given only if the command did not
+/// run and never will. If the outcome is unknown, the connection is closed without an answer, and the caller sends the
+/// call again.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/coordination_requests.hpp"
@@ -27,7 +28,7 @@
 ApiResponse numberResponse(HttpStatus status, std::string_view name, std::int64_t number) {
   return {status, JsonObject().number(name, number).json(), ""};
 }
-/// What a call answers whose outcome is not `OutcomeKind::done`.
+/// Builds the response to an outcome other than `OutcomeKind::done`.
 ApiResponse failureResponse(const Outcome& outcome) {
   switch (outcome.result()) {
     case OutcomeKind::lockTaken:
@@ -43,7 +44,7 @@
   }
   return okResponse("{}");
 }
-/// Has a command executeCommand, and makes the answer of its outcome.
+/// Runs a command and builds the response from its outcome.
 template <class Answer>
 ApiResponse executeCommand(const ApiCall& call, const Command& command, Answer&& makeResponse) {
   const ResponseDeadline deadline;
@@ -54,7 +55,7 @@
     return errorResponse(outcome.error());
   return outcome->result() == OutcomeKind::done ? makeResponse(*outcome) : failureResponse(*outcome);
 }
-/// One of the calls on a lock.
+/// Handles one of the calls on a lock.
 template <class Answer>
 ApiResponse lockCall(const ApiCall& call, CommandKind kind, config::LockFields required, Answer&& makeResponse) {
   const auto request = config::parseLockRequest(call.request.body, required);
--- a/libs/controller/src/coordination_service.cpp
+++ b/libs/controller/src/coordination_service.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kFreshnessTimeout{850};
 constexpr Duration kWatchContactCheck{500};
 constexpr std::size_t kMaxWatches = 1024;
-constexpr Duration kProposalInterval{500};  // a proposal may be lost with its leader
+constexpr Duration kProposalInterval{500};  // a proposal may be lost together with its leader, so it is repeated
 }  // namespace
 
 CoordinationService::CoordinationService(ControllerContext& context, ProposeFounding proposeFounding)
@@ -57,7 +57,7 @@
     shard->start(disk);
   return {};
 }
-// At once, so that the first request to the others is not lost to a connection that is not open yet.
+// Dials at startup, so that the first request to another controller is not lost because its connection is not open yet.
 void CoordinationService::dialOthers() {
   for (const auto& seed : seedAddresses(context_.settings))
     links_.dial(seed);
@@ -167,7 +167,8 @@
                                         TimePoint deadline) {
   const auto leader = shard.raft().leader();
   const auto self = shard.raft().self();
-  // A machine that is cut off does not send: what may reach the other side later can't be called not executed.
+  // A machine without contact to a majority does not send the call. A message that may still be delivered later cannot
+  // be reported as not executed.
   if (leader.empty() || !shard.raft().inContactWithMajority(Clock::now()))
     return AttemptEnd::notSent;
   const auto callId = ++lastCallId_;
@@ -229,7 +230,7 @@
       return *answer;
     const auto left = toDuration(deadline - now) + 1ms;
     (void)runtime::EventLoop::get().waitFor(watch.waiter, std::min(left, kWatchContactCheck));
-    // Puts would not reach this replica: the caller is better off at another one.
+    // New puts would not reach this replica, so the caller has to use another controller.
     if (leaving_ || !shard.raft().inContactWithMajority(Clock::now()))
       return makeError(ErrorCode::unavailable, "this replica receives no puts");
   }
--- a/libs/controller/src/coordination_service.hpp
+++ b/libs/controller/src/coordination_service.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// Locks, numbers, cells and watches on this controller: its members of all shards, the links to the other
-/// controllers' members, the calls that wait for their leaseholder and the watches that wait for a put.
+/// The coordination service (locks, numbers, cells and watches) on this controller. It holds this controller's members
+/// of all shards, the connections to the members on other controllers, the calls that wait for their leaseholder and
+/// the watches that wait for a put.
 ///
-/// The shards have links of their own, so that a controller of a version without them is not sent what it would refuse.
-/// On the event-loop thread; calls and watches park their fiber.
+/// The shards use connections of their own, so that a controller of a version without shards does not receive messages
+/// that it would reject. Everything runs on the event-loop thread; calls and watches suspend their fiber.
 #pragma once
 #include "coordination/call_progress.hpp"
 #include "coordination/messages.hpp"
@@ -13,47 +14,48 @@
 #include "runtime/event_loop.hpp"
 #include "shard_founder.hpp"
 namespace zinccleat::controller {
-/// The service; see the file's comment.
+/// The coordination service; see the file comment.
 class CoordinationService {
  public:
-  /// Has an entry of the fleet's log written, at its leader.
+  /// Proposes an entry of the fleet's log; called on the leader of that log.
   using ProposeFounding = std::function<void(const state_machine::ShardFounding&)>;
-  /// @param context must outlive this; its fleet member must exist before `recover`.
+  /// @param context must outlive this object; its Raft node must exist before `recover` is called.
   CoordinationService(ControllerContext& context, ProposeFounding proposeFounding);
-  /// Recovers all shards' files. Blocks while the disk can't be read.
+  /// Recovers the files of all shards. Blocks while the disk cannot be read.
   Result<void> recover(std::uint64_t incarnation);
-  /// Listens for the other controllers and begins to take part.
+  /// Listens for connections of the other controllers and starts all shards.
   Result<void> start(const std::shared_ptr<DiskThread>& disk);
   /// To be called every `RaftOptions::tickInterval`.
   void tick(TimePoint now);
   void setSeedAddresses(const std::vector<std::string>& addresses);
-  /// Begins a planned end: hands the leases over, asks the others to go on without this machine, ends all watches.
+  /// Begins a planned shutdown: hands over the leases of all shards, asks the other members to continue without this
+  /// machine and ends all watches.
   void leave(TimePoint now);
-  /// Whether the others can do without this machine, after `leave`.
+  /// Whether the other members can operate without this machine. Meaningful after `leave`.
   bool mayExit() const;
 
-  /// Parks the calling fiber until the leaseholder of the command's shard has answered; asks the next one where it has
-  /// not, or is lost.
-  /// @return `ErrorCode::unavailable`: not executed, and it never will be; `ErrorCode::outcomeUnknown`: it may have
-  /// been, or may yet be.
+  /// Suspends the calling fiber until the leaseholder of the command's shard has answered. If the leaseholder is lost
+  /// or has not executed the command, the call is sent to the next leaseholder.
+  /// @return `ErrorCode::unavailable`: the command was not executed and never will be; `ErrorCode::outcomeUnknown`: the
+  /// command may have been executed or may still be.
   Result<coordination::Outcome> call(const coordination::Command& command, Duration timeout);
-  /// Parks the calling fiber until there are puts above a revision, or the time is up.
-  /// @param after 0: only the present revision is asked for.
-  /// @return complete up to the revision that it names, which is not below any that was acknowledged before the call;
-  /// `ErrorCode::unavailable` if this replica can't know that, or can no longer; `ErrorCode::limitReached`: as many
-  /// watches wait here as may.
+  /// Suspends the calling fiber until the group has puts above a revision, or `wait` is over.
+  /// @param after the revision; 0 only requests the current revision.
+  /// @return all events up to the revision in the result, which is not below any revision acknowledged before the call;
+  /// `ErrorCode::unavailable` if this replica cannot guarantee that; `ErrorCode::limitReached` if the maximum number of
+  /// watches is already waiting.
   Result<coordination::WatchedEvents> watch(const std::string& group, std::int64_t after, Duration wait);
-  /// The body of the Shards call.
+  /// Returns the response body of the Shards call.
   std::string shardsJson(TimePoint now) const;
 
  private:
-  /// A call whose fiber waits here.
+  /// A call of this controller whose fiber waits for the result.
   struct PendingCall {
     runtime::Waiter waiter;
     std::optional<coordination::CallResult> result;
     int shard = 0;
   };
-  /// A call that another controller has sent to a leaseholder here.
+  /// A call that another controller has sent to a leaseholder on this controller.
   struct RemoteCall {
     consensus::MemberId from;
     std::int64_t requestId = 0;
@@ -67,7 +69,7 @@
   CoordinationShard::Callbacks callbacksFor(int shard);
   void dialOthers();
   bool hasRecords() const;
-  /// At the leader of the fleet's log: has it agreed on once who founds the shards.
+  /// On the leader of the fleet's log: decides who founds the shards, and proposes the decision once to the log.
   void proposeFoundingIfDecided(TimePoint now);
   void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
   void onRecordsQuery(const transport::PeerLinkPtr& link, const coordination::ShardRecordsQuery& query);
@@ -77,8 +79,8 @@
   void onApplied(int shard);
   void wakeWatches(int shard);
   CoordinationShard& shardAt(int number) { return *shards_[static_cast<std::size_t>(number)]; }
-  /// Passes the call to the leaseholder as it is known now, and waits for its end, for another leaseholder or until the
-  /// deadline.
+  /// Sends the call to the leaseholder that is currently known. Waits until the call has ended, another leaseholder is
+  /// known or the deadline has passed.
   coordination::AttemptEnd attempt(CoordinationShard& shard, const coordination::Command& command, PendingCall& pending,
                                    TimePoint deadline);
   Result<coordination::WatchedEvents> awaitEvents(PendingWatch& watch, TimePoint deadline);
@@ -88,10 +90,10 @@
   ShardFounder founder_;
   TimePoint proposedAt_{};
   PeerLinks links_;
-  std::vector<std::unique_ptr<CoordinationShard>> shards_;  // by number
-  std::map<std::int64_t, PendingCall*> calls_;              // by id, on the stacks of the fibers that wait
-  std::map<std::int64_t, RemoteCall> remoteCalls_;          // by id
-  std::vector<PendingWatch*> watches_;                      // on the stacks of the fibers that wait
+  std::vector<std::unique_ptr<CoordinationShard>> shards_;  // by shard number
+  std::map<std::int64_t, PendingCall*> calls_;      // by call id; the objects are on the stacks of the waiting fibers
+  std::map<std::int64_t, RemoteCall> remoteCalls_;  // by call id
+  std::vector<PendingWatch*> watches_;              // the objects are on the stacks of the waiting fibers
   std::int64_t lastCallId_ = 0;
   bool leaving_ = false;
 };
--- a/libs/controller/src/coordination_shard.cpp
+++ b/libs/controller/src/coordination_shard.cpp
@@ -7,12 +7,13 @@
 
 namespace zinccleat::controller {
 namespace {
-// The log is compacted once it is as large as two snapshots, so that writing snapshots costs no more than the log does,
-// and no later than a start can read at ease: each group commit is a file.
+// The log is compacted once it is twice as large as a snapshot, so that writing snapshots costs no more than writing
+// the log. It is compacted after kMaxCompactionInterval entries at the latest: each group commit is a file, and a start
+// has to read them all.
 constexpr std::int64_t kMinCompactionInterval = 96;    // entries
 constexpr std::int64_t kMaxCompactionInterval = 2048;  // entries
 constexpr std::size_t kLogBytesPerSnapshotByte = 2;
-constexpr int kHistoryFactor = 2;  // of what a watch is promised
+constexpr int kHistoryFactor = 2;  // times the history that watches are guaranteed
 
 bool isShardSnapshot(const std::string& snapshot) {
   coordination::ShardState probe;
@@ -66,7 +67,7 @@
   run();
 }
 void CoordinationShard::receive(const consensus::MemberId& from, consensus::ConsensusMessage message) {
-  // Another founder may be ahead; what is lost is sent again.
+  // Another founder may already be participating. A message dropped here is sent again by its sender.
   participateIfAgreed();
   if (!isParticipating_)
     return;
@@ -83,8 +84,8 @@
   raft_->leave(now);
   run();
 }
-// After each event: the actions of the log first, then what a change of the role means for the leaseholder, then what
-// it proposes, until there is nothing more to do; last of all the answers.
+// Runs after each event. Executes the actions of the Raft node first, then applies a change of role to the leaseholder,
+// then proposes the leaseholder's next batch, and repeats this until nothing is left to do. Results are delivered last.
 void CoordinationShard::run() {
   if (running_)
     return;
@@ -127,7 +128,8 @@
   if (!entry)
     return false;
   ++operations_;
-  (void)raft_->submit(now, std::move(*entry));  // it leads: `syncLeaseholderTerm` has just looked
+  // this member is the leader: `syncLeaseholderTerm` has just checked
+  (void)raft_->submit(now, std::move(*entry));
   return true;
 }
 void CoordinationShard::executeAction(const consensus::SendMessage& action) const {
@@ -151,7 +153,7 @@
   compactIfDue();
 }
 void CoordinationShard::executeAction(consensus::RestoreSnapshot& action) {
-  // Validated before it gets here, by `recoverDisk` or by `RaftOptions::snapshotIsValid`.
+  // The snapshot was validated earlier, by `recoverDisk` or by `RaftOptions::snapshotIsValid`.
   checkInvariant(state_.restore(action.state).has_value(), "a shard's snapshot that was found valid restores");
   snapshotBytes_ = action.state.size();
   callbacks_.onRestored();
--- a/libs/controller/src/coordination_shard.hpp
+++ b/libs/controller/src/coordination_shard.hpp
@@ -1,42 +1,44 @@
 /// @file
-/// This machine's member of one shard of the coordination service: the replicated log, the replica and, while it leads,
-/// the leaseholder. Without records of the shard it waits, and takes no part, until the fleet's log says who founds it.
-/// It carries out what the three ask for, as `RaftDriver` does for the fleet's log. On the event-loop thread; results
-/// of the disk come back to it.
+/// This machine's member of one shard of the coordination service: the replicated log, the replica and, while this
+/// member leads, the leaseholder. A member without records of the shard does not participate until an entry of the
+/// fleet's log says who founds the shard. This class executes the actions that the log, the replica and the leaseholder
+/// request, as `RaftDriver` does for the fleet's log. It runs on the event-loop thread, to which disk results are
+/// posted.
 #pragma once
 #include "controller_context.hpp"
 #include "coordination/leaseholder.hpp"
 #include "storage_thread.hpp"
 namespace zinccleat::controller {
-/// One shard; see the file's comment.
+/// Member of one shard; see the file comment.
 class CoordinationShard {
  public:
-  /// What a shard needs of the service that it is a part of.
+  /// Functions of the owning service that a shard calls.
   struct Callbacks {
     std::function<void(const consensus::MemberId& to, const consensus::ConsensusMessage& message)> send;
     std::function<void(const coordination::CallResult&)> onResult;
-    /// Another leader, or none, is followed now.
+    /// The known leader has changed, possibly to none.
     std::function<void()> onLeaderChanged;
     /// The replica has applied an entry.
     std::function<void()> onApplied;
-    /// The replica was restored from a snapshot, which may hold puts of any group.
+    /// The replica was restored from a snapshot, which may contain puts of any group.
     std::function<void()> onRestored;
   };
   CoordinationShard(const ControllerContext& context, int number, Callbacks callbacks);
-  /// Recovers the shard's files and makes its member. Blocks while the disk can't be read.
+  /// Recovers the shard's files and creates the Raft node. Blocks while the disk cannot be read.
   Result<void> recover(std::uint64_t incarnation);
-  /// Begins to write. To be called once all storages of the process are recovered.
+  /// Starts writing to disk. Must be called after all storages of the process have been recovered.
   void start(const std::shared_ptr<DiskThread>& disk);
   void tick(TimePoint now);
   void receive(const consensus::MemberId& from, consensus::ConsensusMessage message);
-  /// Passes a call to the leaseholder; its result comes by `Callbacks::onResult`, perhaps during this call.
+  /// Passes a call to the leaseholder. The result is delivered to `Callbacks::onResult`, possibly before this function
+  /// returns.
   void call(std::int64_t callId, const coordination::Command& command);
-  /// Starts to leave the shard for a planned end of the process.
+  /// Starts to leave the shard before a planned exit of the process.
   void leave(TimePoint now);
   void setSeedAddresses(const std::vector<std::string>& addresses) { raft_->setSeedAddresses(addresses); }
-  /// Whether this machine's disk has records of the shard.
+  /// Whether this machine's disk holds records of the shard.
   bool hasRecords() const { return hasRecords_; }
-  /// Whether the others can do without this machine, after `leave`.
+  /// Whether the other members can operate without this machine. Meaningful after `leave`.
   bool mayExit() const { return !isParticipating_ || raft_->mayExit(); }
 
   int number() const { return number_; }
@@ -56,7 +58,7 @@
   bool propose();
   std::string nextOperationId() const;
   void compactIfDue();
-  /// Founds or joins the shard's log once it is agreed who founds it.
+  /// Founds or joins the shard's log once the fleet's log says who founds it.
   void participateIfAgreed();
 
   const ControllerContext& context_;
@@ -66,13 +68,13 @@
   consensus::RaftOptions options_;
   std::uint64_t incarnation_ = 0;
   bool hasRecords_ = false;
-  bool canFoundShard_ = false;                        // its disk has lost no records of the shard
-  bool isParticipating_ = false;                      // else it waits for the agreement
-  std::optional<storage::Storage> recoveredStorage_;  // until `start`
+  bool canFoundShard_ = false;                        // this machine has no records of the shard and has not lost any
+  bool isParticipating_ = false;                      // false: waiting for the fleet's log to name the founders
+  std::optional<storage::Storage> recoveredStorage_;  // moved to `storage_` by `start`
   std::unique_ptr<AsyncStorage> storage_;
   coordination::ShardState state_;
   coordination::Leaseholder leaseholder_;
-  std::int64_t ledTerm_ = 0;  // the term that the leaseholder works in; 0: this member does not lead
+  std::int64_t ledTerm_ = 0;  // term in which the leaseholder is active; 0: this member does not lead
   consensus::MemberId leader_;
   std::int64_t operations_ = 0;
   std::int64_t entriesSinceCompaction_ = 0;
--- a/libs/controller/src/counter_handlers.cpp
+++ b/libs/controller/src/counter_handlers.cpp
@@ -1,9 +1,9 @@
 /// @file
-/// The calls of applications on replicated counters, which the wire calls tallies. Each controller answers them by
-/// itself, with or without contact to the others.
+/// Handlers of the applications' calls on replicated counters, which the HTTP API calls tallies. Each controller
+/// answers them by itself, with or without contact to the others.
 ///
-/// A call that could not be acknowledged in time ends without an answer: it may count, and its caller sends it again
-/// with the same id.
+/// A call that could not be acknowledged in time ends without an answer. Its increment may still be counted; the caller
+/// sends the call again with the same id.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/coordination_requests.hpp"
--- a/libs/controller/src/counter_service.cpp
+++ b/libs/controller/src/counter_service.cpp
@@ -17,7 +17,8 @@
 constexpr Duration kAppendRetryInterval{200};
 constexpr std::string_view kFilePrefix = "counters-";
 
-/// A batch as the disk's thread encodes it: a type of its own, since each thread may encode its own types only.
+/// Wrapper around a batch that is encoded on the disk thread. A separate type is needed because each type may be
+/// encoded on one thread only.
 struct StoredBatch {
   std::shared_ptr<IncrementBatch> batch = std::make_shared<IncrementBatch>();
   template <class V>
@@ -32,7 +33,8 @@
   const auto batch = avro::decode<IncrementBatch>(state);
   return batch && replicated_counters::isWellFormed(*batch);
 }
-// An incarnation is drawn by each process: with the address, no two machines have the same origin by chance.
+// Each process draws a random incarnation. Combined with the address it makes a collision of two origins practically
+// impossible.
 replicated_counters::OriginId originOf(const std::string& address, std::uint64_t incarnation) {
   return static_cast<replicated_counters::OriginId>(hash64(address, incarnation));
 }
@@ -54,7 +56,7 @@
   options.origin = originOf(settings.ip, incarnation);
   options.zone = settings.zone;
   options.copies = settings.toleratedMachineFailures;
-  replica_.emplace(options, Clock::now());  // after the disk's recovery, which may have taken long
+  replica_.emplace(options, Clock::now());  // read after the disk recovery, which may take long
   for (const auto& record : disk->recovery.records) {
     const auto batch = batchOf(record);
     if (!batch || !replicated_counters::isWellFormed(*batch))
@@ -134,7 +136,8 @@
 template <class Message>
 void CounterService::send(const std::string& address, const Message& message) {
   const auto member = heardMembers_.find(address);
-  // A machine that was not heard yet is known by its address alone, which is all that a dialled link needs.
+  // The full member id of a machine that has not sent a message yet is unknown. Its address alone is enough to send on
+  // a dialled connection.
   const auto to = member == heardMembers_.end() ? consensus::MemberId(address) : member->second;
   (void)links_.sendEnvelope(to, transport::pack(message, context_.raft->self()));
 }
@@ -148,8 +151,9 @@
   record.full = action.full;
   appendRecord(record, std::make_shared<IncrementBatch>(std::move(action.batch)));
 }
-// Again until it succeeds: later records build on it, and what it holds is not acknowledged before. Encoded beside the
-// event loop: a snapshot of all kept ids takes a tenth of a second.
+// Retries the append until it succeeds: later records build on this record, and its contents are not acknowledged
+// before. Encoding runs on the disk thread, because encoding a snapshot of all kept ids takes about 100 ms and would
+// block the event loop.
 void CounterService::appendRecord(const consensus::DiskRecord& record, const std::shared_ptr<IncrementBatch>& batch) {
   const auto encode = [batch] { return avro::encode(StoredBatch{batch}); };
   const auto onAppended = [this, record, batch](const Result<void>& appended) {
--- a/libs/controller/src/counter_service.hpp
+++ b/libs/controller/src/counter_service.hpp
@@ -1,34 +1,36 @@
 /// @file
-/// Replicated counters on this controller: its replica, the replica's records on the disk, the links to the other
-/// controllers and the calls that wait for copies. On the event-loop thread; calls park their fiber.
+/// The replicated counters on this controller: the replica, its records on disk, the connections to the other
+/// controllers and the calls that wait for copies. Runs on the event-loop thread; calls suspend their fiber.
 ///
-/// The links are the counters' own, so that a controller of a version without them is not sent what it would refuse.
+/// The service uses connections of its own, so that a controller of a version without replicated counters does not
+/// receive messages that it would reject.
 #pragma once
 #include "peer_links.hpp"
 #include "replicated_counters/counter_replica.hpp"
 #include "runtime/event_loop.hpp"
 #include "storage_thread.hpp"
 namespace zinccleat::controller {
-/// The service; see the file's comment.
+/// The counter service; see the file comment.
 class CounterService {
  public:
-  /// @param context must outlive this; its fleet member must exist before `recover`.
+  /// @param context must outlive this object; its Raft node must exist before `recover` is called.
   explicit CounterService(ControllerContext& context);
-  /// Recovers the counters' files. Blocks while the disk can't be read.
-  /// @param incarnation of this process, drawn at random.
+  /// Recovers the counters' files. Blocks while the disk cannot be read.
+  /// @param incarnation random number drawn by each process.
   Result<void> recover(std::uint64_t incarnation);
-  /// Listens for the other controllers and begins to take part.
+  /// Listens for connections of the other controllers and starts replication.
   Result<void> start(const std::shared_ptr<DiskThread>& disk);
   /// To be called every `RaftOptions::tickInterval`.
   void tick(TimePoint now);
 
-  /// Parks the calling fiber until the increment is acknowledged, or the time is up.
-  /// @return `ErrorCode::limitReached`: nothing was done; `ErrorCode::outcomeUnknown`: it may count, also later.
+  /// Suspends the calling fiber until the increment is acknowledged, or `timeout` is over.
+  /// @return `ErrorCode::limitReached`: nothing was changed; `ErrorCode::outcomeUnknown`: the increment may be counted,
+  /// now or later.
   Result<void> add(const replicated_counters::Increment& increment, Duration timeout);
-  /// The counter's total, as far as this replica knows; 0 for one that is new.
+  /// Returns the counter's total as known to this replica; 0 for an unknown counter.
   /// @return `ErrorCode::unavailable` if this replica has not caught up since its start.
   Result<std::int64_t> total(const std::string& counter) const;
-  /// The body of the Tallies.List call.
+  /// Returns the response body of the Tallies.List call.
   std::string countersJson(TimePoint now) const;
 
  private:
@@ -37,7 +39,7 @@
     bool acknowledged = false;
   };
   void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
-  /// The other controllers' identities, by address; of several at one address the one heard last.
+  /// Updates the connections and the replica's peers from the voters and the seed addresses.
   void followMembership();
   template <class Message>
   void send(const std::string& address, const Message& message);
@@ -48,18 +50,19 @@
   void executeAction(const replicated_counters::Acknowledge& action);
   void appendRecord(const consensus::DiskRecord& record,
                     const std::shared_ptr<replicated_counters::IncrementBatch>& batch);
-  /// Writes to the log who became unreachable or came back.
+  /// Logs which peers became unreachable or reachable again.
   void logReachabilityChanges(TimePoint now);
   void run();
 
   ControllerContext& context_;
   PeerLinks links_;
   std::optional<replicated_counters::CounterReplica> replica_;
-  std::optional<storage::Storage> recoveredStorage_;  // until `start`
+  std::optional<storage::Storage> recoveredStorage_;  // moved to `storage_` by `start`
   std::unique_ptr<AsyncStorage> storage_;
   std::int64_t lastRecord_ = 0;
-  std::map<std::string, consensus::MemberId> heardMembers_;  // by address
-  std::map<std::int64_t, PendingCall*> calls_;               // by id, on the stacks of the fibers that wait
+  // by address; if several members used an address, the last one heard
+  std::map<std::string, consensus::MemberId> heardMembers_;
+  std::map<std::int64_t, PendingCall*> calls_;  // by call id; the objects are on the stacks of the waiting fibers
   std::int64_t lastCallId_ = 0;
   TimePoint membershipFollowedAt_{};
   bool caughtUp_ = false;
--- a/libs/controller/src/graceful_shutdown.cpp
+++ b/libs/controller/src/graceful_shutdown.cpp
@@ -6,8 +6,8 @@
 namespace zinccleat::controller {
 namespace {
 constexpr auto kPollInterval = 50ms;
-constexpr Duration kMinDuration = 400ms;        // answers under way are sent before the process ends
-constexpr Duration kMarginBeforeKill = 1500ms;  // the process ends so long before it would be killed
+constexpr Duration kMinDuration = 400ms;        // time for responses in progress to be sent before the process exits
+constexpr Duration kMarginBeforeKill = 1500ms;  // the process exits this long before the platform would kill it
 }  // namespace
 
 bool GracefulShutdown::begin(const std::function<void(bool deadlinePassed)>& onReadyToExit) {
--- a/libs/controller/src/heartbeat_forwarder.cpp
+++ b/libs/controller/src/heartbeat_forwarder.cpp
@@ -2,9 +2,9 @@
 
 namespace zinccleat::controller {
 namespace {
-// Three batches; a runner that goes on to another controller then has missed one or two heartbeats.
+// Three batch intervals. A runner that then switches to another controller has missed one or two heartbeats.
 constexpr auto kAcknowledgementTimeout = 1500ms;
-constexpr auto kHeartbeatLifetime = 30s;  // an older one is of no use to the leader
+constexpr auto kHeartbeatLifetime = 30s;  // an older heartbeat is of no use to the leader
 constexpr std::size_t kMaxBatchesInFlight = 32;
 }  // namespace
 
--- a/libs/controller/src/lease_reads.cpp
+++ b/libs/controller/src/lease_reads.cpp
@@ -18,7 +18,7 @@
   while (!isDone(read) && Clock::now() < until) {
     const auto left = std::max(1ms, toDuration(until - Clock::now()));
     const bool woken = runtime::EventLoop::get().waitFor(read.waiter, left);
-    // The other controller has answered without a lease: the next attempt follows a little later.
+    // The other controller answered that it holds no lease. The next attempt follows after kRetryInterval.
     if (!woken || !read.readIndex)
       break;
   }
--- a/libs/controller/src/majority_contact.hpp
+++ b/libs/controller/src/majority_contact.hpp
@@ -1,16 +1,18 @@
 /// @file
-/// Whether this controller is in contact with a majority of the voters. Calls are acknowledged only while it is.
+/// Tells whether this controller is in contact with a majority of the voters. Calls are acknowledged only during
+/// contact.
 #pragma once
 #include "controller_context.hpp"
 namespace zinccleat::controller {
-/// Answers from the raft node; has no state of its own.
+/// Derives the contact state from the Raft node; holds no state of its own.
 class MajorityContact {
  public:
-  /// @param context must outlive this.
+  /// @param context must outlive this object.
   explicit MajorityContact(const ControllerContext& context) : context_(context) {}
-  /// Whether a majority has been heard within the lease: by the leader itself, by the others through their leader.
+  /// Whether a majority was heard within the lease duration: directly on the leader, through the leader on followers.
   bool inContact() const;
-  /// Parks the calling fiber until there is contact. @return false: there was none within `timeout`.
+  /// Suspends the calling fiber until there is contact.
+  /// @return false if there was no contact within `timeout`.
   bool await(Duration timeout) const;
 
  private:
--- a/libs/controller/src/message_dispatcher.cpp
+++ b/libs/controller/src/message_dispatcher.cpp
@@ -25,7 +25,7 @@
     case MessageType::quotaTokenRequest:
     case MessageType::prefixLookupRequest:
       return onAgentRequest(link, envelope);
-    default:  // for other roles, or a response that nobody awaits
+    default:  // messages for other roles, or a response that no component waits for
       return;
   }
 }
@@ -41,7 +41,8 @@
 void MessageDispatcher::onSubmitEntry(const transport::PeerLinkPtr& link, const consensus::MemberId& from,
                                       transport::LogEntry entry) {
   components_.peers.recordMessage(from, link);
-  // A write that is submitted again after its commit is still that one write: its sender sees it in its own replica.
+  // A write that is submitted again after its commit counts as accepted: its sender finds the outcome in its own
+  // replica.
   const bool isApplied = context_.replica.outcomeOf(entry.operationId).has_value();
   const bool accepted = isApplied || context_.raft->submit(Clock::now(), std::move(entry));
   components_.peers.send(from, transport::SubmitEntryResponse{accepted});
@@ -59,7 +60,7 @@
 void MessageDispatcher::onHeartbeatMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
   transport::receive<transport::HeartbeatBatch>(link, envelope, [&](const transport::HeartbeatBatch& message) {
     if (components_.runners.onHeartbeatBatch(link, envelope.sender, message, Clock::now()))
-      components_.agents.broadcastStatus();  // the agents of its zone may follow it
+      components_.agents.broadcastStatus();  // agents in the zone of that controller can now follow it
   });
   transport::receive<transport::HeartbeatBatchResponse>(
       link, envelope, [&](const transport::HeartbeatBatchResponse& message) {
--- a/libs/controller/src/message_dispatcher.hpp
+++ b/libs/controller/src/message_dispatcher.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hands each message from another machine to the component that it is for, and sends the answers. Holds no state.
+/// Passes each message from another machine to the component that handles it, and sends the responses. Holds no state.
 #pragma once
 #include "agent_request_handler.hpp"
 #include "agent_sessions.hpp"
@@ -11,10 +11,10 @@
 #include "raft_driver.hpp"
 #include "runner_liveness.hpp"
 namespace zinccleat::controller {
-/// Dispatches by the type of the message; see the file's comment.
+/// Dispatches messages by type; see the file comment.
 class MessageDispatcher {
  public:
-  /// Where messages go.
+  /// The components that handle messages.
   struct Components {
     PeerLinks& peers;
     RaftDriver& driver;
@@ -25,21 +25,21 @@
     PartnerHints& hints;
     PlatformFunctions& platform;
   };
-  /// @param context must outlive this, like all components.
+  /// @param context must outlive this object, as must all components.
   MessageDispatcher(ControllerContext& context, Components components) : context_(context), components_(components) {}
-  /// A message that names no sender, or can't be decoded, ends its link.
+  /// Handles one message. A message that names no sender or cannot be decoded closes its connection.
   void onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
 
  private:
   void onConsensusMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
   void onSubmitEntry(const transport::PeerLinkPtr& link, const consensus::MemberId& from, transport::LogEntry entry);
-  /// Read-index requests and responses between controllers.
+  /// Handles read-index requests and responses between controllers.
   void onReadIndexMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
-  /// Heartbeats of runners, forwarded between controllers.
+  /// Handles heartbeats of runners that controllers forward to each other.
   void onHeartbeatMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
-  /// What agents ask about the log.
+  /// Handles the messages of agents that follow the log.
   void onLogMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
-  /// What agents ask the leader for: leases, quota tokens, prefix lookups.
+  /// Handles the requests of agents to the leader: leases, quota tokens and prefix lookups.
   void onAgentRequest(const transport::PeerLinkPtr& link, const transport::Envelope& envelope);
   template <class Message>
   void respond(const transport::PeerLinkPtr& link, const Message& message) {
--- a/libs/controller/src/operation_ids.hpp
+++ b/libs/controller/src/operation_ids.hpp
@@ -1,19 +1,19 @@
 /// @file
-/// Ids of the writes that this member takes. An id is never used twice: not by this process, not by another
-/// incarnation of the same member, not by another member. The outcome of a write is kept under its id, so two writes
-/// with one id would share one outcome, and the second would be confirmed although only the first was accepted.
+/// Generates ids for the writes that this member accepts. No id is used twice, neither by this process, nor by another
+/// incarnation of the same member, nor by another member. The outcome of a write is stored under its id: two writes
+/// with the same id would share one outcome, and the second would be confirmed although only the first was accepted.
 #pragma once
 #include <cstdio>
 
 #include "runtime/common.hpp"
 namespace zinccleat::controller {
-/// Draws ids for writes; see the file's comment.
+/// Generates ids for writes; see the file comment.
 class OperationIds {
  public:
-  /// @param member the id that this machine keeps over its restarts.
-  /// @param incarnation drawn at random at each start; all 64 bits count.
+  /// @param member the member id, which the machine keeps across restarts.
+  /// @param incarnation random number drawn at each start; all 64 bits are part of the ids.
   OperationIds(const std::string& member, std::uint64_t incarnation) : prefix_(member + "/" + hex(incarnation) + ".") {}
-  /// A new id.
+  /// Returns a new id.
   std::string next() { return prefix_ + std::to_string(++count_); }
 
  private:
--- a/libs/controller/src/outlier_detector.cpp
+++ b/libs/controller/src/outlier_detector.cpp
@@ -6,25 +6,27 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr double kHalfLifeS = 2;  // of a reported attempt
+constexpr double kHalfLifeS = 2;  // decay of the weight of a reported attempt
 constexpr auto kReportLifetime = 4s;
-// What one report about one runner counts at most, so that a single proxy can't outweigh the others.
+// Caps on what a single report about one runner counts, so that one proxy cannot outweigh the others.
 constexpr double kMaxSucceededPerReport = 50;
 constexpr double kMaxFailedPerReport = 4;
 
-constexpr double kMinFailures = 2.5;            // decayed; below this nobody is ejected
-constexpr std::size_t kMinReporters = 2;        // proxies: one alone ejects nobody
-constexpr double kMinFailureRate = 0.25;        // of the runner's attempts, and
-constexpr double kPeerRateFactor = 3;           // so many times the rate of its peers,
-constexpr double kPeerRateDifference = 0.4;     // or so much above it, where many peers fail too
-constexpr std::size_t kRunnersPerEjection = 5;  // runners of a service, at most
-constexpr auto kBaseEjectionTime = 1500ms;      // doubled with each consecutive ejection
+constexpr double kMinFailures = 2.5;      // decayed count; a runner with fewer failures is not ejected
+constexpr std::size_t kMinReporters = 2;  // a runner is ejected only if at least this many proxies report failures
+constexpr double kMinFailureRate = 0.25;  // minimum share of the runner's attempts that failed
+constexpr double kPeerRateFactor = 3;     // required ratio to the failure rate of the service's other runners
+// required excess over that rate; the smaller of the two requirements applies
+constexpr double kPeerRateDifference = 0.4;
+constexpr std::size_t kRunnersPerEjection = 5;  // at most one in this many runners of a service is unhealthy at a time
+constexpr auto kBaseEjectionTime = 1500ms;  // duration of the first ejection; doubles with each consecutive ejection
 constexpr int kMaxDoublings = 3;
 constexpr auto kProbationTime = 1500ms;
 constexpr double kProbationLevel = 0.5;
-constexpr double kProbationMinFailures = 0.9;         // that send a runner back from probation, and
-constexpr double kProbationFailuresPerSuccess = 0.5;  // so many for each success
-constexpr auto kHealthyTimeBeforeReset = 15s;         // of good health
+// a runner in probation with at least this many failures is ejected again,
+constexpr double kProbationMinFailures = 0.9;
+constexpr double kProbationFailuresPerSuccess = 0.5;  // if the failures also exceed this many per success
+constexpr auto kHealthyTimeBeforeReset = 15s;         // healthy time after which the count of ejections restarts
 constexpr double kNegligibleAttempts = 0.01;
 }  // namespace
 
@@ -58,7 +60,7 @@
   }
 }
 void OutlierDetector::startTerm(std::int64_t term) {
-  constexpr int kVersionBitsOfTerm = 24;  // versions of a lower term stay below
+  constexpr int kVersionBitsOfTerm = 24;  // keeps versions of an earlier term below those of a later term
   stats_.clear();
   ejections_.clear();
   version_ = (term << kVersionBitsOfTerm) + 1;
@@ -149,7 +151,8 @@
   std::sort(suspects.begin(), suspects.end(),
             [](const auto& one, const auto& other) { return one.failureRate > other.failureRate; });
   for (auto& suspect : suspects) {
-    // With many ejected the remaining runners would be overloaded, and the fault is then hardly the runners'.
+    // Limits the ejected runners of a service: with many ejected, the remaining runners would be overloaded, and the
+    // cause is then probably not the runners.
     auto& service = *suspect.service;
     const std::size_t limit = service.runners < 2 ? 0 : std::max<std::size_t>(1, service.runners / kRunnersPerEjection);
     if (service.unhealthy >= limit)
--- a/libs/controller/src/partner_hints.cpp
+++ b/libs/controller/src/partner_hints.cpp
@@ -12,11 +12,12 @@
 constexpr auto kResponseTimeout = 1000ms;
 constexpr int kHttpOk = 200;
 
-// By the time of day: both sites change the key at the same time, and hints under the previous key still count.
+// The epoch follows the wall clock, so that both sites change the key at the same time. Hints under the previous key
+// are still accepted.
 std::int64_t currentEpoch() {
   return std::chrono::system_clock::now().time_since_epoch() / kBounds.keyPeriod;
 }
-/// A response is the seal, a line feed and the hints.
+/// A response consists of the seal, a line feed and the encoded hints.
 struct SealedHints {
   std::string seal, body;
 };
@@ -94,7 +95,7 @@
     return response;
   const auto prefix = static_cast<std::uint64_t>(request.promptPrefix);
   const auto tenantDigest = static_cast<std::uint64_t>(request.tenantDigest);
-  // The answer is the same whether the partner has not cached the prefix or has not said so.
+  // The response does not distinguish a prefix that the partner has not cached from one that it has not announced.
   if (table_->cachedOnlyAtPartner(now, currentEpoch(), prefix, tenantDigest))
     response.access = context_.settings.partner->access;
   return response;
--- a/libs/controller/src/peer_links.cpp
+++ b/libs/controller/src/peer_links.cpp
@@ -4,12 +4,12 @@
 
 namespace zinccleat::controller {
 namespace {
-// Bytes that wait for a member before further messages to it are dropped.
+// Backlog of one member, in bytes, above which further messages to it are dropped.
 constexpr std::size_t kMaxBacklogBytes = 4U << 20;
 constexpr auto kRecentUseWindow = 1s;
 
 bool sendUnlessBacklogged(transport::PeerLink& link, const transport::Envelope& envelope) {
-  // The replicated log tolerates losses: a member that reads slowly is sent the same again later.
+  // The replicated log tolerates message loss: a dropped message to a slow reader is sent again later.
   if (link.backlog() > kMaxBacklogBytes)
     return false;
   link.send(envelope);
@@ -59,7 +59,8 @@
   return recentlyUsed ? link : nullptr;
 }
 bool PeerLinks::sendEnvelope(const consensus::MemberId& to, const transport::Envelope& envelope) {
-  // Answers go back on the connection that the other member uses; a dialled one serves where there is none.
+  // Messages use the connection that the other member opened, if it was used recently. Otherwise they use a dialled
+  // connection.
   if (const auto link = recentLinkOf(to))
     return sendUnlessBacklogged(*link, envelope);
   auto* dialer = dialerTo(consensus::addressOf(to));
--- a/libs/controller/src/peer_links.hpp
+++ b/libs/controller/src/peer_links.hpp
@@ -1,43 +1,44 @@
 /// @file
-/// Links to the other controllers. A message is sent at most once and may be lost: whoever needs an answer sends again.
-/// The links are opened, kept and used here only, on the event-loop thread.
+/// Connections to the other controllers. A message is delivered at most once and may be lost: a sender that needs an
+/// answer sends again. Connections are opened, kept and used only here, on the event-loop thread.
 #pragma once
 #include "controller_context.hpp"
 #include "transport/dialer.hpp"
 namespace zinccleat::controller {
-/// Sends messages to the other controllers; see the file's comment.
+/// Sends messages to the other controllers; see the file comment.
 class PeerLinks {
  public:
-  /// @param port where the other controllers listen for these links.
-  /// @param onMessage is called for each message that comes on a link dialled from here.
+  /// @param port the port on which the other controllers listen for these connections.
+  /// @param onMessage is called for each message received on any of these connections.
   PeerLinks(const ControllerContext& context, std::uint16_t port, transport::PeerLink::OnMessage onMessage)
       : context_(context), port_(port), onMessage_(std::move(onMessage)) {}
-  /// Opens a link to a controller and opens it again whenever it ends.
+  /// Opens a connection to a controller and reopens it whenever it closes.
   void dial(const std::string& address);
-  /// A member has sent a message on this link: answers go back on it while it stays in use.
+  /// Records that a member has sent a message on this connection. Messages to the member use the connection while it
+  /// stays in use.
   void recordMessage(const consensus::MemberId& member, const transport::PeerLinkPtr& link) {
     inboundLinks_[member] = link;
   }
-  /// Listens on the own address for the links that other controllers open.
+  /// Listens on this machine's address for connections that other controllers open.
   Result<void> listen() const;
-  /// Sends one message, on the link that the member uses or else on a dialled one.
+  /// Sends one message, on a connection recently used by the member if there is one, otherwise on a dialled connection.
   template <class Message>
   void send(const consensus::MemberId& to, const Message& message) {
     (void)sendEnvelope(to, transport::pack(message, context_.raft->self()));
   }
-  /// The same for a message of the consensus.
+  /// Sends a consensus message in the same way.
   void send(const consensus::MemberId& to, const consensus::ConsensusMessage& message);
-  /// Sends to all voters but this member.
+  /// Sends a message to all voters except this member.
   void sendToVoters(const consensus::ConsensusMessage& message);
-  /// Sends a message that names its sender itself.
-  /// @return false: there is no open link, and no byte of it was sent.
+  /// Sends an envelope that already names its sender.
+  /// @return false if there is no open connection, in which case no byte was sent.
   bool sendEnvelope(const consensus::MemberId& to, const transport::Envelope& envelope);
 
  private:
   transport::Envelope envelopeOf(const consensus::ConsensusMessage& message) const;
-  /// The link that the member used within the last second; null: none.
+  /// Returns the connection on which a message of the member arrived within the last second; null: none.
   transport::PeerLinkPtr recentLinkOf(const consensus::MemberId& member) const;
-  /// Null: the address is our own or can't be dialled.
+  /// Returns the dialer for an address; null: the address is this machine's own or cannot be dialled.
   transport::Dialer* dialerTo(const std::string& address);
 
   const ControllerContext& context_;
--- a/libs/controller/src/pending_writes.cpp
+++ b/libs/controller/src/pending_writes.cpp
@@ -15,7 +15,7 @@
   bool bodySentAhead = false;
   while (!own.outcome && Clock::now() < deadline) {
     submit(entry, bodySentAhead);
-    // A cluster of one has applied it by now.
+    // In a cluster of one member the entry is applied during `submit`.
     if (own.outcome)
       break;
     const auto left = toDuration(deadline - Clock::now()) + 1ms;
@@ -35,7 +35,7 @@
   if (leader.empty())
     return;
   const bool isLarge = entry.body.size() > kLargeBodyBytes && !entry.digest.empty();
-  // Submitted again, an entry goes with its body, which may have been lost.
+  // A resubmitted entry includes its body, because the body that was sent ahead may have been lost.
   if (!isLarge || std::exchange(bodySentAhead, true))
     return submitters_.forwardToLeader(leader, entry);
   forwardWithBodyAhead(leader, entry);
--- a/libs/controller/src/pending_writes.hpp
+++ b/libs/controller/src/pending_writes.hpp
@@ -1,33 +1,34 @@
 /// @file
-/// Writes that this controller has accepted from a caller and whose outcome is awaited. Each is submitted to the leader
-/// again and again until the replica has applied it or its time is up; by its operation id it stays one write.
+/// Writes that this controller has accepted from callers and whose outcome is pending. Each write is resubmitted to the
+/// leader until the replica has applied it or its time is over. Its operation id ensures that it takes effect only
+/// once.
 ///
-/// The pending writes are changed here only, on the event-loop thread; the calls that wait park their fiber.
+/// Pending writes are changed only here, on the event-loop thread; waiting calls suspend their fiber.
 #pragma once
 #include "controller_context.hpp"
 #include "runtime/event_loop.hpp"
 namespace zinccleat::controller {
-/// Writes whose outcome is awaited; see the file's comment.
+/// Writes whose outcome is pending; see the file comment.
 class PendingWrites {
  public:
-  /// The ways on which a write leaves this controller.
+  /// Functions that submit a write or send its body.
   struct Submitters {
-    std::function<void(const transport::LogEntry&)> submitHere;  ///< this controller leads
+    std::function<void(const transport::LogEntry&)> submitHere;  ///< used if this controller is the leader
     std::function<void(const consensus::MemberId& leader, const transport::LogEntry&)> forwardToLeader;
     std::function<void(const transport::LogEntry&)> sendBodyAhead;
   };
-  /// @param context must outlive this.
+  /// @param context must outlive this object.
   PendingWrites(const ControllerContext& context, Submitters submitters)
       : context_(context), submitters_(std::move(submitters)) {}
-  /// Parks the calling fiber until its own write is applied here.
-  /// @return the write's outcome by the replica (see `ReplicatedState::outcomeOf`), or `ErrorCode::unavailable` if it
-  /// was not applied within `timeout`; it may still be applied later.
+  /// Submits a write and suspends the calling fiber until this replica has applied it.
+  /// @return the outcome of the write in the replica (see `ReplicatedState::outcomeOf`), or `ErrorCode::unavailable` if
+  /// the write was not applied within `timeout`; it may still be applied later.
   Result<state_machine::ReplicatedState::Verdict> write(const transport::LogEntry& entry, Duration timeout);
-  /// The replica has applied the write with this id.
+  /// Called after the replica has applied the write with this id.
   void onApplied(const std::string& operationId);
-  /// The replica was restored from a snapshot, which may hold the outcome of any of them.
+  /// Called after the replica was restored from a snapshot, which may contain the outcome of any pending write.
   void onSnapshotRestored();
-  /// All are submitted again, to the new leader.
+  /// Called when the leader changes. All pending writes are submitted to the new leader.
   void onLeaderChanged();
 
  private:
@@ -36,12 +37,13 @@
     std::optional<state_machine::ReplicatedState::Verdict> outcome;
   };
   void submit(const transport::LogEntry& entry, bool& bodySentAhead);
-  /// The body goes to all controllers at once, and the entry without it to the leader.
+  /// Sends the body to all controllers first, then the entry without its body to the leader.
   void forwardWithBodyAhead(const consensus::MemberId& leader, const transport::LogEntry& entry) const;
   void forget(const std::string& operationId, const PendingWrite* write);
 
   const ControllerContext& context_;
   Submitters submitters_;
-  std::map<std::string, std::vector<PendingWrite*>> pending_;  // by operation id, on the stacks of waiting fibers
+  // by operation id; the objects are on the stacks of the waiting fibers
+  std::map<std::string, std::vector<PendingWrite*>> pending_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/platform_client.cpp
+++ b/libs/controller/src/platform_client.cpp
@@ -48,7 +48,7 @@
   const auto term = context_.raft->term();
   operations::Call request{"POST", call.path, call.body, {}};
   request.headers = {{"X-Function-Holder", context_.settings.node}, {"X-Fence-Number", std::to_string(term)}};
-  // Asked again once the connection stands: the process may have been frozen meanwhile.
+  // Checked again after the connection is established, because the process may have been suspended in the meantime.
   request.mayStillSend = [this, term] {
     return context_.raft->term() == term && context_.raft->hasLease(Clock::now());
   };
--- a/libs/controller/src/platform_functions.cpp
+++ b/libs/controller/src/platform_functions.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr auto kUsageInterval = 250ms;
 constexpr auto kScalingInterval = 500ms;
-constexpr auto kProposalTimeout = 2000ms;  // a report that was not committed by then is proposed again
+constexpr auto kProposalTimeout = 2000ms;  // a report that was not committed within this time is proposed again
 constexpr auto kMachineLifetime = 5s;
 const std::string kUsageSubject = "usage";
 
@@ -54,7 +54,7 @@
       usage_(usageTimesOf(context.settings)) {}
 void PlatformFunctions::startTerm(TimePoint now) {
   client_.startTerm(now);
-  clock_ = {};  // the first machines that are heard anew may all be wrong
+  clock_ = {};  // the first machines heard in a new term may all have wrong clocks
   usage_.startTerm(now);
   scaling_.startTerm(now);
   proposedAt_.clear();
--- a/libs/controller/src/platform_functions.hpp
+++ b/libs/controller/src/platform_functions.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// The functions that the fleet has at its platform, held by the leader: usage reports and orders of runners.
+/// The functions that the leader performs at the platform: usage reports and orders of runners.
 ///
-/// A report is committed to the log before it is first sent, so that a later holder sends the same; it is sent until
-/// the platform has it. An order is complete in itself and is sent again where it may be carried out late.
+/// A report is committed to the log before it is first sent, so that a later leader sends the same report. It is sent
+/// until the platform has confirmed it. An order contains the complete desired state and is sent again if it may have
+/// been lost or delayed.
 ///
-/// Off where the settings name no platform. On the event-loop thread.
+/// Disabled if the settings name no platform. Runs on the event-loop thread.
 #pragma once
 #include <set>
 
@@ -14,20 +15,22 @@
 #include "platform_client.hpp"
 #include "transport/access_messages.hpp"
 namespace zinccleat::controller {
-/// See the file's comment.
+/// Sends usage reports and orders of runners to the platform; see the file comment.
 class PlatformFunctions {
  public:
-  /// @param context must outlive this.
-  /// @param nextOperationId draws the ids of log entries.
+  /// @param context must outlive this object.
+  /// @param nextOperationId generates the ids of log entries.
   PlatformFunctions(const ControllerContext& context, std::function<std::string()> nextOperationId);
-  /// This controller has become the leader.
+  /// Called when this controller becomes the leader.
   void startTerm(TimePoint now);
-  /// Takes over what a proxy has told, at a leader that holds a lease. @return the answer to it.
+  /// Handles a proxy's report. Called on a leader that holds a lease.
+  /// @return the answer to the proxy.
   transport::PlatformReportAnswer onReport(TimePoint now, const std::string& agent,
                                            const transport::PlatformReport& report);
-  /// Commits and sends what is due; for the leader, many times a second. The caller has the log's actions carried out.
+  /// Commits and sends due reports and orders. Called many times a second on the leader. The caller then executes the
+  /// Raft node's actions.
   void tick(TimePoint now);
-  /// The body of the Functions call; without a platform an empty object.
+  /// Returns the response body of the Functions call; an empty object without a platform.
   std::string statusJson(TimePoint now) const;
 
  private:
@@ -44,9 +47,10 @@
   platform::FleetClock clock_;
   platform::UsageCollector usage_;
   platform::ScalingPolicy scaling_;
-  std::unordered_map<std::string, TimePoint> heardAt_;  // by access machine
-  std::map<std::int64_t, TimePoint> proposedAt_;        // by window, of reports that are not committed yet
-  std::set<std::int64_t> confirmed_;                    // windows that the platform has; the log may not say so yet
+  std::unordered_map<std::string, TimePoint> heardAt_;  // by address of the access machine
+  // by window: time of the proposal of a report that is not committed yet
+  std::map<std::int64_t, TimePoint> proposedAt_;
+  std::set<std::int64_t> confirmed_;  // windows that the platform has confirmed; the log may not record that yet
   TimePoint usageCheckedAt_{};
   TimePoint scalingDecidedAt_{};
   std::uint64_t reportsAccepted_ = 0;
--- a/libs/controller/src/quota_allocator.cpp
+++ b/libs/controller/src/quota_allocator.cpp
@@ -4,18 +4,19 @@
 
 namespace zinccleat::controller {
 namespace {
-// An access machine not heard from for so long has used its local reserve or lost it.
+// A local reserve that was not reported for this long has been used or lost by its access machine.
 constexpr auto kReserveLifetime = 4s;
-// After a change of the leader: until each local reserve has been reported here or has expired.
+// After a change of leader: the time until each local reserve has been reported to the new leader or has expired.
 constexpr auto kUnknownReservesPeriod = 4500ms;
-// How the allowed excess is divided: a fraction of it goes to the refill rate. The rest, with bucketLimit of the slack,
-// goes to what may be used at once, in the bucket and in the local reserves together.
+// Division of the allowed excess and slack. A fraction of the excess goes into the refill rate. The rest of the excess
+// and 70 % of the slack go into the capacity, which limits the tokens in the bucket and in all local reserves together.
 constexpr double kExcessInRate = 0.3;
 constexpr double kExcessInCapacity = 0.5;
 constexpr double kSlackInCapacity = 0.7;
-constexpr double kSlackAtStart = 0.2;      // the tokens of a bucket when a term begins
-constexpr double kBucketFraction = 0.4;    // of the capacity, that the bucket may hold at any time
-constexpr double kReservesFraction = 0.6;  // of the capacity, that one more reserve may fill up
+constexpr double kSlackAtStart = 0.2;    // fraction of the slack that a bucket holds at the start of a term
+constexpr double kBucketFraction = 0.4;  // fraction of the capacity that the bucket may always hold
+// fraction of the capacity up to which a local reserve is filled, counting the reserves of other holders
+constexpr double kReservesFraction = 0.6;
 constexpr double kMinRetrySeconds = 0.05;
 constexpr double kRoundingError = 1e-9;
 
@@ -83,7 +84,7 @@
 }
 void QuotaAllocator::refill(TokenBucket& bucket, const BucketLimits& limits, double unreserved, TimePoint now) const {
   const double baseLimit = limits.capacity * kBucketFraction;
-  // Less after a change of the leader: reserves that nobody has reported yet may still be out there.
+  // The limit is lower after a change of leader, because access machines may hold reserves that were not reported yet.
   const bool reservesUnknown = now - termStartedAt_ < kUnknownReservesPeriod;
   const double bucketLimit = reservesUnknown ? baseLimit : std::max(baseLimit, unreserved);
   const double elapsedS = std::chrono::duration<double>(now - bucket.refilledAt).count();
@@ -105,7 +106,7 @@
     others += it->second.tokens;
   refill(bucket, limits, limits.capacity - others - own, now);
 
-  // Requests that wait come first, then the local reserve, as far as the capacity allows.
+  // Waiting requests are served first, then the local reserve as far as the capacity allows.
   const double waiting = std::max(0.0, demand.waitingRequests);
   const double forWaiting = std::min(std::floor(bucket.tokens + kRoundingError), waiting);
   bucket.tokens -= forWaiting;
@@ -117,7 +118,8 @@
     bucket.tokens -= forReserve;
     bucket.reserves[holder].tokens = own + forReserve;
   }
-  // A client that comes back then must find a token: the requests that still wait here are served before it.
+  // A client that retries after this time must find a token, so the time includes the tokens for requests that still
+  // wait.
   const double missing = 1 - bucket.tokens + 2 * (waiting - forWaiting);
   return {demand.tenant, forWaiting + forReserve, std::max(kMinRetrySeconds, missing / limits.tokensPerS)};
 }
--- a/libs/controller/src/quota_allocator.hpp
+++ b/libs/controller/src/quota_allocator.hpp
@@ -1,37 +1,38 @@
 /// @file
-/// The leader's token bucket of each tenant's quota, from which access machines request tokens.
+/// The leader's token buckets, one per tenant quota, from which access machines request tokens.
 ///
-/// Guarantee: what all access machines spend of one tenant's quota within any window stays within the quota and the
-/// excess that `Bounds` allows. It follows from two limits: what a bucket refills in the window, and what bucket and
-/// local reserves hold together when it begins.
+/// Guarantee: within any window, the tokens of one tenant spent by all access machines together stay within the quota
+/// plus the excess that `Bounds` allows. This follows from two limits: the refill of a bucket during the window, and
+/// the tokens in the bucket and in all local reserves at the start of the window.
 ///
-/// Soft state of the leader, owned by its event-loop thread: it is not replicated. Pure: the time is passed in. Only
-/// tenants that a request names cost time or memory. The argument and its figures: docs/notes-quota.md.
+/// The state belongs to the leader's event-loop thread and is not replicated. Performs no I/O and reads no clock: the
+/// time is passed in. Only tenants named in requests cost time or memory. The proof and its figures are in
+/// docs/notes-quota.md.
 #pragma once
 #include "config/configuration.hpp"
 #include "transport/lease_records.hpp"
 namespace zinccleat::controller {
-/// The token buckets of all tenants; see the file's comment.
+/// The token buckets of all tenants; see the file comment.
 class QuotaAllocator {
  public:
-  /// What a window may hold beyond the quota before the quota counts as broken.
+  /// How far the requests of a window may exceed the quota before the quota counts as violated.
   struct Bounds {
     double excess = 0.1;  ///< as a fraction of the quota
     double slack = 20;    ///< in requests
     double windowS = 5;   ///< the window's length in seconds
   };
-  /// Seconds of its demand that an access machine may keep in its local reserve, to bridge a change of the leader.
+  /// Length of demand, in seconds, that an access machine may hold as a local reserve to bridge a change of leader.
   static constexpr double kReserveSeconds = 1.6;
 
-  /// To be called before the first `allocate`.
+  /// Must be called before the first `allocate`.
   void setBounds(Bounds bounds) { bounds_ = bounds; }
-  /// A leader's term begins: buckets start almost empty, since the tokens that the previous leader granted are not
-  /// known here and must not be granted again.
+  /// Starts a leader's term. Buckets start almost empty: the tokens granted by the previous leader are unknown here and
+  /// must not be granted again.
   void startTerm(TimePoint now);
-  /// Grants tokens for requests that wait, which count as spent at once, and for the local reserve, which its holder
-  /// reports in each request until it is used or has expired.
-  /// @param holder the access machine with the local reserve; empty where nothing goes to a reserve.
-  /// @param configuration null: nothing is granted.
+  /// Grants tokens for waiting requests, which count as spent at once, and tokens for the local reserve, which its
+  /// holder reports in each request until the reserve is used or has expired.
+  /// @param holder the access machine that holds the local reserve; empty if no tokens go to a reserve.
+  /// @param configuration the configuration in force; null: nothing is granted.
   std::vector<transport::QuotaGrant> allocate(TimePoint now, const std::string& holder,
                                               const std::vector<transport::QuotaDemand>& demand,
                                               const std::vector<transport::QuotaHolding>& holdings,
@@ -45,26 +46,29 @@
   struct TokenBucket {
     double tokens = 0;
     TimePoint refilledAt{};
-    std::map<std::string, Reserve> reserves;  ///< by holder
+    std::map<std::string, Reserve> reserves;  ///< by holder id
   };
-  /// How a tenant's bucket refills, with its fraction of the allowed excess.
+  /// Refill rate and capacity of a tenant's bucket, including its share of the allowed excess.
   struct BucketLimits {
     double tokensPerS = 0;
-    double capacity = 0;  ///< of the bucket and all local reserves together
+    double capacity = 0;  ///< limit on the tokens in the bucket and in all local reserves together
   };
   const config::Subscriber* findSubscriber(const config::Configuration& configuration, const std::string& tenant);
   BucketLimits limitsOf(const config::Subscriber& subscriber) const;
   TokenBucket& bucketOf(const std::string& tenant);
   transport::QuotaGrant allocateOne(TimePoint now, const std::string& holder, const transport::QuotaDemand& demand,
                                     const transport::QuotaHolding* holding, const config::Subscriber& subscriber);
-  /// Drops reserves that were not reported for long. @return the tokens in those of the other holders.
+  /// Drops reserves that were not reported for a long time.
+  /// @return the tokens in the reserves of other holders.
   static double reservedByOthers(TokenBucket& bucket, const std::string& holder, TimePoint now);
-  /// @param unreserved the capacity that no local reserve has.
+  /// Adds the tokens for the time since the last refill.
+  /// @param unreserved the part of the capacity that no local reserve holds.
   void refill(TokenBucket& bucket, const BucketLimits& limits, double unreserved, TimePoint now) const;
 
-  std::unordered_map<std::string, TokenBucket> buckets_;          // by tenant
-  std::unordered_map<std::string, std::size_t> subscriberIndex_;  // by tenant, of the configuration below
-  const config::Configuration* indexedConfiguration_ = nullptr;   // compared only, never followed
+  std::unordered_map<std::string, TokenBucket> buckets_;  // by tenant label
+  // by tenant label: position in `indexedConfiguration_`
+  std::unordered_map<std::string, std::size_t> subscriberIndex_;
+  const config::Configuration* indexedConfiguration_ = nullptr;  // compared only, never dereferenced
   std::int64_t indexedVersion_ = -1;
   TimePoint termStartedAt_{};
   Bounds bounds_;
--- a/libs/controller/src/raft_driver.cpp
+++ b/libs/controller/src/raft_driver.cpp
@@ -4,15 +4,16 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::int64_t kMinCompactionInterval = 96;         // applied entries
-constexpr std::int64_t kMaxIntervalsWithLaggingAgents = 4;  // whether or not agents lag behind
+constexpr std::int64_t kMinCompactionInterval = 96;  // in applied entries
+// after this many intervals the log is compacted even if agents lag behind
+constexpr std::int64_t kMaxIntervalsWithLaggingAgents = 4;
 }  // namespace
 
 void RaftDriver::startStorage(const std::shared_ptr<DiskThread>& disk, storage::Storage storage) {
   storage_ = std::make_unique<AsyncStorage>(disk, std::move(storage), AppendUrgency::consensus);
 }
-// The way from a decision of the raft node to the rest of the controller: its actions first, then what a change of the
-// role brings with it, then the entries that were committed go to the agents.
+// Executes the actions of the Raft node, then applies a change of role or leader to the other components, then sends
+// newly committed entries to the agents.
 void RaftDriver::run() {
   if (running_)
     return;
@@ -27,7 +28,8 @@
 void RaftDriver::executeAction(consensus::SendMessage& action) {
   components_.peers.send(action.to, action.message);
 }
-// Answered on the event loop, once the storage thread has synced the record or failed to.
+// The result is passed to the Raft node on the event loop, after the disk thread has synced the record or failed to do
+// so.
 void RaftDriver::executeAction(consensus::PersistRecord& action) {
   storage_->append(std::move(action.record), [this, ticket = action.ticket](const Result<void>& appended) {
     if (!appended)
@@ -38,8 +40,8 @@
 }
 void RaftDriver::executeAction(consensus::ApplyEntry& action) {
   const auto change = context_.replica.apply(action.entry);
-  // The entry had another effect here than at all other members. Ending helps: the records on the disk, replayed by
-  // the next start, restore the replica.
+  // The entry had a different effect on this replica than on the other members. Exiting is a remedy: at the next start
+  // the replica is restored from the records on disk.
   checkInvariant(!change.corrupted, "a replica that differs from the others");
   if (change.configuration)
     adoptConfiguration();
@@ -48,15 +50,16 @@
   compactIfDue();
 }
 void RaftDriver::executeAction(consensus::RestoreSnapshot& action) {
-  // Every snapshot is validated before it gets here: those of the disk by `recoverDisk`, those of other members by
-  // `snapshotIsValid`. A committed state that can't be restored must not be replaced by anything else.
+  // Every snapshot is validated before this point: snapshots on disk by `recoverDisk`, snapshots of other members by
+  // `snapshotIsValid`. A committed state that cannot be restored must not be replaced by any other state.
   checkInvariant(context_.replica.restore(action.state).has_value(), "a snapshot that was found valid restores");
   adoptConfiguration();
   components_.writes.onSnapshotRestored();
   components_.reads.onApplied();
 }
-// A snapshot grows with the runners: one for each so many entries as there are runners costs about as many bytes as the
-// entries. A shorter log would leave agents behind whenever many runners join at once, each then in need of a snapshot.
+// The size of a snapshot grows with the number of runners. One snapshot per as many entries as there are runners takes
+// about as many bytes as the entries themselves. With a shorter log, agents would fall behind the log and need a
+// snapshot each whenever many runners join at the same time.
 std::int64_t RaftDriver::compactionInterval() const {
   const auto runners = static_cast<std::int64_t>(context_.replica.state().runners.size());
   return std::max(kMinCompactionInterval, runners);
@@ -64,7 +67,8 @@
 void RaftDriver::compactIfDue() {
   const auto newest = context_.replica.state().index;
   const auto interval = compactionInterval();
-  // Entries that a linked agent still lacks are kept for a while; an agent far behind gets a snapshot in the end.
+  // Entries that a connected agent still lacks are kept for up to `kMaxIntervalsWithLaggingAgents` intervals. An agent
+  // that is further behind gets a snapshot.
   const bool agentsAreNearlyCaughtUp = components_.agents.lowestApplied(newest) + interval / 2 >= newest;
   if (++appliedSinceCompaction_ < (agentsAreNearlyCaughtUp ? interval : kMaxIntervalsWithLaggingAgents * interval))
     return;
--- a/libs/controller/src/raft_driver.hpp
+++ b/libs/controller/src/raft_driver.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Carries out what the raft node asks for: sends messages, makes records durable, applies committed entries and
-/// snapshots to the replica, compacts the log.
+/// Executes the actions that the Raft node requests: sends messages, makes records durable, applies committed entries
+/// and snapshots to the replica, and compacts the log.
 ///
-/// The only writer of the replica and of the parsed configuration in `ControllerContext`, and the owner of the storage
-/// thread. On the event-loop thread; results of the disk come back to it.
+/// This is the only writer of the replica and of the parsed configuration in `ControllerContext`, and the owner of the
+/// Raft node's storage. Runs on the event-loop thread, to which disk results are posted.
 #pragma once
 #include "agent_sessions.hpp"
 #include "controller_context.hpp"
@@ -13,10 +13,10 @@
 #include "role_changes.hpp"
 #include "storage_thread.hpp"
 namespace zinccleat::controller {
-/// Connects the raft node to the rest of the controller; see the file's comment.
+/// Connects the Raft node to the rest of the controller; see the file comment.
 class RaftDriver {
  public:
-  /// The components that the raft node's actions reach.
+  /// The components that the actions of the Raft node affect.
   struct Components {
     PeerLinks& peers;
     AgentSessions& agents;
@@ -24,12 +24,12 @@
     LeaseReads& reads;
     RoleChanges& roles;
   };
-  /// @param context must outlive this, like all components.
+  /// @param context must outlive this object, as must all components.
   RaftDriver(ControllerContext& context, Components components) : context_(context), components_(components) {}
-  /// Takes over a storage that has been recovered. To be called once, before `run`.
+  /// Takes ownership of a storage that has been recovered. Must be called once, before `run`.
   void startStorage(const std::shared_ptr<DiskThread>& disk, storage::Storage storage);
-  /// Carries out all actions that the raft node has by now, and what follows from a change of roles. To be called after
-  /// each event that was passed to the raft node. A nested call does nothing: the outer one goes on with its actions.
+  /// Executes all pending actions of the Raft node and the consequences of a change of role. Must be called after each
+  /// event passed to the Raft node. A nested call does nothing: the outer call continues with the new actions.
   void run();
 
  private:
@@ -44,7 +44,7 @@
   ControllerContext& context_;
   Components components_;
   std::unique_ptr<AsyncStorage> storage_;
-  std::int64_t appliedSinceCompaction_ = 0;  // entries
+  std::int64_t appliedSinceCompaction_ = 0;  // number of entries
   bool running_ = false;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/report_handlers.cpp
+++ b/libs/controller/src/report_handlers.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The calls that exchange prefix hints with the partner site and that report this controller's status
-/// and counters.
+/// Handlers of the calls that exchange prefix hints with the partner site and that report this controller's status,
+/// platform functions and traffic counters.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 
--- a/libs/controller/src/role_changes.hpp
+++ b/libs/controller/src/role_changes.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// What follows in the other components when this controller gains or loses the leadership, or another leader is
-/// elected.
+/// Notifies the other components when this controller gains or loses the leadership or when another leader is elected.
 ///
-/// Owns the role and leader that the other components were last notified of; changed on the event-loop thread.
+/// Owns the role and leader of which the other components were last notified; both change only on the event-loop
+/// thread.
 #pragma once
 #include "agent_request_handler.hpp"
 #include "agent_sessions.hpp"
@@ -11,7 +11,7 @@
 #include "platform_functions.hpp"
 #include "runner_liveness.hpp"
 namespace zinccleat::controller {
-/// Notifies the other components of changes; see the file's comment.
+/// Notifies the other components of changes; see the file comment.
 class RoleChanges {
  public:
   /// The components that are notified.
@@ -22,11 +22,11 @@
     PendingWrites& writes;
     PlatformFunctions& platform;
   };
-  /// @param context must outlive this, like all observers.
+  /// @param context must outlive this object, as must all observers.
   RoleChanges(const ControllerContext& context, Observers observers) : context_(context), observers_(observers) {}
-  /// Compares the raft node's role and leader with the last known ones and notifies the components of what has changed.
+  /// Compares the Raft node's role and leader with the last known ones and notifies the components of changes.
   void update();
-  /// Whether this controller led at the last `update`.
+  /// Whether this controller was the leader at the last `update`.
   bool isLeader() const { return isLeader_; }
 
  private:
@@ -36,6 +36,6 @@
   const ControllerContext& context_;
   Observers observers_;
   bool isLeader_ = false;
-  consensus::MemberId leader_;  // empty: unknown
+  consensus::MemberId leader_;  // empty: leader unknown
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/rollout_handlers.cpp
+++ b/libs/controller/src/rollout_handlers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The calls of operators that begin, retrieve and revert rollouts.
+/// Handlers of the operators' calls that begin, retrieve and revert rollouts.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/configuration.hpp"
@@ -81,7 +81,7 @@
   ordered.service = request->service;
   ordered.revision = request->revision;
   ordered.durationMs = request->duration.count();
-  // This replica may be old, but an order that was taken once stays taken.
+  // This replica may lag, but an order that was accepted stays accepted.
   const auto* known = services.replica().rollout(ordered.service);
   if (known && known->sameOrder(ordered))
     return {HttpStatus::ok, "{}", ""};
--- a/libs/controller/src/runner_handlers.cpp
+++ b/libs/controller/src/runner_handlers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The calls of runners: heartbeats and detaching.
+/// Handlers of the runners' calls: heartbeats and detaching.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/control_requests.hpp"
@@ -25,8 +25,8 @@
   runner.state = static_cast<std::int32_t>(heartbeat.draining ? RunnerState::draining : RunnerState::inService);
   return runner;
 }
-/// Whether a heartbeat says what the replica does not hold yet. One that comes out of order does not; a runner that
-/// drains never returns to service.
+/// Whether a heartbeat contains information that the replica lacks. A heartbeat that arrives out of order does not. A
+/// runner that drains never returns to service.
 bool updatesReplica(const Runner& reported, const ControllerServices& services) {
   const auto& replica = services.replica();
   if (replica.isDetached(reported.id))
@@ -39,7 +39,7 @@
   const bool stateChanges = reported.state != known->state && known->runnerState() != RunnerState::draining;
   return stateChanges || !hasSameDescription(reported, *known) || services.changesWarmup(reported);
 }
-/// The id names the content: the same update brought to two controllers is one write.
+/// Derives the operation id from the content, so that the same update received by two controllers is a single write.
 std::string operationIdOf(const Runner& reported) {
   const char* state = reported.runnerState() == RunnerState::draining ? "draining" : "in";
   return "runner/" + reported.id + "/" + state + "/" + std::to_string(reported.sequence);
@@ -52,7 +52,8 @@
   runner.sequence = std::max<std::int64_t>(1, runner.sequence);
   return runner;
 }
-/// A controller in the runner's own zone, so that heartbeats do not cross zones; else this one.
+/// Returns the URI of a controller in the runner's zone, so that heartbeats do not cross zones, or of this controller
+/// if the zone has none.
 std::string heartbeatUriFor(const std::string& zone, const ApiCall& call) {
   const auto nearby = call.services.controlAddressIn(zone);
   return nearby ? "http://" + *nearby : call.heartbeatUri;
--- a/libs/controller/src/runner_liveness.cpp
+++ b/libs/controller/src/runner_liveness.cpp
@@ -4,11 +4,12 @@
 
 namespace zinccleat::controller {
 namespace {
-// A follower that has no heartbeats to forward still says where it stands; below a half of `MemberZones::kLifetime`.
+// A follower without heartbeats to forward still reports its zone at this interval, which is less than half of
+// `MemberZones::kLifetime`.
 constexpr auto kAnnouncementInterval = 1s;
 
-/// The write that removes a runner whose heartbeats have stopped. It may come back: sequence 0 says that it did not
-/// detach itself.
+/// Builds the log entry that removes a runner whose heartbeats have stopped. Sequence 0 marks that the runner did not
+/// detach itself, so it may return.
 transport::LogEntry expiryOf(const state_machine::Runner& runner) {
   auto expired = runner;
   expired.state = static_cast<std::int32_t>(state_machine::RunnerState::detached);
@@ -29,7 +30,7 @@
   forwardHeartbeats(now);
 }
 void RunnerLiveness::forwardHeartbeats(TimePoint now) {
-  // A leader's own monitor has recorded each heartbeat when it came.
+  // The leader's own monitor has recorded each heartbeat on arrival.
   if (context_.isLeader())
     return forwarder_.clear();
   if (!context_.knowsOtherLeader())
--- a/libs/controller/src/runner_liveness.hpp
+++ b/libs/controller/src/runner_liveness.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// Which runners are alive: receives their heartbeats, forwards them to the leader, and as the leader submits the
-/// expiry of runners that have fallen silent.
+/// Tracks which runners are alive: receives their heartbeats, forwards them to the leader and, on the leader, submits
+/// the expiry of runners whose heartbeats have stopped.
 ///
-/// Owns both halves of the heartbeat state (`HeartbeatForwarder`, `RunnerMonitor`); changed on the event-loop thread.
+/// Owns both parts of the heartbeat state (`HeartbeatForwarder`, `RunnerMonitor`), which change only on the event-loop
+/// thread.
 #pragma once
 #include "controller_context.hpp"
 #include "heartbeat_forwarder.hpp"
@@ -10,29 +11,30 @@
 #include "runner_monitor.hpp"
 #include "transport/access_messages.hpp"
 namespace zinccleat::controller {
-/// Heartbeats of runners, received and forwarded; see the file's comment.
+/// Receives and forwards heartbeats of runners; see the file comment.
 class RunnerLiveness {
  public:
-  /// @param context must outlive this, like the links.
+  /// @param context must outlive this object, as must `peers`.
   RunnerLiveness(ControllerContext& context, PeerLinks& peers);
-  /// A runner's heartbeat has come to this controller.
+  /// Records a heartbeat that a runner has sent to this controller.
   void recordHeartbeat(const std::string& runner, TimePoint now);
-  /// A follower has forwarded heartbeats. They are acknowledged by a leader with a valid lease only.
-  /// @return whether this controller leads and has not heard that follower lately.
+  /// Handles heartbeats forwarded by a follower. Only a leader with a valid lease acknowledges them.
+  /// @return whether this controller leads and did not know that follower as up in this zone.
   bool onHeartbeatBatch(const transport::PeerLinkPtr& link, const consensus::MemberId& from,
                         const transport::HeartbeatBatch& batch, TimePoint now);
-  /// The leader has acknowledged a batch and says which controllers are up; the response of anyone else is dropped.
+  /// Handles the leader's acknowledgement of a batch, which lists the controllers that are up. A response from any
+  /// other controller is dropped.
   void onHeartbeatBatchResponse(const consensus::MemberId& from, const transport::HeartbeatBatchResponse& response,
                                 TimePoint now);
-  /// Batches go to the new leader from now on, and the zone of this controller at once.
+  /// Called when the leader changes. Sends this controller's zone and the pending heartbeats to the new leader at once.
   void onLeaderChanged(TimePoint now);
-  /// Sends the leader what it has not acknowledged yet, and where this controller stands. To be called every half
+  /// Sends this controller's zone and the heartbeats that are not acknowledged yet to the leader. Called every half
   /// second.
   void forwardHeartbeats(TimePoint now);
-  /// Submits a write for each runner that has expired. To be called each second.
-  /// @return whether anything was submitted: the raft node then has actions to carry out.
+  /// Submits a write for each runner that has expired. Called once a second.
+  /// @return whether a write was submitted; the Raft node then has actions to execute.
   bool submitExpired(TimePoint now);
-  /// False: heartbeats received here do not reach the leader.
+  /// Whether heartbeats received by this controller reach the leader.
   bool heartbeatsReachLeader(TimePoint now) const { return forwarder_.leaderAcknowledges(now); }
 
  private:
@@ -41,7 +43,7 @@
   ControllerContext& context_;
   PeerLinks& peers_;
   HeartbeatForwarder forwarder_;
-  TimePoint announcedAt_{};  // when this controller last sent the leader its zone
+  TimePoint announcedAt_{};  // time at which this controller last sent its zone to the leader
   RunnerMonitor monitor_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/shard_founder.cpp
+++ b/libs/controller/src/shard_founder.cpp
@@ -20,7 +20,7 @@
     queryingSince_ = now;
   if (leader.hasRecords || anyHasRecords_)
     return state_machine::ShardFounding{coordination::kShardCount, {}};
-  // In a change of voters it is not settled who they are.
+  // During a change of voters the set of founders is not determined.
   if (leader.config.empty() || leader.config.joint())
     return std::nullopt;
   const auto lacksRecords = [&](const consensus::MemberId& member) {
--- a/libs/controller/src/shard_founder.hpp
+++ b/libs/controller/src/shard_founder.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// Decides, at the leader of the fleet's log, who founds the logs of the coordination service's shards. Pure: the time
-/// is passed in.
+/// Decides, on the leader of the fleet's log, which members found the logs of the coordination service's shards.
+/// Performs no I/O and reads no clock: the time is passed in.
 ///
-/// Where the leader has no records of a shard, another machine may have: it could come from before an update, or this
-/// machine from after a loss of its disk. So the voters are asked first. One that has records ends the question: the
-/// shards exist, and nobody founds them. If all say that they have none, they found them; so does a majority once the
-/// others have been silent for long, which then lack a disk or are down.
+/// If the leader has no records of a shard, another machine may have some: its records may date from before a software
+/// update, or the leader may have lost its disk. The leader therefore queries the voters first. If any voter has
+/// records, the shards exist already and nobody founds them. If all voters report that they have none, they found the
+/// shards. A majority without records founds them once the other voters have been silent for `kSilentVoterTimeout`;
+/// those have lost their disk or are down.
 #pragma once
 #include <set>
 
@@ -14,22 +15,23 @@
 namespace zinccleat::controller {
 class ShardFounder {
  public:
-  /// What the leader knows of itself.
+  /// The leader's own state.
   struct Leader {
     consensus::MemberId self;
-    const consensus::ClusterConfig& config;  ///< of the fleet's log
-    bool hasRecords = false;                 ///< of any shard
+    const consensus::ClusterConfig& config;  ///< configuration of the fleet's log
+    bool hasRecords = false;                 ///< whether the leader's disk holds records of any shard
   };
-  /// Forgets all answers: this controller does not lead, or it is agreed.
+  /// Discards all answers. Called when this controller does not lead or the founders are agreed.
   void reset();
   void recordAnswer(const consensus::MemberId& member, bool hasRecords);
-  /// To be called at each tick while this controller leads with a lease and nothing is agreed.
-  /// @return what is to be agreed on; none: not enough is known yet.
+  /// Called at each tick while this controller leads with a lease and the founders are not agreed.
+  /// @return the decision to propose; none: too few voters have answered.
   std::optional<state_machine::ShardFounding> decide(TimePoint now, const Leader& leader);
-  /// The voters that are to be asked now: those that have not answered, a few times a second.
+  /// Returns the voters to query now: those that have not answered, a few times a second.
   std::vector<consensus::MemberId> membersToQuery(TimePoint now, const Leader& leader);
 
-  /// How long silent voters are waited for; longer than a voter that is down stays one, where others can replace it.
+  /// How long the leader waits for voters that do not answer. Longer than a failed machine remains a voter while others
+  /// can replace it.
   static constexpr Duration kSilentVoterTimeout{4000};
 
  private:
--- a/libs/controller/src/startup.cpp
+++ b/libs/controller/src/startup.cpp
@@ -7,9 +7,9 @@
 namespace zinccleat::controller {
 namespace {
 constexpr auto kDiskRetryInterval = 500ms;
-constexpr int kDiskRetriesPerReport = 120;  // so one report a minute
+constexpr int kDiskRetriesPerReport = 120;  // at kDiskRetryInterval, one report per minute
 
-/// How a member starts.
+/// How a member of the replicated log starts.
 enum class StartKind { resumes, founds, joins };
 const char* nameOf(StartKind kind) {
   switch (kind) {
@@ -27,14 +27,15 @@
     return StartKind::resumes;
   const auto seeds = seedAddresses(settings);
   const bool isSeed = std::find(seeds.begin(), seeds.end(), settings.ip) != seeds.end();
-  // A member whose corrupted disk was set aside may have voted as a founder and forgotten it.
+  // A member whose corrupted records were set aside may have voted as a founder without any record of the vote, so it
+  // joins as a new member.
   return settings.initialAttach && isSeed && !recovery.identityLost ? StartKind::founds : StartKind::joins;
 }
 consensus::MemberId founderId(const std::string& address) {
   return address + "#0";
 }
 consensus::MemberId newMemberId(const std::string& address, std::uint64_t incarnation) {
-  return address + "#" + std::to_string(incarnation | 1);  // never a founder's 0
+  return address + "#" + std::to_string(incarnation | 1);  // never 0, which marks a founder
 }
 consensus::MemberId selfId(StartKind kind, const config::Settings& settings, const storage::Recovery& recovery,
                            std::uint64_t incarnation) {
@@ -54,7 +55,8 @@
     founders.push_back(founderId(seed));
   return founders;
 }
-/// Checked before the records are used: with a state that this program can't read it must neither lead nor vote.
+/// Checks all snapshots before the records are used: a member whose state this program cannot restore must neither lead
+/// nor vote.
 Result<void> checkSnapshots(const std::string& dataDir, const std::vector<consensus::DiskRecord>& records,
                             const std::function<bool(const std::string&)>& isValid) {
   for (const auto& record : records)
@@ -63,8 +65,8 @@
                        dataDir + ": record " + std::to_string(record.seq) + " holds a state that can't be restored");
   return {};
 }
-/// A failing disk often recovers, while ending the process in a loop would help nobody. Until then the member
-/// counts as down, and nothing on its disk is changed.
+/// Retries the recovery of the disk indefinitely: a failing disk often recovers, and restarting the process in a loop
+/// would not help. Until then the member counts as down, and nothing on its disk is changed.
 std::function<bool(const Error&)> diskRetry() {
   return [retries = 0](const Error& error) mutable {
     if (retries++ % kDiskRetriesPerReport == 0)
@@ -132,7 +134,7 @@
     context.raft->recover(recovery.records, now);
   if (kind == StartKind::founds)
     context.raft->bootstrap(founderIds(settings), now);
-  // The process goes on all the same: the others may only be down, and reloaded settings may name them.
+  // The process continues anyway: the other controllers may only be down, and reloaded settings may name them.
   if (kind == StartKind::joins && seedsContainOnlySelf(settings)) {
     ++context.seedsDeclined;
     log::info("no_seed_to_join", {{"member", self}, {"reason", "seedNodes name only this machine"}});
--- a/libs/controller/src/startup.hpp
+++ b/libs/controller/src/startup.hpp
@@ -1,45 +1,46 @@
 /// @file
-/// The start of a controller: checks its settings, recovers its disk and makes its member of the replicated log.
+/// Startup of a controller: checks the settings, recovers the disk and creates the Raft node.
 #pragma once
 #include "controller_context.hpp"
 #include "storage/storage.hpp"
 namespace zinccleat::controller {
-/// The port of the coordination service's links, counted from the first of the machine's internal ports.
+/// Offset of the port for the coordination service's connections from the first of the machine's internal ports.
 constexpr int kCoordinationPortOffset = 2;
-/// The port of the links between replicated counters, counted likewise.
+/// Offset of the port for the replicated counters' connections from the first of the machine's internal ports.
 constexpr int kCounterPortOffset = 3;
 /// Whether the settings name no other controller that this one could join.
 bool seedsContainOnlySelf(const config::Settings& settings);
-/// Why no controller can start with these settings, as one line; none: it can.
+/// Returns the reason why no controller can start with these settings, as one line; none: the settings are usable.
 std::optional<std::string> settingsError(const config::Settings& settings);
-/// Whether this program can restore a snapshot of the replicated state. Used before a snapshot is installed.
+/// Whether this program can restore a snapshot of the replicated state. Checked before a snapshot is installed.
 bool snapshotIsValid(const std::string& snapshot);
-/// The addresses of the seeds, without ports.
+/// Returns the addresses of the seeds, without ports.
 std::vector<std::string> seedAddresses(const config::Settings& settings);
 
-/// The disk as it was found, and the storage that continues from there.
+/// The records found on the disk, and the storage that continues after them.
 struct RecoveredDisk {
   storage::Storage storage;
   storage::Recovery recovery;
 };
-/// Blocks until the disk can be read, for as long as its errors may pass.
-/// @param dataDir for messages.
-/// @param isValid whether this program can restore a snapshot that the storage holds.
-/// @return the errors of `recoverStorage`; `ErrorCode::ioError` for a state that this program can't restore.
+/// Recovers a storage. Blocks while the disk fails with errors that may be temporary.
+/// @param dataDir data directory, for messages.
+/// @param isValid whether this program can restore a snapshot found in the storage.
+/// @return the errors of `recoverStorage`; `ErrorCode::ioError` for a state that this program cannot restore.
 Result<RecoveredDisk> recoverDisk(const std::string& dataDir, storage::Storage storage,
                                   const std::function<bool(const std::string&)>& isValid);
-/// Makes `context.raft`: it resumes from the disk's records, founds a cluster with the other seeds on the first start
-/// of all, or starts empty as a learner.
-/// @param incarnation drawn at random at each start of the process.
+/// Creates `context.raft`. The Raft node resumes from the records on disk, founds a cluster with the other seeds at the
+/// cluster's very first start, or starts empty as a learner.
+/// @param incarnation random number drawn at each start of the process.
 void startRaft(ControllerContext& context, const storage::Recovery& recovery, std::uint64_t incarnation);
-/// Makes the member of a shard of the coordination service: it resumes from its own records, or starts empty, as a
-/// machine that joins. Whether it founds the shard's log instead is not known yet, see `foundShardMember`.
+/// Creates this machine's member of a shard of the coordination service. The member resumes from its own records or
+/// starts empty, as a machine that joins. Whether it founds the shard's log instead is decided later; see
+/// `foundShardMember`.
 std::unique_ptr<consensus::RaftNode> startShardMember(const ControllerContext& context,
                                                       const storage::Recovery& recovery,
                                                       const consensus::RaftOptions& options, std::uint64_t incarnation);
-/// Makes the member of a shard that founds the shard's log, together with the other founders that were agreed on; null:
-/// this machine is none of them. Only for a machine that has no records of the shard and has not lost any: it has never
-/// voted there. Each founder starts from the same state, whenever that is.
+/// Creates a member that founds the shard's log together with the other agreed founders; null: this machine is not one
+/// of the founders. Only for a machine that has no records of the shard and has not lost any, which means that it has
+/// never voted in the shard. Each founder starts from the same state, at any time.
 std::unique_ptr<consensus::RaftNode> foundShardMember(const ControllerContext& context,
                                                       const consensus::RaftOptions& options, std::uint64_t incarnation);
 }  // namespace zinccleat::controller
--- a/libs/controller/src/status_report.hpp
+++ b/libs/controller/src/status_report.hpp
@@ -1,22 +1,23 @@
 /// @file
-/// What a controller reports to operators, as JSON (api/control.yaml: Status, Counters and Closures.List). Reads only.
+/// Builds the JSON reports of a controller for operators (api/control.yaml: Status, Counters and Closures.List). Only
+/// reads state.
 #pragma once
 #include "agent_request_handler.hpp"
 #include "agent_sessions.hpp"
 #include "controller_context.hpp"
 #include "partner_hints.hpp"
 namespace zinccleat::controller {
-/// The components that a report reads.
+/// The components from which a report is built.
 struct StatusSources {
   const ControllerContext& context;
   const AgentSessions& agents;
   const AgentRequestHandler& requests;
   const PartnerHints& hints;
 };
-/// This controller, the replicated log as it sees it, its members and all runners.
+/// Reports this controller, its view of the replicated log, the members and all runners.
 std::string statusJson(const StatusSources& sources, TimePoint now);
-/// The zones and regions that are being drained, and how far each has come.
+/// Reports the zones and regions that are being drained and the progress of each drain.
 std::string zoneDrainsJson(const StatusSources& sources, TimePoint now);
-/// What this controller has sent, by zone and type of message, and how long its newest sync took.
+/// Reports the traffic that this controller has sent, by zone and message type, and the duration of its last disk sync.
 std::string countersJson(const consensus::RaftNode& raft);
 }  // namespace zinccleat::controller
--- a/libs/controller/src/storage_thread.hpp
+++ b/libs/controller/src/storage_thread.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Runs storages on a thread of their own, so that only that thread waits for the disk. Records go in by messages, and
-/// results come back on the event loop. The storages are used by that thread alone.
+/// Runs all storages of a process on a separate disk thread, so that only that thread blocks on the disk. Records are
+/// posted to the thread, and results are posted back to the event loop. Only the disk thread uses the storages.
 #pragma once
 #include <boost/asio/executor_work_guard.hpp>
 #include <thread>
@@ -9,22 +9,23 @@
 #include "runtime/event_loop.hpp"
 
 namespace zinccleat::controller {
-/// The one thread of a process that waits for the disk.
+/// The single thread of a process that blocks on the disk.
 class DiskThread {
  public:
   DiskThread() : guard_(asio::make_work_guard(io_)), thread_([this] { io_.run(); }) {}
-  /// Waits for the operations under way.
+  /// Waits for the operations in progress.
   ~DiskThread() {
     guard_.reset();
     thread_.join();
   }
   DiskThread(const DiskThread&) = delete;
   DiskThread& operator=(const DiskThread&) = delete;
-  /// Has a record appended, together with whatever else waits then. Records of one storage keep their order.
+  /// Appends a record, batched with all other records that are waiting. Records of one storage keep their order.
   void append(PendingAppend append) {
     asio::post(io_, [this, append = std::move(append)]() mutable {
       queue_.add(std::move(append));
-      // Behind all that is posted already: what comes while the disk is busy is taken together.
+      // The batch is posted behind everything that is already posted, so that records arriving while the disk is busy
+      // form one batch.
       if (!std::exchange(isBatchPosted_, true))
         asio::post(io_, [this] { appendNextBatch(); });
     });
@@ -39,7 +40,8 @@
     if (isBatchPosted_)
       asio::post(io_, [this] { appendNextBatch(); });
   }
-  // After the answer, and a few files at a time: a record that comes meanwhile waits for these few only.
+  // Obsolete files are removed after the result was reported, a few at a time. A record that arrives in the meantime
+  // waits only for those few removals.
   void removeObsolete(std::shared_ptr<storage::Storage> storage) {
     asio::post(io_, [this, storage = std::move(storage)] {
       if (storage->removeObsolete(kMaxFilesPerRemoval))
@@ -47,22 +49,22 @@
     });
   }
 
-  AppendQueue queue_;           // of the thread alone
-  bool isBatchPosted_ = false;  // of the thread alone
+  AppendQueue queue_;           // used only by the disk thread
+  bool isBatchPosted_ = false;  // used only by the disk thread
   asio::io_context io_{1};
   asio::executor_work_guard<asio::io_context::executor_type> guard_;
   std::thread thread_;
 };
 
-/// One storage on the disk's thread; see the file's comment.
+/// A storage that is accessed on the disk thread; see the file comment.
 class AsyncStorage {
  public:
   using OnAppended = std::function<void(const Result<void>&)>;
-  /// Takes over a storage that has been recovered. All storages of one thread are in one folder.
+  /// Takes ownership of a storage that has been recovered. All storages of one disk thread must be in the same folder.
   AsyncStorage(std::shared_ptr<DiskThread> disk, storage::Storage storage, AppendUrgency urgency)
       : disk_(std::move(disk)), storage_(std::make_shared<storage::Storage>(std::move(storage))), urgency_(urgency) {}
-  /// Appends in the order of the calls. A record that failed may be appended again.
-  /// @param onAppended is called on the event loop, without an error once the record is durable.
+  /// Appends a record; records are appended in the order of the calls. A record that failed may be appended again.
+  /// @param onAppended is called on the event loop: without an error once the record is durable, or with the error.
   /// @param encodeState see `PendingAppend`.
   void append(consensus::DiskRecord record, OnAppended onAppended, std::function<std::string()> encodeState = {}) {
     auto answer = [onAppended = std::move(onAppended)](const Result<void>& appended) {
--- a/libs/controller/src/warmup_allocator.cpp
+++ b/libs/controller/src/warmup_allocator.cpp
@@ -2,18 +2,19 @@
 
 namespace zinccleat::controller {
 namespace {
-// Parts of what a runner may get in any second. A grant is used within its lifetime, 0.7 s, so a second holds what the
-// bucket refilled in 1.7 s and what it held before: 1.7 x 0.4 + 0.15 = 0.83 of the bound. Where the bound is small the
-// bucket holds one all the same, and refills no faster than the runner bears.
+// Refill rate and bucket capacity as fractions of the bound per second. A grant is used within its lifetime of 0.7 s,
+// so the grants used in one second come from the refill of 1.7 s and the tokens held before: 1.7 x 0.4 + 0.15 = 0.83 of
+// the bound. If the bound is small, the bucket still holds one token, and it never refills faster than the runner's
+// configured warm-up rate.
 constexpr double kRefillFraction = 0.4;
 constexpr double kCapacityFraction = 0.15;
-constexpr std::size_t kMaxGrants = 24;        // in one answer
-constexpr Duration kWarmupEndTolerance{400};  // heartbeats of one warm-up differ by their delay
+constexpr std::size_t kMaxGrants = 24;        // maximum number of grants in one answer
+constexpr Duration kWarmupEndTolerance{400};  // reported ends of one warm-up differ by the delay of the heartbeats
 }  // namespace
 
 void WarmupAllocator::follow(TimePoint now, const state_machine::StateContents& state,
                              const config::Configuration* configuration) {
-  // A configuration may take the address of one that is gone: the version tells them apart.
+  // A new configuration may be allocated at the address of a freed one, so configurations are compared by version.
   if (configuration && configuration->version != followedVersion_) {
     warmups_.followServices(configuration->services);
     followedVersion_ = configuration->version;
@@ -49,7 +50,8 @@
 }
 WarmupAllocator::TokenBucket& WarmupAllocator::refilledBucket(TimePoint now, const std::string& runner) {
   auto& bucket = buckets_[runner];
-  // A bucket begins empty: what the runner got before its warm-up was known counts in the same second.
+  // A bucket starts empty, because requests that the runner received before its warm-up was known count towards the
+  // same second.
   if (bucket.refilledAt != TimePoint{}) {
     const auto seconds = std::chrono::duration<double>(now - bucket.refilledAt).count();
     bucket.tokens = std::min(capacity(runner), bucket.tokens + seconds * tokensPerS(runner));
@@ -68,7 +70,7 @@
   for (std::size_t i = 0; i < limited.size() && grants.size() < kMaxGrants; ++i) {
     const auto& runner = limited[(first + i) % limited.size()];
     auto& bucket = refilledBucket(now, runner);
-    // Other zones get what the proxies of the runner's own zone leave.
+    // Proxies of other zones get a grant only from a full bucket, which the proxies of the runner's zone have not used.
     const bool isInRunnerZone = warmups_.zoneOf(runner) == zone;
     const bool mayTake = bucket.tokens >= 1 && (isInRunnerZone || bucket.tokens >= capacity(runner));
     if (!mayTake)
--- a/libs/controller/src/zone_drain_handlers.cpp
+++ b/libs/controller/src/zone_drain_handlers.cpp
@@ -1,14 +1,15 @@
 /// @file
-/// The calls of operators that drain zones and regions. The wire calls a drain a closure, and a zone or region a place.
+/// Handlers of the operators' calls that drain zones and regions. The HTTP API calls a drain a closure, and a zone or
+/// region a place.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/control_requests.hpp"
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::int32_t kFullDrainPercent = 100;  // percent
+constexpr std::int32_t kFullDrainPercent = 100;  // in percent
 
-/// Whether a call drains more than what is in force.
+/// Whether a call increases the drain beyond the drain in force.
 bool drainsMore(const config::ZoneDrainRequest& requested, const std::vector<state_machine::ZoneDrain>& drains) {
   const auto current =
       std::find_if(drains.begin(), drains.end(), [&](const auto& drain) { return drain.zone == requested.zone; });
@@ -16,12 +17,14 @@
     return requested.drainPercent > 0 || requested.notAccepting;
   return requested.drainPercent > current->drainPercent || (requested.notAccepting && !current->notAccepting);
 }
-/// Refuses a call that must not be carried out now; none: it may be.
+/// Validates a call against the settings and the load of the fleet.
+/// @return an error response if the call must not be executed now; none: it may be.
 std::optional<ApiResponse> validateRequest(const config::ZoneDrainRequest& requested,
                                            const ControllerServices& services) {
   if (!isZoneOrRegion(services.settings(), requested.zone))
     return errorResponse(HttpStatus::bad_request, "no zone or region '" + requested.zone + "'");
-  // While the fleet is busier than the operator allows, a drain goes no further, unless it is forced.
+  // While the fleet's request rate is above the limit in the call, a drain may not be increased unless the call forces
+  // it.
   const double requestsPerS = services.requestsPerS();
   const bool busy = requested.calmBelowPerS > 0 && requestsPerS > requested.calmBelowPerS;
   if (busy && !requested.force && drainsMore(requested, services.replica().state().zoneDrains))
@@ -45,7 +48,7 @@
     return errorResponse(written.error());
   return {HttpStatus::ok, services.zoneDrainsJson(), ""};
 }
-/// Refuses or redirects a call that this controller can't answer; none: it leads, and its replica is fresh.
+/// Returns a redirect or an error response unless this controller leads and its replica is fresh.
 std::optional<ApiResponse> errorUnlessFreshLeader(const ApiCall& call, const ResponseDeadline& deadline) {
   if (!call.services.awaitContact(kContactTimeout))
     return noContactResponse();
--- a/libs/controller/src/zone_evacuation_handlers.cpp
+++ b/libs/controller/src/zone_evacuation_handlers.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The calls of operators that evacuate zones and regions and take them back in use. Beside drains, which an operator
-/// turns up in steps (zone_drain_handlers.cpp), an evacuation binds at once and completely.
+/// Handlers of the operators' calls that evacuate zones and regions and end the evacuation. An evacuation takes effect
+/// at once and completely, in contrast to a drain, which an operator increases in steps (zone_drain_handlers.cpp).
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 
@@ -14,7 +14,8 @@
     return errorResponse(HttpStatus::bad_request, "no zone or region '" + zone + "'");
   if (!services.awaitContact(kContactTimeout))
     return noContactResponse();
-  // Written again if it is in force already: the order that this one repeats may have been undone meanwhile.
+  // The entry is written even if this replica already has the requested state: a later order, which this replica has
+  // not applied yet, may have reverted it.
   auto entry = state_machine::zoneEvacuationEntry({zone, evacuated}, services.nextOperationId());
   if (auto written = services.write(std::move(entry), deadline.left()); !written)
     return errorResponse(written.error());
