--- a/libs/controller/src/coordination_service.cpp
+++ b/libs/controller/src/coordination_service.cpp
@@ -107,17 +107,17 @@
 void CoordinationService::onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
   const auto isShard = [](int number) { return number >= 0 && number < coordination::kShardCount; };
   if (envelope.sender.empty())
-    return link->decline("a message that names no sender");
+    return link->decline("message without a sender");
   links_.recordMessage(envelope.sender, link);
   transport::receive<coordination::ShardConsensus>(link, envelope, [&](const coordination::ShardConsensus& message) {
     auto decoded = consensus::decodeMessage(message.message);
     if (!decoded || !isShard(message.shard))
-      return link->decline("no message of a shard");
+      return link->decline("invalid shard message");
     shardAt(message.shard).receive(envelope.sender, std::move(*decoded));
   });
   transport::receive<coordination::ShardCall>(link, envelope, [&](const coordination::ShardCall& message) {
     if (!isShard(message.shard))
-      return link->decline("a call to an unknown shard");
+      return link->decline("call to an unknown shard");
     onShardCall(envelope.sender, message);
   });
   transport::receive<coordination::ShardRecordsQuery>(
--- a/libs/controller/src/coordination_shard.cpp
+++ b/libs/controller/src/coordination_shard.cpp
@@ -154,7 +154,7 @@
 }
 void CoordinationShard::executeAction(consensus::RestoreSnapshot& action) {
   // The snapshot was validated earlier, by `recoverDisk` or by `RaftOptions::snapshotIsValid`.
-  checkInvariant(state_.restore(action.state).has_value(), "a shard's snapshot that was found valid restores");
+  checkInvariant(state_.restore(action.state).has_value(), "a validated shard snapshot can be restored");
   snapshotBytes_ = action.state.size();
   callbacks_.onRestored();
 }
--- a/libs/controller/src/counter_service.cpp
+++ b/libs/controller/src/counter_service.cpp
@@ -120,12 +120,12 @@
 void CounterService::onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
   const auto address = consensus::addressOf(envelope.sender);
   if (address.empty())
-    return link->decline("a message that names no sender");
+    return link->decline("message without a sender");
   links_.recordMessage(envelope.sender, link);
   heardMembers_[address] = envelope.sender;
   const auto pass = [&](const auto& message, const auto& content) {
     if (!replicated_counters::isWellFormed(content))
-      return link->decline("a sequence that no origin can have");
+      return link->decline("invalid increment sequence");
     replica_->receive(Clock::now(), address, message);
   };
   transport::receive<ProgressReport>(link, envelope, [&](const auto& report) { pass(report, report.progress); });
--- a/libs/controller/src/message_dispatcher.cpp
+++ b/libs/controller/src/message_dispatcher.cpp
@@ -3,7 +3,7 @@
 namespace zinccleat::controller {
 void MessageDispatcher::onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
   if (envelope.sender.empty())
-    return link->decline("a message that names no sender");
+    return link->decline("message without a sender");
   using transport::MessageType;
   switch (envelope.type) {
     case MessageType::consensus:
--- a/libs/controller/src/raft_driver.cpp
+++ b/libs/controller/src/raft_driver.cpp
@@ -42,7 +42,7 @@
   const auto change = context_.replica.apply(action.entry);
   // The entry had a different effect on this replica than on the other members. Exiting is a remedy: at the next start
   // the replica is restored from the records on disk.
-  checkInvariant(!change.corrupted, "a replica that differs from the others");
+  checkInvariant(!change.corrupted, "the replica matches the other members");
   if (change.configuration)
     adoptConfiguration();
   components_.writes.onApplied(action.entry.operationId);
@@ -52,7 +52,7 @@
 void RaftDriver::executeAction(consensus::RestoreSnapshot& action) {
   // Every snapshot is validated before this point: snapshots on disk by `recoverDisk`, snapshots of other members by
   // `snapshotIsValid`. A committed state that cannot be restored must not be replaced by any other state.
-  checkInvariant(context_.replica.restore(action.state).has_value(), "a snapshot that was found valid restores");
+  checkInvariant(context_.replica.restore(action.state).has_value(), "a validated snapshot can be restored");
   adoptConfiguration();
   components_.writes.onSnapshotRestored();
   components_.reads.onApplied();
--- a/libs/controller/src/startup.cpp
+++ b/libs/controller/src/startup.cpp
@@ -90,12 +90,12 @@
 }
 std::optional<std::string> settingsError(const config::Settings& settings) {
   if (settings.dataDir.empty())
-    return "settings name no dataDir for a core machine";
+    return "settings have no dataDir, which a controller requires";
   if (settings.lastPort < settings.firstPort + kCounterPortOffset)
-    return "internalPorts hold fewer than four ports";
+    return "internalPorts must contain at least four ports";
   if (settings.initialAttach && seedsContainOnlySelf(settings) && settings.toleratedMachineFailures > 0)
-    return "seedNodes hold this machine alone, and faultTolerance.machines is " +
-           std::to_string(settings.toleratedMachineFailures) + ": a core of one bears no loss";
+    return "seedNodes contain only this machine, but faultTolerance.machines is " +
+           std::to_string(settings.toleratedMachineFailures) + ": a single controller tolerates no machine failure";
   return std::nullopt;
 }
 bool snapshotIsValid(const std::string& snapshot) {
@@ -137,7 +137,7 @@
   // The process continues anyway: the other controllers may only be down, and reloaded settings may name them.
   if (kind == StartKind::joins && seedsContainOnlySelf(settings)) {
     ++context.seedsDeclined;
-    log::info("no_seed_to_join", {{"member", self}, {"reason", "seedNodes name only this machine"}});
+    log::info("no_seed_to_join", {{"member", self}, {"reason", "seedNodes contain only this machine"}});
   }
   log::debug("controller_started", {{"member", self}, {"start", nameOf(kind)}});
 }
