--- a/libs/controller/src/coordination_service.cpp
+++ b/libs/controller/src/coordination_service.cpp
@@ -245,12 +245,12 @@
   const auto readIndex = call(freshness, kFreshnessTimeout);
   if (!readIndex)
     return makeError(ErrorCode::unavailable, readIndex.error().message);
-  PendingWatch own;
-  own.shard = coordination::shardOf(freshness);
-  own.query = {group, after, readIndex->number};
-  watches_.push_back(&own);
-  auto found = awaitEvents(own, deadline);
-  std::erase(watches_, &own);
+  PendingWatch pendingWatch;
+  pendingWatch.shard = coordination::shardOf(freshness);
+  pendingWatch.query = {group, after, readIndex->number};
+  watches_.push_back(&pendingWatch);
+  auto found = awaitEvents(pendingWatch, deadline);
+  std::erase(watches_, &pendingWatch);
   return found;
 }
 
--- a/libs/controller/src/graceful_shutdown.cpp
+++ b/libs/controller/src/graceful_shutdown.cpp
@@ -13,15 +13,15 @@
 bool GracefulShutdown::begin(const std::function<void(bool deadlinePassed)>& onReadyToExit) {
   if (std::exchange(inProgress_, true))
     return false;
-  const auto begun = Clock::now();
-  const auto deadline = begun + std::max(kMinDuration, context_.settings.timers.grace - kMarginBeforeKill);
+  const auto startedAt = Clock::now();
+  const auto deadline = startedAt + std::max(kMinDuration, context_.settings.timers.grace - kMarginBeforeKill);
   log::debug("shutdown_started", {{"term", context_.raft->term()}, {"member", context_.raft->self()}});
-  context_.raft->leave(begun);
-  coordination_.leave(begun);
-  runtime::EventLoop::get().callEvery(kPollInterval, [this, onReadyToExit, begun, deadline] {
+  context_.raft->leave(startedAt);
+  coordination_.leave(startedAt);
+  runtime::EventLoop::get().callEvery(kPollInterval, [this, onReadyToExit, startedAt, deadline] {
     const auto now = Clock::now();
-    const bool othersCanGoOn = context_.raft->mayExit() && coordination_.mayExit();
-    if (now - begun >= kMinDuration && (othersCanGoOn || now >= deadline))
+    const bool othersCanContinue = context_.raft->mayExit() && coordination_.mayExit();
+    if (now - startedAt >= kMinDuration && (othersCanContinue || now >= deadline))
       onReadyToExit(now >= deadline);
   });
   return true;
--- a/libs/controller/src/pending_writes.cpp
+++ b/libs/controller/src/pending_writes.cpp
@@ -9,24 +9,24 @@
                                                                      Duration timeout) {
   const auto deadline = Clock::now() + timeout;
   const auto operationId = entry.operationId;
-  PendingWrite own;
-  own.outcome = context_.replica.outcomeOf(operationId);
-  pending_[operationId].push_back(&own);
+  PendingWrite pendingWrite;
+  pendingWrite.outcome = context_.replica.outcomeOf(operationId);
+  pending_[operationId].push_back(&pendingWrite);
   bool bodySentAhead = false;
-  while (!own.outcome && Clock::now() < deadline) {
+  while (!pendingWrite.outcome && Clock::now() < deadline) {
     submit(entry, bodySentAhead);
     // In a cluster of one member the entry is applied during `submit`.
-    if (own.outcome)
+    if (pendingWrite.outcome)
       break;
     const auto left = toDuration(deadline - Clock::now()) + 1ms;
-    (void)runtime::EventLoop::get().waitFor(own.waiter, std::min(left, kResubmitInterval));
-    if (!own.outcome)
-      own.outcome = context_.replica.outcomeOf(operationId);
+    (void)runtime::EventLoop::get().waitFor(pendingWrite.waiter, std::min(left, kResubmitInterval));
+    if (!pendingWrite.outcome)
+      pendingWrite.outcome = context_.replica.outcomeOf(operationId);
   }
-  forget(operationId, &own);
-  if (!own.outcome)
+  forget(operationId, &pendingWrite);
+  if (!pendingWrite.outcome)
     return makeError(ErrorCode::unavailable, "no outcome yet");
-  return *own.outcome;
+  return *pendingWrite.outcome;
 }
 void PendingWrites::submit(const transport::LogEntry& entry, bool& bodySentAhead) {
   const auto leader = context_.raft->leader();
--- a/libs/controller/src/quota_allocator.cpp
+++ b/libs/controller/src/quota_allocator.cpp
@@ -97,14 +97,14 @@
                                                   const config::Subscriber& subscriber) {
   auto& bucket = bucketOf(demand.tenant);
   const auto limits = limitsOf(subscriber);
-  const double own = holding ? holding->tokens : 0;
-  double others = reservedByOthers(bucket, holder, now);
+  const double ownTokens = holding ? holding->tokens : 0;
+  double otherTokens = reservedByOthers(bucket, holder, now);
   const bool hasReserve = demand.requestsPerS > 0 || holding;
   if (hasReserve)
-    bucket.reserves[holder] = {own, now};
+    bucket.reserves[holder] = {ownTokens, now};
   else if (const auto it = bucket.reserves.find(holder); it != bucket.reserves.end())
-    others += it->second.tokens;
-  refill(bucket, limits, limits.capacity - others - own, now);
+    otherTokens += it->second.tokens;
+  refill(bucket, limits, limits.capacity - otherTokens - ownTokens, now);
 
   // Waiting requests are served first, then the local reserve as far as the capacity allows.
   const double waiting = std::max(0.0, demand.waitingRequests);
@@ -112,11 +112,11 @@
   bucket.tokens -= forWaiting;
   double forReserve = 0;
   if (demand.requestsPerS > 0) {
-    const double available = std::max(0.0, limits.capacity * kReservesFraction - others);
+    const double available = std::max(0.0, limits.capacity * kReservesFraction - otherTokens);
     const double wanted = std::min(demand.requestsPerS * kReserveSeconds + 1, available);
-    forReserve = std::min(bucket.tokens, std::max(0.0, wanted - own));
+    forReserve = std::min(bucket.tokens, std::max(0.0, wanted - ownTokens));
     bucket.tokens -= forReserve;
-    bucket.reserves[holder].tokens = own + forReserve;
+    bucket.reserves[holder].tokens = ownTokens + forReserve;
   }
   // A client that retries after this time must find a token, so the time includes the tokens for requests that still
   // wait.
--- a/tests/control_api_test.cpp
+++ b/tests/control_api_test.cpp
@@ -13,18 +13,18 @@
 using namespace zinccleat::state_machine;
 using namespace zinccleat::transport;
 namespace {
-constexpr Duration kCallersSecond{1000};
+constexpr Duration kCallerTimeout{1000};
 
 std::string configuration(int version, const std::string& label = "a") {
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[],"serviceTable":[{"label":")" + label +
          R"("}],"limits":{}})";
 }
 /// Expects a response in time that makes the caller try another controller.
-void expectSentElsewhere(const FakeController& controller, const ApiResponse& answer) {
+void expectSentToAnotherController(const FakeController& controller, const ApiResponse& answer) {
   EXPECT_EQ(answer.status, HttpStatus::service_unavailable) << answer.body;
   EXPECT_NE(answer.headers.find("Retry-After"), std::string::npos);
   EXPECT_EQ(answer.body.find("heartbeatUri"), std::string::npos);
-  EXPECT_LE(controller.waited, kCallersSecond * 9 / 10) << "the response comes after the caller's timeout";
+  EXPECT_LE(controller.waited, kCallerTimeout * 9 / 10) << "the response comes after the caller's timeout";
 }
 }  // namespace
 
@@ -49,7 +49,7 @@
   controller.heartbeat("i1", 1);
   controller.heartbeats.clear();
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.heartbeat("i1", 2));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 2));
   EXPECT_EQ(controller.waited, Duration(0)) << "a heartbeat is answered without waiting";
   EXPECT_TRUE(controller.heartbeats.empty());
 }
@@ -57,20 +57,20 @@
   FakeController controller;
   controller.heartbeat("i1", 1);
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.heartbeat("i2", 1));
-  expectSentElsewhere(controller, controller.heartbeat("i1", 2, "draining"));
+  expectSentToAnotherController(controller, controller.heartbeat("i2", 1));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 2, "draining"));
   EXPECT_EQ(controller.written.size(), 1U);
 }
 TEST(ControlApi, AControllerWhoseHeartbeatsDoNotReachTheLeaderSendsRunnersElsewhere) {
   FakeController controller;
   controller.heartbeat("i1", 1);
   controller.reachesLeader = false;
-  expectSentElsewhere(controller, controller.heartbeat("i1", 2));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 2));
 }
 TEST(ControlApi, AJoinThatCantBeWrittenIsNotAcknowledged) {
   FakeController controller;
   controller.commits = false;
-  expectSentElsewhere(controller, controller.heartbeat("i1", 1));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 1));
   EXPECT_FALSE(controller.replica().runner("i1"));
 }
 TEST(ControlApi, NoCallWaitsLongerThanItsCaller) {
@@ -80,7 +80,7 @@
       controller.heartbeat("i1", 1);
       controller.hasContact = hasContact;
       controller.commits = false;
-      expectSentElsewhere(controller, call(controller));
+      expectSentToAnotherController(controller, call(controller));
     };
     expectInTime([](auto& controller) { return controller.post("/v1/Configuration.Replace", configuration(2)); });
     expectInTime([](auto& controller) { return controller.post("/v1/Instances.Detach/i1", ""); });
@@ -92,7 +92,7 @@
 TEST(ControlApi, NothingIsSubmittedWithoutContact) {
   FakeController controller;
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(2)));
+  expectSentToAnotherController(controller, controller.post("/v1/Configuration.Replace", configuration(2)));
   EXPECT_TRUE(controller.written.empty()) << "a submitted write could take effect long after its caller's timeout";
 }
 TEST(ControlApi, AnOldReplicaRefusesNothing) {
@@ -101,9 +101,9 @@
   controller.hasContact = false;
   // The replica may be stale, so both rejections that it suggests may be wrong: the first version is not above its
   // current one, and the second call names a different base version.
-  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(4), "5"));
+  expectSentToAnotherController(controller, controller.post("/v1/Configuration.Replace", configuration(4), "5"));
   controller.waited = Duration(0);
-  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(9), "7"));
+  expectSentToAnotherController(controller, controller.post("/v1/Configuration.Replace", configuration(9), "7"));
   EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(5)).status, HttpStatus::ok)
       << "an accepted configuration stays accepted";
   controller.hasContact = true;
@@ -117,7 +117,7 @@
   controller.leader = "10.0.0.5:8080";
   EXPECT_EQ(controller.get("/v1/Closures.List").status, HttpStatus::temporary_redirect);
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.get("/v1/Closures.List"));
+  expectSentToAnotherController(controller, controller.get("/v1/Closures.List"));
 }
 TEST(ControlApi, ADetachedRunnerIsConfirmedByAnyReplica) {
   FakeController controller;
--- a/tests/golden_calls_test.cpp
+++ b/tests/golden_calls_test.cpp
@@ -333,7 +333,7 @@
     lines += c == '\r' ? std::string("\\r") : std::string(1, c);
   return lines;
 }
-std::string described(const CallTable& table, const Call& call) {
+std::string transcriptOf(const CallTable& table, const Call& call) {
   FakeController controller;
   call.arrange(controller);
   controller.written.clear();
@@ -399,7 +399,7 @@
 TEST_P(GoldenCalls, AreAnsweredAsStored) {
   std::string all;
   for (const auto& call : GetParam().calls)
-    all += (all.empty() ? "" : "\n") + described(GetParam(), call);
+    all += (all.empty() ? "" : "\n") + transcriptOf(GetParam(), call);
   golden::expectStored(std::string("calls_") + GetParam().name + ".txt", all);
 }
 INSTANTIATE_TEST_SUITE_P(All, GoldenCalls, testing::ValuesIn(tables()),
--- a/tests/shard_startup_test.cpp
+++ b/tests/shard_startup_test.cpp
@@ -25,7 +25,7 @@
   StartedController(const std::string& ip, bool firstStart) : context(settingsOf(ip, firstStart)) {
     startRaft(context, {}, kIncarnation);
   }
-  std::unique_ptr<consensus::RaftNode> shardFrom(const storage::Recovery& recovery) const {
+  std::unique_ptr<consensus::RaftNode> startShard(const storage::Recovery& recovery) const {
     return startShardMember(context, recovery, {}, kIncarnation);
   }
   /// Applies an entry of the fleet's log that names the founders of the shards.
@@ -54,7 +54,7 @@
 
 TEST(ShardStartup, NobodyFoundsBeforeItIsAgreed) {
   const StartedController founder("10.0.0.1", true);
-  EXPECT_TRUE(founder.shardFrom({})->voters().empty());
+  EXPECT_TRUE(founder.startShard({})->voters().empty());
   EXPECT_FALSE(founder.foundShard());
 }
 TEST(ShardStartup, ThoseWhoAreNamedFoundTheShardFromTheSameState) {
@@ -72,11 +72,11 @@
   StartedController newcomer("10.0.0.9", true);
   newcomer.applyFounding(kFounders);
   EXPECT_FALSE(newcomer.foundShard());
-  EXPECT_TRUE(newcomer.shardFrom({})->voters().empty());
+  EXPECT_TRUE(newcomer.startShard({})->voters().empty());
   StartedController wiped("10.0.0.1", false);
   wiped.applyFounding(kFounders);
   EXPECT_FALSE(wiped.foundShard()) << "a machine that lost its disk joins as a new member";
-  EXPECT_NE(wiped.shardFrom({})->self(), "10.0.0.1#0");
+  EXPECT_NE(wiped.startShard({})->self(), "10.0.0.1#0");
 }
 TEST(ShardStartup, OnlyTheFirstAgreementCounts) {
   StartedController founder("10.0.0.1", true);
@@ -103,7 +103,7 @@
   const auto recovery = recordsOf(*founder.foundShard());
   ASSERT_FALSE(recovery.records.empty());
   const StartedController later("10.0.0.1", false);
-  const auto member = later.shardFrom(recovery);
+  const auto member = later.startShard(recovery);
   EXPECT_EQ(member->self(), "10.0.0.1#0");
   EXPECT_EQ(member->voters().size(), 3U);
 }
@@ -118,7 +118,7 @@
   EXPECT_EQ(later.foundShard()->self(), "10.0.0.2#0");
   EXPECT_EQ(later.foundShard()->voters(), kFounders);
 }
-// Regression case: during a software update in the middle of a member replacement, one machine knows the voters before
+// Regression case: during a software update in the middle of a member replacement, one machine has the voters before
 // the replacement and another the voters after it. Each machine would found a log of its own.
 TEST(ShardStartup, MachinesThatKnowDifferentVotersDoNotFoundTwoLogs) {
   const StartedController before("10.0.0.2", true);
@@ -141,7 +141,7 @@
   const StartedController founder("10.0.0.1", true);
   storage::Recovery quarantined;
   quarantined.identityLost = true;
-  const auto member = founder.shardFrom(quarantined);
+  const auto member = founder.startShard(quarantined);
   EXPECT_TRUE(member->voters().empty());
   EXPECT_NE(member->self(), founder.context.raft->self());
 }
@@ -167,18 +167,18 @@
 // The leader has lost its disk or joined recently, so it has no records although the shards exist on other machines.
 TEST(ShardFounder, NobodyFoundsWhereOneHasRecords) {
   const auto config = configOf(kFounders);
-  ShardFounder asks;
+  ShardFounder founderOfEmptyLeader;
   const ShardFounder::Leader without{kFounders[0], config, false};
-  EXPECT_FALSE(asks.decide(kStart, without));
-  asks.recordAnswer(kFounders[1], false);
-  asks.recordAnswer(kFounders[2], true);
-  ASSERT_TRUE(asks.decide(kStart, without));
-  EXPECT_TRUE(asks.decide(kStart, without)->founders.empty());
-  EXPECT_TRUE(asks.decide(kStart, without)->isAgreed());
-  ShardFounder knows;
+  EXPECT_FALSE(founderOfEmptyLeader.decide(kStart, without));
+  founderOfEmptyLeader.recordAnswer(kFounders[1], false);
+  founderOfEmptyLeader.recordAnswer(kFounders[2], true);
+  ASSERT_TRUE(founderOfEmptyLeader.decide(kStart, without));
+  EXPECT_TRUE(founderOfEmptyLeader.decide(kStart, without)->founders.empty());
+  EXPECT_TRUE(founderOfEmptyLeader.decide(kStart, without)->isAgreed());
+  ShardFounder founderOfLeaderWithRecords;
   const ShardFounder::Leader with{kFounders[0], config, true};
-  EXPECT_TRUE(knows.decide(kStart, with)->founders.empty());
-  EXPECT_TRUE(knows.membersToQuery(kStart, with).empty());
+  EXPECT_TRUE(founderOfLeaderWithRecords.decide(kStart, with)->founders.empty());
+  EXPECT_TRUE(founderOfLeaderWithRecords.membersToQuery(kStart, with).empty());
 }
 TEST(ShardFounder, AMajorityFoundsOnceTheOthersWereSilentForLong) {
   ShardFounder founder;
--- a/tests/unhealthy_runners_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -25,7 +25,7 @@
   detector.evaluate(now, runners);
   testProxy.context.runners.setEjected(detector.ejections());
 }
-std::vector<Runner> known(const TestProxy& testProxy) {
+std::vector<Runner> runnersOf(const TestProxy& testProxy) {
   std::vector<Runner> runners;
   for (auto& runner : testProxy.runners)
     runners.push_back(Runner{runner->id, runner->service, runner->address(), "z", 4, 1, 0});
@@ -53,7 +53,7 @@
     for (int i = 1; i < 5; ++i)
       testProxy.runner("i-" + std::to_string(i), answers);
     OutlierDetector detector;
-    const auto allRunners = known(testProxy);
+    const auto allRunners = runnersOf(testProxy);
     TimePoint now = Clock::now();
     detector.evaluate(now, allRunners);
     int served = 0;
@@ -105,7 +105,7 @@
   withProxy([](TestProxy& testProxy) {
     auto flaps = testProxy.runner("i-0", answers);
     testProxy.runner("i-1", answers);
-    const auto allRunners = known(testProxy);
+    const auto allRunners = runnersOf(testProxy);
     for (int i = 0; i < 60; ++i) {
       if (i == 10)
         flaps->acc->close();  // the runner is down: connections are refused
