--- a/libs/controller/src/agent_sessions.hpp
+++ b/libs/controller/src/agent_sessions.hpp
@@ -51,7 +51,7 @@
     std::int64_t lastApplied = 0;           ///< index reported in the agent's state messages
     int statesAnswered = 0;                 ///< number of state messages answered on this connection
     std::size_t sentMembersHash = 0;        ///< hash of the voters and zones last sent on this connection
-    /// the agent is in this controller's zone and is served whether or not this controller leads
+    /// The agent is in this controller's zone and is served whether or not this controller leads.
     bool inOwnZone = false;
     std::string cachedDigest;  ///< digest of the configuration that the agent has cached
   };
@@ -83,7 +83,7 @@
   std::map<std::string, Session> sessions_;      // by agent id
   std::map<std::int64_t, Frame> entriesFrames_;  // encoded entries, by the index of the last entry before them
   std::int64_t framesCommitIndex_ = -1;          // commit index up to which the cached frames reach
-  // by the digest that the agent has cached; an empty digest stands for a complete snapshot
+  // By the digest that the agent has cached; an empty digest stands for a complete snapshot.
   std::map<std::string, SnapshotFrame> snapshots_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/control_api.hpp
+++ b/libs/controller/src/control_api.hpp
@@ -31,7 +31,7 @@
   HttpStatus status = HttpStatus::ok;
   std::string body = "{}";  ///< JSON, except for prefix hints
   std::string headers;      ///< complete header lines, each with its line end
-  /// close the connection without a response, because the outcome is unknown and any status would claim one
+  /// Close the connection without a response, because the outcome is unknown and any status would claim one.
   bool closeWithoutResponse = false;
 };
 /// Handles one request. May suspend the calling fiber.
--- a/libs/controller/src/control_server.hpp
+++ b/libs/controller/src/control_server.hpp
@@ -27,7 +27,8 @@
   int inFlight() const { return inFlight_; }
 
  private:
-  /// whether the connection stays open after the response.
+  /// Handles one request and writes the response.
+  /// @return whether the connection stays open after the response.
   bool handleRequest(runtime::Connection& connection, const proxy::RequestParser& parser);
 
   ControllerServices& services_;
--- a/libs/controller/src/controller_context.hpp
+++ b/libs/controller/src/controller_context.hpp
@@ -19,12 +19,12 @@
   config::Settings settings;                  ///< written by `ControllerNode`
   std::unique_ptr<consensus::RaftNode> raft;  ///< set once, by `ControllerNode::start`
   state_machine::ReplicatedState replica;     ///< written by `RaftDriver`
-  /// parsed configuration of the replica; null: none yet; written by `RaftDriver`
+  /// Parsed configuration of the replica; null: none yet; written by `RaftDriver`.
   std::shared_ptr<const config::Configuration> configuration;
   MemberZones zones;  ///< zones of the controllers that are up; written by `RunnerLiveness`
-  /// partial view of the other machines; written by each component that receives messages
+  /// Partial view of the other machines; written by each component that receives messages.
   transport::PartialView view;
-  /// number of starts whose settings named no other controller to join; written at startup
+  /// Number of starts whose settings named no other controller to join; written at startup.
   std::int64_t seedsDeclined = 0;
 
   /// Whether this controller is the leader. A leader does not necessarily hold a lease yet.
--- a/libs/controller/src/coordination_shard.cpp
+++ b/libs/controller/src/coordination_shard.cpp
@@ -128,7 +128,7 @@
   if (!entry)
     return false;
   ++operations_;
-  // this member is the leader: `syncLeaseholderTerm` has just checked
+  // This member is the leader: `syncLeaseholderTerm` has just checked.
   (void)raft_->submit(now, std::move(*entry));
   return true;
 }
--- a/libs/controller/src/outlier_detector.cpp
+++ b/libs/controller/src/outlier_detector.cpp
@@ -12,21 +12,24 @@
 constexpr double kMaxSucceededPerReport = 50;
 constexpr double kMaxFailedPerReport = 4;
 
-constexpr double kMinFailures = 2.5;      // decayed count; a runner with fewer failures is not ejected
+constexpr double kMinFailures = 2.5;      // in decayed attempts; a runner with fewer is not ejected
 constexpr std::size_t kMinReporters = 2;  // a runner is ejected only if at least this many proxies report failures
-constexpr double kMinFailureRate = 0.25;  // minimum share of the runner's attempts that failed
-constexpr double kPeerRateFactor = 3;     // required ratio to the failure rate of the service's other runners
-// required excess over that rate; the smaller of the two requirements applies
+constexpr double kMinFailureRate = 0.25;  // minimum failed share of the runner's attempts
+// A runner is an outlier only if its failure rate is at least `kPeerRateFactor` times the rate of the service's other
+// runners, or at least `kPeerRateDifference` above it. The second condition applies where many runners fail.
+constexpr double kPeerRateFactor = 3;
 constexpr double kPeerRateDifference = 0.4;
 constexpr std::size_t kRunnersPerEjection = 5;  // at most one in this many runners of a service is unhealthy at a time
 constexpr auto kBaseEjectionTime = 1500ms;  // duration of the first ejection; doubles with each consecutive ejection
 constexpr int kMaxDoublings = 3;
 constexpr auto kProbationTime = 1500ms;
 constexpr double kProbationLevel = 0.5;
-// a runner in probation with at least this many failures is ejected again,
+// A runner in probation is ejected again once its decayed failures reach `kProbationMinFailures` and exceed
+// `kProbationFailuresPerSuccess` for each success.
 constexpr double kProbationMinFailures = 0.9;
-constexpr double kProbationFailuresPerSuccess = 0.5;  // if the failures also exceed this many per success
-constexpr auto kHealthyTimeBeforeReset = 15s;         // healthy time after which the count of ejections restarts
+constexpr double kProbationFailuresPerSuccess = 0.5;
+// A runner's ejection count and its negligible statistics are dropped after this time.
+constexpr auto kHealthyTimeBeforeReset = 15s;
 constexpr double kNegligibleAttempts = 0.01;
 }  // namespace
 
--- a/libs/controller/src/quota_allocator.cpp
+++ b/libs/controller/src/quota_allocator.cpp
@@ -15,7 +15,7 @@
 constexpr double kSlackInCapacity = 0.7;
 constexpr double kSlackAtStart = 0.2;    // fraction of the slack that a bucket holds at the start of a term
 constexpr double kBucketFraction = 0.4;  // fraction of the capacity that the bucket may always hold
-// fraction of the capacity up to which a local reserve is filled, counting the reserves of other holders
+// Fraction of the capacity up to which a local reserve is filled, counting the reserves of other holders.
 constexpr double kReservesFraction = 0.6;
 constexpr double kMinRetrySeconds = 0.05;
 constexpr double kRoundingError = 1e-9;
--- a/libs/controller/src/quota_allocator.hpp
+++ b/libs/controller/src/quota_allocator.hpp
@@ -66,7 +66,7 @@
   void refill(TokenBucket& bucket, const BucketLimits& limits, double unreserved, TimePoint now) const;
 
   std::unordered_map<std::string, TokenBucket> buckets_;  // by tenant label
-  // by tenant label: position in `indexedConfiguration_`
+  // By tenant label: position in `indexedConfiguration_`.
   std::unordered_map<std::string, std::size_t> subscriberIndex_;
   const config::Configuration* indexedConfiguration_ = nullptr;  // compared only, never dereferenced
   std::int64_t indexedVersion_ = -1;
--- a/libs/controller/src/raft_driver.cpp
+++ b/libs/controller/src/raft_driver.cpp
@@ -5,7 +5,7 @@
 namespace zinccleat::controller {
 namespace {
 constexpr std::int64_t kMinCompactionInterval = 96;  // in applied entries
-// after this many intervals the log is compacted even if agents lag behind
+// After this many intervals the log is compacted even if agents lag behind.
 constexpr std::int64_t kMaxIntervalsWithLaggingAgents = 4;
 }  // namespace
 
--- a/libs/controller/src/runner_monitor.cpp
+++ b/libs/controller/src/runner_monitor.cpp
@@ -5,9 +5,9 @@
 namespace zinccleat::controller {
 namespace {
 constexpr int kIntervalsUntilExpiry = 3;
-// time for a runner to find a controller that answers, and for the forwarding of its heartbeat
+// Time for a runner to find a controller that answers, and for the forwarding of its heartbeat.
 constexpr Duration kFailoverAllowance = 1500ms;
-// how long heartbeats of a runner that is not in the replica are remembered
+// How long heartbeats of a runner that is not in the replica are remembered.
 constexpr auto kAbsentRunnerRetention = 30s;
 constexpr auto kSuspendedAfter = 2500ms;  // a longer gap between checks means that this process was suspended
 }  // namespace
