--- a/libs/controller/src/quota_allocator.cpp
+++ b/libs/controller/src/quota_allocator.cpp
@@ -8,8 +8,9 @@
 constexpr auto kReserveLifetime = 4s;
 // After a change of leader: the time until each local reserve has been reported to the new leader or has expired.
 constexpr auto kUnknownReservesPeriod = 4500ms;
-// Division of the allowed excess and slack. A fraction of the excess goes into the refill rate. The rest of the excess
-// and 70 % of the slack go into the capacity, which limits the tokens in the bucket and in all local reserves together.
+// Division of the allowed excess and slack. One fraction of the excess goes into the refill rate. Another fraction,
+// together with `kSlackInCapacity` of the slack, goes into the capacity, which limits the tokens in the bucket and in
+// all local reserves together.
 constexpr double kExcessInRate = 0.3;
 constexpr double kExcessInCapacity = 0.5;
 constexpr double kSlackInCapacity = 0.7;
--- a/tests/shard_startup_test.cpp
+++ b/tests/shard_startup_test.cpp
@@ -119,7 +119,7 @@
   EXPECT_EQ(later.foundShard()->voters(), kFounders);
 }
 // Regression case: during a software update in the middle of a member replacement, one machine has the voters before
-// the replacement and another the voters after it. Each machine would found a log of its own.
+// the replacement and another the voters after it. Each machine would create a log of its own.
 TEST(ShardStartup, MachinesThatKnowDifferentVotersDoNotFoundTwoLogs) {
   const StartedController before("10.0.0.2", true);
   const auto fleetRecords = recordsOf(*before.context.raft);
