--- a/tests/coordination_test.cpp
+++ b/tests/coordination_test.cpp
@@ -62,11 +62,11 @@
 TEST(Coordination, WhatIsNotKnownIsNotAnswered) {
   FakeController controller;
   controller.outcomeGetsLost = true;
-  EXPECT_TRUE(controller.post("/v1/Locks.Begin/l", R"({"holder":"a","holdMs":3000})").silent);
-  EXPECT_TRUE(controller.post("/v1/Cells.Replace/g.a", R"({"value":"x"})").silent);
+  EXPECT_TRUE(controller.post("/v1/Locks.Begin/l", R"({"holder":"a","holdMs":3000})").closeWithoutResponse);
+  EXPECT_TRUE(controller.post("/v1/Cells.Replace/g.a", R"({"value":"x"})").closeWithoutResponse);
   controller.hasContact = false;
   const auto cutOff = controller.post("/v1/Locks.Begin/l", R"({"holder":"b","holdMs":3000})");
-  EXPECT_FALSE(cutOff.silent);
+  EXPECT_FALSE(cutOff.closeWithoutResponse);
   EXPECT_EQ(statusOf(cutOff), 503);
   EXPECT_EQ(statusOf(controller.get("/v1/watch/g.?after=1&waitMs=10")), 503);
 }
