--- a/libs/controller/src/counter_service.cpp
+++ b/libs/controller/src/counter_service.cpp
@@ -142,7 +142,7 @@
   (void)links_.sendEnvelope(to, transport::pack(message, context_.raft->self()));
 }
 
-// --- the disk ---
+// --- disk ---
 
 void CounterService::executeAction(replicated_counters::PersistBatch& action) {
   consensus::DiskRecord record;
--- a/libs/controller/src/outlier_detector.cpp
+++ b/libs/controller/src/outlier_detector.cpp
@@ -6,7 +6,7 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr double kHalfLifeS = 2;  // decay of the weight of a reported attempt
+constexpr double kHalfLifeS = 2;  // half-life of the weight of a reported attempt
 constexpr auto kReportLifetime = 4s;
 // Caps on what a single report about one runner counts, so that one proxy cannot outweigh the others.
 constexpr double kMaxSucceededPerReport = 50;
--- a/libs/controller/src/startup.cpp
+++ b/libs/controller/src/startup.cpp
@@ -122,7 +122,7 @@
   const auto kind = startKindOf(settings, recovery);
   const auto self = selfId(kind, settings, recovery, incarnation);
   const auto seeds = seedAddresses(settings);
-  const auto now = Clock::now();  // after the disk's recovery, which may have taken long
+  const auto now = Clock::now();  // read after the disk recovery, which may take long
   consensus::RaftOptions options;
   options.largeBodyBytes = kLargeBodyBytes;
   options.snapshotIsValid = snapshotIsValid;
@@ -148,7 +148,7 @@
   const bool resumes = !recovery.records.empty();
   const auto self =
       resumes ? consensus::MemberId(recovery.records.front().self) : newMemberId(context.settings.ip, incarnation);
-  const auto now = Clock::now();  // after the disk's recovery, which may have taken long
+  const auto now = Clock::now();  // read after the disk recovery, which may take long
   auto member = std::make_unique<consensus::RaftNode>(self, options, incarnation, now);
   member->setSeedAddresses(seedAddresses(context.settings));
   if (resumes)
--- a/libs/controller/src/zone_drain_handlers.cpp
+++ b/libs/controller/src/zone_drain_handlers.cpp
@@ -7,7 +7,7 @@
 
 namespace zinccleat::controller {
 namespace {
-constexpr std::int32_t kFullDrainPercent = 100;  // in percent
+constexpr std::int32_t kFullDrainPercent = 100;
 
 /// Whether a call increases the drain beyond the drain in force.
 bool drainsMore(const config::ZoneDrainRequest& requested, const std::vector<state_machine::ZoneDrain>& drains) {
--- a/tests/control_api_test.cpp
+++ b/tests/control_api_test.cpp
@@ -40,7 +40,7 @@
 }
 TEST(ControlApi, ARunnerIsSentToTheControllerOfItsZone) {
   FakeController controller;
-  EXPECT_NE(controller.heartbeat("i1", 1).body.find(kUri), std::string::npos) << "no controller is known there";
+  EXPECT_NE(controller.heartbeat("i1", 1).body.find(kUri), std::string::npos) << "no controller is known in the zone";
   controller.controlAddresses["z"] = "10.0.0.9:8080";
   EXPECT_NE(controller.heartbeat("i1", 2).body.find("http://10.0.0.9:8080"), std::string::npos);
 }
--- a/tests/controller_node_test.cpp
+++ b/tests/controller_node_test.cpp
@@ -318,7 +318,7 @@
   entry.index = 1;
   replica.apply(entry);
   EXPECT_TRUE(snapshotIsValid(replica.snapshot()));
-  EXPECT_FALSE(snapshotIsValid(replica.snapshotFor(replica.state().digest))) << "a partial one";
+  EXPECT_FALSE(snapshotIsValid(replica.snapshotFor(replica.state().digest))) << "a partial snapshot";
   auto truncated = replica.snapshot();
   truncated.resize(truncated.size() / 2);
   EXPECT_FALSE(snapshotIsValid(truncated));
--- a/tests/heartbeats_test.cpp
+++ b/tests/heartbeats_test.cpp
@@ -34,7 +34,7 @@
   forwarder.onAcknowledged(second->number);
   const auto third = forwarder.nextBatch(kStart + 1100ms);
   ASSERT_TRUE(third);
-  ASSERT_EQ(third->heartbeats.size(), 1U) << "only what came after the acknowledged batch";
+  ASSERT_EQ(third->heartbeats.size(), 1U) << "only heartbeats received after the acknowledged batch was sent";
   EXPECT_EQ(third->heartbeats[0].receivedAt, kStart + 700ms);
   forwarder.onAcknowledged(third->number);
   EXPECT_FALSE(forwarder.nextBatch(kStart + 1600ms));
@@ -108,7 +108,7 @@
     monitor.recordHeartbeat("i1", now);
     EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty());
   }
-  now += 15s;  // suspended
+  now += 15s;  // the leader is suspended
   EXPECT_TRUE(monitor.findExpired(now, true, {runner("i1")}).empty());
   EXPECT_TRUE(monitor.findExpired(now += 1s, true, {runner("i1")}).empty());
 }
