--- a/tests/unhealthy_runners_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -116,7 +116,7 @@
     const auto report = testProxy.context.observer.takeReport(24);
     const auto attempts = std::find_if(report.begin(), report.end(), [](auto& entry) { return entry.runner == "i-0"; });
     ASSERT_NE(attempts, report.end());
-    EXPECT_GT(it->failed, 3);
+    EXPECT_GT(attempts->failed, 3);
   });
 }
 // A new runner gets requests according to its load instead of all new requests.
