--- a/libs/controller/src/agent_request_handler.hpp
+++ b/libs/controller/src/agent_request_handler.hpp
@@ -66,7 +66,7 @@
   OutlierDetector outliers_;
   rollout::RolloutTracker rollouts_;
   WarmupAllocator warmups_;
-  std::map<std::string, ReportedLoad> loads_;  // by agent id
+  std::map<std::string, ReportedLoad> loads_;  // keyed by agent id
   std::int64_t accessMachines_ = 0;            // access machines with a recent lease request
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/agent_sessions.hpp
+++ b/libs/controller/src/agent_sessions.hpp
@@ -80,10 +80,10 @@
   transport::FeedEntries withoutBodiesAhead(transport::FeedEntries feed) const;
 
   ControllerContext& context_;
-  std::map<std::string, Session> sessions_;      // by agent id
-  std::map<std::int64_t, Frame> entriesFrames_;  // encoded entries, by the index of the last entry before them
+  std::map<std::string, Session> sessions_;      // keyed by agent id
+  std::map<std::int64_t, Frame> entriesFrames_;  // encoded entries, keyed by the index of the last entry before them
   std::int64_t framesCommitIndex_ = -1;          // commit index up to which the cached frames reach
-  // By the digest that the agent has cached; an empty digest stands for a complete snapshot.
+  // Keyed by the digest that the agent has cached; an empty digest stands for a complete snapshot.
   std::map<std::string, SnapshotFrame> snapshots_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/coordination_service.hpp
+++ b/libs/controller/src/coordination_service.hpp
@@ -90,9 +90,9 @@
   ShardFounder founder_;
   TimePoint proposedAt_{};
   PeerLinks links_;
-  std::vector<std::unique_ptr<CoordinationShard>> shards_;  // by shard number
-  std::map<std::int64_t, PendingCall*> calls_;      // by call id; the objects are on the stacks of the waiting fibers
-  std::map<std::int64_t, RemoteCall> remoteCalls_;  // by call id
+  std::vector<std::unique_ptr<CoordinationShard>> shards_;  // indexed by shard number
+  std::map<std::int64_t, PendingCall*> calls_;  // keyed by call id; the objects are on the stacks of the waiting fibers
+  std::map<std::int64_t, RemoteCall> remoteCalls_;  // keyed by call id
   std::vector<PendingWatch*> watches_;              // the objects are on the stacks of the waiting fibers
   std::int64_t lastCallId_ = 0;
   bool leaving_ = false;
--- a/libs/controller/src/counter_service.hpp
+++ b/libs/controller/src/counter_service.hpp
@@ -60,9 +60,9 @@
   std::optional<storage::Storage> recoveredStorage_;  // moved to `storage_` by `start`
   std::unique_ptr<AsyncStorage> storage_;
   std::int64_t lastRecord_ = 0;
-  // By address; if several members used an address, the last one heard.
+  // Keyed by address; if several members used an address, the last one heard.
   std::map<std::string, consensus::MemberId> heardMembers_;
-  std::map<std::int64_t, PendingCall*> calls_;  // by call id; the objects are on the stacks of the waiting fibers
+  std::map<std::int64_t, PendingCall*> calls_;  // keyed by call id; the objects are on the stacks of the waiting fibers
   std::int64_t lastCallId_ = 0;
   TimePoint membershipFollowedAt_{};
   bool caughtUp_ = false;
--- a/libs/controller/src/heartbeat_forwarder.hpp
+++ b/libs/controller/src/heartbeat_forwarder.hpp
@@ -37,8 +37,8 @@
   bool leaderAcknowledges(TimePoint now) const;
 
  private:
-  std::map<std::string, TimePoint> unacknowledged_;    // by runner id: time of its newest heartbeat
-  std::map<std::int64_t, TimePoint> batchesInFlight_;  // by batch number: time of sending
+  std::map<std::string, TimePoint> unacknowledged_;    // keyed by runner id: time of its newest heartbeat
+  std::map<std::int64_t, TimePoint> batchesInFlight_;  // keyed by batch number: time of sending
   std::int64_t lastBatch_ = 0;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/lease_reads.hpp
+++ b/libs/controller/src/lease_reads.hpp
@@ -36,7 +36,8 @@
 
   const ControllerContext& context_;
   SendRequest sendRequest_;
-  std::map<std::int64_t, PendingRead*> pending_;  // by request id; the objects are on the stacks of the waiting fibers
+  // Keyed by request id; the objects are on the stacks of the waiting fibers.
+  std::map<std::int64_t, PendingRead*> pending_;
   std::int64_t lastRequestId_ = 0;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/member_zones.hpp
+++ b/libs/controller/src/member_zones.hpp
@@ -35,6 +35,6 @@
   };
   std::string address_;
   std::string zone_;
-  std::map<std::string, Other> others_;  // by address
+  std::map<std::string, Other> others_;  // keyed by address
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/outlier_detector.hpp
+++ b/libs/controller/src/outlier_detector.hpp
@@ -40,7 +40,7 @@
   struct RunnerStats {
     double succeeded = 0, failed = 0;  ///< exponentially decayed numbers of attempts
     TimePoint decayedAt{};
-    std::map<std::string, TimePoint> failureReporters;  ///< by proxy: time of its newest report of a failure
+    std::map<std::string, TimePoint> failureReporters;  ///< keyed by proxy: time of its newest report of a failure
     Health health = Health::healthy;
     TimePoint healthSince{}, healthUntil{};
     int ejectionCount = 0;  ///< number of consecutive ejections; each doubles the duration of the next one
@@ -68,7 +68,7 @@
   void publish(const std::vector<state_machine::Runner>& runners);
   void forgetStats(TimePoint now);
 
-  std::unordered_map<std::string, RunnerStats> stats_;  // by runner id
+  std::unordered_map<std::string, RunnerStats> stats_;  // keyed by runner id
   std::set<std::string> knownRunners_;
   std::vector<transport::RunnerEjection> ejections_;
   std::uint64_t unknownRunnerReports_ = 0;
--- a/libs/controller/src/peer_links.hpp
+++ b/libs/controller/src/peer_links.hpp
@@ -44,7 +44,7 @@
   const ControllerContext& context_;
   const std::uint16_t port_;
   transport::PeerLink::OnMessage onMessage_;
-  std::map<std::string, std::unique_ptr<transport::Dialer>> dialers_;  // by address
+  std::map<std::string, std::unique_ptr<transport::Dialer>> dialers_;  // keyed by address
   std::map<consensus::MemberId, std::weak_ptr<transport::PeerLink>> inboundLinks_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/pending_writes.hpp
+++ b/libs/controller/src/pending_writes.hpp
@@ -43,7 +43,7 @@
 
   const ControllerContext& context_;
   Submitters submitters_;
-  // By operation id; the objects are on the stacks of the waiting fibers.
+  // Keyed by operation id; the objects are on the stacks of the waiting fibers.
   std::map<std::string, std::vector<PendingWrite*>> pending_;
 };
 }  // namespace zinccleat::controller
--- a/libs/controller/src/platform_functions.hpp
+++ b/libs/controller/src/platform_functions.hpp
@@ -47,8 +47,8 @@
   platform::FleetClock clock_;
   platform::UsageCollector usage_;
   platform::ScalingPolicy scaling_;
-  std::unordered_map<std::string, TimePoint> heardAt_;  // by address of the access machine
-  // By window: time of the proposal of a report that is not committed yet.
+  std::unordered_map<std::string, TimePoint> heardAt_;  // keyed by address of the access machine
+  // Keyed by window: time of the proposal of a report that is not committed yet.
   std::map<std::int64_t, TimePoint> proposedAt_;
   std::set<std::int64_t> confirmed_;  // windows that the platform has confirmed; the log may not record that yet
   TimePoint usageCheckedAt_{};
--- a/libs/controller/src/quota_allocator.hpp
+++ b/libs/controller/src/quota_allocator.hpp
@@ -46,7 +46,7 @@
   struct TokenBucket {
     double tokens = 0;
     TimePoint refilledAt{};
-    std::map<std::string, Reserve> reserves;  ///< by holder id
+    std::map<std::string, Reserve> reserves;  ///< keyed by holder id
   };
   /// Refill rate and capacity of a tenant's bucket, including its share of the allowed excess.
   struct BucketLimits {
@@ -65,8 +65,8 @@
   /// @param unreserved the part of the capacity that no local reserve holds.
   void refill(TokenBucket& bucket, const BucketLimits& limits, double unreserved, TimePoint now) const;
 
-  std::unordered_map<std::string, TokenBucket> buckets_;  // by tenant label
-  // By tenant label: position in `indexedConfiguration_`.
+  std::unordered_map<std::string, TokenBucket> buckets_;  // keyed by tenant label
+  // Keyed by tenant label: position in `indexedConfiguration_`.
   std::unordered_map<std::string, std::size_t> subscriberIndex_;
   const config::Configuration* indexedConfiguration_ = nullptr;  // compared only, never dereferenced
   std::int64_t indexedVersion_ = -1;
--- a/libs/controller/src/runner_monitor.hpp
+++ b/libs/controller/src/runner_monitor.hpp
@@ -22,7 +22,7 @@
 
  private:
   Duration timeout_;
-  std::map<std::string, TimePoint> lastHeartbeat_;  // by runner id
+  std::map<std::string, TimePoint> lastHeartbeat_;  // keyed by runner id
   std::optional<TimePoint> monitoringSince_;        // none: this controller holds no lease
   TimePoint lastCheck_{};
 };
--- a/libs/controller/src/shard_founder.hpp
+++ b/libs/controller/src/shard_founder.hpp
@@ -13,6 +13,7 @@
 #include "consensus/cluster_config.hpp"
 #include "state_machine/shard_founding.hpp"
 namespace zinccleat::controller {
+/// Chooses the founders of the shards; see the file comment.
 class ShardFounder {
  public:
   /// The leader's own state.
--- a/libs/controller/src/warmup_allocator.hpp
+++ b/libs/controller/src/warmup_allocator.hpp
@@ -53,7 +53,7 @@
   std::int64_t followedIndex_ = -1;
   std::int64_t followedRunners_ = 0;            // revision of the runner table last followed
   std::int64_t followedVersion_ = -1;           // version of the configuration last followed
-  std::map<std::string, TokenBucket> buckets_;  // by runner id
+  std::map<std::string, TokenBucket> buckets_;  // keyed by runner id
   TimePoint grantsAllowedFrom_{};
   std::size_t nextRunner_ = 0;  // start position in the list of runners; advances with each call for fairness
 };
--- a/tests/fake_controller.hpp
+++ b/tests/fake_controller.hpp
@@ -21,7 +21,7 @@
   ReplicatedState ownReplica;
   bool hasContact = true, reachesLeader = true, commits = true;
   std::optional<std::string> leader;
-  std::map<std::string, std::string> controlAddresses;  ///< by zone
+  std::map<std::string, std::string> controlAddresses;  ///< keyed by zone
   std::int64_t lastIndex = 0;
   std::vector<std::string> heartbeats, written;
   Duration waited{0};
