--- a/libs/controller/src/shard_founder.hpp
+++ b/libs/controller/src/shard_founder.hpp
@@ -31,8 +31,8 @@
   /// Returns the voters to query now: those that have not answered, a few times a second.
   std::vector<consensus::MemberId> membersToQuery(TimePoint now, const Leader& leader);
 
-  /// How long the leader waits for voters that do not answer. Longer than a machine that is down stays a voter where
-  /// another machine can replace it.
+  /// How long the leader waits for voters that do not answer. This is longer than it takes to replace a failed voter
+  /// when another machine is available.
   static constexpr Duration kSilentVoterTimeout{4000};
 
  private:
