--- a/libs/controller/src/api_responses.cpp
+++ b/libs/controller/src/api_responses.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::controller {
 namespace {
-// A caller goes on to the next controller after a second of silence; the rest of it is for the network.
+// Callers give up on a controller after one second without an answer; the remaining 150 ms cover network latency.
 constexpr Duration kResponseTimeout{850};
 constexpr Duration kMaxResponseTimeout{2500};
 constexpr std::size_t kBodyBytesPerExtraMs = 1024;
@@ -52,7 +52,7 @@
     return zoneToRegion.first == name || zoneToRegion.second == name;
   });
 }
-std::optional<ApiResponse> unlessFresh(ControllerServices& services, const ResponseDeadline& deadline) {
+std::optional<ApiResponse> errorUnlessFresh(ControllerServices& services, const ResponseDeadline& deadline) {
   if (!services.awaitContact(kContactTimeout))
     return noContactResponse();
   if (auto fresh = services.awaitReadIndex(deadline.left()); !fresh)
--- a/libs/controller/src/controller.cpp
+++ b/libs/controller/src/controller.cpp
@@ -17,15 +17,16 @@
   runtime::EventLoop loop;
   ControllerNode node(settings);
   ControlServer server(node, settings.controlAddress);
-  // Once the others can go on without this member: what was accepted is answered, and nothing more is accepted.
-  const auto endRequests = [&](bool deadlinePassed) {
+  // Called once the other controllers can operate without this member: answers the accepted requests and accepts no
+  // more.
+  const auto stopServing = [&](bool deadlinePassed) {
     server.stopAccepting();
     if (deadlinePassed || server.inFlight() == 0)
       loop.stop();
   };
   return config::runDaemon(loop, "controller", settings,
                            {.start = [&] { return startController(node, server); },
-                            .shutDown = [&] { node.shutDown(endRequests); },
+                            .shutDown = [&] { node.shutDown(stopServing); },
                             .reloadSettings = [&](const config::Settings& changed) { node.reloadSettings(changed); }});
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/coordination_service.cpp
+++ b/libs/controller/src/coordination_service.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kFreshnessTimeout{850};
 constexpr Duration kWatchContactCheck{500};
 constexpr std::size_t kMaxWatches = 1024;
-constexpr Duration kProposalInterval{500};  // a proposal may be lost with its leader
+constexpr Duration kProposalInterval{500};  // a proposal may be lost together with its leader, so it is repeated
 }  // namespace
 
 CoordinationService::CoordinationService(ControllerContext& context, ProposeFounding proposeFounding)
@@ -29,19 +29,19 @@
                onMessage(link, envelope);
              }) {
   for (int number = 0; number < coordination::kShardCount; ++number)
-    shards_.push_back(std::make_unique<CoordinationShard>(context, number, surroundingsOf(number)));
+    shards_.push_back(std::make_unique<CoordinationShard>(context, number, callbacksFor(number)));
 }
-CoordinationShard::Surroundings CoordinationService::surroundingsOf(int shard) {
-  CoordinationShard::Surroundings surroundings;
-  surroundings.send = [this, shard](const consensus::MemberId& to, const consensus::ConsensusMessage& message) {
+CoordinationShard::Callbacks CoordinationService::callbacksFor(int shard) {
+  CoordinationShard::Callbacks callbacks;
+  callbacks.send = [this, shard](const consensus::MemberId& to, const consensus::ConsensusMessage& message) {
     const coordination::ShardConsensus wrapped{shard, consensus::encodeMessage(message)};
     (void)links_.sendEnvelope(to, transport::pack(wrapped, shardAt(shard).raft().self()));
   };
-  surroundings.onResult = [this, shard](const CallResult& result) { onResult(shard, result); };
-  surroundings.onLeaderChanged = [this, shard] { onLeaderChanged(shard); };
-  surroundings.onApplied = [this, shard] { onApplied(shard); };
-  surroundings.onRestored = [this, shard] { wakeWatches(shard); };
-  return surroundings;
+  callbacks.onResult = [this, shard](const CallResult& result) { onResult(shard, result); };
+  callbacks.onLeaderChanged = [this, shard] { onLeaderChanged(shard); };
+  callbacks.onApplied = [this, shard] { onApplied(shard); };
+  callbacks.onRestored = [this, shard] { wakeWatches(shard); };
+  return callbacks;
 }
 Result<void> CoordinationService::recover(std::uint64_t incarnation) {
   for (auto& shard : shards_)
@@ -57,7 +57,7 @@
     shard->start(disk);
   return {};
 }
-// At once, so that the first request to the others is not lost to a connection that is not open yet.
+// Dials at startup, so that the first request to another controller is not lost because its connection is not open yet.
 void CoordinationService::dialOthers() {
   for (const auto& seed : seedAddresses(context_.settings))
     links_.dial(seed);
@@ -66,20 +66,20 @@
       links_.dial(consensus::addressOf(voter));
 }
 void CoordinationService::tick(TimePoint now) {
-  agreeOnFounding(now);
+  proposeFoundingIfDecided(now);
   for (auto& shard : shards_)
     shard->tick(now);
 }
 bool CoordinationService::hasRecords() const {
   return std::any_of(shards_.begin(), shards_.end(), [](const auto& shard) { return shard->hasRecords(); });
 }
-void CoordinationService::agreeOnFounding(TimePoint now) {
+void CoordinationService::proposeFoundingIfDecided(TimePoint now) {
   const auto& raft = *context_.raft;
   if (context_.replica.state().shardFounding.isAgreed() || !raft.hasLease(now))
     return founder_.reset();
   const ShardFounder::Leader leader{raft.self(), raft.config(), hasRecords()};
   const auto founding = founder_.decide(now, leader);
-  for (const auto& member : founder_.dueQueries(now, leader))
+  for (const auto& member : founder_.membersToQuery(now, leader))
     (void)links_.sendEnvelope(member, transport::pack(coordination::ShardRecordsQuery{++lastCallId_}, raft.self()));
   if (!founding || now - proposedAt_ < kProposalInterval)
     return;
@@ -107,17 +107,17 @@
 void CoordinationService::onMessage(const transport::PeerLinkPtr& link, const transport::Envelope& envelope) {
   const auto isShard = [](int number) { return number >= 0 && number < coordination::kShardCount; };
   if (envelope.sender.empty())
-    return link->decline("a message that names no sender");
+    return link->decline("message without a sender");
   links_.recordMessage(envelope.sender, link);
   transport::receive<coordination::ShardConsensus>(link, envelope, [&](const coordination::ShardConsensus& message) {
     auto decoded = consensus::decodeMessage(message.message);
     if (!decoded || !isShard(message.shard))
-      return link->decline("no message of a shard");
+      return link->decline("invalid shard message");
     shardAt(message.shard).receive(envelope.sender, std::move(*decoded));
   });
   transport::receive<coordination::ShardCall>(link, envelope, [&](const coordination::ShardCall& message) {
     if (!isShard(message.shard))
-      return link->decline("a call to an unknown shard");
+      return link->decline("call to an unknown shard");
     onShardCall(envelope.sender, message);
   });
   transport::receive<coordination::ShardRecordsQuery>(
@@ -167,7 +167,8 @@
                                         TimePoint deadline) {
   const auto leader = shard.raft().leader();
   const auto self = shard.raft().self();
-  // A machine that is cut off does not send: what may reach the other side later can't be called not executed.
+  // A machine without contact to a majority does not send the call. A message that may still be delivered later cannot
+  // be reported as not executed.
   if (leader.empty() || !shard.raft().inContactWithMajority(Clock::now()))
     return AttemptEnd::notSent;
   const auto callId = ++lastCallId_;
@@ -229,7 +230,7 @@
       return *answer;
     const auto left = toDuration(deadline - now) + 1ms;
     (void)runtime::EventLoop::get().waitFor(watch.waiter, std::min(left, kWatchContactCheck));
-    // Puts would not reach this replica: the caller is better off at another one.
+    // New puts would not reach this replica, so the caller has to use another controller.
     if (leaving_ || !shard.raft().inContactWithMajority(Clock::now()))
       return makeError(ErrorCode::unavailable, "this replica receives no puts");
   }
@@ -244,12 +245,12 @@
   const auto readIndex = call(freshness, kFreshnessTimeout);
   if (!readIndex)
     return makeError(ErrorCode::unavailable, readIndex.error().message);
-  PendingWatch own;
-  own.shard = coordination::shardOf(freshness);
-  own.query = {group, after, readIndex->number};
-  watches_.push_back(&own);
-  auto found = awaitEvents(own, deadline);
-  std::erase(watches_, &own);
+  PendingWatch pendingWatch;
+  pendingWatch.shard = coordination::shardOf(freshness);
+  pendingWatch.query = {group, after, readIndex->number};
+  watches_.push_back(&pendingWatch);
+  auto found = awaitEvents(pendingWatch, deadline);
+  std::erase(watches_, &pendingWatch);
   return found;
 }
 
--- a/libs/controller/src/coordination_shard.cpp
+++ b/libs/controller/src/coordination_shard.cpp
@@ -7,12 +7,13 @@
 
 namespace zinccleat::controller {
 namespace {
-// The log is compacted once it is as large as two snapshots, so that writing snapshots costs no more than the log does,
-// and no later than a start can read at ease: each group commit is a file.
+// The log is compacted once it is twice as large as a snapshot, so that writing snapshots costs no more than writing
+// the log. It is compacted after kMaxCompactionInterval entries at the latest: each group commit is a file, and a start
+// has to read them all.
 constexpr std::int64_t kMinCompactionInterval = 96;    // entries
 constexpr std::int64_t kMaxCompactionInterval = 2048;  // entries
 constexpr std::size_t kLogBytesPerSnapshotByte = 2;
-constexpr int kHistoryFactor = 2;  // of what a watch is promised
+constexpr int kHistoryFactor = 2;  // times the history that watches are guaranteed
 
 bool isShardSnapshot(const std::string& snapshot) {
   coordination::ShardState probe;
@@ -20,10 +21,10 @@
 }
 }  // namespace
 
-CoordinationShard::CoordinationShard(const ControllerContext& context, int number, Surroundings surroundings)
+CoordinationShard::CoordinationShard(const ControllerContext& context, int number, Callbacks callbacks)
     : context_(context),
       number_(number),
-      surroundings_(std::move(surroundings)),
+      callbacks_(std::move(callbacks)),
       leaseholder_(state_, [this] { return raft_->hasLease(Clock::now()); }) {}
 
 Result<void> CoordinationShard::recover(std::uint64_t incarnation) {
@@ -35,40 +36,40 @@
   options_.snapshotIsValid = isShardSnapshot;
   incarnation_ = incarnation;
   raft_ = startShardMember(context_, disk->recovery, options_, incarnation);
-  hasRecords_ = takesPart_ = !disk->recovery.records.empty();
-  mayFound_ = !hasRecords_ && !disk->recovery.identityLost;
+  hasRecords_ = isParticipating_ = !disk->recovery.records.empty();
+  canFoundShard_ = !hasRecords_ && !disk->recovery.identityLost;
   recoveredStorage_ = std::move(disk->storage);
   leaseholder_.setHistory(context_.settings.timers.history * kHistoryFactor);
   return {};
 }
 void CoordinationShard::start(const std::shared_ptr<DiskThread>& disk) {
-  storage_ = std::make_unique<StorageThread>(disk, std::move(*recoveredStorage_), AppendUrgency::consensus);
+  storage_ = std::make_unique<AsyncStorage>(disk, std::move(*recoveredStorage_), AppendUrgency::consensus);
   recoveredStorage_.reset();
   run();
 }
-void CoordinationShard::takePartIfAgreed() {
+void CoordinationShard::participateIfAgreed() {
   const auto& founding = context_.replica.state().shardFounding;
-  if (takesPart_ || founding.shards != coordination::kShardCount)
+  if (isParticipating_ || founding.shards != coordination::kShardCount)
     return;
-  takesPart_ = true;
-  auto founder = mayFound_ ? foundShardMember(context_, options_, incarnation_) : nullptr;
+  isParticipating_ = true;
+  auto founder = canFoundShard_ ? foundShardMember(context_, options_, incarnation_) : nullptr;
   log::debug(founder ? "shard_founded" : "shard_joining", {{"shard", number_}, {"founders", founding.founders.size()}});
   if (founder)
     raft_ = std::move(founder);
   run();
 }
 void CoordinationShard::tick(TimePoint now) {
-  takePartIfAgreed();
-  if (!takesPart_)
+  participateIfAgreed();
+  if (!isParticipating_)
     return;
   raft_->tick(now);
   leaseholder_.tick(now);
   run();
 }
 void CoordinationShard::receive(const consensus::MemberId& from, consensus::ConsensusMessage message) {
-  // Another founder may be ahead; what is lost is sent again.
-  takePartIfAgreed();
-  if (!takesPart_)
+  // Another founder may already be participating. A message dropped here is sent again by its sender.
+  participateIfAgreed();
+  if (!isParticipating_)
     return;
   raft_->receive(Clock::now(), from, std::move(message));
   run();
@@ -78,37 +79,37 @@
   run();
 }
 void CoordinationShard::leave(TimePoint now) {
-  if (!takesPart_)
+  if (!isParticipating_)
     return;
   raft_->leave(now);
   run();
 }
-// After each event: the actions of the log first, then what a change of the role means for the leaseholder, then what
-// it proposes, until there is nothing more to do; last of all the answers.
+// Runs after each event. Executes the actions of the Raft node first, then applies a change of role to the leaseholder,
+// then proposes the leaseholder's next batch, and repeats this until nothing is left to do. Results are delivered last.
 void CoordinationShard::run() {
   if (running_)
     return;
   running_ = true;
   do {
-    carryOutActions();
-    followRole();
+    executeActions();
+    syncLeaseholderTerm();
   } while (propose());
   running_ = false;
   while (leaseholder_.hasResults())
     for (const auto& result : leaseholder_.takeResults())
-      surroundings_.onResult(result);
+      callbacks_.onResult(result);
   if (const auto leader = raft_->leader(); leader != leader_) {
     leader_ = leader;
     log::debug("shard_leader_changed", {{"shard", number_}, {"term", raft_->term()}, {"leader", leader}});
-    surroundings_.onLeaderChanged();
+    callbacks_.onLeaderChanged();
   }
 }
-void CoordinationShard::carryOutActions() {
+void CoordinationShard::executeActions() {
   for (auto actions = raft_->takeActions(); !actions.empty(); actions = raft_->takeActions())
     for (auto& action : actions)
-      std::visit([this](auto& alternative) { carryOut(alternative); }, action);
+      std::visit([this](auto& alternative) { executeAction(alternative); }, action);
 }
-void CoordinationShard::followRole() {
+void CoordinationShard::syncLeaseholderTerm() {
   const auto ledTerm = raft_->role() == consensus::Role::leader ? raft_->term() : 0;
   if (ledTerm == ledTerm_)
     return;
@@ -127,13 +128,14 @@
   if (!entry)
     return false;
   ++operations_;
-  (void)raft_->submit(now, std::move(*entry));  // it leads: `followRole` has just looked
+  // This member is the leader: `syncLeaseholderTerm` has just checked.
+  (void)raft_->submit(now, std::move(*entry));
   return true;
 }
-void CoordinationShard::carryOut(const consensus::SendMessage& action) const {
-  surroundings_.send(action.to, action.message);
+void CoordinationShard::executeAction(const consensus::SendMessage& action) const {
+  callbacks_.send(action.to, action.message);
 }
-void CoordinationShard::carryOut(consensus::PersistRecord& action) {
+void CoordinationShard::executeAction(consensus::PersistRecord& action) {
   hasRecords_ = true;
   storage_->append(std::move(action.record), [this, ticket = action.ticket](const Result<void>& appended) {
     if (!appended)
@@ -142,19 +144,19 @@
     run();
   });
 }
-void CoordinationShard::carryOut(consensus::ApplyEntry& action) {
+void CoordinationShard::executeAction(consensus::ApplyEntry& action) {
   const auto outcomes = state_.apply(action.entry);
   leaseholder_.onApplied(action.entry, outcomes);
-  surroundings_.onApplied();
+  callbacks_.onApplied();
   bytesSinceCompaction_ += action.entry.body.size() + action.entry.operationId.size();
   ++entriesSinceCompaction_;
   compactIfDue();
 }
-void CoordinationShard::carryOut(consensus::RestoreSnapshot& action) {
-  // Validated before it gets here, by `recoverDisk` or by `RaftOptions::snapshotIsValid`.
-  checkInvariant(state_.restore(action.state).has_value(), "a shard's snapshot that was found valid restores");
+void CoordinationShard::executeAction(consensus::RestoreSnapshot& action) {
+  // The snapshot was validated earlier, by `recoverDisk` or by `RaftOptions::snapshotIsValid`.
+  checkInvariant(state_.restore(action.state).has_value(), "a validated shard snapshot can be restored");
   snapshotBytes_ = action.state.size();
-  surroundings_.onRestored();
+  callbacks_.onRestored();
 }
 void CoordinationShard::compactIfDue() {
   if (entriesSinceCompaction_ < kMinCompactionInterval)
--- a/libs/controller/src/pending_writes.cpp
+++ b/libs/controller/src/pending_writes.cpp
@@ -9,24 +9,24 @@
                                                                      Duration timeout) {
   const auto deadline = Clock::now() + timeout;
   const auto operationId = entry.operationId;
-  PendingWrite own;
-  own.outcome = context_.replica.outcomeOf(operationId);
-  pending_[operationId].push_back(&own);
+  PendingWrite pendingWrite;
+  pendingWrite.outcome = context_.replica.outcomeOf(operationId);
+  pending_[operationId].push_back(&pendingWrite);
   bool bodySentAhead = false;
-  while (!own.outcome && Clock::now() < deadline) {
+  while (!pendingWrite.outcome && Clock::now() < deadline) {
     submit(entry, bodySentAhead);
-    // A cluster of one has applied it by now.
-    if (own.outcome)
+    // In a cluster of one member the entry is applied during `submit`.
+    if (pendingWrite.outcome)
       break;
     const auto left = toDuration(deadline - Clock::now()) + 1ms;
-    (void)runtime::EventLoop::get().waitFor(own.waiter, std::min(left, kResubmitInterval));
-    if (!own.outcome)
-      own.outcome = context_.replica.outcomeOf(operationId);
+    (void)runtime::EventLoop::get().waitFor(pendingWrite.waiter, std::min(left, kResubmitInterval));
+    if (!pendingWrite.outcome)
+      pendingWrite.outcome = context_.replica.outcomeOf(operationId);
   }
-  forget(operationId, &own);
-  if (!own.outcome)
+  forget(operationId, &pendingWrite);
+  if (!pendingWrite.outcome)
     return makeError(ErrorCode::unavailable, "no outcome yet");
-  return *own.outcome;
+  return *pendingWrite.outcome;
 }
 void PendingWrites::submit(const transport::LogEntry& entry, bool& bodySentAhead) {
   const auto leader = context_.raft->leader();
@@ -35,7 +35,7 @@
   if (leader.empty())
     return;
   const bool isLarge = entry.body.size() > kLargeBodyBytes && !entry.digest.empty();
-  // Submitted again, an entry goes with its body, which may have been lost.
+  // A resubmitted entry includes its body, because the body that was sent ahead may have been lost.
   if (!isLarge || std::exchange(bodySentAhead, true))
     return submitters_.forwardToLeader(leader, entry);
   forwardWithBodyAhead(leader, entry);
--- a/libs/controller/src/rollout_handlers.cpp
+++ b/libs/controller/src/rollout_handlers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The calls of operators that begin, retrieve and revert rollouts.
+/// Handlers of the operators' calls that begin, retrieve and revert rollouts.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/configuration.hpp"
@@ -81,12 +81,12 @@
   ordered.service = request->service;
   ordered.revision = request->revision;
   ordered.durationMs = request->duration.count();
-  // This replica may be old, but an order that was taken once stays taken.
+  // This replica may lag, but an order that was accepted stays accepted.
   const auto* known = services.replica().rollout(ordered.service);
   if (known && known->isSameRollout(ordered))
     return {HttpStatus::ok, "{}", ""};
   if (!isConfigured(services, ordered.service)) {
-    if (auto response = unlessFresh(call.services, deadline))
+    if (auto response = errorUnlessFresh(call.services, deadline))
       return *response;
     if (!isConfigured(services, ordered.service))
       return errorResponse(HttpStatus::not_found, "no service '" + ordered.service + "'");
@@ -98,7 +98,7 @@
 }
 ApiResponse handleRetrieveRollout(const ApiCall& call) {
   const ResponseDeadline deadline;
-  if (auto response = unlessFresh(call.services, deadline))
+  if (auto response = errorUnlessFresh(call.services, deadline))
     return *response;
   const auto* rollout = call.services.replica().rollout(call.subject);
   if (!rollout)
@@ -110,7 +110,7 @@
   const auto service = config::parseRolloutRevertRequest(call.request.body);
   if (!service)
     return errorResponse(service.error());
-  if (auto response = unlessFresh(call.services, deadline))
+  if (auto response = errorUnlessFresh(call.services, deadline))
     return *response;
   const auto* known = call.services.replica().rollout(*service);
   if (!known)
--- a/libs/controller/src/runner_handlers.cpp
+++ b/libs/controller/src/runner_handlers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The calls of runners: heartbeats and detaching.
+/// Handlers of the runners' calls: heartbeats and detaching.
 #include "api_handlers.hpp"
 #include "api_responses.hpp"
 #include "config/control_requests.hpp"
@@ -9,7 +9,7 @@
 using state_machine::Runner;
 using state_machine::RunnerState;
 
-bool describesSame(const Runner& one, const Runner& other) {
+bool hasSameDescription(const Runner& one, const Runner& other) {
   return one.address == other.address && one.service == other.service && one.capacity == other.capacity &&
          one.zone == other.zone && one.software.revision == other.software.revision;
 }
@@ -25,9 +25,9 @@
   runner.state = static_cast<std::int32_t>(heartbeat.draining ? RunnerState::draining : RunnerState::inService);
   return runner;
 }
-/// Whether a heartbeat says what the replica does not hold yet. One that comes out of order does not; a runner that
-/// drains never returns to service.
-bool isUpdate(const Runner& reported, const ControllerServices& services) {
+/// Whether a heartbeat contains information that the replica lacks. A heartbeat that arrives out of order does not. A
+/// runner that drains never returns to service.
+bool updatesReplica(const Runner& reported, const ControllerServices& services) {
   const auto& replica = services.replica();
   if (replica.isDetached(reported.id))
     return false;
@@ -37,9 +37,9 @@
   if (reported.sequence < known->sequence)
     return false;
   const bool stateChanges = reported.state != known->state && known->runnerState() != RunnerState::draining;
-  return stateChanges || !describesSame(reported, *known) || services.changesWarmup(reported);
+  return stateChanges || !hasSameDescription(reported, *known) || services.changesWarmup(reported);
 }
-/// The id names the content: the same update brought to two controllers is one write.
+/// Derives the operation id from the content, so that the same update received by two controllers is a single write.
 std::string operationIdOf(const Runner& reported) {
   const char* state = reported.runnerState() == RunnerState::draining ? "draining" : "in";
   return "runner/" + reported.id + "/" + state + "/" + std::to_string(reported.sequence);
@@ -52,7 +52,8 @@
   runner.sequence = std::max<std::int64_t>(1, runner.sequence);
   return runner;
 }
-/// A controller in the runner's own zone, so that heartbeats do not cross zones; else this one.
+/// Returns the URI of a controller in the runner's zone, so that heartbeats do not cross zones, or of this controller
+/// if the zone has none.
 std::string heartbeatUriFor(const std::string& zone, const ApiCall& call) {
   const auto nearby = call.services.controlAddressIn(zone);
   return nearby ? "http://" + *nearby : call.heartbeatUri;
@@ -71,7 +72,7 @@
     return errorResponse(HttpStatus::service_unavailable, "the leader does not answer");
   const auto reported = runnerOf(*heartbeat);
   services.recordHeartbeat(reported.id);
-  if (isUpdate(reported, services)) {
+  if (updatesReplica(reported, services)) {
     auto entry = state_machine::runnerEntry(reported, operationIdOf(reported));
     if (auto written = services.write(std::move(entry), deadline.left()); !written)
       return errorResponse(written.error());
--- a/tests/append_queue_test.cpp
+++ b/tests/append_queue_test.cpp
@@ -1,5 +1,6 @@
-/// Records of several logs on one disk: they share the sync of the folder, votes go before counters, and one that fails
-/// fails alone.
+/// @file
+/// Tests of the append queue: records of several storages share one sync of the folder, consensus records go before
+/// counters records, and a failed append does not affect the other records.
 #include "append_queue.hpp"
 
 #include "storage/name_prefix.hpp"
@@ -9,7 +10,7 @@
 using namespace zinccleat::controller;
 using namespace zinccleat::storage_testing;
 namespace {
-/// Storages with prefixes in one simulated folder, and the queue before them.
+/// Storages with name prefixes in one simulated folder, and their append queue.
 class SharedFolder {
  public:
   std::shared_ptr<Storage> open(const std::string& prefix) {
@@ -22,8 +23,8 @@
                  (appended ? appendedNames : failedNames).push_back(name);
                }});
   }
-  /// Runs one batch.
-  /// @return how many syncs it took.
+  /// Appends one batch.
+  /// @return the number of syncs that the batch took.
   int run() {
     int syncs = 0;
     disk.operationResult = [&](Operation operation, int) {
@@ -33,7 +34,7 @@
     };
     appendedNames.clear();
     failedNames.clear();
-    (void)queue.runNext();
+    (void)queue.appendNextBatch();
     disk.operationResult = nullptr;
     return syncs;
   }
@@ -105,7 +106,7 @@
   folder.disk.operationResult = [](Operation operation, int) {
     return operation == Operation::syncFolder ? OperationResult::failsBefore : OperationResult::succeeds;
   };
-  (void)folder.queue.runNext();
+  (void)folder.queue.appendNextBatch();
   folder.disk.operationResult = nullptr;
   EXPECT_TRUE(fleet->append(recordOf(1, false)));
 }
@@ -120,7 +121,7 @@
   folder.queue.add({counters, recordOf(1, true), AppendUrgency::counters, encode,
                     [](const auto& appended) { EXPECT_TRUE(appended); }});
   EXPECT_EQ(encoded, 0);
-  (void)folder.queue.runNext();
+  (void)folder.queue.appendNextBatch();
   EXPECT_EQ(encoded, 1);
   EXPECT_EQ(folder.open("counters-")->load()->front().state, "state");
 }
--- a/tests/control_api_test.cpp
+++ b/tests/control_api_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The calls of runners and operators to a controller that is partitioned, lags or can't write.
+/// Tests of the runners' and operators' calls to a controller that is partitioned, lags or cannot commit writes.
 #include "control_api.hpp"
 
 #include <gtest/gtest.h>
@@ -13,18 +13,18 @@
 using namespace zinccleat::state_machine;
 using namespace zinccleat::transport;
 namespace {
-constexpr Duration kCallersSecond{1000};
+constexpr Duration kCallerTimeout{1000};
 
 std::string configuration(int version, const std::string& label = "a") {
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[],"serviceTable":[{"label":")" + label +
          R"("}],"limits":{}})";
 }
-/// Expects a response that sends its caller to another controller, in time.
-void expectSentElsewhere(const FakeController& controller, const ApiResponse& answer) {
+/// Expects a response in time that makes the caller try another controller.
+void expectSentToAnotherController(const FakeController& controller, const ApiResponse& answer) {
   EXPECT_EQ(answer.status, HttpStatus::service_unavailable) << answer.body;
   EXPECT_NE(answer.headers.find("Retry-After"), std::string::npos);
   EXPECT_EQ(answer.body.find("heartbeatUri"), std::string::npos);
-  EXPECT_LE(controller.waited, kCallersSecond * 9 / 10) << "the caller has given up by then";
+  EXPECT_LE(controller.waited, kCallerTimeout * 9 / 10) << "the response comes after the caller's timeout";
 }
 }  // namespace
 
@@ -40,7 +40,7 @@
 }
 TEST(ControlApi, ARunnerIsSentToTheControllerOfItsZone) {
   FakeController controller;
-  EXPECT_NE(controller.heartbeat("i1", 1).body.find(kUri), std::string::npos) << "no controller is known there";
+  EXPECT_NE(controller.heartbeat("i1", 1).body.find(kUri), std::string::npos) << "no controller is known in the zone";
   controller.controlAddresses["z"] = "10.0.0.9:8080";
   EXPECT_NE(controller.heartbeat("i1", 2).body.find("http://10.0.0.9:8080"), std::string::npos);
 }
@@ -49,28 +49,28 @@
   controller.heartbeat("i1", 1);
   controller.heartbeats.clear();
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.heartbeat("i1", 2));
-  EXPECT_EQ(controller.waited, Duration(0)) << "a heartbeat has nothing to wait for";
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 2));
+  EXPECT_EQ(controller.waited, Duration(0)) << "a heartbeat is answered without waiting";
   EXPECT_TRUE(controller.heartbeats.empty());
 }
 TEST(ControlApi, APartitionedControllerAcknowledgesNoJoinAndNoDrain) {
   FakeController controller;
   controller.heartbeat("i1", 1);
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.heartbeat("i2", 1));
-  expectSentElsewhere(controller, controller.heartbeat("i1", 2, "draining"));
+  expectSentToAnotherController(controller, controller.heartbeat("i2", 1));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 2, "draining"));
   EXPECT_EQ(controller.written.size(), 1U);
 }
 TEST(ControlApi, AControllerWhoseHeartbeatsDoNotReachTheLeaderSendsRunnersElsewhere) {
   FakeController controller;
   controller.heartbeat("i1", 1);
   controller.reachesLeader = false;
-  expectSentElsewhere(controller, controller.heartbeat("i1", 2));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 2));
 }
 TEST(ControlApi, AJoinThatCantBeWrittenIsNotAcknowledged) {
   FakeController controller;
   controller.commits = false;
-  expectSentElsewhere(controller, controller.heartbeat("i1", 1));
+  expectSentToAnotherController(controller, controller.heartbeat("i1", 1));
   EXPECT_FALSE(controller.replica().runner("i1"));
 }
 TEST(ControlApi, NoCallWaitsLongerThanItsCaller) {
@@ -80,7 +80,7 @@
       controller.heartbeat("i1", 1);
       controller.hasContact = hasContact;
       controller.commits = false;
-      expectSentElsewhere(controller, call(controller));
+      expectSentToAnotherController(controller, call(controller));
     };
     expectInTime([](auto& controller) { return controller.post("/v1/Configuration.Replace", configuration(2)); });
     expectInTime([](auto& controller) { return controller.post("/v1/Instances.Detach/i1", ""); });
@@ -92,19 +92,20 @@
 TEST(ControlApi, NothingIsSubmittedWithoutContact) {
   FakeController controller;
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(2)));
-  EXPECT_TRUE(controller.written.empty()) << "it could take effect long after its caller gave up";
+  expectSentToAnotherController(controller, controller.post("/v1/Configuration.Replace", configuration(2)));
+  EXPECT_TRUE(controller.written.empty()) << "a submitted write could take effect long after its caller's timeout";
 }
 TEST(ControlApi, AnOldReplicaRefusesNothing) {
   FakeController controller;
   EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(5)).status, HttpStatus::ok);
   controller.hasContact = false;
-  // To this replica the first is not above the current one, and the second builds on another: both may be wrong.
-  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(4), "5"));
+  // The replica may be stale, so both rejections that it suggests may be wrong: the first version is not above its
+  // current one, and the second call names a different base version.
+  expectSentToAnotherController(controller, controller.post("/v1/Configuration.Replace", configuration(4), "5"));
   controller.waited = Duration(0);
-  expectSentElsewhere(controller, controller.post("/v1/Configuration.Replace", configuration(9), "7"));
+  expectSentToAnotherController(controller, controller.post("/v1/Configuration.Replace", configuration(9), "7"));
   EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(5)).status, HttpStatus::ok)
-      << "once accepted is accepted for good";
+      << "an accepted configuration stays accepted";
   controller.hasContact = true;
   EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(4), "5").status, HttpStatus::bad_request);
   EXPECT_EQ(controller.post("/v1/Configuration.Replace", configuration(9), "7").status,
@@ -116,7 +117,7 @@
   controller.leader = "10.0.0.5:8080";
   EXPECT_EQ(controller.get("/v1/Closures.List").status, HttpStatus::temporary_redirect);
   controller.hasContact = false;
-  expectSentElsewhere(controller, controller.get("/v1/Closures.List"));
+  expectSentToAnotherController(controller, controller.get("/v1/Closures.List"));
 }
 TEST(ControlApi, ADetachedRunnerIsConfirmedByAnyReplica) {
   FakeController controller;
@@ -126,7 +127,8 @@
   EXPECT_EQ(controller.post("/v1/Instances.Detach/i1", "").status, HttpStatus::ok);
 }
 
-// Regression: ids held the last five digits of the incarnation and a counter that started again.
+// Regression: ids contained only the last five digits of the incarnation and a counter that restarted with the process,
+// so two incarnations could generate the same id.
 TEST(OperationIds, TwoIncarnationsOfOneMemberNeverShareAnId) {
   const std::uint64_t incarnations[] = {5, 100005, 1ULL << 40 | 5, ~0ULL};
   std::map<std::string, std::uint64_t> seen;
@@ -145,15 +147,15 @@
   replica.apply(first);
   ASSERT_EQ(replica.outcomeOf(first.operationId), ReplicatedState::Verdict::acknowledged);
   const auto second = configurationEntry(0, 2, configuration(2, "b"), newer.next());
-  EXPECT_FALSE(replica.outcomeOf(second.operationId)) << "two operators confirmed under one id";
+  EXPECT_FALSE(replica.outcomeOf(second.operationId)) << "a reused id would confirm a second operator's write";
   auto applied = second;
   applied.index = 2;
   replica.apply(applied);
   EXPECT_EQ(replica.outcomeOf(second.operationId), ReplicatedState::Verdict::versionMismatch);
 }
 
-// LOST, SHORT: a page of calls was in force for the users long before any of it had a route here. Each call that their
-// pages ask of controllers has one; a body that says nothing may be refused, but not with "no such call".
+// Regression: calls in the published API documentation had no route in the controller for a long time. Each documented
+// call must have one. An empty body may be rejected, but not with "no such call".
 TEST(ControlApi, EveryCallOfTheUsersPagesHasARoute) {
   FakeController controller;
   for (const auto* target :
--- a/tests/shard_startup_test.cpp
+++ b/tests/shard_startup_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// How a controller's member of a shard starts: the shard's log is founded once, by those whom an entry of the fleet's
-/// log names; and how the leader of that log comes to name them.
+/// Tests of the start of a controller's member of a shard. The shard's log is founded once, by the founders named in an
+/// entry of the fleet's log. Also tests how the leader of the fleet's log chooses the founders.
 #include <gtest/gtest.h>
 
 #include "coordination/sharding.hpp"
@@ -19,30 +19,30 @@
   settings.initialAttach = firstStart;
   return settings;
 }
-/// A controller whose fleet member has started from an empty disk.
-struct Started {
+/// A controller whose member of the fleet's log has started from an empty disk.
+struct StartedController {
   ControllerContext context;
-  Started(const std::string& ip, bool firstStart) : context(settingsOf(ip, firstStart)) {
+  StartedController(const std::string& ip, bool firstStart) : context(settingsOf(ip, firstStart)) {
     startRaft(context, {}, kIncarnation);
   }
-  std::unique_ptr<consensus::RaftNode> shardFrom(const storage::Recovery& recovery) const {
+  std::unique_ptr<consensus::RaftNode> startShard(const storage::Recovery& recovery) const {
     return startShardMember(context, recovery, {}, kIncarnation);
   }
-  /// The fleet's log says who founds the shards.
-  void agree(const std::vector<consensus::MemberId>& founders) {
+  /// Applies an entry of the fleet's log that names the founders of the shards.
+  void applyFounding(const std::vector<consensus::MemberId>& founders) {
     transport::LogEntry entry = state_machine::shardsFoundedEntry({coordination::kShardCount, founders}, "founding");
     entry.index = context.replica.state().index + 1;
     entry.term = 1;
     (void)context.replica.apply(entry);
   }
-  std::unique_ptr<consensus::RaftNode> found() const { return foundShardMember(context, {}, kIncarnation); }
+  std::unique_ptr<consensus::RaftNode> foundShard() const { return foundShardMember(context, {}, kIncarnation); }
 };
 const std::vector<consensus::MemberId> kFounders{"10.0.0.1#0", "10.0.0.2#0", "10.0.0.3#0"};
 consensus::ClusterConfig configOf(const std::vector<consensus::MemberId>& voters) {
   return {voters, {}};
 }
 const TimePoint kStart = TimePoint{} + 1h;
-/// What a member writes that is founded.
+/// Returns the records that a newly founded member writes to disk.
 storage::Recovery recordsOf(consensus::RaftNode& member) {
   storage::Recovery recovery;
   for (auto& action : member.takeActions())
@@ -53,15 +53,15 @@
 }  // namespace
 
 TEST(ShardStartup, NobodyFoundsBeforeItIsAgreed) {
-  const Started founder("10.0.0.1", true);
-  EXPECT_TRUE(founder.shardFrom({})->voters().empty());
-  EXPECT_FALSE(founder.found());
+  const StartedController founder("10.0.0.1", true);
+  EXPECT_TRUE(founder.startShard({})->voters().empty());
+  EXPECT_FALSE(founder.foundShard());
 }
 TEST(ShardStartup, ThoseWhoAreNamedFoundTheShardFromTheSameState) {
   for (const auto* ip : {"10.0.0.1", "10.0.0.2", "10.0.0.3"}) {
-    Started founder(ip, true);
-    founder.agree(kFounders);
-    const auto member = founder.found();
+    StartedController founder(ip, true);
+    founder.applyFounding(kFounders);
+    const auto member = founder.foundShard();
     ASSERT_TRUE(member) << ip;
     EXPECT_EQ(member->self(), founder.context.raft->self());
     EXPECT_EQ(member->voters(), kFounders);
@@ -69,19 +69,19 @@
   }
 }
 TEST(ShardStartup, AMachineThatIsNotNamedJoins) {
-  Started newcomer("10.0.0.9", true);
-  newcomer.agree(kFounders);
-  EXPECT_FALSE(newcomer.found());
-  EXPECT_TRUE(newcomer.shardFrom({})->voters().empty());
-  Started wiped("10.0.0.1", false);
-  wiped.agree(kFounders);
-  EXPECT_FALSE(wiped.found()) << "a lost disk is a new member";
-  EXPECT_NE(wiped.shardFrom({})->self(), "10.0.0.1#0");
+  StartedController newcomer("10.0.0.9", true);
+  newcomer.applyFounding(kFounders);
+  EXPECT_FALSE(newcomer.foundShard());
+  EXPECT_TRUE(newcomer.startShard({})->voters().empty());
+  StartedController wiped("10.0.0.1", false);
+  wiped.applyFounding(kFounders);
+  EXPECT_FALSE(wiped.foundShard()) << "a machine that lost its disk joins as a new member";
+  EXPECT_NE(wiped.startShard({})->self(), "10.0.0.1#0");
 }
 TEST(ShardStartup, OnlyTheFirstAgreementCounts) {
-  Started founder("10.0.0.1", true);
-  founder.agree(kFounders);
-  founder.agree({"10.0.0.7#7", "10.0.0.8#8"});
+  StartedController founder("10.0.0.1", true);
+  founder.applyFounding(kFounders);
+  founder.applyFounding({"10.0.0.7#7", "10.0.0.8#8"});
   EXPECT_EQ(founder.context.replica.state().shardFounding.founders, kFounders);
   auto invalid = state_machine::shardsFoundedEntry({0, kFounders}, "other");
   invalid.index = 9;
@@ -89,8 +89,8 @@
   EXPECT_EQ(founder.context.replica.state().shardFounding.shards, coordination::kShardCount);
 }
 TEST(ShardStartup, TheAgreementIsInAControllersSnapshotAndInNoOther) {
-  Started founder("10.0.0.1", true);
-  founder.agree(kFounders);
+  StartedController founder("10.0.0.1", true);
+  founder.applyFounding(kFounders);
   state_machine::ReplicatedState restored;
   ASSERT_TRUE(restored.restore(founder.context.replica.snapshot()));
   EXPECT_EQ(restored.state().shardFounding, founder.context.replica.state().shardFounding);
@@ -98,30 +98,30 @@
   EXPECT_FALSE(restored.state().shardFounding.isAgreed());
 }
 TEST(ShardStartup, RecordsAreResumedUnderTheirIdentity) {
-  Started founder("10.0.0.1", true);
-  founder.agree(kFounders);
-  const auto recovery = recordsOf(*founder.found());
+  StartedController founder("10.0.0.1", true);
+  founder.applyFounding(kFounders);
+  const auto recovery = recordsOf(*founder.foundShard());
   ASSERT_FALSE(recovery.records.empty());
-  const Started later("10.0.0.1", false);
-  const auto member = later.shardFrom(recovery);
+  const StartedController later("10.0.0.1", false);
+  const auto member = later.startShard(recovery);
   EXPECT_EQ(member->self(), "10.0.0.1#0");
   EXPECT_EQ(member->voters().size(), 3U);
 }
-// A founder that was down, or ended before its first record was on the disk, founds the shard when it comes back.
+// A founder that was down, or that exited before its first record was on disk, founds the shard after its restart.
 TEST(ShardStartup, AFounderThatComesLateFoundsTheSameShard) {
-  const Started before("10.0.0.2", true);
+  const StartedController before("10.0.0.2", true);
   const auto fleetRecords = recordsOf(*before.context.raft);
-  Started later("10.0.0.2", false);
+  StartedController later("10.0.0.2", false);
   startRaft(later.context, fleetRecords, kIncarnation);
-  later.agree(kFounders);
-  ASSERT_TRUE(later.found());
-  EXPECT_EQ(later.found()->self(), "10.0.0.2#0");
-  EXPECT_EQ(later.found()->voters(), kFounders);
+  later.applyFounding(kFounders);
+  ASSERT_TRUE(later.foundShard());
+  EXPECT_EQ(later.foundShard()->self(), "10.0.0.2#0");
+  EXPECT_EQ(later.foundShard()->voters(), kFounders);
 }
-// An update in the middle of a replacement: one machine knows the voters from before it, another those from after it.
-// Each would found a log of its own.
+// Regression case: during a software update in the middle of a member replacement, one machine has the voters before
+// the replacement and another the voters after it. Each machine would create a log of its own.
 TEST(ShardStartup, MachinesThatKnowDifferentVotersDoNotFoundTwoLogs) {
-  const Started before("10.0.0.2", true);
+  const StartedController before("10.0.0.2", true);
   const auto fleetRecords = recordsOf(*before.context.raft);
   auto laterRecords = fleetRecords;
   laterRecords.records.front().snapshotConfig = "10.0.0.1#0 10.0.0.2#0 10.0.0.9#5";
@@ -135,60 +135,62 @@
   }
   EXPECT_TRUE(founded.empty() || (founded.size() == 2 && founded[0] == founded[1]));
 }
-// Its shard's records were corrupted and set aside: it may have voted under its identity, and must not again.
+// The shard's records were corrupted and set aside. The member may have voted under its old identity and must not vote
+// under it again.
 TEST(ShardStartup, AQuarantinedShardJoinsAsANewMember) {
-  const Started founder("10.0.0.1", true);
+  const StartedController founder("10.0.0.1", true);
   storage::Recovery quarantined;
   quarantined.identityLost = true;
-  const auto member = founder.shardFrom(quarantined);
+  const auto member = founder.startShard(quarantined);
   EXPECT_TRUE(member->voters().empty());
   EXPECT_NE(member->self(), founder.context.raft->self());
 }
 
-// --- Who is named ---
+// --- choice of the founders ---
 
 TEST(ShardFounder, AllVotersWithoutRecordsFound) {
   ShardFounder founder;
   const auto config = configOf(kFounders);
   const ShardFounder::Leader leader{kFounders[0], config, false};
   EXPECT_FALSE(founder.decide(kStart, leader));
-  EXPECT_EQ(founder.dueQueries(kStart, leader).size(), 2U);
-  EXPECT_TRUE(founder.dueQueries(kStart + 100ms, leader).empty());
+  EXPECT_EQ(founder.membersToQuery(kStart, leader).size(), 2U);
+  EXPECT_TRUE(founder.membersToQuery(kStart + 100ms, leader).empty());
   founder.recordAnswer(kFounders[1], false);
-  EXPECT_FALSE(founder.decide(kStart + 200ms, leader)) << "the third may have records";
-  EXPECT_EQ(founder.dueQueries(kStart + 300ms, leader), std::vector<consensus::MemberId>{kFounders[2]});
+  EXPECT_FALSE(founder.decide(kStart + 200ms, leader)) << "the third voter may have records";
+  EXPECT_EQ(founder.membersToQuery(kStart + 300ms, leader), std::vector<consensus::MemberId>{kFounders[2]});
   founder.recordAnswer(kFounders[2], false);
   const auto founding = founder.decide(kStart + 400ms, leader);
   ASSERT_TRUE(founding);
   EXPECT_EQ(founding->founders, kFounders);
   EXPECT_EQ(founding->shards, coordination::kShardCount);
 }
-// The leader lost its disk, or joined a moment ago: the shards exist elsewhere.
+// The leader has lost its disk or joined recently, so it has no records although the shards exist on other machines.
 TEST(ShardFounder, NobodyFoundsWhereOneHasRecords) {
   const auto config = configOf(kFounders);
-  ShardFounder asks;
+  ShardFounder founderOfEmptyLeader;
   const ShardFounder::Leader without{kFounders[0], config, false};
-  EXPECT_FALSE(asks.decide(kStart, without));
-  asks.recordAnswer(kFounders[1], false);
-  asks.recordAnswer(kFounders[2], true);
-  ASSERT_TRUE(asks.decide(kStart, without));
-  EXPECT_TRUE(asks.decide(kStart, without)->founders.empty());
-  EXPECT_TRUE(asks.decide(kStart, without)->isAgreed());
-  ShardFounder knows;
+  EXPECT_FALSE(founderOfEmptyLeader.decide(kStart, without));
+  founderOfEmptyLeader.recordAnswer(kFounders[1], false);
+  founderOfEmptyLeader.recordAnswer(kFounders[2], true);
+  ASSERT_TRUE(founderOfEmptyLeader.decide(kStart, without));
+  EXPECT_TRUE(founderOfEmptyLeader.decide(kStart, without)->founders.empty());
+  EXPECT_TRUE(founderOfEmptyLeader.decide(kStart, without)->isAgreed());
+  ShardFounder founderOfLeaderWithRecords;
   const ShardFounder::Leader with{kFounders[0], config, true};
-  EXPECT_TRUE(knows.decide(kStart, with)->founders.empty());
-  EXPECT_TRUE(knows.dueQueries(kStart, with).empty());
+  EXPECT_TRUE(founderOfLeaderWithRecords.decide(kStart, with)->founders.empty());
+  EXPECT_TRUE(founderOfLeaderWithRecords.membersToQuery(kStart, with).empty());
 }
 TEST(ShardFounder, AMajorityFoundsOnceTheOthersWereSilentForLong) {
   ShardFounder founder;
   const auto config = configOf(kFounders);
   const ShardFounder::Leader leader{kFounders[0], config, false};
   EXPECT_FALSE(founder.decide(kStart, leader));
-  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kPatience, leader)) << "alone it is no majority";
+  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kSilentVoterTimeout, leader))
+      << "the leader alone is no majority";
   founder.recordAnswer(kFounders[1], false);
-  EXPECT_FALSE(founder.decide(kStart + ShardFounder::kPatience - 1ms, leader));
-  ASSERT_TRUE(founder.decide(kStart + ShardFounder::kPatience, leader));
-  EXPECT_EQ(founder.decide(kStart + ShardFounder::kPatience, leader)->founders, kFounders);
+  EXPECT_FALSE(founder.decide(kStart + ShardFounder::kSilentVoterTimeout - 1ms, leader));
+  ASSERT_TRUE(founder.decide(kStart + ShardFounder::kSilentVoterTimeout, leader));
+  EXPECT_EQ(founder.decide(kStart + ShardFounder::kSilentVoterTimeout, leader)->founders, kFounders);
 }
 TEST(ShardFounder, NothingIsDecidedDuringAChangeOfVoters) {
   ShardFounder founder;
@@ -198,9 +200,10 @@
   for (const auto& member : config.allVoters())
     founder.recordAnswer(member, false);
   EXPECT_FALSE(founder.decide(kStart, leader));
-  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kPatience, leader));
+  EXPECT_FALSE(founder.decide(kStart + 2 * ShardFounder::kSilentVoterTimeout, leader));
 }
-// An answer was given to an earlier leadership: since then a disk may have been lost, or the shards founded.
+// Answers from an earlier leadership are discarded: since then a disk may have been lost or the shards may have been
+// founded.
 TEST(ShardFounder, AnswersCountForOneLeadership) {
   ShardFounder founder;
   const auto config = configOf(kFounders);
