--- a/libs/balancing/include/balancing/partner_circuit_breaker.hpp
+++ b/libs/balancing/include/balancing/partner_circuit_breaker.hpp
@@ -13,7 +13,7 @@
   static constexpr std::int64_t kMinSharedTokens = 2000;
 
   /// Whether a request that qualifies may be forwarded. Call once for each: it counts towards the limit.
-  bool allows(TimePoint now);
+  bool allowRequest(TimePoint now);
   /// A forwarded request was answered.
   void recordSuccess() { consecutiveFailures_ = 0; }
   /// A forwarded request was rejected, late or cut off.
--- a/libs/balancing/include/balancing/quota_token_buckets.hpp
+++ b/libs/balancing/include/balancing/quota_token_buckets.hpp
@@ -43,7 +43,7 @@
   /// When a rejected client should come back.
   Duration retryAfter(const std::string& tenant, TimePoint now) const;
   /// When the leader expects to have another token of the tenant.
-  Duration nextTokenIn(const std::string& tenant) const;
+  Duration timeToNextToken(const std::string& tenant) const;
 
   /// Demand of the steady tenants, smoothed. Also forgets tenants without recent requests.
   std::vector<transport::QuotaDemand> steadyDemand(TimePoint now);
@@ -59,7 +59,7 @@
     double requestsPerS = 0;        ///< fast moving average
     double steadyRequestsPerS = 0;  ///< slow moving average
     double secondsUntilMore = 0.3;  ///< as the leader last said
-    int countedRequests = 0;        ///< since `countedAt_`
+    int requestsSinceUpdate = 0;        ///< since `ratesUpdatedAt_`
     int pendingTokenRequests = 0;
     TimePoint reserveRequestedAt{};
     TimePoint immediateGrantedAt{};
@@ -73,7 +73,7 @@
   void updateRates(TimePoint now);
 
   std::unordered_map<std::string, TokenBucket> buckets_;
-  TimePoint countedAt_{};
+  TimePoint ratesUpdatedAt_{};
   TimePoint lastRefillRequestAt_{};
   TimePoint lastImmediateGrantAt_{};
 };
--- a/libs/balancing/include/balancing/revision_limit.hpp
+++ b/libs/balancing/include/balancing/revision_limit.hpp
@@ -10,14 +10,14 @@
   static bool appliesTo(const rollout::RevisionFilter& revisions);
   /// The runners that a filter leaves by its `runnerShare` or `loadTestGroup`, the same at all proxies. None for some
   /// requests of a load test, at random: its group would be overloaded.
-  std::vector<int> runnersFor(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now,
+  std::vector<int> selectRunners(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now,
                               std::mt19937_64& random) const;
   /// Whether the runner that a request's prefix prefers among all eligible ones is one of these.
-  bool startsWhereItStays(const RunnerMembership& runners, const RunnerQuery& query,
+  bool includesPreferredRunner(const RunnerMembership& runners, const RunnerQuery& query,
                           const std::vector<int>& withinLimit, const PrefixAffinityChoice& affinity) const;
 
  private:
   /// The mean load of the runners of other revisions than the filter's that have reported lately; 0: too few have.
-  double meanLoadOfOthers(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now) const;
+  double meanLoadOfOtherRevisions(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now) const;
 };
 }  // namespace zinccleat::balancing
--- a/libs/balancing/include/balancing/runner_choice.hpp
+++ b/libs/balancing/include/balancing/runner_choice.hpp
@@ -14,7 +14,7 @@
              TimePoint now, std::mt19937_64& random) const;
 
  private:
-  double distanceLoad(const RunnerMembership& runners, int index, const RunnerQuery& query) const;
+  double distancePenalty(const RunnerMembership& runners, int index, const RunnerQuery& query) const;
 };
 
 /// Rendezvous hashing with bounded load: all proxies rank the runners of a shared prefix alike without talking to each
@@ -29,7 +29,7 @@
   int preferredRunner(const RunnerMembership& runners, const RunnerQuery& query,
                       const std::vector<int>& candidates) const;
   /// A request with so many prompt tokens has begun: the mean is what a waiting request is taken to cost.
-  void recordPrompt(std::int64_t promptTokens);
+  void recordPromptLength(std::int64_t promptTokens);
 
  private:
   double affinityCost(const RunnerMembership& runners, int index, bool isPreferred, const RunnerQuery& query,
--- a/libs/balancing/include/balancing/runner_endpoint.hpp
+++ b/libs/balancing/include/balancing/runner_endpoint.hpp
@@ -22,7 +22,7 @@
   // While it is warming up and its service bounds its requests meanwhile.
   bool warmupIsLimited = false;
   int warmupGrants = 0;  ///< Requests that this proxy may send it.
-  TimePoint warmupGrantsEnd{};
+  TimePoint warmupGrantsExpireAt{};
 
   // This proxy's own attempts.
   int inFlight = 0;
--- a/libs/balancing/include/balancing/runner_membership.hpp
+++ b/libs/balancing/include/balancing/runner_membership.hpp
@@ -52,10 +52,10 @@
   bool sameRegion(std::string_view zone, std::string_view otherZone) const;
 
  private:
-  void takeOver(const state_machine::Runner& runner);
+  void updateEndpoint(const state_machine::Runner& runner);
   void markAbsent(const std::string& runnerId);
-  int indexFor(const std::string& runnerId);
-  int freeIndex();
+  int findOrAddIndex(const std::string& runnerId);
+  int allocateIndex();
   void applyZoneDrain(RunnerEndpoint& endpoint) const;
   void applyZoneDrains();
   void applyWarmup(RunnerEndpoint& endpoint) const;
--- a/libs/balancing/include/balancing/stream_pace.hpp
+++ b/libs/balancing/include/balancing/stream_pace.hpp
@@ -11,25 +11,25 @@
   /// Milliseconds for ten events; none if fewer than three have arrived.
   std::optional<double> msPerTenEvents() const;
   /// Complete events after the first arrival.
-  int eventsAfterFirst() const { return eventEnds_; }
+  int eventsAfterFirst() const { return completeEvents_; }
 
  private:
-  int eventEnds_ = 0;  ///< after the first arrival
+  int completeEvents_ = 0;  ///< after the first arrival
   bool endsInLineFeed_ = false;
   std::optional<TimePoint> firstArrival_;
   TimePoint newestArrival_{};
 };
 
 /// The usual paces.
-class StreamPaces {
+class StreamPaceBaselines {
  public:
   /// A stream has ended.
   /// @return whether it was far slower than usual.
   bool recordStream(const std::string& service, const StreamPace& pace);
   /// Whether a stream that goes on is far slower than usual.
-  bool isSlowMidway(const std::string& service, const StreamPace& pace) const;
+  bool isSlowWhileOpen(const std::string& service, const StreamPace& pace) const;
 
  private:
-  std::unordered_map<std::string, LatencyBaseline> usual_;  ///< by service
+  std::unordered_map<std::string, LatencyBaseline> baselines_;  ///< by service
 };
 }  // namespace zinccleat::balancing
--- a/libs/balancing/include/balancing/warmup_tracker.hpp
+++ b/libs/balancing/include/balancing/warmup_tracker.hpp
@@ -32,7 +32,7 @@
   /// When a runner is warm; the past: it is, or it is not known.
   TimePoint warmAt(const std::string& runner) const;
   /// Whether the newest heartbeat of a runner that was written says that it warms up, also if that is over by now.
-  bool isAnnounced(const std::string& runner) const;
+  bool hasAnnouncedWarmup(const std::string& runner) const;
   /// Requests a second that a runner bears while it warms up; 0: no bound is known.
   double requestsPerS(const std::string& runner) const;
   /// The runners that are warming up and whose requests are bounded meanwhile, by id. Looks at no others.
@@ -45,9 +45,9 @@
     std::string service;
     std::string zone;
     std::int64_t sequence = -1;  // of the newest heartbeat that was written
-    TimePoint announced{};       // until then by what the runner said
-    TimePoint assumed{};         // until then because its zone was evacuated
-    TimePoint end() const { return std::max(announced, assumed); }
+    TimePoint announcedEnd{};       // until then by what the runner said
+    TimePoint assumedEnd{};         // until then because its zone was evacuated
+    TimePoint end() const { return std::max(announcedEnd, assumedEnd); }
   };
   struct ServiceLimit {
     Duration warmup{0};
--- a/libs/balancing/src/admission_control.cpp
+++ b/libs/balancing/src/admission_control.cpp
@@ -7,8 +7,8 @@
 constexpr int kMinResponses = 6;                         // fewer are no evidence
 constexpr double kOverloadedLateRatio = 0.5;             // more late responses than this: shed more
 constexpr double kRecoveredLateRatio = 0.25;             // fewer: shed less
-constexpr double kLevelIncrease = 0.12;
-constexpr double kLevelDecrease = 0.03;
+constexpr double kShedLevelIncrease = 0.12;
+constexpr double kShedLevelDecrease = 0.03;
 constexpr double kMaxRejectProbability = 0.75;
 constexpr double kBaseWeight = 0.6;  // of the most urgent requests in the reject probability
 constexpr double kWeightPerPrecedence = 0.2;
@@ -22,9 +22,9 @@
     return;
   const double lateRatio = enoughResponses ? static_cast<double>(load.lateResponses) / load.responses : 0;
   if (lateRatio > kOverloadedLateRatio)
-    load.shedLevel = std::min(1.0, load.shedLevel + kLevelIncrease);
+    load.shedLevel = std::min(1.0, load.shedLevel + kShedLevelIncrease);
   else if (lateRatio < kRecoveredLateRatio)
-    load.shedLevel = std::max(0.0, load.shedLevel - kLevelDecrease);
+    load.shedLevel = std::max(0.0, load.shedLevel - kShedLevelDecrease);
   load.lateResponses = 0;
   load.responses = 0;
   load.evaluatedAt = now;
--- a/libs/balancing/src/partner_circuit_breaker.cpp
+++ b/libs/balancing/src/partner_circuit_breaker.cpp
@@ -2,21 +2,21 @@
 
 namespace zinccleat::balancing {
 namespace {
-constexpr double kForwardedRatio = 0.25;
+constexpr double kMaxForwardedRatio = 0.25;
 constexpr double kInitialAllowance = 2;  // forwarded before the ratio counts
-constexpr double kHistorySize = 400;     // requests after which the counts are halved
+constexpr double kMaxCountedRequests = 400;     // requests after which the counts are halved
 constexpr auto kBaseBackoff = 500ms;
 constexpr int kMaxDoublings = 6;
 }  // namespace
 
-bool PartnerCircuitBreaker::allows(TimePoint now) {
-  if (qualifiedRequests_ > kHistorySize) {
+bool PartnerCircuitBreaker::allowRequest(TimePoint now) {
+  if (qualifiedRequests_ > kMaxCountedRequests) {
     qualifiedRequests_ /= 2;
     forwardedRequests_ /= 2;
   }
   ++qualifiedRequests_;
   const bool open = now < openUntil_;
-  if (open || forwardedRequests_ + 1 > qualifiedRequests_ * kForwardedRatio + kInitialAllowance)
+  if (open || forwardedRequests_ + 1 > qualifiedRequests_ * kMaxForwardedRatio + kInitialAllowance)
     return false;
   ++forwardedRequests_;
   return true;
--- a/libs/balancing/src/prompt_prefix.cpp
+++ b/libs/balancing/src/prompt_prefix.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::balancing {
 namespace {
-std::int64_t tokensOf(std::string_view part) {
+std::int64_t parseTokenCount(std::string_view part) {
   const auto colon = part.find(':');
   std::int64_t tokens = 0;
   if (colon != part.npos)
@@ -20,7 +20,7 @@
   while (!text.empty()) {
     const auto comma = std::min(text.find(','), text.size());
     const bool isLast = comma == text.size();
-    const auto tokens = tokensOf(text.substr(0, comma));
+    const auto tokens = parseTokenCount(text.substr(0, comma));
     prefix.totalTokens += tokens;
     if (!isLast)
       prefix.sharedTokens += tokens;
--- a/libs/balancing/src/quota_token_buckets.cpp
+++ b/libs/balancing/src/quota_token_buckets.cpp
@@ -11,7 +11,7 @@
 constexpr double kIdleRequestsPerS = 0.005;
 constexpr double kRefillThresholdS = 0.25;  // a reserve for less than this much demand is low
 constexpr auto kResponsiveInterval = 400ms;
-constexpr auto kRecentGrant = 700ms;
+constexpr auto kRecentGrantWindow = 700ms;
 constexpr double kRetryAfterWithoutGrantS = 0.5;
 constexpr double kMinRetryAfterS = 0.1;
 constexpr double kMaxRetryAfterS = 1.0;
@@ -58,7 +58,7 @@
 }
 
 bool QuotaTokenBuckets::tryAcquire(const std::string& tenant, TimePoint now) {
-  ++buckets_[tenant].countedRequests;
+  ++buckets_[tenant].requestsSinceUpdate;
   return retryAcquire(tenant, now);
 }
 
@@ -109,29 +109,29 @@
 Duration QuotaTokenBuckets::retryAfter(const std::string& tenant, TimePoint now) const {
   const auto it = buckets_.find(tenant);
   // Without a recent grant the leader is probably away: a second rejection costs the client more than a longer wait.
-  const bool grantedRecently = it != buckets_.end() && now - it->second.lastGrantAt < kRecentGrant;
+  const bool grantedRecently = it != buckets_.end() && now - it->second.lastGrantAt < kRecentGrantWindow;
   const double seconds = grantedRecently ? it->second.secondsUntilMore : kRetryAfterWithoutGrantS;
   return fromSeconds(std::clamp(seconds, kMinRetryAfterS, kMaxRetryAfterS));
 }
 
-Duration QuotaTokenBuckets::nextTokenIn(const std::string& tenant) const {
+Duration QuotaTokenBuckets::timeToNextToken(const std::string& tenant) const {
   const auto it = buckets_.find(tenant);
   return fromSeconds(it == buckets_.end() ? kUnknownTenantWaitS : it->second.secondsUntilMore);
 }
 
 void QuotaTokenBuckets::updateRates(TimePoint now) {
-  const auto elapsed = now - countedAt_;
+  const auto elapsed = now - ratesUpdatedAt_;
   if (elapsed < kRateInterval)
     return;
   const double seconds = std::min(kMaxRateIntervalS, std::chrono::duration<double>(elapsed).count());
   for (auto& [tenant, bucket] : buckets_) {
-    const double rate = bucket.countedRequests / seconds;
+    const double rate = bucket.requestsSinceUpdate / seconds;
     bucket.requestsPerS = bucket.requestsPerS * (1 - kFastSmoothing) + rate * kFastSmoothing;
     bucket.steadyRequestsPerS = bucket.steadyRequestsPerS * (1 - kSlowSmoothing) + rate * kSlowSmoothing;
-    bucket.countedRequests = 0;
+    bucket.requestsSinceUpdate = 0;
   }
   std::erase_if(buckets_, [&](const auto& entry) { return entry.second.isIdle(now); });
-  countedAt_ = now;
+  ratesUpdatedAt_ = now;
 }
 
 std::vector<transport::QuotaDemand> QuotaTokenBuckets::steadyDemand(TimePoint now) {
--- a/libs/balancing/src/revision_limit.cpp
+++ b/libs/balancing/src/revision_limit.cpp
@@ -20,7 +20,7 @@
   return revisions.runnerShare < 1 || revisions.loadTestGroup > 0;
 }
 
-std::vector<int> RevisionLimit::runnersFor(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now,
+std::vector<int> RevisionLimit::selectRunners(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now,
                                            std::mt19937_64& random) const {
   auto eligible = runners.eligibleRunners(query);
   const auto rank = [&](int index) { return hash64(runners.at(index).id, kShareSeed); };
@@ -32,7 +32,7 @@
     return eligible;
   }
   const double part = rollout::exposureOf(revisions.exposureShare, eligible.size()).loadTest;
-  const rollout::BaselineLoad baseline{meanLoadOfOthers(runners, query, now), query.hasPrefixCache};
+  const rollout::BaselineLoad baseline{meanLoadOfOtherRevisions(runners, query, now), query.hasPrefixCache};
   const auto group = rollout::loadTestGroup(eligible.size(), part, baseline);
   std::vector<int> members;
   if (std::uniform_real_distribution<double>(0, 1)(random) >= group.requestPart)
@@ -43,7 +43,7 @@
   return members;
 }
 
-double RevisionLimit::meanLoadOfOthers(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now) const {
+double RevisionLimit::meanLoadOfOtherRevisions(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now) const {
   double sum = 0;
   int count = 0;
   for (const auto& endpoint : runners.endpoints()) {
@@ -59,7 +59,7 @@
 
 // A canary's request warms the runner that its prefix is going to prefer once all of the revision's runners are used.
 // A load test has too few runners for that.
-bool RevisionLimit::startsWhereItStays(const RunnerMembership& runners, const RunnerQuery& query,
+bool RevisionLimit::includesPreferredRunner(const RunnerMembership& runners, const RunnerQuery& query,
                                        const std::vector<int>& withinLimit,
                                        const PrefixAffinityChoice& affinity) const {
   if (!query.hasPrefixCache || !query.affinity || query.revisions.loadTestGroup > 0)
--- a/libs/balancing/src/runner_choice.cpp
+++ b/libs/balancing/src/runner_choice.cpp
@@ -17,17 +17,17 @@
 constexpr std::uint64_t kTieBreakTokens = 100;
 
 // Costs of the choice by load, as fractions of a runner's slots. The own zone is left only once it is busy.
-constexpr double kOtherZoneLoad = 0.3;
-constexpr double kOtherRegionLoad = 1.0;
+constexpr double kOtherZonePenalty = 0.3;
+constexpr double kOtherRegionPenalty = 1.0;
 constexpr std::uint64_t kTieBreakSteps = 100;
 constexpr double kTieBreakLoad = 1e-4;
 }  // namespace
 
-double LeastLoadedChoice::distanceLoad(const RunnerMembership& runners, int index, const RunnerQuery& query) const {
+double LeastLoadedChoice::distancePenalty(const RunnerMembership& runners, int index, const RunnerQuery& query) const {
   const auto& zone = runners.at(index).zone;
   if (zone == query.zone)
     return 0;
-  return runners.sameRegion(zone, query.zone) ? kOtherZoneLoad : kOtherRegionLoad;
+  return runners.sameRegion(zone, query.zone) ? kOtherZonePenalty : kOtherRegionPenalty;
 }
 
 int LeastLoadedChoice::choose(const RunnerMembership& runners, const RunnerQuery& query,
@@ -36,7 +36,7 @@
   double lowestCost = 0;
   for (int index : candidates) {
     const double tieBreak = static_cast<double>(random() % kTieBreakSteps) * kTieBreakLoad;
-    const double cost = loadOf(runners.at(index), now) + tieBreak + distanceLoad(runners, index, query);
+    const double cost = loadOf(runners.at(index), now) + tieBreak + distancePenalty(runners, index, query);
     if (best < 0 || cost < lowestCost) {
       best = index;
       lowestCost = cost;
@@ -66,7 +66,7 @@
   return preferred;
 }
 
-void PrefixAffinityChoice::recordPrompt(std::int64_t promptTokens) {
+void PrefixAffinityChoice::recordPromptLength(std::int64_t promptTokens) {
   if (promptTokens > 0)
     meanPromptTokens_ =
         meanPromptTokens_ * (1 - kPromptSmoothing) + static_cast<double>(promptTokens) * kPromptSmoothing;
--- a/libs/balancing/src/runner_membership.cpp
+++ b/libs/balancing/src/runner_membership.cpp
@@ -7,15 +7,15 @@
   std::unordered_set<std::string_view> listed;
   for (const auto& runner : runners)
     listed.insert(runner.id);
-  std::vector<std::string> left;
+  std::vector<std::string> removedIds;
   for (const auto& [id, index] : indexById_)
     if (!listed.contains(id))
-      left.push_back(id);
-  for (const auto& id : left)
+      removedIds.push_back(id);
+  for (const auto& id : removedIds)
     markAbsent(id);
   warmups_.followRunners(runners, now);
   for (const auto& runner : runners)
-    takeOver(runner);
+    updateEndpoint(runner);
 }
 
 void RunnerMembership::follow(const state_machine::RunnerTable& runners, TimePoint now) {
@@ -30,12 +30,12 @@
       continue;
     }
     warmups_.followRunner(*runner, now);
-    takeOver(*runner);
+    updateEndpoint(*runner);
   }
 }
 
-void RunnerMembership::takeOver(const state_machine::Runner& runner) {
-  auto& endpoint = at(indexFor(runner.id));
+void RunnerMembership::updateEndpoint(const state_machine::Runner& runner) {
+  auto& endpoint = at(findOrAddIndex(runner.id));
   endpoint.revision = runner.software.revision;
   endpoint.service = runner.service;
   endpoint.address = runner.address;
@@ -55,10 +55,10 @@
   indexById_.erase(known);
 }
 
-int RunnerMembership::indexFor(const std::string& runnerId) {
+int RunnerMembership::findOrAddIndex(const std::string& runnerId) {
   if (const auto it = indexById_.find(runnerId); it != indexById_.end())
     return it->second;
-  const int index = freeIndex();
+  const int index = allocateIndex();
   auto& endpoint = at(index);
   endpoint = RunnerEndpoint{};
   endpoint.id = runnerId;
@@ -68,7 +68,7 @@
   return index;
 }
 
-int RunnerMembership::freeIndex() {
+int RunnerMembership::allocateIndex() {
   const auto unused =
       std::find_if(absent_.begin(), absent_.end(), [this](int index) { return at(index).inFlight == 0; });
   if (unused == absent_.end()) {
@@ -125,7 +125,7 @@
       continue;
     auto& endpoint = at(it->second);
     endpoint.warmupGrants = grant.requests;
-    endpoint.warmupGrantsEnd = requestedAt + transport::kWarmupGrantLifetime;
+    endpoint.warmupGrantsExpireAt = requestedAt + transport::kWarmupGrantLifetime;
   }
 }
 
@@ -138,7 +138,7 @@
 bool RunnerMembership::awaitsWarmupGrant(int index, TimePoint now) const {
   const auto& endpoint = at(index);
   const bool isBounded = endpoint.warmupIsLimited && now < endpoint.warmAt;
-  return isBounded && (endpoint.warmupGrants <= 0 || now >= endpoint.warmupGrantsEnd);
+  return isBounded && (endpoint.warmupGrants <= 0 || now >= endpoint.warmupGrantsExpireAt);
 }
 
 void RunnerMembership::setEjected(const std::vector<transport::RunnerEjection>& ejections) {
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -48,7 +48,7 @@
   ++endpoint.inFlight;
   ++endpoint.prefilling;
   endpoint.prefillTokens += promptTokens;
-  affinityChoice_.recordPrompt(promptTokens);
+  affinityChoice_.recordPromptLength(promptTokens);
 }
 
 void RunnerPool::prefillEnded(int index, std::int64_t promptTokens) {
@@ -73,8 +73,8 @@
 RunnerPool::Candidates RunnerPool::candidatesFor(const RunnerQuery& query, TimePoint now) {
   Candidates candidates;
   const bool limited = RevisionLimit::appliesTo(query.revisions);
-  const auto withinLimit = limited ? revisionLimit_.runnersFor(runners_, query, now, rng_) : std::vector<int>{};
-  if (limited && !revisionLimit_.startsWhereItStays(runners_, query, withinLimit, affinityChoice_))
+  const auto withinLimit = limited ? revisionLimit_.selectRunners(runners_, query, now, rng_) : std::vector<int>{};
+  if (limited && !revisionLimit_.includesPreferredRunner(runners_, query, withinLimit, affinityChoice_))
     return candidates;
   // By affinity, so that all proxies move the same prefixes at the same step of a zone drain, and each prefix is
   // computed anew once and at one runner.
--- a/libs/balancing/src/stream_pace.cpp
+++ b/libs/balancing/src/stream_pace.cpp
@@ -3,7 +3,7 @@
 namespace zinccleat::balancing {
 namespace {
 constexpr int kMinEvents = 2;        // after the first arrival
-constexpr int kMinEventsMidway = 5;  // of a stream that goes on: a prompt that is read beside it delays a few
+constexpr int kMinEventsWhileOpen = 5;  // of a stream that goes on: a prompt that is read beside it delays a few
 constexpr double kNominalEvents = 10;
 }  // namespace
 
@@ -16,30 +16,30 @@
   // An event ends with an empty line.
   for (const char letter : bytes) {
     const bool isLineFeed = letter == '\n';
-    eventEnds_ += isLineFeed && endsInLineFeed_ ? 1 : 0;
+    completeEvents_ += isLineFeed && endsInLineFeed_ ? 1 : 0;
     endsInLineFeed_ = isLineFeed && !endsInLineFeed_;
   }
   newestArrival_ = now;
 }
 std::optional<double> StreamPace::msPerTenEvents() const {
-  if (!firstArrival_ || eventEnds_ < kMinEvents)
+  if (!firstArrival_ || completeEvents_ < kMinEvents)
     return std::nullopt;
   const auto duration = std::chrono::duration<double, std::milli>(newestArrival_ - *firstArrival_).count();
-  return duration * kNominalEvents / eventEnds_;
+  return duration * kNominalEvents / completeEvents_;
 }
-bool StreamPaces::recordStream(const std::string& service, const StreamPace& pace) {
+bool StreamPaceBaselines::recordStream(const std::string& service, const StreamPace& pace) {
   const auto sample = pace.msPerTenEvents();
   if (!sample)
     return false;
-  auto& usual = usual_[service];
-  const bool slow = *sample > static_cast<double>(usual.slowThreshold().count());
-  usual.add(*sample);
+  auto& baseline = baselines_[service];
+  const bool slow = *sample > static_cast<double>(baseline.slowThreshold().count());
+  baseline.add(*sample);
   return slow;
 }
-bool StreamPaces::isSlowMidway(const std::string& service, const StreamPace& pace) const {
+bool StreamPaceBaselines::isSlowWhileOpen(const std::string& service, const StreamPace& pace) const {
   const auto sample = pace.msPerTenEvents();
-  const auto usual = usual_.find(service);
-  return sample && pace.eventsAfterFirst() >= kMinEventsMidway && usual != usual_.end() &&
-         *sample > static_cast<double>(usual->second.slowThreshold().count());
+  const auto baseline = baselines_.find(service);
+  return sample && pace.eventsAfterFirst() >= kMinEventsWhileOpen && baseline != baselines_.end() &&
+         *sample > static_cast<double>(baseline->second.slowThreshold().count());
 }
 }  // namespace zinccleat::balancing
--- a/libs/balancing/src/warmup_tracker.cpp
+++ b/libs/balancing/src/warmup_tracker.cpp
@@ -20,7 +20,7 @@
     return;
   warmup.sequence = runner.sequence;
   const bool warmsUp = runner.software.warmupMs > 0;
-  warmup.announced = warmsUp ? now + Duration(runner.software.warmupMs) : TimePoint{};
+  warmup.announcedEnd = warmsUp ? now + Duration(runner.software.warmupMs) : TimePoint{};
   if (warmsUp)
     warming_.insert(runner.id);
 }
@@ -43,7 +43,7 @@
     const auto limit = services_.find(warmup.service);
     if (!released || limit == services_.end())
       continue;
-    warmup.assumed = now + limit->second.warmup;
+    warmup.assumedEnd = now + limit->second.warmup;
     warming_.insert(id);
   }
 }
@@ -57,9 +57,9 @@
   const auto warmup = runners_.find(runner);
   return warmup == runners_.end() ? TimePoint{} : warmup->second.end();
 }
-bool WarmupTracker::isAnnounced(const std::string& runner) const {
+bool WarmupTracker::hasAnnouncedWarmup(const std::string& runner) const {
   const auto warmup = runners_.find(runner);
-  return warmup != runners_.end() && warmup->second.announced != TimePoint{};
+  return warmup != runners_.end() && warmup->second.announcedEnd != TimePoint{};
 }
 double WarmupTracker::requestsPerS(const std::string& runner) const {
   const auto warmup = runners_.find(runner);
--- a/libs/controller/src/control_server.cpp
+++ b/libs/controller/src/control_server.cpp
@@ -90,6 +90,6 @@
   accepting_ = false;
   if (listener_)
     listener_->close();
-  idleConnections_.limit(Duration(0));
+  idleConnections_.limitIdleTime(Duration(0));
 }
 }  // namespace zinccleat::controller
--- a/libs/controller/src/warmup_allocator.cpp
+++ b/libs/controller/src/warmup_allocator.cpp
@@ -83,7 +83,7 @@
     return false;
   const Duration left(reported.software.warmupMs);
   if (left <= Duration(0))
-    return warmups_.isAnnounced(reported.id);
+    return warmups_.hasAnnouncedWarmup(reported.id);
   return now + left > warmups_.warmAt(reported.id) + kKnownWithin;
 }
 }  // namespace zinccleat::controller
--- a/libs/operations/src/call.cpp
+++ b/libs/operations/src/call.cpp
@@ -56,7 +56,7 @@
   parser.eager(true);
   parser.body_limit(kLargestBodyBytes);
   if (!failure)
-    proxy::pump(connection, buffer, parser, false, failure);
+    proxy::readIntoParser(connection, buffer, parser, false, failure);
   if (failure)
     return connectionError(address, connection, failure);
   auto& message = parser.get();
--- a/libs/proxy/include/proxy/connection_pool.hpp
+++ b/libs/proxy/include/proxy/connection_pool.hpp
@@ -18,20 +18,20 @@
                TimePoint now);
   /// A connection from this pool had been dropped by its runner: from now on requests that may not be repeated reuse
   /// connections only for half as long.
-  void recordStaleConnection() { maxIdleUnrepeatable_ = std::max(kMinIdleUnrepeatable, maxIdleUnrepeatable_ / 2); }
+  void recordStaleConnection() { maxIdleNonIdempotent_ = std::max(kMinIdleLimitNonIdempotent, maxIdleNonIdempotent_ / 2); }
   /// Closes the connections of a runner that cannot be reached.
   void closeAll(const std::string& runnerId);
   /// Closes the connections that have expired; to be called periodically.
   void closeExpired(TimePoint now);
 
  private:
-  static constexpr Duration kMinIdleUnrepeatable{200};
+  static constexpr Duration kMinIdleLimitNonIdempotent{200};
   struct IdleConnection {
     std::unique_ptr<runtime::Connection> connection;
     TimePoint expiresAt;
     TimePoint idleSince;
   };
-  Duration maxIdleUnrepeatable_{1600};
+  Duration maxIdleNonIdempotent_{1600};
   std::unordered_map<std::string, std::vector<IdleConnection>> idle_;  ///< by runner, the one used last at the end
 };
 }  // namespace zinccleat::proxy
--- a/libs/proxy/include/proxy/graceful_shutdown.hpp
+++ b/libs/proxy/include/proxy/graceful_shutdown.hpp
@@ -21,11 +21,11 @@
 
 /// Milliseconds from SIGTERM. How long readiness is refused before anything else: the platform takes a machine out of
 /// use after two questions without a 200, and the rule DRAIN gives a machine 4 s until then; callers' lists are up to
-/// `seedLagS` (3 s) old. It must end before `kLastRequestAccepted`, with a margin for a signal that is handled late.
-inline constexpr Duration kNoticeTime{2600};
+/// `seedLagS` (3 s) old. It must end before `kRequestCutoff`, with a margin for a signal that is handled late.
+inline constexpr Duration kNotReadyDuration{2600};
 /// Milliseconds from SIGTERM. The rule LOST forgives a request that was cut in the second half of `graceS` only if it
 /// was sent by then, so none that was sent later may be accepted.
-inline constexpr Duration kLastRequestAccepted{3000};
+inline constexpr Duration kRequestCutoff{3000};
 /// Milliseconds: how long an idle connection stays open once a SIGTERM has come.
 inline constexpr Duration kIdleTimeoutWhileDraining{300};
 
--- a/libs/proxy/include/proxy/http.hpp
+++ b/libs/proxy/include/proxy/http.hpp
@@ -44,7 +44,7 @@
 /// @param headerOnly  until its header is parsed
 /// @param ec          the parser's or the connection's error; none on success
 template <class Parser>
-void pump(runtime::Connection& connection, Buffer& buffer, Parser& parser, bool headerOnly, runtime::SocketError& ec);
+void readIntoParser(runtime::Connection& connection, Buffer& buffer, Parser& parser, bool headerOnly, runtime::SocketError& ec);
 
 /// The standard reason phrase of an HTTP status.
 std::string_view reasonPhrase(int status);
@@ -60,7 +60,7 @@
 inline constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
 
 template <class Parser>
-void pump(runtime::Connection& connection, Buffer& buffer, Parser& parser, bool headerOnly, runtime::SocketError& ec) {
+void readIntoParser(runtime::Connection& connection, Buffer& buffer, Parser& parser, bool headerOnly, runtime::SocketError& ec) {
   for (;;) {
     if (parser.is_done() || (headerOnly && parser.is_header_done())) {
       ec = {};
--- a/libs/proxy/include/proxy/idle_connections.hpp
+++ b/libs/proxy/include/proxy/idle_connections.hpp
@@ -6,7 +6,7 @@
 class IdleConnections {
  public:
   /// Closes each connection once it has been idle for `maxIdle`. One on which bytes have arrived is still read.
-  void limit(Duration maxIdle);
+  void limitIdleTime(Duration maxIdle);
   std::size_t size() const { return idleSince_.size(); }
 
  private:
--- a/libs/proxy/include/proxy/proxy_context.hpp
+++ b/libs/proxy/include/proxy/proxy_context.hpp
@@ -58,7 +58,7 @@
 
   // Outlier detection.
   balancing::RunnerObserver observer;
-  balancing::StreamPaces paces;  ///< of services that are being rolled out
+  balancing::StreamPaceBaselines paceBaselines;  ///< of services that are being rolled out
   std::unordered_set<PendingAttempt*> pendingAttempts;
   /// Records attempts that have had no response for far longer than usual as slow; to be called periodically.
   void recordSlowAttempts(TimePoint now);
@@ -73,11 +73,11 @@
   void wakeQuotaWaiters(const std::vector<transport::QuotaGrant>& grants);
 
   /// The end of the lease under which this proxy serves: after it a newer configuration may have revoked a key.
-  TimePoint leaseEnds{};
+  TimePoint leaseExpiresAt{};
   const TimePoint startedAt = Clock::now();
-  bool hasLease(TimePoint now) const { return configuration && now < leaseEnds; }
+  bool hasLease(TimePoint now) const { return configuration && now < leaseExpiresAt; }
   /// When a client that was rejected for want of a lease should come back.
-  Duration retryAfterLease(TimePoint now);
+  Duration retryAfterWithoutLease(TimePoint now);
 
   GracefulShutdown shutdown;
   IdleConnections idleConnections;                  ///< of clients
@@ -95,7 +95,7 @@
   std::uint64_t attempts = 0;
   std::uint64_t truncatedResponses = 0;  ///< responses begun and not completed
   std::uint64_t migratedStreams = 0;     ///< live streams moved out of a zone that is drained
-  std::uint64_t toPartner = 0;           ///< requests forwarded to the partner site
-  std::uint64_t fromPartner = 0;         ///< of those, the ones answered from there
+  std::uint64_t forwardedToPartner = 0;           ///< requests forwarded to the partner site
+  std::uint64_t answeredByPartner = 0;         ///< of those, the ones answered from there
 };
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -6,16 +6,16 @@
 namespace zinccleat::proxy {
 namespace {
 // A client of a process that is about to exit should retry soon: other nodes can serve it at once.
-constexpr Duration kRetryElsewhere{100};
-constexpr std::uint64_t kRetryElsewhereSpreadMs = 200;
-constexpr std::int64_t kOverloadRetryMs = 400;
+constexpr Duration kShutdownRetryAfter{100};
+constexpr std::uint64_t kShutdownRetrySpreadMs = 200;
+constexpr std::int64_t kOverloadRetryAfterMs = 400;
 constexpr std::uint64_t kOverloadRetrySpreadMs = 900;
 constexpr std::uint64_t kDrawSteps = 1000;
 constexpr Duration kMinQuotaWait{15};
 constexpr Duration kMaxQuotaWait{150};
 constexpr Duration kMaxQuotaWaitResponsive{250};
 constexpr Duration kTokenResponseTimeout{100};
-using Rejected = std::optional<Rejection>;
+using MaybeRejection = std::optional<Rejection>;
 
 std::string_view bearerKey(const http::fields& fields) {
   constexpr std::string_view kScheme = "bearer ";
@@ -30,20 +30,20 @@
   return value;
 }
 
-Rejected checkServing(const Exchange& exchange) {
+MaybeRejection checkServing(const Exchange& exchange) {
   auto& context = exchange.context;
   // A process that is about to exit could not answer what it accepts now.
   if (!context.shutdown.acceptsRequests(exchange.arrivedAt)) {
-    const auto spread = Duration(static_cast<std::int64_t>(context.rng() % kRetryElsewhereSpreadMs));
-    return Rejection{503, kRetryElsewhere + spread, "shutting down"};
+    const auto spread = Duration(static_cast<std::int64_t>(context.rng() % kShutdownRetrySpreadMs));
+    return Rejection{503, kShutdownRetryAfter + spread, "shutting down"};
   }
   // Without a valid lease the configuration may be older than the revocation of a key.
   if (!context.hasLease(exchange.arrivedAt))
-    return Rejection{503, context.retryAfterLease(exchange.arrivedAt), "no fresh lease"};
+    return Rejection{503, context.retryAfterWithoutLease(exchange.arrivedAt), "no fresh lease"};
   return std::nullopt;
 }
 
-Rejected findRoute(Exchange& exchange) {
+MaybeRejection findRoute(Exchange& exchange) {
   const auto& configuration = *exchange.configuration;
   const std::string_view target(exchange.request.target().data(), exchange.request.target().size());
   const int index = configuration.find(headerValue(exchange.request, "Host"), target);
@@ -54,7 +54,7 @@
   return std::nullopt;
 }
 
-Rejected authenticate(Exchange& exchange) {
+MaybeRejection authenticate(Exchange& exchange) {
   const auto& configuration = *exchange.configuration;
   if (configuration.subscribers.empty() || exchange.route->keyless)
     return std::nullopt;
@@ -78,27 +78,27 @@
   return exchange.configuration->services[static_cast<std::size_t>(route.targets[target].service)];
 }
 
-Rejected checkOverload(Exchange& exchange) {
+MaybeRejection checkOverload(Exchange& exchange) {
   auto& context = exchange.context;
   const double draw = static_cast<double>(context.rng() % kDrawSteps) / kDrawSteps;
   if (context.admission.admits(*exchange.service, exchange.precedence, draw, exchange.arrivedAt))
     return std::nullopt;
   ++context.turnedAway[*exchange.service];
   const auto spread = static_cast<std::int64_t>(context.rng() % kOverloadRetrySpreadMs);
-  return Rejection{503, Duration(kOverloadRetryMs + spread), "overloaded"};
+  return Rejection{503, Duration(kOverloadRetryAfterMs + spread), "overloaded"};
 }
 
 // A request that waits for quota tokens, as long as it is in scope.
-class QuotaWait {
+class QuotaWaitScope {
  public:
-  QuotaWait(ProxyContext& context, const std::string& tenant) : context_(context) {
+  QuotaWaitScope(ProxyContext& context, const std::string& tenant) : context_(context) {
     context_.quotaWaiters.push_back({&tenant, &waiter_});
   }
-  ~QuotaWait() {
+  ~QuotaWaitScope() {
     std::erase_if(context_.quotaWaiters, [this](const auto& waiting) { return waiting.waiter == &waiter_; });
   }
-  QuotaWait(const QuotaWait&) = delete;
-  QuotaWait& operator=(const QuotaWait&) = delete;
+  QuotaWaitScope(const QuotaWaitScope&) = delete;
+  QuotaWaitScope& operator=(const QuotaWaitScope&) = delete;
 
   // False: the time was up before tokens were granted.
   bool waitFor(Duration timeout) { return runtime::EventLoop::get().waitFor(waiter_, timeout); }
@@ -121,7 +121,7 @@
   auto& context = exchange.context;
   auto& quota = context.quota;
   const auto deadline = quotaDeadline(exchange);
-  QuotaWait wait(context, tenant);
+  QuotaWaitScope wait(context, tenant);
   while (Exchange::now() < deadline) {
     quota.requestToken(tenant);
     context.requestQuotaTokens();
@@ -132,7 +132,7 @@
     if (!granted)
       continue;
     // The leader has none: wait for its next token if that comes in time.
-    const auto nextToken = quota.nextTokenIn(tenant);
+    const auto nextToken = quota.timeToNextToken(tenant);
     if (Exchange::now() + nextToken >= deadline)
       break;
     (void)wait.waitFor(nextToken);
@@ -143,7 +143,7 @@
   return false;
 }
 
-Rejected checkQuota(Exchange& exchange) {
+MaybeRejection checkQuota(Exchange& exchange) {
   if (!exchange.subscriber || exchange.subscriber->ratePerS <= 0)
     return std::nullopt;
   auto& quota = exchange.context.quota;
--- a/libs/proxy/src/connection_pool.cpp
+++ b/libs/proxy/src/connection_pool.cpp
@@ -5,7 +5,7 @@
 namespace zinccleat::proxy {
 namespace {
 // Open, and without bytes that nobody asked for.
-bool isClean(runtime::Connection& connection) {
+bool isReusable(runtime::Connection& connection) {
   char next = 0;
   const auto count = ::recv(connection.socket().native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT);
   return count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -19,11 +19,11 @@
     return nullptr;
   auto& idle = it->second;
   while (!idle.empty()) {
-    if (!idempotent && now - idle.back().idleSince > maxIdleUnrepeatable_)
+    if (!idempotent && now - idle.back().idleSince > maxIdleNonIdempotent_)
       return nullptr;  // all others have been idle for longer
     auto newest = std::move(idle.back());
     idle.pop_back();
-    if (newest.expiresAt > now && isClean(*newest.connection))
+    if (newest.expiresAt > now && isReusable(*newest.connection))
       return std::move(newest.connection);
   }
   return nullptr;
--- a/libs/proxy/src/exchange.cpp
+++ b/libs/proxy/src/exchange.cpp
@@ -52,7 +52,7 @@
     headers += retryAfterHeader(retryAfter);
   ++context.rejected;
   const auto body = jsonError(reason.empty() ? reasonPhrase(status) : reason);
-  return writeToClient(plainResponse(status, headers, "application/json", body, keepsConnection())) && keepAlive;
+  return writeToClient(plainResponse(status, headers, "application/json", body, decideKeepAlive())) && keepAlive;
 }
 
 void Exchange::beginAttempt(int runnerIndex) {
@@ -100,12 +100,12 @@
 
 void Exchange::observeRevision(AttemptOutcome outcome) {
   // Nothing was sent, or nothing follows about the runner from how it ended.
-  const bool saysNothing = outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::notExecuted ||
+  const bool isInconclusive = outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::notExecuted ||
                            outcome == AttemptOutcome::clientDisconnected || outcome == AttemptOutcome::migrated ||
                            staleConnection;
-  if (saysNothing)
+  if (isInconclusive)
     return;
-  const bool slowStream = context.paces.recordStream(*service, pace);
+  const bool slowStream = context.paceBaselines.recordStream(*service, pace);
   auto attempt = observedAttempt();
   attempt.answered = outcome != AttemptOutcome::interrupted && outcome != AttemptOutcome::deadlineExceeded;
   attempt.failed = outcome == AttemptOutcome::failed;
@@ -132,7 +132,7 @@
     return;
   auto attempt = observedAttempt();
   attempt.slowStart = slowResponse && startIsComparable();
-  attempt.slowPace = context.paces.isSlowMidway(*service, pace);
+  attempt.slowPace = context.paceBaselines.isSlowWhileOpen(*service, pace);
   slownessRecorded = attempt.isSlow();
   if (slownessRecorded)
     context.revisions.recordAttempt(*service, attempt);
--- a/libs/proxy/src/exchange.hpp
+++ b/libs/proxy/src/exchange.hpp
@@ -35,7 +35,7 @@
   balancing::RunnerQuery query;
 
   // The client's side.
-  std::optional<ClientWatch> watch;  ///< from admission on
+  std::optional<ClientWatch> clientWatch;  ///< from admission on
   bool keepAlive = request.keep_alive();
   bool responseStarted = false;  ///< the client has the header of a stream's response
   EventScanner events;
@@ -54,12 +54,12 @@
   bool staleConnection = false;    ///< it failed on a connection that the runner had dropped: not the runner's fault
   bool isLastAttempt = false;      ///< no other runner is allowed after this one
   bool nextAttemptIsPaid = false;  ///< the retry budget has been charged for the next runner already
-  runtime::Connection* pendingPartner = nullptr;  ///< to a partner node that has not begun to respond
+  runtime::Connection* pendingPartnerConnection = nullptr;  ///< to a partner node that has not begun to respond
 
   static TimePoint now() { return Clock::now(); }
   /// Decides whether the client's connection stays open after the response whose header is written now.
-  bool keepsConnection() { return keepAlive = keepAlive && !context.shutdown.begun() && !context.zoneDraining; }
-  std::string_view connectionHeader() { return keepsConnection() ? "" : "Connection: close\r\n"; }
+  bool decideKeepAlive() { return keepAlive = keepAlive && !context.shutdown.begun() && !context.zoneDraining; }
+  std::string_view connectionHeader() { return decideKeepAlive() ? "" : "Connection: close\r\n"; }
 
   /// Writes to the client.
   /// @return false if it has disconnected, or read nothing for too long.
--- a/libs/proxy/src/graceful_shutdown.cpp
+++ b/libs/proxy/src/graceful_shutdown.cpp
@@ -8,8 +8,8 @@
   exiting_ = now + grace * 9 / 10;
   // Half at most: with a short grace period the requests accepted last need time to end, and the rule LOST counts none
   // that a runner still works on in the second half.
-  notAccepting_ = now + std::min(kNoticeTime, grace / 2);
-  draining_ = std::min(notAccepting_ + (kLastRequestAccepted - kNoticeTime), exiting_);
+  notAccepting_ = now + std::min(kNotReadyDuration, grace / 2);
+  draining_ = std::min(notAccepting_ + (kRequestCutoff - kNotReadyDuration), exiting_);
   return true;
 }
 ShutdownPhase GracefulShutdown::phase(TimePoint now) const {
--- a/libs/proxy/src/headers.cpp
+++ b/libs/proxy/src/headers.cpp
@@ -23,7 +23,7 @@
                                                 "content-length",
                                                 "expect"};
 // Fields that this proxy sets. All unknown ones are forwarded: the protocol says so.
-constexpr std::string_view kOwnFields[] = {"x-partner-site", "x-subscriber", "x-expected-instance", "x-deadline-ms",
+constexpr std::string_view kProxyFields[] = {"x-partner-site", "x-subscriber", "x-expected-instance", "x-deadline-ms",
                                            "x-precedence"};
 
 template <class Text>
@@ -67,7 +67,7 @@
   header += "\r\n";
 }
 bool isReplaced(std::string_view name, const ForwardingOptions& options) {
-  if (contains(kOwnFields, name))
+  if (contains(kProxyFields, name))
     return true;
   if (options.removeAuthorization && equalsIgnoreCase(name, "authorization"))
     return true;
@@ -86,7 +86,7 @@
     appendField(header, name, viewOf(entry.value()));
   }
 }
-void appendOwnFields(std::string& header, const ForwardingOptions& options) {
+void appendProxyFields(std::string& header, const ForwardingOptions& options) {
   if (options.toPartner)
     appendField(header, kPartnerSiteHeader, "1");
   else
@@ -132,7 +132,7 @@
   header += viewOf(request.target());
   header += " HTTP/1.1\r\n";
   appendEndToEndFields(header, request, [&](std::string_view name) { return isReplaced(name, options); });
-  appendOwnFields(header, options);
+  appendProxyFields(header, options);
   if (needsContentLength(request.method(), bodyBytes))
     appendField(header, "Content-Length", std::to_string(bodyBytes));
   header += "\r\n";
--- a/libs/proxy/src/http.cpp
+++ b/libs/proxy/src/http.cpp
@@ -25,7 +25,7 @@
 }
 
 void readHeader(runtime::Connection& connection, Buffer& buffer, RequestParser& parser, runtime::SocketError& ec) {
-  pump(connection, buffer, parser, true, ec);
+  readIntoParser(connection, buffer, parser, true, ec);
   // With a last coding that is not chunked the body has no known end: what follows must not be read as a request.
   if (!ec && !parser.chunked() && parser.get().count(http::field::transfer_encoding))
     ec = http::error::bad_transfer_encoding;
@@ -36,7 +36,7 @@
   if (parser.get().count(http::field::expect))
     connection.write(asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ec);
   if (!ec)
-    pump(connection, buffer, parser, false, ec);
+    readIntoParser(connection, buffer, parser, false, ec);
 }
 }  // namespace
 
--- a/libs/proxy/src/idle_connections.cpp
+++ b/libs/proxy/src/idle_connections.cpp
@@ -1,7 +1,7 @@
 #include "proxy/idle_connections.hpp"
 
 namespace zinccleat::proxy {
-void IdleConnections::limit(Duration maxIdle) {
+void IdleConnections::limitIdleTime(Duration maxIdle) {
   for (auto& [connection, since] : idleSince_)
     connection->setDeadline(std::min(connection->deadline(), since + maxIdle));
 }
--- a/libs/proxy/src/partner_attempt.cpp
+++ b/libs/proxy/src/partner_attempt.cpp
@@ -6,7 +6,7 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::size_t kPartnerReadBytes = std::size_t{4} * 1024;
-constexpr int kTimeoutFraction = 5;  // of the latency target
+constexpr int kLatencyTargetDivisor = 5;  // of the latency target
 constexpr Duration kMinTimeout{20};
 constexpr Duration kMaxTimeout{400};
 constexpr unsigned kServiceUnavailable = 503;
@@ -15,28 +15,28 @@
 AttemptOutcome PartnerAttempt::run(const std::string& address) {
   if (!connect(address))
     return AttemptOutcome::notSent;
-  const AttachedConnection attached(*exchange_.watch, connection_);
-  exchange_.pendingPartner = &connection_;
+  const AttachedConnection attached(*exchange_.clientWatch, connection_);
+  exchange_.pendingPartnerConnection = &connection_;
   sendRequest();
-  prepare(response_);
+  configureParser(response_);
   if (!ec_)
-    pump(connection_, buffer_, response_, true, ec_);
-  if (ec_ || exchange_.watch->disconnected())
-    return brokenOff();
+    readIntoParser(connection_, buffer_, response_, true, ec_);
+  if (ec_ || exchange_.clientWatch->disconnected())
+    return interruptedOutcome();
   if (const auto outcome = checkHeader())
     return *outcome;
   // The client gets the header with the first bytes of the body: a node that has only begun must not bind it.
   if (!awaitBody())
-    return brokenOff();
+    return interruptedOutcome();
   const auto outcome = relayStream(exchange_, connection_, buffer_, response_);
-  return outcome == AttemptOutcome::interrupted ? brokenOff() : outcome;
+  return outcome == AttemptOutcome::interrupted ? interruptedOutcome() : outcome;
 }
 
 bool PartnerAttempt::connect(const std::string& address) {
   const auto endpoint = runtime::parseEndpoint(address);
   if (!endpoint)
     return false;
-  const auto timeout = std::clamp(exchange_.route->latencyTarget / kTimeoutFraction, kMinTimeout, kMaxTimeout);
+  const auto timeout = std::clamp(exchange_.route->latencyTarget / kLatencyTargetDivisor, kMinTimeout, kMaxTimeout);
   connection_.setDeadline(std::min(exchange_.deadline, Exchange::now() + timeout));
   connection_.connect(*endpoint, ec_);
   return !ec_;
@@ -67,7 +67,7 @@
   while (response_.get().body().empty() && !response_.is_done()) {
     if (buffer_.size() == 0) {
       const auto received = connection_.read(buffer_.prepare(kPartnerReadBytes), ec_);
-      if (ec_ || exchange_.watch->disconnected())
+      if (ec_ || exchange_.clientWatch->disconnected())
         return false;
       buffer_.commit(received);
     }
@@ -79,7 +79,7 @@
   return true;
 }
 
-AttemptOutcome PartnerAttempt::brokenOff() const {
-  return exchange_.watch->disconnected() ? AttemptOutcome::clientDisconnected : AttemptOutcome::interrupted;
+AttemptOutcome PartnerAttempt::interruptedOutcome() const {
+  return exchange_.clientWatch->disconnected() ? AttemptOutcome::clientDisconnected : AttemptOutcome::interrupted;
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/partner_attempt.hpp
+++ b/libs/proxy/src/partner_attempt.hpp
@@ -10,7 +10,7 @@
 class PartnerAttempt {
  public:
   explicit PartnerAttempt(Exchange& exchange) : exchange_(exchange) {}
-  ~PartnerAttempt() { exchange_.pendingPartner = nullptr; }
+  ~PartnerAttempt() { exchange_.pendingPartnerConnection = nullptr; }
   PartnerAttempt(const PartnerAttempt&) = delete;
   PartnerAttempt& operator=(const PartnerAttempt&) = delete;
 
@@ -27,7 +27,7 @@
   std::optional<AttemptOutcome> checkHeader();
   /// Waits for the first bytes of the body.
   bool awaitBody();
-  AttemptOutcome brokenOff() const;
+  AttemptOutcome interruptedOutcome() const;
 
   Exchange& exchange_;
   runtime::Connection connection_;
--- a/libs/proxy/src/proxy_context.cpp
+++ b/libs/proxy/src/proxy_context.cpp
@@ -3,9 +3,9 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::uint64_t kRetrySpreadMs = 120;
-constexpr Duration kMinRetryAfterStart{150};
-constexpr Duration kFirstLeaseAfter{800};  // from the start, until a leader is elected after a restart of all members
-constexpr Duration kRetryWithoutLease{500};
+constexpr Duration kMinRetryAfterAtStart{150};
+constexpr Duration kExpectedFirstLease{800};  // from the start, until a leader is elected after a restart of all members
+constexpr Duration kRetryAfterWithoutLease{500};
 }  // namespace
 
 void ProxyContext::recordSlowAttempts(TimePoint now) {
@@ -19,13 +19,13 @@
   }
 }
 
-Duration ProxyContext::retryAfterLease(TimePoint now) {
+Duration ProxyContext::retryAfterWithoutLease(TimePoint now) {
   const auto spread = Duration(rng() % kRetrySpreadMs);
   // A client makes few attempts, so a second rejection must be unlikely. A process that has just started gets its first
   // lease as soon as there is a leader.
-  if (leaseEnds == TimePoint{})
-    return std::max(kMinRetryAfterStart, kFirstLeaseAfter - toDuration(now - startedAt)) + spread;
-  return kRetryWithoutLease + spread;
+  if (leaseExpiresAt == TimePoint{})
+    return std::max(kMinRetryAfterAtStart, kExpectedFirstLease - toDuration(now - startedAt)) + spread;
+  return kRetryAfterWithoutLease + spread;
 }
 
 void ProxyContext::wakeQuotaWaiters(const std::vector<transport::QuotaGrant>& grants) {
--- a/libs/proxy/src/request_handler.cpp
+++ b/libs/proxy/src/request_handler.cpp
@@ -9,7 +9,7 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr int kExtraConnectAttempts = 3;  // beyond the route's attempts: an unreachable runner has been sent nothing
-constexpr std::int64_t kNoRunnerRetryMs = 100;
+constexpr std::int64_t kNoRunnerRetryAfterMs = 100;
 constexpr std::uint64_t kNoRunnerRetrySpreadMs = 200;
 
 RetryState initialState(const Exchange& exchange) {
@@ -32,7 +32,7 @@
   if (!qualifies)
     return {};
   auto address = context.lookupPartner(exchange.query.affinity, exchange.tenant);
-  if (address.empty() || !context.partner.allows(Exchange::now()))
+  if (address.empty() || !context.partner.allowRequest(Exchange::now()))
     return {};
   return address;
 }
@@ -40,7 +40,7 @@
 void recordPartnerOutcome(ProxyContext& context, AttemptOutcome outcome) {
   if (outcome == AttemptOutcome::completed) {
     context.partner.recordSuccess();
-    ++context.fromPartner;
+    ++context.answeredByPartner;
   } else if (outcome != AttemptOutcome::clientDisconnected) {
     context.partner.recordFailure(Exchange::now());
   }
@@ -50,7 +50,7 @@
   const auto address = findPartner(exchange, state);
   if (address.empty())
     return RetryDecision::nextRunner;
-  ++exchange.context.toPartner;
+  ++exchange.context.forwardedToPartner;
   state.outcome = PartnerAttempt(exchange).run(address);
   recordPartnerOutcome(exchange.context, state.outcome);
   if (state.outcome != AttemptOutcome::completed && mayHaveRun(state.outcome)) {
@@ -63,7 +63,7 @@
 }
 
 /// Why there is no runner for an attempt.
-enum class NoRunner : std::uint8_t { leaseEnded, noneFits, budgetSpent };
+enum class NoRunnerReason : std::uint8_t { leaseEnded, noneAvailable, budgetSpent };
 
 // A runner of the revision that the request is to go to; of another one if that has none and may be replaced.
 int chooseRunner(Exchange& exchange, bool isFirst) {
@@ -85,21 +85,21 @@
 }
 
 // The runner for the next attempt, paid for.
-tl::expected<int, NoRunner> selectRunner(Exchange& exchange, const RetryState& state, int earlierAttempts) {
+tl::expected<int, NoRunnerReason> selectRunner(Exchange& exchange, const RetryState& state, int earlierAttempts) {
   auto& context = exchange.context;
   // Checked before each attempt: the lease may have ended during the last one.
   if (!context.hasLease(Exchange::now()))
-    return tl::unexpected(NoRunner::leaseEnded);
+    return tl::unexpected(NoRunnerReason::leaseEnded);
   const int runner = chooseRunner(exchange, earlierAttempts == 0);
   if (runner < 0) {
     ++context.turnedAway[*exchange.service];
-    return tl::unexpected(NoRunner::noneFits);
+    return tl::unexpected(NoRunnerReason::noneAvailable);
   }
   const bool isRetry = state.runnersUsed > 0;
-  const bool isFree = !isRetry || std::exchange(exchange.nextAttemptIsPaid, false);
-  if (isFree || context.retryBudget.tryWithdraw(*exchange.service, Exchange::now()))
+  const bool needsNoRetryToken = !isRetry || std::exchange(exchange.nextAttemptIsPaid, false);
+  if (needsNoRetryToken || context.retryBudget.tryWithdraw(*exchange.service, Exchange::now()))
     return runner;
-  return tl::unexpected(NoRunner::budgetSpent);
+  return tl::unexpected(NoRunnerReason::budgetSpent);
 }
 
 void attemptRunner(Exchange& exchange, int runner, RetryState& state) {
@@ -141,7 +141,7 @@
 // Nothing has run: the client may come back, at a random time so that not all do at once.
 bool respondUnavailable(Exchange& exchange) {
   const auto spread = static_cast<std::int64_t>(exchange.context.rng() % kNoRunnerRetrySpreadMs);
-  return exchange.respond(503, Duration(kNoRunnerRetryMs + spread), "no runner is free");
+  return exchange.respond(503, Duration(kNoRunnerRetryAfterMs + spread), "no runner is free");
 }
 
 bool finish(Exchange& exchange, const RetryState& state, RetryDecision decision) {
@@ -172,12 +172,12 @@
   Exchange exchange(context, client, parser);
   if (const auto rejection = admit(exchange))
     return exchange.respond(rejection->status, rejection->retryAfter, rejection->reason);
-  exchange.watch.emplace(client);
+  exchange.clientWatch.emplace(client);
 
   auto state = initialState(exchange);
   auto decision = attemptPartnerSite(exchange, state);
   for (int attempts = 0; decision == RetryDecision::nextRunner; ++attempts) {
-    if (exchange.watch->disconnected())
+    if (exchange.clientWatch->disconnected())
       return false;
     decision = attemptNextRunner(exchange, state, attempts);
   }
--- a/libs/proxy/src/runner_attempt.cpp
+++ b/libs/proxy/src/runner_attempt.cpp
@@ -28,13 +28,13 @@
     exchange_.staleConnection = true;
     return AttemptOutcome::notSent;
   }
-  const AttachedConnection attached(*exchange_.watch, *connection_);
+  const AttachedConnection attached(*exchange_.clientWatch, *connection_);
   connection_->setDeadline(exchange_.deadline + kDeadlineMargin);
   if (const auto outcome = sendRequest())
     return *outcome;
   ec_ = readFinalHeader(*connection_, buffer_, response_, exchange_.request.method(), exchange_.attemptId);
   if (ec_ || !belongsTo(response_->get(), exchange_.attemptId))
-    return responseLost();
+    return handleLostResponse();
   return relayResponse();
 }
 
@@ -81,14 +81,14 @@
     return AttemptOutcome::deadlineExceeded;
   }
   if (bytesWritten == 0)
-    return nothingSent();
+    return handleNothingSent();
   // A part was sent: only a response that is here already can say what became of it.
   partiallySent_ = true;
   return std::nullopt;
 }
 
 // The one case in which an open connection has certainly carried nothing.
-AttemptOutcome RunnerAttempt::nothingSent() {
+AttemptOutcome RunnerAttempt::handleNothingSent() {
   exchange_.staleConnection = reused_;
   if (reused_)
     exchange_.context.connections.recordStaleConnection();
@@ -97,7 +97,7 @@
   return AttemptOutcome::notSent;
 }
 
-AttemptOutcome RunnerAttempt::responseLost() {
+AttemptOutcome RunnerAttempt::handleLostResponse() {
   if (clientDisconnected())
     return AttemptOutcome::clientDisconnected;
   if (connection_->deadlineExceeded() || Exchange::now() >= exchange_.deadline)
@@ -118,7 +118,7 @@
   const bool notExecuted = isNotExecuted(header);
   // A success that says "not executed" contradicts itself: neither of the two can be relied on.
   if (success && (notExecuted || !isSealed(header)))
-    return responseLost();
+    return handleLostResponse();
   const bool hasBody = header.result_int() != kNoContent && exchange_.request.method() != http::verb::head;
   if (success && hasBody && exchange_.route->type == config::RouteType::stream)
     return relayEvents();
@@ -128,7 +128,7 @@
 AttemptOutcome RunnerAttempt::relayEvents() {
   const auto outcome = relayStream(exchange_, *connection_, buffer_, *response_);
   if (outcome == AttemptOutcome::interrupted)
-    return responseLost();
+    return handleLostResponse();
   if (outcome == AttemptOutcome::migrated)
     ++exchange_.context.migratedStreams;
   if (outcome != AttemptOutcome::completed)
@@ -140,12 +140,12 @@
 }
 
 AttemptOutcome RunnerAttempt::relayComplete(bool notExecuted) {
-  pump(*connection_, buffer_, *response_, false, ec_);
+  readIntoParser(*connection_, buffer_, *response_, false, ec_);
   if (ec_ && clientDisconnected())
     return AttemptOutcome::clientDisconnected;
   // "Not executed" in a complete header is valid whatever becomes of the body.
   if (ec_ && !notExecuted)
-    return responseLost();
+    return handleLostResponse();
   const auto status = response_->get().result_int();
   recordResult(status, notExecuted);
   // A stream that has failed before its first event has not begun to run; anything else began about when it was sent.
@@ -161,7 +161,7 @@
     return AttemptOutcome::notExecuted;
   }
   if (!isSuccess(status))
-    return keepFailure(status, std::move(header), std::move(body));
+    return storeFailure(status, std::move(header), std::move(body));
   if (exchange_.responseStarted)
     return AttemptOutcome::interrupted;
   return sendToClient(std::move(header), body);
@@ -177,9 +177,9 @@
     exchange_.endPrefill(true);
 }
 
-AttemptOutcome RunnerAttempt::keepFailure(unsigned status, std::string header, std::string body) {
+AttemptOutcome RunnerAttempt::storeFailure(unsigned status, std::string header, std::string body) {
   // Such a status would promise to the client what this runner does not say.
-  if (promisesNotRun(status))
+  if (promisesNotExecuted(status))
     return AttemptOutcome::interrupted;
   exchange_.failure = {std::move(header), std::move(body)};
   return AttemptOutcome::failed;
@@ -191,7 +191,7 @@
   header += "\r\n";
   if (exchange_.request.method() != http::verb::head)
     header += body;
-  exchange_.watch->attach(nullptr);
+  exchange_.clientWatch->attach(nullptr);
   return exchange_.writeToClient(header) ? AttemptOutcome::completed : AttemptOutcome::clientDisconnected;
 }
 
@@ -201,7 +201,7 @@
   const auto now = Exchange::now();
   connection_->clearDeadline();
   // Detached: the client may disconnect while its response is written, when another request may have the connection.
-  exchange_.watch->attach(nullptr);
+  exchange_.clientWatch->attach(nullptr);
   exchange_.context.connections.release(runnerId_, std::move(connection_), reusableUntil(response_->get(), now), now);
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/runner_attempt.hpp
+++ b/libs/proxy/src/runner_attempt.hpp
@@ -21,21 +21,21 @@
   /// Writes the request.
   /// @return the outcome if the attempt has ended with that.
   std::optional<AttemptOutcome> sendRequest();
-  AttemptOutcome nothingSent();
+  AttemptOutcome handleNothingSent();
   /// The outcome of a request that was sent and has no complete response; records it against the runner or the
   /// connection.
-  AttemptOutcome responseLost();
+  AttemptOutcome handleLostResponse();
   AttemptOutcome relayResponse();
   AttemptOutcome relayEvents();
   /// Forwards a response that is complete before the first byte of it is sent on.
   AttemptOutcome relayComplete(bool notExecuted);
-  AttemptOutcome keepFailure(unsigned status, std::string header, std::string body);
+  AttemptOutcome storeFailure(unsigned status, std::string header, std::string body);
   AttemptOutcome sendToClient(std::string header, const std::string& body);
   void recordResult(unsigned status, bool notExecuted);
   /// Returns the connection to the pool, unless something of this request could reach another one on it.
   void releaseConnection();
   void recordFailure() { exchange_.context.runners.recordFailure(runner_, Exchange::now()); }
-  bool clientDisconnected() const { return exchange_.watch->disconnected(); }
+  bool clientDisconnected() const { return exchange_.clientWatch->disconnected(); }
 
   Exchange& exchange_;
   const int runner_;  ///< index in the runner pool
--- a/libs/proxy/src/stream_relay.cpp
+++ b/libs/proxy/src/stream_relay.cpp
@@ -74,8 +74,8 @@
       exchange_.pace.recordBytes(body, Exchange::now());
       exchange_.observeSlowness();
     }
-    if (exchange_.pendingPartner)
-      std::exchange(exchange_.pendingPartner, nullptr)->setDeadline(exchange_.deadline + kDeadlineMargin);
+    if (exchange_.pendingPartnerConnection)
+      std::exchange(exchange_.pendingPartnerConnection, nullptr)->setDeadline(exchange_.deadline + kDeadlineMargin);
     const auto bytes = completeEventsOnly_ ? exchange_.events.feed(body) : std::string_view(body);
     if (!bytes.empty() && !exchange_.writeChunk(bytes))
       return false;
@@ -111,7 +111,7 @@
     const auto& rest = exchange_.events.partialEvent();
     if (completeEventsOnly_ && !rest.empty() && !exchange_.writeChunk(rest))
       return AttemptOutcome::clientDisconnected;
-    exchange_.watch->attach(nullptr);
+    exchange_.clientWatch->attach(nullptr);
     return exchange_.writeToClient("0\r\n\r\n") ? AttemptOutcome::completed : AttemptOutcome::clientDisconnected;
   }
 
--- a/libs/proxy/src/upstream_response.cpp
+++ b/libs/proxy/src/upstream_response.cpp
@@ -16,7 +16,7 @@
 constexpr unsigned kServiceUnavailable = 503;
 }  // namespace
 
-bool promisesNotRun(unsigned status) {
+bool promisesNotExecuted(unsigned status) {
   return status == kRequestTimeout || status == kMisdirectedRequest || status == kTooManyRequests ||
          status == kServiceUnavailable;
 }
@@ -44,7 +44,7 @@
   return now + Duration(parseNumber(seconds, 1) * kMsPerS) - kKeepAliveMargin;
 }
 
-void prepare(ResponseParser& parser) {
+void configureParser(ResponseParser& parser) {
   parser.eager(true);
   parser.body_limit(kMaxResponseBytes);
 }
@@ -57,10 +57,10 @@
   int interimResponses = 0;
   for (;;) {
     parser.emplace();
-    prepare(*parser);
+    configureParser(*parser);
     if (request == http::verb::head)
       parser->skip(true);
-    pump(upstream, buffer, *parser, true, ec);
+    readIntoParser(upstream, buffer, *parser, true, ec);
     if (ec)
       return ec;
     if (isInterim(parser->get().result_int())) {
@@ -71,7 +71,7 @@
     if (belongsTo(parser->get(), attemptId) || unrelatedResponses++ >= kMaxUnrelatedResponses)
       return {};
     // A response to an earlier request on this connection is read to its end and dropped.
-    pump(upstream, buffer, *parser, false, ec);
+    readIntoParser(upstream, buffer, *parser, false, ec);
     if (ec)
       return ec;
   }
--- a/libs/proxy/src/upstream_response.hpp
+++ b/libs/proxy/src/upstream_response.hpp
@@ -20,7 +20,7 @@
   return status / 100 == 5;
 }
 /// Whether the status promises that the request was not run.
-bool promisesNotRun(unsigned status);
+bool promisesNotExecuted(unsigned status);
 /// Whether the runner says that it did not run the request.
 bool isNotExecuted(const http::response_header<>& header);
 /// Whether a success carries the runner's seal and no content coding: only then it may be forwarded.
@@ -31,7 +31,7 @@
 TimePoint reusableUntil(const http::response_header<>& header, TimePoint now);
 
 /// Sets the limits of a parser.
-void prepare(ResponseParser& parser);
+void configureParser(ResponseParser& parser);
 /// Reads up to the end of the header of the final response to an attempt. Interim responses are skipped, and so are a
 /// few responses that belong to other attempts.
 /// @param parser   gets the response, which may still be another attempt's
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -111,7 +111,7 @@
 void ProxyDaemon::advanceShutdown(TimePoint now) {
   if (!context_.shutdown.acceptsRequests(now)) {
     clientListener_->close();
-    context_.idleConnections.limit(proxy::kIdleTimeoutWhileDraining);
+    context_.idleConnections.limitIdleTime(proxy::kIdleTimeoutWhileDraining);
   }
   if (context_.shutdown.mayExit(now, context_.clients, context_.inFlight))
     runtime::EventLoop::get().stop();
@@ -175,7 +175,7 @@
 void ProxyDaemon::requestSnapshot() {
   replica_.markCorrupted();
   grantedLeaseEnds_ = {};
-  context_.leaseEnds = {};
+  context_.leaseExpiresAt = {};
   transport::FollowLog message;
   message.refetch = true;
   agentLink_.send(message);
@@ -204,7 +204,7 @@
   log::debug(aging ? "lease_not_renewed" : "lease_renewed",
              {{"index", replica_.lastApplied()},
               {"required", lease_.requiredIndex()},
-              {"left_ms", context_.hasLease(now) ? toDuration(context_.leaseEnds - now) : Duration(0)},
+              {"left_ms", context_.hasLease(now) ? toDuration(context_.leaseExpiresAt - now) : Duration(0)},
               {"agent_connected", agentLink_.connected()}});
 }
 void ProxyDaemon::onLeaseResponse(const transport::LeaseResponse& response) {
@@ -233,6 +233,6 @@
   if (usableUntil && grantedLeaseEnds_ == TimePoint{})
     log::debug("lease_acquired", {{"index", replica_.lastApplied()}});
   grantedLeaseEnds_ = std::max(grantedLeaseEnds_, usableUntil.value_or(TimePoint{}));
-  context_.leaseEnds = std::min(grantedLeaseEnds_, freshUntil);
+  context_.leaseExpiresAt = std::min(grantedLeaseEnds_, freshUntil);
 }
 }  // namespace zinccleat::proxy_daemon
--- a/libs/simulation/src/trial_clients.cpp
+++ b/libs/simulation/src/trial_clients.cpp
@@ -81,7 +81,7 @@
   http::response_parser<http::string_body> parser;
   parser.eager(true);
   if (!ec)
-    proxy::pump(connection, buffer, parser, false, ec);
+    proxy::readIntoParser(connection, buffer, parser, false, ec);
   if (ec || !parser.is_done())
     return std::nullopt;
   const auto& message = parser.get();
--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kHeaderLimit = 2048;
 constexpr std::size_t kBodyLimit = 4096;
 
-// Feeds a parser as `pump` does. True: the complete message was read.
+// Feeds a parser as `readIntoParser` does. True: the complete message was read.
 template <class Parser>
 bool parseInReads(Parser& parser, std::string_view input, std::size_t readLength) {
   parser.header_limit(kHeaderLimit);
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -19,7 +19,7 @@
 }
 // Begun so long ago that requests are no longer accepted.
 void stopTakingRequests(ProxyContext& context) {
-  context.shutdown.begin(Clock::now() - kNoticeTime, 8s);
+  context.shutdown.begin(Clock::now() - kNotReadyDuration, 8s);
 }
 // Whether the peer closes the connection before it sends anything.
 bool endsSilently(Connection& connection) {
@@ -65,7 +65,7 @@
 TEST(GracefulShutdown, OnlyTheFirstSigtermCounts) {
   auto shutdown = begunWith(8s);
   EXPECT_FALSE(shutdown.begin(kTerminated + 2s, 8s));
-  EXPECT_EQ(shutdown.phase(kTerminated + kNoticeTime), ShutdownPhase::notAccepting);
+  EXPECT_EQ(shutdown.phase(kTerminated + kNotReadyDuration), ShutdownPhase::notAccepting);
 }
 TEST(GracefulShutdown, ExitsOnceNothingIsInFlight) {
   const auto shutdown = begunWith(8s);
@@ -126,7 +126,7 @@
     say(*client, ask("/once/x", "a1") + request.substr(0, request.size() - 2));
     EXPECT_EQ(hear(*client, buffer).status, 200);
     stopTakingRequests(h.context);
-    h.context.idleConnections.limit(Duration(0));
+    h.context.idleConnections.limitIdleTime(Duration(0));
     say(*client, request.substr(request.size() - 2));
     EXPECT_EQ(hear(*client, buffer).status, 503);
     EXPECT_EQ(runner->got.size(), 1U);
@@ -141,7 +141,7 @@
     EXPECT_EQ(hear(*used, buffer).status, 200);
     EXPECT_EQ(h.context.idleConnections.size(), 1U);
     stopTakingRequests(h.context);
-    h.context.idleConnections.limit(kIdleTimeoutWhileDraining);
+    h.context.idleConnections.limitIdleTime(kIdleTimeoutWhileDraining);
     EXPECT_TRUE(endsSilently(*used));
     EXPECT_EQ(h.context.idleConnections.size(), 0U);
     EXPECT_EQ(h.context.clients, 0);
@@ -156,7 +156,7 @@
     say(*client, ask("/once/x", "a1"));
     EXPECT_EQ(hear(*client, buffer).status, 200);
     stopTakingRequests(h.context);
-    h.context.idleConnections.limit(Duration(0));
+    h.context.idleConnections.limitIdleTime(Duration(0));
     say(*client, ask("/once/x", "a2"));
     EXPECT_EQ(hear(*client, buffer).status, 503);
     EXPECT_EQ(runner->got.size(), 1U);
@@ -168,7 +168,7 @@
       h.runner("i-1", [&h](StandIn&, Connection& connection, const std::string& id, const std::string&) {
         say(connection, streamHead(id) + chunk(event(1)));
         stopTakingRequests(h.context);
-        h.context.idleConnections.limit(Duration(0));
+        h.context.idleConnections.limitIdleTime(Duration(0));
         EXPECT_EQ(once(h, ask("/safe/x", "late")).status, 503);
         EXPECT_FALSE(h.context.shutdown.mayExit(Clock::now(), h.context.clients, h.context.inFlight));
         say(connection, chunk(event(2)) + "0\r\n\r\n");
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -178,13 +178,13 @@
   TimePoint now = kStart;
   int allowed = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    allowed += trust.allows(now);
+    allowed += trust.allowRequest(now);
   EXPECT_LE(allowed, 255);
   EXPECT_GT(allowed, 200);
 
   int allowedWhileFailing = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    if (trust.allows(now)) {
+    if (trust.allowRequest(now)) {
       ++allowedWhileFailing;
       trust.recordFailure(now);
     }
@@ -372,7 +372,7 @@
       sites.partner->prefillTime = 3000ms;
       return;
     case PartnerFault::withoutLease:
-      sites.partner->proxy->context.leaseEnds = Clock::now() - 1s;
+      sites.partner->proxy->context.leaseExpiresAt = Clock::now() - 1s;
       return;
     case PartnerFault::cutsItsStreams:
       sites.partner->proxy->runners[0]->act = [](StandIn&, Connection& connection, const std::string& attempt,
@@ -411,7 +411,7 @@
     EXPECT_EQ(sites.pushResponse("q" + number), "pushed q" + number);
   }
   EXPECT_EQ(sites.partner->pushes, 0);
-  EXPECT_LE(sites.here->proxy->context.toPartner, 4U) << "few requests are forwarded to a partner that fails";
+  EXPECT_LE(sites.here->proxy->context.forwardedToPartner, 4U) << "few requests are forwarded to a partner that fails";
 }
 }  // namespace
 
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -48,7 +48,7 @@
 TEST(Proxy, WithoutAFreshLeaseNothingIsServed) {
   withProxy([](TestProxy& h) {
     auto r = h.runner("i-1", answers);
-    h.context.leaseEnds = Clock::now() - 1ms;
+    h.context.leaseExpiresAt = Clock::now() - 1ms;
     const auto a = once(h, ask("/safe/x"));
     EXPECT_EQ(a.status, 503);
     EXPECT_TRUE(a.heads.count("Retry-After"));
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -538,7 +538,7 @@
         int requests = 0;
         const auto act = [&](StandIn&, Connection& w, const std::string& id, const std::string&) {
           ++requests;
-          h.context.leaseEnds = Clock::now() - 1ms;
+          h.context.leaseExpiresAt = Clock::now() - 1ms;
           if (sent)
             return w.close();
           say(w, completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n"));
@@ -636,7 +636,7 @@
     head.skip(true);
     SocketError ec;
     client->setDeadline(Clock::now() + 5s);
-    pump(*client, buf, head, true, ec);
+    readIntoParser(*client, buf, head, true, ec);
     EXPECT_FALSE(ec);
     EXPECT_EQ(head.get()["X-Attempt-Id"], "head");
     auto a = hear(*client, buf);
--- a/tests/revision_choice_test.cpp
+++ b/tests/revision_choice_test.cpp
@@ -174,26 +174,26 @@
       pace.recordBytes("data: x\n\n", kNow + event * gap);
     return pace;
   };
-  StreamPaces paces;
-  EXPECT_FALSE(paces.recordStream("s", streamOf(800ms))) << "nothing is known yet";
+  StreamPaceBaselines paceBaselines;
+  EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(800ms))) << "nothing is known yet";
   for (int i = 0; i < 200; ++i)
-    EXPECT_FALSE(paces.recordStream("s", streamOf(40ms)));
-  EXPECT_FALSE(paces.recordStream("s", streamOf(60ms)));
-  EXPECT_TRUE(paces.recordStream("s", streamOf(320ms)));
-  EXPECT_FALSE(paces.recordStream("another", streamOf(320ms)));
+    EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(40ms)));
+  EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(60ms)));
+  EXPECT_TRUE(paceBaselines.recordStream("s", streamOf(320ms)));
+  EXPECT_FALSE(paceBaselines.recordStream("another", streamOf(320ms)));
 }
 TEST(StreamPaceTest, AStreamIsSlowMidwayOnceSeveralEventsHaveCome) {
-  StreamPaces paces;
+  StreamPaceBaselines paceBaselines;
   const auto streamOf = [](int events, Duration between) {
     StreamPace pace;
     for (int event = 0; event <= events; ++event)
       pace.recordBytes("data: a\n\n", kNow + between * event);
     return pace;
   };
-  EXPECT_FALSE(paces.isSlowMidway("s", streamOf(20, 500ms))) << "nothing is usual yet";
+  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(20, 500ms))) << "nothing is usual yet";
   for (int stream = 0; stream < 30; ++stream)
-    paces.recordStream("s", streamOf(20, 20ms));
-  EXPECT_FALSE(paces.isSlowMidway("s", streamOf(20, 25ms)));
-  EXPECT_FALSE(paces.isSlowMidway("s", streamOf(2, 500ms))) << "a prompt that was read beside it delays a few";
-  EXPECT_TRUE(paces.isSlowMidway("s", streamOf(8, 500ms)));
+    paceBaselines.recordStream("s", streamOf(20, 20ms));
+  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(20, 25ms)));
+  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(2, 500ms))) << "a prompt that was read beside it delays a few";
+  EXPECT_TRUE(paceBaselines.isSlowWhileOpen("s", streamOf(8, 500ms)));
 }
--- a/tests/rollout_engine_world.cpp
+++ b/tests/rollout_engine_world.cpp
@@ -46,7 +46,7 @@
 struct Proxy {
   RunnerPool pool{1};
   balancing::RunnerObserver observer;
-  balancing::LatencyBaseline paces;  // in place of `StreamPaces`, which reads bytes
+  balancing::LatencyBaseline paces;  // in place of `StreamPaceBaselines`, which reads bytes
 };
 /// An attempt in flight.
 struct Flight {
--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -151,7 +151,7 @@
     http::response_parser<http::string_body> parser;
     parser.eager(true);
     if (!ec)
-      proxy::pump(*connection_, buffer_, parser, false, ec);
+      proxy::readIntoParser(*connection_, buffer_, parser, false, ec);
     connection_->clearDeadline();
     if (ec || !parser.is_done())
       return;
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -102,7 +102,7 @@
   std::optional<Answer> receive(const ClientRequest& request, runtime::SocketError& ec) {
     http::response_parser<http::string_body> parser;
     parser.eager(true);
-    proxy::pump(*connection_, buffer_, parser, false, ec);
+    proxy::readIntoParser(*connection_, buffer_, parser, false, ec);
     if (ec || !parser.is_done())
       return std::nullopt;
     const auto& message = parser.get();
@@ -136,7 +136,7 @@
   proxy::Buffer buffer;
   http::response_parser<http::string_body> parser;
   if (!ec)
-    proxy::pump(connection, buffer, parser, true, ec);
+    proxy::readIntoParser(connection, buffer, parser, true, ec);
   return !ec && parser.get().result_int() == kOk;
 }
 void poll(SoakRun& run, int machine) {
--- a/tests/standins.hpp
+++ b/tests/standins.hpp
@@ -98,7 +98,7 @@
       {"label":"open","authority":"h.example","pathPrefix":"/open/","routeType":"safe","expiryMs":20000,"targetService":"s","keyless":true}],
       "serviceTable":[{"label":"s"}],"limits":{"maxHeaderBytes":2000,"maxBodyBytes":3000,"headerTimerMs":200,"idleTimerMs":2000},
       "subscribers":[{"label":"tina","accessKeys":["key1"]}]})");
-    context.leaseEnds = Clock::now() + 60s;
+    context.leaseExpiresAt = Clock::now() + 60s;
     context.zone = "z";
     saveUp(2, 12);
     listener =
@@ -148,7 +148,7 @@
   p.eager(true);
   SocketError ec;
   w.setDeadline(Clock::now() + 20s);
-  pump(w, buf, p, false, ec);
+  readIntoParser(w, buf, p, false, ec);
   w.clearDeadline();
   if (p.is_header_done()) {
     a.status = static_cast<int>(p.get().result_int());
