--- a/libs/balancing/include/balancing/latency_baseline.hpp
+++ b/libs/balancing/include/balancing/latency_baseline.hpp
@@ -1,12 +1,13 @@
 /// @file
-/// What is usual of one kind of latency, and from when on it is slow: never against a configured figure. Pure.
+/// Learns the typical value of one kind of latency and derives the threshold above which a sample is slow. No threshold
+/// is configured. Deterministic, without I/O.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::balancing {
-/// An exponentially weighted mean and mean deviation.
+/// The exponentially weighted mean and mean absolute deviation of a latency.
 class LatencyBaseline {
  public:
-  /// The latency from which a response is slow; `Duration::max()` while too few are known.
+  /// The latency above which a response is slow; `Duration::max()` until enough samples have been added.
   Duration slowThreshold() const;
   void add(double latencyMs);
 
--- a/libs/balancing/include/balancing/partner_circuit_breaker.hpp
+++ b/libs/balancing/include/balancing/partner_circuit_breaker.hpp
@@ -1,22 +1,25 @@
 /// @file
 /// Circuit breaker and rate limit for requests that are forwarded to the partner site.
 ///
-/// At most one in four of the requests that qualify is forwarded. Each failure opens the circuit for a time that
-/// doubles with every further failure (exponential backoff); a success resets it. Pure: the time is passed in.
+/// At most one in four of the qualifying requests is forwarded. Each failure opens the circuit for a time that doubles
+/// with every further consecutive failure (exponential backoff); a success resets the backoff. Deterministic: callers
+/// pass in the time.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::balancing {
 
 class PartnerCircuitBreaker {
  public:
-  /// Tokens of shared prompt prefix from which a cached prefix at the partner outweighs the longer way.
+  /// Minimum length of a shared prompt prefix, in tokens, at which reusing the partner's cached prefix saves more time
+  /// than the longer network path costs.
   static constexpr std::int64_t kMinSharedTokens = 2000;
 
-  /// Whether a request that qualifies may be forwarded. Call once for each: it counts towards the limit.
+  /// Whether a qualifying request may be forwarded. Call this exactly once for each request, because each call counts
+  /// towards the ratio of forwarded requests.
   bool allowRequest(TimePoint now);
-  /// A forwarded request was answered.
+  /// Records that the partner answered a forwarded request.
   void recordSuccess() { consecutiveFailures_ = 0; }
-  /// A forwarded request was rejected, late or cut off.
+  /// Records that a forwarded request was rejected, answered too late or cut off.
   void recordFailure(TimePoint now);
 
  private:
--- a/libs/balancing/include/balancing/quota_token_buckets.hpp
+++ b/libs/balancing/include/balancing/quota_token_buckets.hpp
@@ -1,65 +1,66 @@
 /// @file
-/// A proxy's tokens of the tenants' quotas, which the leader grants from each tenant's token bucket. One token pays for
-/// one request.
+/// The quota tokens that this proxy holds for the tenants. The leader grants them from each tenant's token bucket; one
+/// token pays for one request.
 ///
-/// There are two kinds. The *local reserve* is for tenants that send steadily through this proxy; it is refilled with
-/// each lease renewal and bridges a change of leader. *Immediate tokens* are requested for requests that wait right
-/// now. Both expire by themselves, so that a proxy that stops or is partitioned cannot overspend later. A tenant that
-/// sends nothing through this proxy costs nothing here. See docs/notes-quota.md for the bound over all proxies. Pure:
-/// the time is passed in. Not thread safe.
+/// There are two kinds of tokens. The *local reserve* serves tenants that send steadily through this proxy. It is
+/// refilled with each lease renewal and lasts through a change of leader. *Immediate tokens* are requested for requests
+/// that are waiting at the moment. Both kinds expire, so a proxy that has stopped or was partitioned cannot spend old
+/// tokens later. A tenant that sends nothing through this proxy uses no memory and no traffic here. See
+/// docs/notes-quota.md for the bound over all proxies. Deterministic: callers pass in the time. Not thread safe.
 #pragma once
 #include "transport/lease_records.hpp"
 namespace zinccleat::balancing {
 
 class QuotaTokenBuckets {
  public:
-  /// A local reserve that was not refilled for so long is void.
+  /// A local reserve expires if it has not been refilled for this long.
   static constexpr Duration kReserveLifetime{3000};
-  /// Immediate tokens that were not used by then are void: the requests that they were for have ended.
+  /// Immediate tokens expire this long after the grant: by then the requests that they were granted for have ended.
   static constexpr Duration kImmediateTokenLifetime{100};
 
   /// Adds granted tokens to the local reserve.
-  /// @param requestedAt  when `steadyDemand` and `reserveHoldings` were sent: the tokens' lifetime begins there
+  /// @param requestedAt  when `steadyDemand` and `reserveHoldings` were sent; the lifetime of the tokens starts then
   void refillReserve(const std::vector<transport::QuotaGrant>& grants, TimePoint requestedAt);
-  /// Adds tokens granted for waiting requests.
+  /// Adds tokens that were granted for waiting requests.
   void addImmediateTokens(const std::vector<transport::QuotaGrant>& grants, TimePoint now);
 
-  /// Takes a token for a new request, which counts towards the tenant's demand.
+  /// Takes a token for a new request and counts the request towards the tenant's demand.
   bool tryAcquire(const std::string& tenant, TimePoint now);
-  /// Takes a token for a request that had none at first.
+  /// Takes a token for a request that `tryAcquire` refused before; the request is not counted again.
   bool retryAcquire(const std::string& tenant, TimePoint now);
-  /// Whether the reserve of a steady tenant should be refilled now rather than with the next lease renewal.
+  /// Whether the reserve of a steady tenant should be refilled now instead of at the next lease renewal.
   bool shouldRefill(const std::string& tenant, TimePoint now);
 
-  /// A request that waits wants one token; call again for a request that still waits after an answer.
+  /// Queues a request for one token on behalf of a waiting request. Call this again if the request is still waiting
+  /// after the leader has answered.
   void requestToken(const std::string& tenant) { ++buckets_[tenant].pendingTokenRequests; }
-  /// A request gave up waiting.
+  /// Withdraws one queued token request because the waiting request has given up.
   void cancelTokenRequest(const std::string& tenant);
-  /// The token requests not sent yet, by tenant; from then on they count as sent.
+  /// Returns the token requests that have not been sent yet, by tenant, and marks them as sent.
   std::vector<transport::QuotaDemand> takeTokenRequests();
 
-  /// Whether the leader has answered token requests just now, so that waiting for the next answer is worthwhile.
+  /// Whether the leader has answered token requests recently, so that a request may wait for the next answer.
   bool leaderResponsive(TimePoint now) const;
-  /// When a rejected client should come back.
+  /// The delay after which a rejected client should retry.
   Duration retryAfter(const std::string& tenant, TimePoint now) const;
-  /// When the leader expects to have another token of the tenant.
+  /// The time until the leader expects to have another token of the tenant.
   Duration timeToNextToken(const std::string& tenant) const;
 
-  /// Demand of the steady tenants, smoothed. Also forgets tenants without recent requests.
+  /// The smoothed demand of the steady tenants. Also removes tenants without recent requests.
   std::vector<transport::QuotaDemand> steadyDemand(TimePoint now);
-  /// Tokens in the reserves of the steady tenants.
+  /// The tokens in the reserves of the steady tenants.
   std::vector<transport::QuotaHolding> reserveHoldings(TimePoint now) const;
-  /// Number of tenants that are kept track of.
+  /// The number of tenants that have a token bucket here.
   std::size_t size() const { return buckets_.size(); }
 
  private:
   struct TokenBucket {
     double reserve = 0;
     double immediate = 0;
-    double requestsPerS = 0;        ///< fast moving average
-    double steadyRequestsPerS = 0;  ///< slow moving average
-    double secondsUntilMore = 0.3;  ///< as the leader last said
-    int requestsSinceUpdate = 0;        ///< since `ratesUpdatedAt_`
+    double requestsPerS = 0;        ///< moving average that adapts quickly
+    double steadyRequestsPerS = 0;  ///< moving average that adapts slowly
+    double secondsUntilMore = 0.3;  ///< time until the tenant's next token, from the leader's last grant
+    int requestsSinceUpdate = 0;    ///< since `ratesUpdatedAt_`
     int pendingTokenRequests = 0;
     TimePoint reserveRequestedAt{};
     TimePoint immediateGrantedAt{};
--- a/libs/balancing/include/balancing/revision_limit.hpp
+++ b/libs/balancing/include/balancing/revision_limit.hpp
@@ -1,23 +1,26 @@
 /// @file
-/// While a service is being rolled out: the part of a revision's runners that its requests use. Pure. Not thread safe.
+/// Restricts the requests for one revision to a subset of that revision's runners during a rollout. No I/O. Not thread
+/// safe.
 #pragma once
 #include "balancing/runner_choice.hpp"
 namespace zinccleat::balancing {
-/// See the file's comment.
+/// Selects the subset of a revision's runners that requests may use.
 class RevisionLimit {
  public:
-  /// Whether only a part of the eligible runners is used.
+  /// Whether the filter restricts requests to a subset of the eligible runners.
   static bool appliesTo(const rollout::RevisionFilter& revisions);
-  /// The runners that a filter leaves by its `runnerShare` or `loadTestGroup`, the same at all proxies. None for some
-  /// requests of a load test, at random: its group would be overloaded.
+  /// The runners that the query's filter permits by its `runnerShare` or `loadTestGroup`. All proxies select the same
+  /// runners. For a load test the result is empty for some requests, chosen at random, because the test's group of
+  /// runners could not handle all of them.
   std::vector<int> selectRunners(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now,
-                              std::mt19937_64& random) const;
-  /// Whether the runner that a request's prefix prefers among all eligible ones is one of these.
+                                 std::mt19937_64& random) const;
+  /// Whether `withinLimit` contains the runner that the request's prompt prefix prefers among all eligible runners.
   bool includesPreferredRunner(const RunnerMembership& runners, const RunnerQuery& query,
-                          const std::vector<int>& withinLimit, const PrefixAffinityChoice& affinity) const;
+                               const std::vector<int>& withinLimit, const PrefixAffinityChoice& affinity) const;
 
  private:
-  /// The mean load of the runners of other revisions than the filter's that have reported lately; 0: too few have.
+  /// The mean load of the runners that the filter does not match and that have a fresh load report; 0 if there are too
+  /// few such runners.
   double meanLoadOfOtherRevisions(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now) const;
 };
 }  // namespace zinccleat::balancing
--- a/libs/balancing/include/balancing/runner_membership.hpp
+++ b/libs/balancing/include/balancing/runner_membership.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The runners that a proxy knows, and which of them may get a request at all: membership, draining, evacuated zones,
-/// ejections, warm-ups and revisions have this one owner. Pure: the time is passed in. Not thread safe.
+/// The runners that a proxy knows, and whether each may get requests. This class owns the state that decides this:
+/// membership, draining, evacuated zones, ejections, warm-ups and revisions. Deterministic: callers pass in the time.
+/// Not thread safe.
 #pragma once
 #include "balancing/runner_endpoint.hpp"
 #include "balancing/warmup_tracker.hpp"
@@ -9,44 +10,46 @@
 #include "transport/lease_records.hpp"
 #include "transport/warmup_records.hpp"
 namespace zinccleat::balancing {
-/// How far a zone is drained.
+/// The current step of a zone drain.
 struct ZoneDrainLevel {
-  int drainPercent = 0;  ///< percent of new requests to keep away
-  bool migrateStreams = false;
-  bool evacuated = false;  ///< no requests at all
+  int drainPercent = 0;         ///< percent of new requests to route to other zones
+  bool migrateStreams = false;  ///< whether live streams have to move to runners of other zones
+  bool evacuated = false;       ///< whether the zone gets no requests at all
 };
 
-/// See the file's comment. Runners are named by an index, which a runner keeps.
+/// The runners that a proxy knows. A runner is identified by an index that stays the same while the runner is listed.
 class RunnerMembership {
  public:
-  /// Sets the complete endpoint list. The index of a runner that has left is reused once no attempt of this proxy is in
-  /// flight there.
-  /// @param now from here on the warm-up counts that a runner announced when it joined.
+  /// Sets the complete endpoint list. The index of a removed runner is reused once no attempt of this proxy is in
+  /// flight at that runner.
+  /// @param now start of the warm-ups that newly listed runners have announced.
   void setRunners(const std::vector<state_machine::Runner>& runners, TimePoint now);
-  /// Follows the replicated list of runners: takes over those that have changed since the last call, or all where that
-  /// is not known any more. The work grows with the runners that have changed.
+  /// Applies the changes of the replicated runner table since the last call. If the table no longer has these changes,
+  /// the complete list is applied. The cost is proportional to the number of changed runners.
   void follow(const state_machine::RunnerTable& runners, TimePoint now);
   void setZoneDrains(std::map<std::string, ZoneDrainLevel> zones);
-  /// Sets the complete list of evacuated zones and regions. From `now` on runners of one that is back in use warm up.
+  /// Sets the complete list of evacuated zones and regions. Runners of a zone that is no longer evacuated warm up from
+  /// `now` on.
   void setEvacuations(const std::vector<std::string>& places, TimePoint now);
-  /// Sets the services of the configuration in force, which say how runners warm up.
+  /// Sets the services of the active configuration, which define the warm-up of their runners.
   void setServices(const std::vector<config::Service>& services);
-  /// Sets what this proxy may send to runners that are warming up; it replaces what was granted before.
-  /// @param requestedAt when this proxy asked for it.
+  /// Sets how many requests this proxy may send to each runner that is warming up. Replaces the earlier grants of these
+  /// runners.
+  /// @param requestedAt when this proxy requested the grants; their lifetime starts then.
   void setWarmupGrants(const std::vector<transport::WarmupGrant>& grants, TimePoint requestedAt);
   void setRegions(std::map<std::string, std::string> zoneToRegion) { regions_ = std::move(zoneToRegion); }
-  /// Sets the complete list of ejected runners; all others are healthy.
+  /// Sets the complete list of ejected runners; all other runners count as healthy.
   void setEjected(const std::vector<transport::RunnerEjection>& ejections);
 
   RunnerEndpoint& at(int index) { return endpoints_[static_cast<std::size_t>(index)]; }
   const RunnerEndpoint& at(int index) const { return endpoints_[static_cast<std::size_t>(index)]; }
   std::size_t size() const { return endpoints_.size(); }
   const std::vector<RunnerEndpoint>& endpoints() const { return endpoints_; }
-  /// Whether a runner is warming up whose requests are bounded meanwhile.
+  /// Whether any runner is warming up with a limit on its requests.
   bool hasLimitedWarmup(TimePoint now) const;
-  /// Whether a runner is warming up and no request to it is granted.
+  /// Whether a runner is warming up with a limit on its requests and this proxy has no valid grant for it.
   bool awaitsWarmupGrant(int index, TimePoint now) const;
-  /// Whether a runner may get such a request, but for its health and its warm-up.
+  /// Whether a runner matches the query, regardless of its health and its warm-up.
   bool isEligible(int index, const RunnerQuery& query) const;
   std::vector<int> eligibleRunners(const RunnerQuery& query) const;
   bool sameRegion(std::string_view zone, std::string_view otherZone) const;
@@ -63,9 +66,9 @@
 
   std::vector<RunnerEndpoint> endpoints_;
   std::unordered_map<std::string, int> indexById_;
-  std::vector<int> absent_;  ///< the indexes of endpoints that are not present, which may have attempts in flight
-  std::int64_t followedRevision_ = 0;                     ///< of the replicated list
-  std::unordered_map<std::string, double> ejectedLevel_;  ///< by runner, also of runners that are not known yet
+  std::vector<int> absent_;  ///< indexes of endpoints that are not present; attempts may still be in flight there
+  std::int64_t followedRevision_ = 0;                     ///< revision of the replicated runner table applied last
+  std::unordered_map<std::string, double> ejectedLevel_;  ///< by runner id, including runners that are not listed yet
   std::map<std::string, ZoneDrainLevel> zoneDrains_;
   WarmupTracker warmups_;
   std::map<std::string, std::string> regions_;  ///< by zone
--- a/libs/balancing/include/balancing/runner_pool.hpp
+++ b/libs/balancing/include/balancing/runner_pool.hpp
@@ -1,22 +1,22 @@
 /// @file
-/// The choice of the runner that a request goes to, and the course of this proxy's attempts. Who may get a request at
-/// all: `RunnerMembership`; load: `runner_load.hpp`; requests to a service that caches prompt prefixes go by
-/// `PrefixAffinityChoice`, others by `LeastLoadedChoice`; limits of a rollout: `RevisionLimit`.
+/// Chooses the runner for a request and tracks this proxy's attempts at the runners.
 ///
-/// Pure: the time is passed in. Not thread safe.
+/// `RunnerMembership` defines which runners may get requests, and `runner_load.hpp` estimates their load. Requests to a
+/// service that caches prompt prefixes use `PrefixAffinityChoice`, all others use `LeastLoadedChoice`. `RevisionLimit`
+/// restricts the choice during a rollout. Deterministic: callers pass in the time. Not thread safe.
 #pragma once
 #include "balancing/revision_limit.hpp"
 #include "balancing/runner_load.hpp"
 namespace zinccleat::balancing {
 
-/// See the file's comment.
+/// The runners of all services, from which a proxy chooses one for each attempt.
 class RunnerPool {
  public:
   using ZoneDrainLevel = balancing::ZoneDrainLevel;
 
   explicit RunnerPool(std::uint64_t seed) : rng_(seed) {}
 
-  // What decides who may get a request; see `RunnerMembership`.
+  // State that decides which runners may get requests; see `RunnerMembership`.
   void setRunners(const std::vector<state_machine::Runner>& runners, TimePoint now = {}) {
     runners_.setRunners(runners, now);
   }
@@ -31,36 +31,36 @@
   void setRegions(std::map<std::string, std::string> zoneToRegion) { runners_.setRegions(std::move(zoneToRegion)); }
   void setEjected(const std::vector<transport::RunnerEjection>& ejections) { runners_.setEjected(ejections); }
 
-  /// The index of the runner to send a request to, or -1 if there is none. Never a draining or an excluded one. One in
-  /// backoff or ejected only if there is no other.
+  /// The index of the runner to send a request to, or -1 if there is none. A draining or excluded runner is never
+  /// chosen. A runner that is in backoff or ejected is chosen only if there is no other.
   int choose(const RunnerQuery& query, TimePoint now);
   RunnerEndpoint& at(int index) { return runners_.at(index); }
   const RunnerEndpoint& at(int index) const { return runners_.at(index); }
   std::size_t size() const { return runners_.size(); }
   const std::vector<RunnerEndpoint>& endpoints() const { return runners_.endpoints(); }
-  /// This proxy's attempts in flight at runners of these zones.
+  /// The number of this proxy's attempts in flight at runners of these zones.
   int inFlightInZones(const std::set<std::string>& zones) const;
-  /// This proxy's attempts in flight at runners of a service that have any revision but this.
+  /// The number of this proxy's attempts in flight at those runners of the service whose revision is not `revision`.
   int inFlightAtOtherRevisions(std::string_view service, std::string_view revision) const;
-  /// See `loadOf`.
+  /// The load of a runner as `loadOf` estimates it.
   double load(int index, TimePoint now) const { return loadOf(at(index), now); }
 
-  /// The course of an attempt: each start is followed by one `prefillEnded` and one `attemptEnded`.
+  /// Records the start of an attempt. Each start must be followed by one `prefillEnded` and one `attemptEnded`.
   void attemptStarted(int index, std::int64_t promptTokens, TimePoint now = {});
-  /// The runner has begun to respond, or never will.
+  /// Records that the runner has begun to respond to an attempt, or that the attempt ended without a response.
   void prefillEnded(int index, std::int64_t promptTokens);
   void attemptEnded(int index) { --at(index).inFlight; }
-  /// See `balancing::updateLoad`.
+  /// Stores a runner's load report; see `balancing::updateLoad`.
   void updateLoad(int index, std::string_view report, TimePoint now) { balancing::updateLoad(at(index), report, now); }
   void recordSuccess(int index);
   void recordFailure(int index, TimePoint now);
 
  private:
-  /// The runners of a service, by whether they should get a request.
+  /// The runners that a request may go to, grouped by preference.
   struct Candidates {
     std::vector<int> available;
-    std::vector<int> zoneDraining;  ///< better than none
-    std::vector<int> unhealthy;     ///< only if there is nothing else
+    std::vector<int> zoneDraining;  ///< used only if no runner is available
+    std::vector<int> unhealthy;     ///< used only if both other groups are empty
   };
   Candidates candidatesFor(const RunnerQuery& query, TimePoint now);
   bool isUnhealthy(const RunnerEndpoint& endpoint, const RunnerQuery& query, TimePoint now);
--- a/libs/balancing/src/admission_control.cpp
+++ b/libs/balancing/src/admission_control.cpp
@@ -3,14 +3,15 @@
 namespace zinccleat::balancing {
 namespace {
 constexpr auto kEvaluationInterval = 150ms;
-constexpr auto kIdleInterval = 4 * kEvaluationInterval;  // after it too few responses count as no overload
-constexpr int kMinResponses = 6;                         // fewer are no evidence
-constexpr double kOverloadedLateRatio = 0.5;             // more late responses than this: shed more
-constexpr double kRecoveredLateRatio = 0.25;             // fewer: shed less
+// After this time without `kMinResponses` responses the service counts as not overloaded.
+constexpr auto kIdleInterval = 4 * kEvaluationInterval;
+constexpr int kMinResponses = 6;              // fewer responses are too small a sample for a late ratio
+constexpr double kOverloadedLateRatio = 0.5;  // a higher ratio of late responses raises the shed level
+constexpr double kRecoveredLateRatio = 0.25;  // a lower ratio of late responses reduces the shed level
 constexpr double kShedLevelIncrease = 0.12;
 constexpr double kShedLevelDecrease = 0.03;
 constexpr double kMaxRejectProbability = 0.75;
-constexpr double kBaseWeight = 0.6;  // of the most urgent requests in the reject probability
+constexpr double kBaseWeight = 0.6;  // factor of the shed level in the reject probability at precedence 0
 constexpr double kWeightPerPrecedence = 0.2;
 constexpr int kLowestPrecedence = 4;
 }  // namespace
--- a/libs/balancing/src/latency_baseline.cpp
+++ b/libs/balancing/src/latency_baseline.cpp
@@ -4,12 +4,14 @@
 
 namespace zinccleat::balancing {
 namespace {
-constexpr int kMinSamples = 6;             // fewer responses are no evidence
-constexpr double kSlowFactor = 3;          // slow is over this many times the mean, and
-constexpr double kSlowDeviations = 5;      // over this many deviations above it: short prompts queue behind long ones
-constexpr double kMinSlowMs = 40;          // nothing this close to the mean is slow
+constexpr int kMinSamples = 6;  // fewer samples are not enough for a threshold
+// A slow latency exceeds both `kSlowFactor` times the mean plus `kMinSlowMs`, and the mean plus `kSlowDeviations` mean
+// deviations. The deviations count because short prompts queue behind long ones.
+constexpr double kSlowFactor = 3;
+constexpr double kSlowDeviations = 5;
+constexpr double kMinSlowMs = 40;          // a latency less than 40 ms above the mean is never slow
 constexpr double kSmoothing = 0.06;        // weight of a new sample
-constexpr double kInitialSmoothing = 0.3;  // weight of each of the first samples
+constexpr double kInitialSmoothing = 0.3;  // weight of each of the first `kMinSamples` samples
 }  // namespace
 
 Duration LatencyBaseline::slowThreshold() const {
@@ -24,7 +26,7 @@
     meanMs_ = latencyMs;
     return;
   }
-  // Bounded, so that one runner that hangs does not make hanging usual.
+  // The sample is clamped so that the samples of one hanging runner do not raise the baseline to its latency.
   const double difference = std::min(latencyMs, meanMs_ * kSlowFactor + kMinSlowMs) - meanMs_;
   const double weight = samples_ < kMinSamples ? kInitialSmoothing : kSmoothing;
   meanMs_ += difference * weight;
--- a/libs/balancing/src/partner_circuit_breaker.cpp
+++ b/libs/balancing/src/partner_circuit_breaker.cpp
@@ -3,8 +3,8 @@
 namespace zinccleat::balancing {
 namespace {
 constexpr double kMaxForwardedRatio = 0.25;
-constexpr double kInitialAllowance = 2;  // forwarded before the ratio counts
-constexpr double kMaxCountedRequests = 400;     // requests after which the counts are halved
+constexpr double kInitialAllowance = 2;      // requests that may be forwarded in addition to the ratio
+constexpr double kMaxCountedRequests = 400;  // when exceeded, both counts are halved, which discounts older requests
 constexpr auto kBaseBackoff = 500ms;
 constexpr int kMaxDoublings = 6;
 }  // namespace
--- a/libs/balancing/src/quota_token_buckets.cpp
+++ b/libs/balancing/src/quota_token_buckets.cpp
@@ -5,11 +5,11 @@
 constexpr auto kMinRefillInterval = 60ms;
 constexpr auto kRateInterval = 300ms;
 constexpr double kMaxRateIntervalS = 5;
-constexpr double kFastSmoothing = 0.3;  // weight of the newest interval
-constexpr double kSlowSmoothing = 0.05;
-constexpr double kSteadyRequestsPerS = 0.7;  // below it most tokens of a reserve would expire unused
+constexpr double kFastSmoothing = 0.3;       // weight of the newest interval in `requestsPerS`
+constexpr double kSlowSmoothing = 0.05;      // weight of the newest interval in `steadyRequestsPerS`
+constexpr double kSteadyRequestsPerS = 0.7;  // at a lower rate most tokens of a reserve would expire unused
 constexpr double kIdleRequestsPerS = 0.005;
-constexpr double kRefillThresholdS = 0.25;  // a reserve for less than this much demand is low
+constexpr double kRefillThresholdS = 0.25;  // a reserve that lasts for less than this time is refilled early
 constexpr auto kResponsiveInterval = 400ms;
 constexpr auto kRecentGrantWindow = 700ms;
 constexpr double kRetryAfterWithoutGrantS = 0.5;
@@ -34,7 +34,8 @@
 void QuotaTokenBuckets::refillReserve(const std::vector<transport::QuotaGrant>& grants, TimePoint requestedAt) {
   for (const auto& grant : grants) {
     auto& bucket = buckets_[grant.tenant];
-    // The lifetime counts from the request: the leader's own count begins later, with its answer.
+    // The lifetime starts when the proxy sent the request. The leader counts it from its answer, which is later, so a
+    // token expires here before the leader regards it as expired.
     if (bucket.reserveExpired(requestedAt))
       bucket.reserve = 0;
     bucket.reserve += grant.tokens;
@@ -68,7 +69,7 @@
     bucket.immediate = 0;
   if (bucket.reserveExpired(now))
     bucket.reserve = 0;
-  // Immediate tokens expire sooner, so they are spent first.
+  // Immediate tokens are spent first because they expire sooner than the reserve.
   auto& source = bucket.immediate >= 1 ? bucket.immediate : bucket.reserve;
   if (source < 1)
     return false;
@@ -108,7 +109,8 @@
 
 Duration QuotaTokenBuckets::retryAfter(const std::string& tenant, TimePoint now) const {
   const auto it = buckets_.find(tenant);
-  // Without a recent grant the leader is probably away: a second rejection costs the client more than a longer wait.
+  // Without a recent grant the leader is probably unreachable. A longer delay then costs the client less than a second
+  // rejection.
   const bool grantedRecently = it != buckets_.end() && now - it->second.lastGrantAt < kRecentGrantWindow;
   const double seconds = grantedRecently ? it->second.secondsUntilMore : kRetryAfterWithoutGrantS;
   return fromSeconds(std::clamp(seconds, kMinRetryAfterS, kMaxRetryAfterS));
--- a/libs/balancing/src/retry_budget.cpp
+++ b/libs/balancing/src/retry_budget.cpp
@@ -8,7 +8,7 @@
   const auto currentSlot = now.time_since_epoch() / std::chrono::duration_cast<Clock::duration>(slotLength_);
   bucket.newestSlot = std::max(bucket.newestSlot, currentSlot - kSlots);
   for (; bucket.newestSlot < currentSlot; ++bucket.newestSlot) {
-    // The oldest slot expires; its tokens fill up the reserve.
+    // The oldest slot expires. Its unspent tokens are added to the reserve, up to the reserve limit.
     auto& expired = bucket.earnedIn(bucket.newestSlot + 1);
     bucket.reserve = std::min(std::max(bucket.reserve, reserveLimit_), bucket.reserve + expired);
     expired = 0;
@@ -27,7 +27,7 @@
   if (std::accumulate(bucket.earned.begin(), bucket.earned.end(), bucket.reserve) < 1)
     return false;
   double remaining = 1;
-  // The tokens that expire first are spent first, the reserve last.
+  // Tokens of older slots are spent first because they expire sooner; the reserve is spent last.
   for (int i = 1; i <= kSlots && remaining > 0; ++i) {
     auto& earned = bucket.earnedIn(bucket.newestSlot + i);
     const double spent = std::min(earned, remaining);
--- a/libs/balancing/src/revision_limit.cpp
+++ b/libs/balancing/src/revision_limit.cpp
@@ -7,9 +7,9 @@
 
 namespace zinccleat::balancing {
 namespace {
-constexpr std::size_t kMinRunnersWithinShare = 3;  // one could crash
-constexpr std::uint64_t kShareSeed = 0x726f6c6c;   // ranks the runners of a candidate otherwise than prefixes do
-constexpr int kMinLoadReports = 3;                 // for a mean
+constexpr std::size_t kMinRunnersWithinShare = 3;  // requests must still find runners if one crashes
+constexpr std::uint64_t kShareSeed = 0x726f6c6c;   // makes this ranking independent of the ranking by prompt prefix
+constexpr int kMinLoadReports = 3;                 // fewer load reports are not enough for a mean
 
 bool contains(const std::vector<int>& list, int value) {
   return std::find(list.begin(), list.end(), value) != list.end();
@@ -21,7 +21,7 @@
 }
 
 std::vector<int> RevisionLimit::selectRunners(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now,
-                                           std::mt19937_64& random) const {
+                                              std::mt19937_64& random) const {
   auto eligible = runners.eligibleRunners(query);
   const auto rank = [&](int index) { return hash64(runners.at(index).id, kShareSeed); };
   std::sort(eligible.begin(), eligible.end(), [&](int one, int other) { return rank(one) < rank(other); });
@@ -43,7 +43,8 @@
   return members;
 }
 
-double RevisionLimit::meanLoadOfOtherRevisions(const RunnerMembership& runners, const RunnerQuery& query, TimePoint now) const {
+double RevisionLimit::meanLoadOfOtherRevisions(const RunnerMembership& runners, const RunnerQuery& query,
+                                               TimePoint now) const {
   double sum = 0;
   int count = 0;
   for (const auto& endpoint : runners.endpoints()) {
@@ -57,11 +58,11 @@
   return count >= kMinLoadReports ? sum / count : 0;
 }
 
-// A canary's request warms the runner that its prefix is going to prefer once all of the revision's runners are used.
-// A load test has too few runners for that.
+// A canary request fills the prefix cache of the runner that its prefix will prefer once all runners of the revision
+// are in use. A load test is exempt: its group has so few runners that most prefixes prefer a runner outside of it.
 bool RevisionLimit::includesPreferredRunner(const RunnerMembership& runners, const RunnerQuery& query,
-                                       const std::vector<int>& withinLimit,
-                                       const PrefixAffinityChoice& affinity) const {
+                                            const std::vector<int>& withinLimit,
+                                            const PrefixAffinityChoice& affinity) const {
   if (!query.hasPrefixCache || !query.affinity || query.revisions.loadTestGroup > 0)
     return true;
   return contains(withinLimit, affinity.preferredRunner(runners, query, runners.eligibleRunners(query)));
--- a/libs/balancing/src/runner_choice.cpp
+++ b/libs/balancing/src/runner_choice.cpp
@@ -6,17 +6,18 @@
 namespace {
 constexpr double kPromptSmoothing = 0.02;
 
-// Costs of the choice by prefix affinity, in prompt tokens that wait to be computed.
-constexpr double kRecomputedTokenCost = 4;  // of a prefix token that has to be computed again
-constexpr double kLoadCost = 2000;          // of a full runner: a growing batch slows all its streams
-constexpr double kNearlyFull = 0.9;         // load from which new requests have to wait for a slot
-constexpr double kNearlyFullCost = 5000;
-constexpr double kOverloadCost = 50000;
+// Costs of the choice by prefix affinity. The unit is one prompt token that is waiting to be computed.
+constexpr double kRecomputedTokenCost = 4;  // per prefix token that has to be computed again
+constexpr double kLoadCost = 2000;          // at full load, proportional below: a larger batch slows all its streams
+constexpr double kNearlyFull = 0.9;         // load above which new requests have to wait for a slot
+constexpr double kNearlyFullCost = 5000;    // added once the load exceeds `kNearlyFull`
+constexpr double kOverloadCost = 50000;     // per unit of load above `kNearlyFull`
 constexpr double kOtherZoneCost = 700;
-constexpr double kOtherRegionCost = 30000;  // so far away that all near runners must be busy
+constexpr double kOtherRegionCost = 30000;  // another region is chosen only if all near runners are busy
 constexpr std::uint64_t kTieBreakTokens = 100;
 
-// Costs of the choice by load, as fractions of a runner's slots. The own zone is left only once it is busy.
+// Costs of the choice by load, as fractions of a runner's slots. They keep requests in the proxy's own zone until its
+// runners are busy.
 constexpr double kOtherZonePenalty = 0.3;
 constexpr double kOtherRegionPenalty = 1.0;
 constexpr std::uint64_t kTieBreakSteps = 100;
@@ -45,7 +46,8 @@
   return best;
 }
 
-// Rendezvous hashing: the highest hash of runner and prefix wins, within the proxy's own region if that has a runner.
+// Rendezvous hashing: chooses the runner with the highest hash of runner id and prefix. Only runners in the proxy's own
+// region are considered if there are any.
 int PrefixAffinityChoice::preferredRunner(const RunnerMembership& runners, const RunnerQuery& query,
                                           const std::vector<int>& candidates) const {
   if (!query.affinity)
--- a/libs/balancing/src/runner_load.cpp
+++ b/libs/balancing/src/runner_load.cpp
@@ -12,7 +12,7 @@
   int waiting = 0;
   int slots = 0;
 };
-// Reads three numbers; spaces may precede and a comma may follow each.
+// Parses three numbers. Each may have leading spaces and a trailing comma.
 std::optional<LoadReport> parseLoadReport(std::string_view text) {
   std::array<int, 3> numbers{};
   for (int& number : numbers) {
--- a/libs/balancing/src/runner_membership.cpp
+++ b/libs/balancing/src/runner_membership.cpp
@@ -169,7 +169,8 @@
 bool RunnerMembership::sameRegion(std::string_view zone, std::string_view otherZone) const {
   const auto region = regions_.find(std::string(zone));
   const auto otherRegion = regions_.find(std::string(otherZone));
-  // Zones without a known region count as near: a wrong guess must not shut a runner out.
+  // A zone without a known region counts as being in the same region, so that a missing entry in the region map does
+  // not exclude a runner.
   return region == regions_.end() || otherRegion == regions_.end() || region->second == otherRegion->second;
 }
 }  // namespace zinccleat::balancing
--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -4,9 +4,9 @@
 namespace {
 constexpr auto kBaseBackoff = 300ms;
 constexpr int kMaxBackoffDoublings = 4;
-constexpr int kProbeOneIn = 12;  // idempotent requests that may probe a runner that was ejected not long ago
+constexpr int kProbeOneIn = 12;  // one in 12 idempotent requests may probe a runner with an ejection level below 1
 constexpr std::uint64_t kPercent = 100;
-constexpr int kAffinityShift = 8;  // the bits of the affinity that decide on zone drains
+constexpr int kAffinityShift = 8;  // zone drains use the bits of the affinity hash above these
 
 bool contains(const std::vector<int>& list, int value) {
   return std::find(list.begin(), list.end(), value) != list.end();
@@ -59,14 +59,14 @@
 
 int RunnerPool::choose(const RunnerQuery& query, TimePoint now) {
   const auto candidates = candidatesFor(query, now);
-  // A zone that is being drained still serves rather than nobody.
+  // A request goes to a zone that is being drained if no other runner is available.
   const auto& usable = candidates.available.empty() ? candidates.zoneDraining : candidates.available;
   if (!usable.empty())
     return query.hasPrefixCache ? affinityChoice_.choose(runners_, query, usable, now, rng_)
                                 : leastLoadedChoice_.choose(runners_, query, usable, now, rng_);
   if (candidates.unhealthy.empty())
     return -1;
-  // An unhealthy runner may answer all the same, which is better than a certain rejection.
+  // An unhealthy runner may still answer, whereas without a runner the request would certainly be rejected.
   return candidates.unhealthy[rng_() % candidates.unhealthy.size()];
 }
 
@@ -76,8 +76,8 @@
   const auto withinLimit = limited ? revisionLimit_.selectRunners(runners_, query, now, rng_) : std::vector<int>{};
   if (limited && !revisionLimit_.includesPreferredRunner(runners_, query, withinLimit, affinityChoice_))
     return candidates;
-  // By affinity, so that all proxies move the same prefixes at the same step of a zone drain, and each prefix is
-  // computed anew once and at one runner.
+  // The affinity hash decides which requests leave a draining zone. All proxies then move the same prefixes at the same
+  // step of the drain, and each prefix is computed again only once and on one runner.
   const auto percentile = static_cast<int>((query.affinity ? query.affinity >> kAffinityShift : rng_()) % kPercent);
   for (int index = 0; index < static_cast<int>(size()); ++index) {
     const auto& endpoint = at(index);
@@ -95,9 +95,9 @@
   return candidates;
 }
 
-// Draws a random number for each runner that may be probed.
+// Draws a random number if the runner may be probed by this request.
 bool RunnerPool::isUnhealthy(const RunnerEndpoint& endpoint, const RunnerQuery& query, TimePoint now) {
-  // After a failure one request at a time: a runner that still fails should cost one of them, not many.
+  // After a failure the runner gets one request at a time, so that only one request fails if the runner still does.
   const bool backingOff = endpoint.backoffUntil > now || (endpoint.consecutiveFailures > 0 && endpoint.inFlight > 0);
   if (backingOff || endpoint.ejected >= 1)
     return true;
--- a/libs/balancing/src/stream_pace.cpp
+++ b/libs/balancing/src/stream_pace.cpp
@@ -2,8 +2,10 @@
 
 namespace zinccleat::balancing {
 namespace {
-constexpr int kMinEvents = 2;        // after the first arrival
-constexpr int kMinEventsWhileOpen = 5;  // of a stream that goes on: a prompt that is read beside it delays a few
+constexpr int kMinEvents = 2;  // events after the first bytes that a pace needs
+// Events after the first bytes that the pace of an open stream needs. The engine may prefill another prompt meanwhile,
+// which delays a few events.
+constexpr int kMinEventsWhileOpen = 5;
 constexpr double kNominalEvents = 10;
 }  // namespace
 
@@ -13,7 +15,7 @@
     endsInLineFeed_ = bytes.ends_with('\n');
     return;
   }
-  // An event ends with an empty line.
+  // An empty line ends an event.
   for (const char letter : bytes) {
     const bool isLineFeed = letter == '\n';
     completeEvents_ += isLineFeed && endsInLineFeed_ ? 1 : 0;
--- a/libs/balancing/src/warmup_tracker.cpp
+++ b/libs/balancing/src/warmup_tracker.cpp
@@ -37,7 +37,7 @@
         zones.insert(zone);
   const auto before = std::exchange(evacuated_, zones).value_or(std::set<std::string>{});
   if (std::includes(zones.begin(), zones.end(), before.begin(), before.end()))
-    return;  // no zone is back in use
+    return;  // every zone that was evacuated before is still evacuated
   for (auto& [id, warmup] : runners_) {
     const bool released = before.contains(warmup.zone) && !zones.contains(warmup.zone);
     const auto limit = services_.find(warmup.service);
