--- a/libs/proxy/include/proxy/idle_connections.hpp
+++ b/libs/proxy/include/proxy/idle_connections.hpp
@@ -1,11 +1,12 @@
 /// @file
-/// Clients' connections that are open and on which no request has begun.
+/// The open client connections on which no request has begun.
 #pragma once
 #include "runtime/event_loop.hpp"
 namespace zinccleat::proxy {
 class IdleConnections {
  public:
-  /// Closes each connection once it has been idle for `maxIdle`. One on which bytes have arrived is still read.
+  /// Closes each connection once it has been idle for `maxIdle`. If bytes have arrived on a connection by then, they
+  /// are still read.
   void limitIdleTime(Duration maxIdle);
   std::size_t size() const { return idleSince_.size(); }
 
@@ -14,7 +15,7 @@
   std::unordered_map<runtime::Connection*, TimePoint> idleSince_;
 };
 
-/// Counts a connection as idle for the length of a scope, in which its fiber awaits the first bytes of a request.
+/// Counts a connection as idle for the duration of a scope, in which its fiber waits for the first bytes of a request.
 class IdleScope {
  public:
   IdleScope(IdleConnections& connections, runtime::Connection& connection)
--- a/libs/proxy/include/proxy/proxy_context.hpp
+++ b/libs/proxy/include/proxy/proxy_context.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// The state that all requests of one proxy process share.
 ///
-/// It belongs to the event loop's thread. A request changes it only between two points at which its fiber waits, so no
-/// locks are needed.
+/// Only the event loop's thread accesses this state. Fibers switch only at points where they wait, so no locks are
+/// needed.
 #pragma once
 #include <random>
 #include <unordered_set>
@@ -26,10 +26,10 @@
 /// An attempt whose runner has not begun to respond.
 struct PendingAttempt {
   int runner = -1;                       ///< index in the runner pool
-  const std::string* service = nullptr;  ///< label, in the request's configuration
+  const std::string* service = nullptr;  ///< service label; points into the request's configuration
   std::int64_t promptTokens = 0;
   TimePoint startedAt{};
-  bool countedSlow = false;  ///< reported to the runner observer as slow
+  bool countedSlow = false;  ///< whether the attempt was reported to the runner observer as slow
 };
 /// A request that waits for a token of its tenant's quota.
 struct QuotaWaiter {
@@ -38,64 +38,66 @@
 };
 
 struct ProxyContext {
-  /// The newest configuration; null until the first has come.
+  /// The newest configuration; null until the first one has been received.
   std::shared_ptr<const config::Configuration> configuration;
   std::string zone;
   balancing::RunnerPool runners{1};
-  ConnectionPool connections;       ///< to runners
-  rollout::RevisionGate revisions;  ///< which revision of a service a request goes to
+  ConnectionPool connections;       ///< idle connections to runners
+  rollout::RevisionGate revisions;  ///< chooses the revision of a service that a request goes to
 
-  // Limits.
+  // Rate limits and load shedding.
   balancing::RetryBudget retryBudget{0.15, Duration(2500)};
   balancing::QuotaTokenBuckets quota;
   balancing::AdmissionControl admission;
   balancing::PartnerCircuitBreaker partner;
 
-  // What the platform is told.
+  // Data for reports to the platform.
   platform::UsageRecorder usage;
-  std::unordered_map<std::string, int>
-      turnedAway;  ///< requests that found no runner, by service; since the last report
+  /// Requests that were shed or found no runner since the last report, by service.
+  std::unordered_map<std::string, int> turnedAway;
 
   // Outlier detection.
   balancing::RunnerObserver observer;
-  balancing::StreamPaceBaselines paceBaselines;  ///< of services that are being rolled out
+  balancing::StreamPaceBaselines paceBaselines;  ///< for services that are being rolled out
   std::unordered_set<PendingAttempt*> pendingAttempts;
-  /// Records attempts that have had no response for far longer than usual as slow; to be called periodically.
+  /// Records a pending attempt as slow once it has waited for far longer than usual. To be called periodically.
   void recordSlowAttempts(TimePoint now);
 
-  /// Finds a node of the partner site that caches a prompt prefix which this site does not cache.
-  /// @return its address, or empty. May take some milliseconds. Unset if there is no partner site.
+  /// Finds a node of the partner site that caches a prompt prefix which this site does not cache. The call may take
+  /// some milliseconds. The function is unset if there is no partner site.
+  /// @return the node's address; empty if there is no such node.
   std::function<std::string(std::uint64_t prefix, const std::string& tenant)> lookupPartner;
-  std::function<void()> requestReserveRefill = [] {};  ///< has the local quota reserves refilled at once
-  std::function<void()> requestQuotaTokens = [] {};    ///< sends the token requests, once a turn of the event loop
+  std::function<void()> requestReserveRefill = [] {};  ///< requests an immediate refill of the local quota reserves
+  std::function<void()> requestQuotaTokens = [] {};    ///< sends token requests, at most once per event loop iteration
   std::vector<QuotaWaiter> quotaWaiters;
-  /// Wakes the requests of the tenants that were granted tokens.
+  /// Wakes the waiting requests of the tenants that were granted tokens.
   void wakeQuotaWaiters(const std::vector<transport::QuotaGrant>& grants);
 
-  /// The end of the lease under which this proxy serves: after it a newer configuration may have revoked a key.
+  /// The end of the lease under which this proxy serves requests. After that time a newer configuration may have
+  /// revoked a key.
   TimePoint leaseExpiresAt{};
   const TimePoint startedAt = Clock::now();
   bool hasLease(TimePoint now) const { return configuration && now < leaseExpiresAt; }
-  /// When a client that was rejected for want of a lease should come back.
+  /// The delay after which a client should retry if it was rejected because this proxy has no lease.
   Duration retryAfterWithoutLease(TimePoint now);
 
   GracefulShutdown shutdown;
-  IdleConnections idleConnections;                  ///< of clients
-  bool zoneDraining = false;                        ///< this zone accepts no new clients
-  int inFlight = 0;                                 ///< requests read and not ended
-  int clients = 0;                                  ///< open connections of clients
-  int maxClients = 1 << 20;                         ///< beyond it new ones are closed unread
-  std::size_t bodyBytes = 0;                        ///< of the requests in flight
-  std::size_t maxBodyBytes = std::size_t{1} << 40;  ///< beyond it no new request is read
+  IdleConnections idleConnections;                  ///< idle client connections
+  bool zoneDraining = false;                        ///< whether this zone accepts no new clients
+  int inFlight = 0;                                 ///< requests that were read completely and have not ended
+  int clients = 0;                                  ///< open client connections
+  int maxClients = 1 << 20;                         ///< above this number, new connections are closed unread
+  std::size_t bodyBytes = 0;                        ///< total body size of the requests in flight
+  std::size_t maxBodyBytes = std::size_t{1} << 40;  ///< while `bodyBytes` is above this, no new request is read
   std::mt19937_64 rng;
 
-  // Counters since the start.
-  std::uint64_t served = 0;
-  std::uint64_t rejected = 0;  ///< answered by this proxy itself
-  std::uint64_t attempts = 0;
-  std::uint64_t truncatedResponses = 0;  ///< responses begun and not completed
-  std::uint64_t migratedStreams = 0;     ///< live streams moved out of a zone that is drained
-  std::uint64_t forwardedToPartner = 0;           ///< requests forwarded to the partner site
-  std::uint64_t answeredByPartner = 0;         ///< of those, the ones answered from there
+  // Counters since the process started.
+  std::uint64_t served = 0;              ///< complete responses forwarded from runners or the partner site
+  std::uint64_t rejected = 0;            ///< requests answered by this proxy itself
+  std::uint64_t attempts = 0;            ///< attempts at runners
+  std::uint64_t truncatedResponses = 0;  ///< responses that were begun and not completed
+  std::uint64_t migratedStreams = 0;     ///< live streams moved out of a zone that is being drained
+  std::uint64_t forwardedToPartner = 0;  ///< requests forwarded to the partner site
+  std::uint64_t answeredByPartner = 0;   ///< requests that the partner site answered completely
 };
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -5,7 +5,7 @@
 
 namespace zinccleat::proxy {
 namespace {
-// A client of a process that is about to exit should retry soon: other nodes can serve it at once.
+// `Retry-After` while this process shuts down is short because other nodes can serve the client immediately.
 constexpr Duration kShutdownRetryAfter{100};
 constexpr std::uint64_t kShutdownRetrySpreadMs = 200;
 constexpr std::int64_t kOverloadRetryAfterMs = 400;
@@ -32,12 +32,12 @@
 
 MaybeRejection checkServing(const Exchange& exchange) {
   auto& context = exchange.context;
-  // A process that is about to exit could not answer what it accepts now.
+  // The process may exit before it could answer a request that it accepts now.
   if (!context.shutdown.acceptsRequests(exchange.arrivedAt)) {
     const auto spread = Duration(static_cast<std::int64_t>(context.rng() % kShutdownRetrySpreadMs));
     return Rejection{503, kShutdownRetryAfter + spread, "shutting down"};
   }
-  // Without a valid lease the configuration may be older than the revocation of a key.
+  // Without a valid lease, the configuration may be outdated and still contain a revoked key.
   if (!context.hasLease(exchange.arrivedAt))
     return Rejection{503, context.retryAfterWithoutLease(exchange.arrivedAt), "no fresh lease"};
   return std::nullopt;
@@ -68,7 +68,7 @@
   return std::nullopt;
 }
 
-// One of the route's services, at random by their weights.
+// Chooses one of the route's services at random, in proportion to their weights.
 const config::Service& selectService(Exchange& exchange) {
   const auto& route = *exchange.route;
   std::uint64_t draw = route.totalWeight > 1 ? exchange.context.rng() % route.totalWeight : 0;
@@ -88,7 +88,7 @@
   return Rejection{503, Duration(kOverloadRetryAfterMs + spread), "overloaded"};
 }
 
-// A request that waits for quota tokens, as long as it is in scope.
+// Registers a request as waiting for quota tokens for the duration of a scope.
 class QuotaWaitScope {
  public:
   QuotaWaitScope(ProxyContext& context, const std::string& tenant) : context_(context) {
@@ -100,7 +100,7 @@
   QuotaWaitScope(const QuotaWaitScope&) = delete;
   QuotaWaitScope& operator=(const QuotaWaitScope&) = delete;
 
-  // False: the time was up before tokens were granted.
+  // Returns false if the timeout expired before tokens were granted.
   bool waitFor(Duration timeout) { return runtime::EventLoop::get().waitFor(waiter_, timeout); }
 
  private:
@@ -108,8 +108,9 @@
   runtime::Waiter waiter_;
 };
 
-// A rejection must come well within the latency target, so that the client's next attempt can still meet it. While the
-// leader answers, a late answer is worth a longer wait: it leaves time for the work, another attempt would not.
+// The time until which a request may wait for a quota token. A rejection must come well within the latency target, so
+// that the client's next attempt can still meet the target. While the leader is responsive, a longer wait is allowed,
+// because a late grant still leaves time to run the request, whereas another attempt would not.
 TimePoint quotaDeadline(const Exchange& exchange) {
   const auto target = exchange.route->latencyTarget;
   const bool responsive = exchange.context.quota.leaderResponsive(exchange.arrivedAt);
@@ -131,7 +132,7 @@
       return true;
     if (!granted)
       continue;
-    // The leader has none: wait for its next token if that comes in time.
+    // The leader had no token for this request. Wait for the leader's next token if it is due before the deadline.
     const auto nextToken = quota.timeToNextToken(tenant);
     if (Exchange::now() + nextToken >= deadline)
       break;
@@ -192,7 +193,7 @@
     return rejection;
   const auto& service = selectService(exchange);
   exchange.service = &service.label;
-  // Before the quota: a request that is shed must not cost a token.
+  // Overload is checked before the quota because a request that is shed must not use up a token.
   if (auto rejection = checkOverload(exchange))
     return rejection;
   if (auto rejection = checkQuota(exchange))
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -26,14 +26,15 @@
   return readLimits;
 }
 
-// Waits, as an idle connection, for the next request to begin. False: the connection ends first.
+// Waits for the first bytes of the next request. The connection counts as idle meanwhile. Returns false if the
+// connection ends first.
 bool awaitNextRequest(ProxyContext& context, runtime::Connection& client, Buffer& buffer, Duration idle) {
   const IdleScope scope(context.idleConnections, client);
   return awaitRequest(client, buffer, idle);
 }
 
-// Waits while the bodies of the requests in flight exceed their limit: an unread request stays in the client's send
-// window and costs no memory here. Returns whether there was a wait.
+// Waits while the bodies of the requests in flight exceed `maxBodyBytes`. A request that is not read stays in the
+// socket buffers and uses no memory of this process. Returns whether it had to wait.
 bool waitForBodyCapacity(const ProxyContext& context) {
   if (context.bodyBytes <= context.maxBodyBytes)
     return false;
@@ -42,11 +43,12 @@
   return true;
 }
 
-// A request that can't be read in full: answered, and its connection ends.
+// Answers a request that could not be read completely and ends the connection.
 void reject(runtime::Connection& client, int status) {
   runtime::SocketError ec;
   client.write(asio::buffer(plainResponse(status, "", "application/json", jsonError(reasonPhrase(status)), false)), ec);
-  // Closing a connection with unread bytes would reset it, and the client would lose the response.
+  // Closing a connection with unread bytes resets it, and the client would lose the response. So the remaining bytes
+  // are read and discarded for a limited time.
   client.socket().shutdown(tcp::socket::shutdown_send, ec);
   std::array<char, kDiscardBytes> discarded{};
   client.setDeadline(Clock::now() + kDiscardTime);
@@ -56,7 +58,7 @@
 }  // namespace
 
 void acceptClient(ProxyContext& context, tcp::socket socket) {
-  // Closed before anything was read, so the client may retry elsewhere, whatever the request.
+  // The connection is closed before any byte is read, so the client may safely retry any request on another node.
   if (context.clients >= context.maxClients)
     return;
   ++context.clients;
@@ -82,7 +84,7 @@
       return;
     if (read.outcome == ReadOutcome::rejected)
       return reject(client, read.status);
-    // The client may have disconnected while its request waited unread: a runner must not begin on it.
+    // The client may have disconnected while its request was not being read. Such a request must not reach a runner.
     if (waited && hasDisconnected(client))
       return;
     ++context.inFlight;
--- a/libs/proxy/src/client_watch.cpp
+++ b/libs/proxy/src/client_watch.cpp
@@ -14,7 +14,8 @@
     if (ec || state->stopped || !hasDisconnected(client))
       return;
     state->disconnected = true;
-    // Closed and not only cancelled: a fiber that is about to read from it must not wait there again.
+    // The upstream connection is closed, not only cancelled, so that a later read by the fiber fails instead of
+    // waiting.
     if (state->upstream)
       state->upstream->close();
   });
--- a/libs/proxy/src/client_watch.hpp
+++ b/libs/proxy/src/client_watch.hpp
@@ -1,27 +1,27 @@
 /// @file
-/// Notices that a client disconnects while its request is worked on, when nobody reads from its connection, and then
-/// closes the connection to the runner, so that the runner stops.
+/// Detects that a client disconnects while its request is in progress and nothing reads from its connection. The
+/// connection to the runner is then closed, so that the runner stops.
 #pragma once
 #include "runtime/event_loop.hpp"
 namespace zinccleat::proxy {
-/// Whether the client's connection has ended or failed. Bytes that are still unread hide its end.
+/// Whether the client's connection has ended or failed. Returns false while unread bytes precede the end.
 bool hasDisconnected(runtime::Connection& client);
 
 class ClientWatch {
  public:
-  /// Watches from now until it is destroyed.
-  /// @param client  must outlive the watch, and must not be read meanwhile
+  /// Watches the connection until this object is destroyed.
+  /// @param client  must outlive this object and must not be read from during its lifetime
   explicit ClientWatch(runtime::Connection& client);
   ~ClientWatch();
   ClientWatch(const ClientWatch&) = delete;
   ClientWatch& operator=(const ClientWatch&) = delete;
 
   bool disconnected() const { return state_->disconnected; }
-  /// Sets the connection to close when the client disconnects; nullptr: none.
+  /// Sets the connection that is closed when the client disconnects; nullptr for none.
   void attach(runtime::Connection* upstream) { state_->upstream = upstream; }
 
  private:
-  /// Shared with the handler of the socket, which may run after the watch was destroyed.
+  /// Shared with the socket's completion handler, which may run after the watch was destroyed.
   struct State {
     bool disconnected = false;
     bool stopped = false;
@@ -31,7 +31,7 @@
   runtime::Connection& client_;
 };
 
-/// Attaches a connection to a watch for the length of a scope.
+/// Attaches a connection to a watch for the duration of a scope.
 class AttachedConnection {
  public:
   AttachedConnection(ClientWatch& watch, runtime::Connection& upstream) : watch_(watch) { watch_.attach(&upstream); }
--- a/libs/proxy/src/connection_pool.cpp
+++ b/libs/proxy/src/connection_pool.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::proxy {
 namespace {
-// Open, and without bytes that nobody asked for.
+// Whether the connection is open and has received no unsolicited bytes.
 bool isReusable(runtime::Connection& connection) {
   char next = 0;
   const auto count = ::recv(connection.socket().native_handle(), &next, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -20,7 +20,7 @@
   auto& idle = it->second;
   while (!idle.empty()) {
     if (!idempotent && now - idle.back().idleSince > maxIdleNonIdempotent_)
-      return nullptr;  // all others have been idle for longer
+      return nullptr;  // all other connections have been idle for longer
     auto newest = std::move(idle.back());
     idle.pop_back();
     if (newest.expiresAt > now && isReusable(*newest.connection))
--- a/libs/proxy/src/event_scanner.cpp
+++ b/libs/proxy/src/event_scanner.cpp
@@ -3,17 +3,17 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::string_view kIdField = "id:";
-constexpr std::size_t kMaxEventEnd = 3;  // bytes of the longest end of an event, "\n\r\n"
+constexpr std::size_t kMaxEventEnd = 3;  // bytes of the longest event terminator, "\n\r\n"
 
 bool hasDataField(std::string_view events) {
   return events.starts_with("data") || events.find("\ndata") != events.npos;
 }
-// Whether this line feed ends an empty line, and with it an event.
+// Whether the line feed at this position ends an empty line, which ends an event.
 bool endsEvent(std::string_view text, std::size_t lineFeed) {
   const auto before = text.substr(0, lineFeed);
   return before.ends_with('\n') || (before.size() >= kMaxEventEnd && before.ends_with("\n\r"));
 }
-// The end of the last complete event; 0 if there is none.
+// The position after the last complete event whose final line feed is at `from` or later; 0 if there is none.
 std::size_t endOfLastEvent(std::string_view text, std::size_t from) {
   std::size_t end = 0;
   for (auto lineFeed = text.find('\n', from); lineFeed != text.npos; lineFeed = text.find('\n', lineFeed + 1))
@@ -21,14 +21,14 @@
       end = lineFeed + 1;
   return end;
 }
-// The end of the event that the position is in.
+// The position after the event that contains `position`.
 std::size_t endOfEvent(std::string_view text, std::size_t position) {
   const auto afterLf = text.find("\n\n", position);
   const auto afterCrLf = text.find("\n\r\n", position);
   return std::min(
       {afterLf == text.npos ? text.size() : afterLf + 2, afterCrLf == text.npos ? text.size() : afterCrLf + 3});
 }
-// The position of the last line that begins with "id:".
+// The position of the last line that begins with "id:"; `npos` if there is none.
 std::size_t findLastIdField(std::string_view text) {
   auto position = text.rfind(kIdField);
   while (position != text.npos && position != 0 && text[position - 1] != '\n')
--- a/libs/proxy/src/exchange.cpp
+++ b/libs/proxy/src/exchange.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr auto kClientWriteTimeout = 10s;
 constexpr double kMsPerS = 1000;
-constexpr std::size_t kChunkFraming = 32;  // bytes around a chunk, at most
+constexpr std::size_t kChunkFraming = 32;  // maximum number of framing bytes of a chunk
 constexpr int kHexBase = 16;
 
 std::string retryAfterHeader(Duration duration) {
@@ -16,7 +16,7 @@
   std::snprintf(header.data(), header.size(), "Retry-After: %.3f\r\n", static_cast<double>(duration.count()) / kMsPerS);
   return header.data();
 }
-// Whether this end of an attempt is a failure of the runner.
+// Whether an attempt with this outcome counts as a failure of the runner.
 bool isRunnerFailure(AttemptOutcome outcome, bool staleConnection) {
   if (outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::interrupted)
     return !staleConnection;
@@ -99,10 +99,10 @@
 }
 
 void Exchange::observeRevision(AttemptOutcome outcome) {
-  // Nothing was sent, or nothing follows about the runner from how it ended.
+  // Nothing was sent, or the outcome does not depend on the runner's revision.
   const bool isInconclusive = outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::notExecuted ||
-                           outcome == AttemptOutcome::clientDisconnected || outcome == AttemptOutcome::migrated ||
-                           staleConnection;
+                              outcome == AttemptOutcome::clientDisconnected || outcome == AttemptOutcome::migrated ||
+                              staleConnection;
   if (isInconclusive)
     return;
   const bool slowStream = context.paceBaselines.recordStream(*service, pace);
@@ -111,7 +111,7 @@
   attempt.failed = outcome == AttemptOutcome::failed;
   attempt.slowStart = slowResponse && startIsComparable();
   attempt.slowPace = slowStream && runnerIsWarm();
-  // One that was recorded as slow and then fails counts once more.
+  // An attempt that was already recorded as slow is recorded a second time only if it failed or was not answered.
   if (!slownessRecorded || !attempt.answered || attempt.failed)
     context.revisions.recordAttempt(*service, attempt);
 }
--- a/libs/proxy/src/exchange.hpp
+++ b/libs/proxy/src/exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One request and its response: the state that the steps of handling it share, and the client's side of it.
+/// One request and its response: the state shared by the steps that handle the request, and the output to the client.
 #pragma once
 #include "balancing/stream_pace.hpp"
 #include "client_watch.hpp"
@@ -7,7 +7,7 @@
 #include "proxy/proxy.hpp"
 #include "retry.hpp"
 namespace zinccleat::proxy {
-/// A runner's own error response, forwarded unchanged if no other runner does better.
+/// A runner's own error response. It is forwarded unchanged if no other attempt succeeds.
 struct RunnerFailure {
   std::string header;
   std::string body;
@@ -21,78 +21,81 @@
   runtime::Connection& client;
   RequestParser::value_type& request;
   const TimePoint arrivedAt = Clock::now();
-  /// A request keeps the configuration that was in force when it arrived.
+  /// The configuration that was active when the request arrived. It applies until the request ends.
   const std::shared_ptr<const config::Configuration> configuration = context.configuration;
 
   // Set on admission.
   std::string attemptId;
   const config::Route* route = nullptr;
   const config::Subscriber* subscriber = nullptr;  ///< null on a route without keys
-  const std::string* service = nullptr;            ///< label
+  const std::string* service = nullptr;            ///< service label; points into `configuration`
   std::string tenant;                              ///< label of the subscriber
-  int precedence = -1;                             ///< -1: none
+  int precedence = -1;                             ///< -1 if none is set
   TimePoint deadline;
   balancing::RunnerQuery query;
 
-  // The client's side.
-  std::optional<ClientWatch> clientWatch;  ///< from admission on
+  // The response to the client.
+  std::optional<ClientWatch> clientWatch;  ///< set once the request is admitted
   bool keepAlive = request.keep_alive();
-  bool responseStarted = false;  ///< the client has the header of a stream's response
+  bool responseStarted = false;  ///< whether the header of a stream's response was written to the client
   EventScanner events;
   RunnerFailure failure;
 
   // The attempt in progress.
-  int runner = -1;                  ///< index in the runner pool; -1: none, or a node of the partner site
-  std::int64_t prefillTokens = -1;  ///< of the prompt, until the runner begins to respond; then -1
+  int runner = -1;                  ///< index in the runner pool; -1 if there is none or for a partner node
+  std::int64_t prefillTokens = -1;  ///< tokens of the prompt until the runner begins to respond; -1 afterwards
   PendingAttempt pendingAttempt{};
-  bool usageRecorded = false;      ///< the runner has begun the request, which is counted
-  bool observed = false;           ///< the service is being rolled out: the answer is compared with others
-  bool slowResponse = false;       ///< it began far later than usual
-  double runnerLoad = 0;           ///< of the runner when it began to respond, as a part of its slots
-  bool slownessRecorded = false;   ///< the attempt has been recorded as slow
-  balancing::StreamPace pace;      ///< of the events, if observed
-  bool staleConnection = false;    ///< it failed on a connection that the runner had dropped: not the runner's fault
-  bool isLastAttempt = false;      ///< no other runner is allowed after this one
-  bool nextAttemptIsPaid = false;  ///< the retry budget has been charged for the next runner already
+  bool usageRecorded = false;      ///< whether the attempt was counted because the runner has begun the request
+  bool observed = false;           ///< whether the attempt is compared with others because the service is rolled out
+  bool slowResponse = false;       ///< whether the response began far later than usual
+  double runnerLoad = 0;           ///< load of the runner when it began to respond, as a fraction of its slots
+  bool slownessRecorded = false;   ///< whether the attempt has been recorded as slow
+  balancing::StreamPace pace;      ///< pace of the events, measured if `observed`
+  bool staleConnection = false;    ///< whether a dropped pooled connection, not the runner, made the attempt fail
+  bool isLastAttempt = false;      ///< whether no other runner may be tried after this attempt
+  bool nextAttemptIsPaid = false;  ///< whether the retry budget was already charged for the next attempt
   runtime::Connection* pendingPartnerConnection = nullptr;  ///< to a partner node that has not begun to respond
 
   static TimePoint now() { return Clock::now(); }
-  /// Decides whether the client's connection stays open after the response whose header is written now.
+  /// Decides whether the client's connection stays open after the response whose header is about to be written, and
+  /// stores the decision in `keepAlive`.
   bool decideKeepAlive() { return keepAlive = keepAlive && !context.shutdown.begun() && !context.zoneDraining; }
   std::string_view connectionHeader() { return decideKeepAlive() ? "" : "Connection: close\r\n"; }
 
   /// Writes to the client.
-  /// @return false if it has disconnected, or read nothing for too long.
+  /// @return false if the client has disconnected or has read nothing for too long.
   bool writeToClient(std::string_view bytes);
   /// Writes one chunk of a chunked response.
   bool writeChunk(std::string_view bytes);
   /// Answers the request without a runner.
-  /// @param retryAfter  zero: the response names no time
-  /// @param reason      empty: the standard phrase of the status
+  /// @param retryAfter  value of `Retry-After`; 0 omits the header
+  /// @param reason      text for the body; empty for the standard phrase of the status
   /// @return whether the connection may carry another request.
   bool respond(int status, Duration retryAfter = Duration(0), std::string_view reason = {});
 
-  /// An attempt at this runner begins.
+  /// Starts an attempt at a runner.
   void beginAttempt(int runnerIndex);
-  /// The runner has begun to respond, or (`responded` false) never will. Only the first call of an attempt counts.
+  /// Records that the runner has begun to respond or, if `responded` is false, that it will not respond. Only the first
+  /// call for an attempt has an effect.
   void endPrefill(bool responded);
-  /// Bytes of an observed attempt's response have arrived. Once it is certain that the attempt is slow, that is
-  /// recorded: a slow stream may last for long.
+  /// Checks the pace of an observed attempt after bytes of the response have arrived. An attempt is recorded as slow as
+  /// soon as that is certain, because a slow stream may take long to end.
   void observeSlowness();
-  /// A runner has begun the request of the attempt in progress. Each attempt counts once.
+  /// Counts the request for the usage report because a runner has begun it. Only the first call for an attempt has an
+  /// effect.
   void recordUsage(TimePoint began);
-  /// The attempt has ended; what that says about the runner is recorded.
+  /// Ends the attempt and records its outcome for the runner.
   void endAttempt(AttemptOutcome outcome);
 
  private:
-  /// Records what the attempt says about the runner's revision.
+  /// Records the outcome of the attempt for the runner's revision.
   void observeRevision(AttemptOutcome outcome);
-  /// The attempt as it has been observed so far, answered and neither failed nor slow.
+  /// A record of the attempt with its identifying fields set, marked as answered and as neither failed nor slow.
   rollout::ObservedAttempt observedAttempt() const;
-  /// Whether the runner should begin to answer as soon as others. In a load test it lacks the prompt prefixes that
-  /// those have cached.
+  /// Whether the runner's time to the first byte may be compared with that of other runners. In a load test it may not,
+  /// because the runner lacks the prompt prefixes that the other runners have cached.
   bool startIsComparable() const { return runnerIsWarm() && query.revisions.loadTestGroup == 0; }
-  /// Whether the runner has passed its slow start.
+  /// Whether the runner's warm-up has ended.
   bool runnerIsWarm() const { return now() >= context.runners.at(runner).warmAt; }
 };
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/graceful_shutdown.cpp
+++ b/libs/proxy/src/graceful_shutdown.cpp
@@ -4,10 +4,11 @@
 bool GracefulShutdown::begin(TimePoint now, Duration grace) {
   if (std::exchange(begun_, true))
     return false;
-  // A tenth earlier: the process must exit by itself before it is killed.
+  // The process must exit before the platform kills it, so it exits a tenth of the grace period earlier.
   exiting_ = now + grace * 9 / 10;
-  // Half at most: with a short grace period the requests accepted last need time to end, and the rule LOST counts none
-  // that a runner still works on in the second half.
+  // At most half of the grace period passes before requests are refused. With a short grace period, the requests that
+  // were accepted last need time to complete, and the rule LOST does not count a request that a runner is still
+  // processing in the second half.
   notAccepting_ = now + std::min(kNotReadyDuration, grace / 2);
   draining_ = std::min(notAccepting_ + (kRequestCutoff - kNotReadyDuration), exiting_);
   return true;
--- a/libs/proxy/src/headers.cpp
+++ b/libs/proxy/src/headers.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kTypicalResponseHeaderBytes = 512;
 constexpr int kMaxPrecedence = 9;
 
-// Fields for one connection only (RFC 9110, section 7.6.1), and those that the framing needs.
+// Hop-by-hop fields (RFC 9110, section 7.6.1) and fields that define the framing. They are not forwarded.
 constexpr std::string_view kHopByHopFields[] = {"connection",
                                                 "keep-alive",
                                                 "proxy-connection",
@@ -22,9 +22,10 @@
                                                 "upgrade",
                                                 "content-length",
                                                 "expect"};
-// Fields that this proxy sets. All unknown ones are forwarded: the protocol says so.
+// Fields that this proxy sets itself; the client's values are dropped. All unknown fields are forwarded, as the
+// protocol requires.
 constexpr std::string_view kProxyFields[] = {"x-partner-site", "x-subscriber", "x-expected-instance", "x-deadline-ms",
-                                           "x-precedence"};
+                                             "x-precedence"};
 
 template <class Text>
 std::string_view viewOf(const Text& text) {
@@ -55,7 +56,7 @@
   }
   return false;
 }
-// Fields that `Connection` names are for one connection only, too.
+// Whether the `Connection` field lists this name, which makes the named field hop-by-hop as well.
 bool isNamedByConnection(const http::fields& fields, std::string_view name) {
   const auto [begin, end] = fields.equal_range(http::field::connection);
   return std::any_of(begin, end, [&](const auto& entry) { return commaListContains(viewOf(entry.value()), name); });
@@ -73,7 +74,7 @@
     return true;
   return !options.lastEventId.empty() && equalsIgnoreCase(name, "last-event-id");
 }
-// Appends the fields that are neither for one connection nor dropped by the caller.
+// Appends all fields that are neither hop-by-hop nor dropped by `isDropped`.
 template <class IsDropped>
 void appendEndToEndFields(std::string& header, const http::fields& fields, IsDropped isDropped) {
   const bool hasConnection = fields.count(http::field::connection) > 0;
@@ -112,7 +113,7 @@
 std::int64_t parseNumber(std::string_view text, std::int64_t fallback) {
   if (text.empty() || text.size() > kMaxDigits)
     return fallback;
-  std::uint64_t number = 0;  // unsigned: a sign is no digit
+  std::uint64_t number = 0;  // unsigned, so that a minus sign is rejected
   const auto* const textEnd = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), textEnd, number);
   return error == std::errc{} && end == textEnd ? static_cast<std::int64_t>(number) : fallback;
--- a/libs/proxy/src/http.cpp
+++ b/libs/proxy/src/http.cpp
@@ -18,7 +18,7 @@
   return kBadRequest;
 }
 
-// Whether the client sent something that is no HTTP, rather than only ended its connection.
+// Whether the client sent invalid HTTP. False if the client only closed its connection.
 bool isProtocolError(const runtime::SocketError& ec) {
   const bool fromParser = ec.category() == make_error_code(http::error::bad_line_ending).category();
   return fromParser && ec != http::error::end_of_stream && ec != http::error::partial_message;
@@ -26,13 +26,14 @@
 
 void readHeader(runtime::Connection& connection, Buffer& buffer, RequestParser& parser, runtime::SocketError& ec) {
   readIntoParser(connection, buffer, parser, true, ec);
-  // With a last coding that is not chunked the body has no known end: what follows must not be read as a request.
+  // If the final transfer coding is not chunked, the end of the body is unknown. The following bytes must not be read
+  // as another request, so the request is rejected.
   if (!ec && !parser.chunked() && parser.get().count(http::field::transfer_encoding))
     ec = http::error::bad_transfer_encoding;
 }
 
 void readBody(runtime::Connection& connection, Buffer& buffer, RequestParser& parser, runtime::SocketError& ec) {
-  // A client that sends `Expect: 100-continue` waits for this before it sends the body.
+  // A client that sends `Expect: 100-continue` waits for this interim response before it sends the body.
   if (parser.get().count(http::field::expect))
     connection.write(asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ec);
   if (!ec)
@@ -47,7 +48,7 @@
   connection.setDeadline(Clock::now() + idle);
   auto received = connection.read(buffer.prepare(kReadBytes), ec);
   connection.clearDeadline();
-  // Bytes may have arrived in the same turn of the event loop in which the deadline cancelled the read.
+  // Bytes may have arrived in the same iteration of the event loop in which the deadline cancelled the read.
   runtime::SocketError ignored;
   if (ec == asio::error::operation_aborted && connection.socket().available(ignored) > 0) {
     ec = {};
--- a/libs/proxy/src/partner_attempt.cpp
+++ b/libs/proxy/src/partner_attempt.cpp
@@ -6,7 +6,7 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::size_t kPartnerReadBytes = std::size_t{4} * 1024;
-constexpr int kLatencyTargetDivisor = 5;  // of the latency target
+constexpr int kLatencyTargetDivisor = 5;  // the timeout is the route's latency target divided by this
 constexpr Duration kMinTimeout{20};
 constexpr Duration kMaxTimeout{400};
 constexpr unsigned kServiceUnavailable = 503;
@@ -25,7 +25,8 @@
     return interruptedOutcome();
   if (const auto outcome = checkHeader())
     return *outcome;
-  // The client gets the header with the first bytes of the body: a node that has only begun must not bind it.
+  // The header is forwarded only once the first bytes of the body have arrived. Until then this site can still answer
+  // the request if the partner node fails.
   if (!awaitBody())
     return interruptedOutcome();
   const auto outcome = relayStream(exchange_, connection_, buffer_, response_);
--- a/libs/proxy/src/proxy_context.cpp
+++ b/libs/proxy/src/proxy_context.cpp
@@ -4,7 +4,8 @@
 namespace {
 constexpr std::uint64_t kRetrySpreadMs = 120;
 constexpr Duration kMinRetryAfterAtStart{150};
-constexpr Duration kExpectedFirstLease{800};  // from the start, until a leader is elected after a restart of all members
+// Time from the start of the process until it has its first lease if all members restart and elect a leader.
+constexpr Duration kExpectedFirstLease{800};
 constexpr Duration kRetryAfterWithoutLease{500};
 }  // namespace
 
@@ -21,8 +22,8 @@
 
 Duration ProxyContext::retryAfterWithoutLease(TimePoint now) {
   const auto spread = Duration(rng() % kRetrySpreadMs);
-  // A client makes few attempts, so a second rejection must be unlikely. A process that has just started gets its first
-  // lease as soon as there is a leader.
+  // A client makes only a few attempts, so a second rejection must be unlikely. A process that has just started gets
+  // its first lease as soon as a leader has been elected.
   if (leaseExpiresAt == TimePoint{})
     return std::max(kMinRetryAfterAtStart, kExpectedFirstLease - toDuration(now - startedAt)) + spread;
   return kRetryAfterWithoutLease + spread;
--- a/libs/proxy/src/request_handler.cpp
+++ b/libs/proxy/src/request_handler.cpp
@@ -8,22 +8,26 @@
 
 namespace zinccleat::proxy {
 namespace {
-constexpr int kExtraConnectAttempts = 3;  // beyond the route's attempts: an unreachable runner has been sent nothing
+// Attempts in addition to the route's `maxAttempts`. Connecting to an unreachable runner sends nothing, so such an
+// attempt does not use up one of the route's attempts.
+constexpr int kExtraConnectAttempts = 3;
 constexpr std::int64_t kNoRunnerRetryAfterMs = 100;
 constexpr std::uint64_t kNoRunnerRetrySpreadMs = 200;
 
 RetryState initialState(const Exchange& exchange) {
   RetryState state;
   state.kind = kindOf(*exchange.route);
-  // The partner site keeps the other attempts for itself: what it forwards gets one runner here.
+  // A request that the partner site forwarded gets only one runner here, because the partner site keeps the remaining
+  // attempts for itself.
   const bool fromPartner = !headerValue(exchange.request, kPartnerSiteHeader).empty();
   state.runnersAllowed = fromPartner ? 1 : exchange.route->maxAttempts;
   return state;
 }
 
-// The address of a partner node that caches a long prompt prefix which this site does not cache; empty: none.
-// Only for idempotent requests: a stale hint or a failing partner then costs a moment and never the response, because
-// the request continues here. The partner's runner counts as one of the request's, so one must be left for this site.
+// The address of a partner node that caches a long prompt prefix which this site does not cache; empty if there is
+// none. Only idempotent requests are forwarded to the partner site. If the cache hint is stale or the partner fails,
+// the request continues at this site and only loses a little time. The partner's runner counts towards the request's
+// runners, so at least one runner must remain for this site.
 std::string findPartner(Exchange& exchange, const RetryState& state) {
   auto& context = exchange.context;
   const bool qualifies = context.lookupPartner && state.runnersAllowed >= 2 &&
@@ -62,10 +66,11 @@
   return decide(state);
 }
 
-/// Why there is no runner for an attempt.
+/// The reason why there is no runner for an attempt.
 enum class NoRunnerReason : std::uint8_t { leaseEnded, noneAvailable, budgetSpent };
 
-// A runner of the revision that the request is to go to; of another one if that has none and may be replaced.
+// Chooses a runner of the revision that the rollout selects for the request. If that revision has no usable runner and
+// a fallback is allowed, chooses a runner of another revision. Returns -1 if there is none.
 int chooseRunner(Exchange& exchange, bool isFirst) {
   auto& context = exchange.context;
   auto& query = exchange.query;
@@ -84,7 +89,7 @@
   return context.runners.choose(query, Exchange::now());
 }
 
-// The runner for the next attempt, paid for.
+// Selects the runner for the next attempt and charges the retry budget if the attempt is a retry.
 tl::expected<int, NoRunnerReason> selectRunner(Exchange& exchange, const RetryState& state, int earlierAttempts) {
   auto& context = exchange.context;
   // Checked before each attempt: the lease may have ended during the last one.
@@ -138,7 +143,8 @@
   return exchange.writeToClient(response) && exchange.keepAlive;
 }
 
-// Nothing has run: the client may come back, at a random time so that not all do at once.
+// The request has not run, so the client may retry. `Retry-After` is randomized so that clients do not retry all at
+// once.
 bool respondUnavailable(Exchange& exchange) {
   const auto spread = static_cast<std::int64_t>(exchange.context.rng() % kNoRunnerRetrySpreadMs);
   return exchange.respond(503, Duration(kNoRunnerRetryAfterMs + spread), "no runner is free");
@@ -151,7 +157,7 @@
       return exchange.keepAlive;
     case RetryDecision::nextRunner:  // not a final decision
     case RetryDecision::closeConnection:
-      // A response that has begun and not ended must not look complete.
+      // The connection is closed so that a truncated response does not look complete.
       if (exchange.responseStarted && state.outcome != AttemptOutcome::clientDisconnected)
         ++exchange.context.truncatedResponses;
       return false;
--- a/libs/proxy/src/retry.cpp
+++ b/libs/proxy/src/retry.cpp
@@ -24,7 +24,7 @@
     return conclude(state);
   if (state.mayHaveRun && !idempotent(state.kind))
     return conclude(state);
-  // Another runner would begin the response anew, or repeat events that the client has.
+  // Another runner would start the response from the beginning, or repeat events that the client has already received.
   if (state.responseStarted && (state.kind != RequestKind::resumableStream || !state.resumePointKnown))
     return conclude(state);
   return RetryDecision::nextRunner;
--- a/libs/proxy/src/retry.hpp
+++ b/libs/proxy/src/retry.hpp
@@ -1,14 +1,14 @@
 /// @file
-/// The decision after each attempt of a request: send it to another runner, or end it, and how. Pure: no clock, no
-/// socket.
+/// Decides after each attempt of a request whether to try another runner or how to end the request. Pure functions
+/// without clock or sockets.
 ///
-/// A request that may have run is sent to no other runner unless its route is idempotent, and is never answered with a
+/// A request that may have run is sent to another runner only if its route is idempotent. It is never answered with a
 /// status that promises that it has not run (408, 421, 429, 503).
 #pragma once
 #include "config/configuration.hpp"
 namespace zinccleat::proxy {
 
-/// What a request's route says about running it more than once.
+/// The route's rule on whether a request may run more than once.
 enum class RequestKind : std::uint8_t { safe, unsafe, stream, resumableStream };
 RequestKind kindOf(const config::Route& route);
 constexpr bool idempotent(RequestKind kind) {
@@ -17,43 +17,44 @@
 
 /// How an attempt at a runner ended.
 enum class AttemptOutcome : std::uint8_t {
-  completed,           ///< the client has the complete response
+  completed,           ///< the client received the complete response
   notSent,             ///< no byte of the request was sent to the runner
-  notExecuted,         ///< the runner says that it did not run it
-  interrupted,         ///< sent, at least in part, and no complete response came: it may have run
-  migrated,            ///< a live stream left its runner, whose zone is being drained
-  failed,              ///< the runner ran it and responded with an error of its own
-  clientDisconnected,  ///< nobody waits for the response any more
+  notExecuted,         ///< the runner reported that it did not run the request
+  interrupted,         ///< at least a part was sent and no complete response arrived: the request may have run
+  migrated,            ///< a live stream left its runner because the runner's zone is being drained
+  failed,              ///< the runner ran the request and responded with its own error
+  clientDisconnected,  ///< the client closed its connection
   deadlineExceeded,    ///< the deadline passed before the response was complete
 };
-/// Whether a runner may have begun to work on the request after such an end.
+/// Whether the runner may have begun to work on the request in an attempt with this outcome.
 constexpr bool mayHaveRun(AttemptOutcome outcome) {
   return outcome != AttemptOutcome::notSent && outcome != AttemptOutcome::notExecuted &&
          outcome != AttemptOutcome::clientDisconnected;
 }
 
 enum class RetryDecision : std::uint8_t {
-  nextRunner,          ///< send it to a runner that has not had it
-  finished,            ///< the client has the complete response
-  closeConnection,     ///< the client has disconnected, or a response that has begun must not look complete
+  nextRunner,          ///< send the request to a runner that was not tried yet
+  finished,            ///< the client received the complete response
+  closeConnection,     ///< the client has disconnected, or a truncated response must not look complete
   forwardFailure,      ///< forward the runner's own error response, unchanged
-  respondBadGateway,   ///< 502: it may have run
+  respondBadGateway,   ///< 502: the request may have run
   respondTimeout,      ///< 504: the deadline has passed
-  respondUnavailable,  ///< 503 with `Retry-After`: it has not run and never will
+  respondUnavailable,  ///< 503 with `Retry-After`: the request has not run and will not run
 };
 
-/// All that the decision depends on.
+/// The input of the decision.
 struct RetryState {
   RequestKind kind = RequestKind::unsafe;
-  AttemptOutcome outcome = AttemptOutcome::notSent;  ///< of the last attempt; `notSent` where there was none
-  bool mayHaveRun = false;                           ///< after any attempt up to now, the last included
-  bool responseStarted = false;                      ///< the client has a header, or more, of a response
-  bool resumePointKnown = true;                      ///< every forwarded event can be named to another runner
-  int runnersUsed = 0;                               ///< runners that the request was sent to
-  int runnersAllowed = 1;                            ///< by the route, less those that a partner site may have used
+  AttemptOutcome outcome = AttemptOutcome::notSent;  ///< outcome of the last attempt; `notSent` before the first one
+  bool mayHaveRun = false;                           ///< whether the request may have run in any attempt so far
+  bool responseStarted = false;                      ///< whether the client received at least the header of a response
+  bool resumePointKnown = true;                      ///< whether no event without an id follows the last event id
+  int runnersUsed = 0;                               ///< number of runners that the request was sent to
+  int runnersAllowed = 1;                            ///< the route's limit minus runners used by a partner site
 };
 /// The decision after an attempt.
 RetryDecision decide(const RetryState& state);
-/// The decision when no further attempt can be made: no runner, no budget, no lease or no time. Never `nextRunner`.
+/// The decision if no further attempt can be made because there is no runner, retry budget, lease or time left. Never
+/// returns `nextRunner`.
 RetryDecision conclude(const RetryState& state);
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/runner_attempt.cpp
+++ b/libs/proxy/src/runner_attempt.cpp
@@ -6,7 +6,7 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr auto kConnectTimeout = 300ms;
-constexpr auto kDeadlineMargin = 50ms;  // for the runner's own response that the deadline has passed
+constexpr auto kDeadlineMargin = 50ms;  // time for the runner's own deadline response to arrive
 constexpr unsigned kNoContent = 204;
 constexpr unsigned kMisdirectedRequest = 421;
 }  // namespace
@@ -23,7 +23,7 @@
     return AttemptOutcome::notSent;
   if (clientDisconnected())
     return AttemptOutcome::clientDisconnected;
-  // The lease may have ended while the connection was established.
+  // The lease may have expired while the connection was being established.
   if (!exchange_.context.hasLease(Exchange::now())) {
     exchange_.staleConnection = true;
     return AttemptOutcome::notSent;
@@ -82,12 +82,12 @@
   }
   if (bytesWritten == 0)
     return handleNothingSent();
-  // A part was sent: only a response that is here already can say what became of it.
+  // A part of the request was sent. Whether the runner ran the request is known only if a response has arrived already.
   partiallySent_ = true;
   return std::nullopt;
 }
 
-// The one case in which an open connection has certainly carried nothing.
+// A write of zero bytes is the only failure of an open connection after which certainly nothing reached the runner.
 AttemptOutcome RunnerAttempt::handleNothingSent() {
   exchange_.staleConnection = reused_;
   if (reused_)
@@ -102,7 +102,8 @@
     return AttemptOutcome::clientDisconnected;
   if (connection_->deadlineExceeded() || Exchange::now() >= exchange_.deadline)
     return AttemptOutcome::deadlineExceeded;
-  // Not the runner's fault: it may have dropped a connection that was idle, and then resets it.
+  // A reset of a reused connection before any response byte is not counted as a failure of the runner: the runner may
+  // have dropped the connection while it was idle.
   exchange_.staleConnection = reused_ && ec_ == asio::error::connection_reset && !response_->got_some();
   if (exchange_.staleConnection)
     exchange_.context.connections.recordStaleConnection();
@@ -116,7 +117,7 @@
   exchange_.context.runners.updateLoad(runner_, headerValue(header, "X-Instance-Load"), Exchange::now());
   const bool success = isSuccess(header.result_int());
   const bool notExecuted = isNotExecuted(header);
-  // A success that says "not executed" contradicts itself: neither of the two can be relied on.
+  // A success status with "not executed" contradicts itself, so neither statement can be relied on.
   if (success && (notExecuted || !isSealed(header)))
     return handleLostResponse();
   const bool hasBody = header.result_int() != kNoContent && exchange_.request.method() != http::verb::head;
@@ -143,12 +144,13 @@
   readIntoParser(*connection_, buffer_, *response_, false, ec_);
   if (ec_ && clientDisconnected())
     return AttemptOutcome::clientDisconnected;
-  // "Not executed" in a complete header is valid whatever becomes of the body.
+  // "Not executed" in a complete header is valid even if the body does not arrive.
   if (ec_ && !notExecuted)
     return handleLostResponse();
   const auto status = response_->get().result_int();
   recordResult(status, notExecuted);
-  // A stream that has failed before its first event has not begun to run; anything else began about when it was sent.
+  // A stream that failed before its first event has not begun to run. Any other request began to run at about the time
+  // at which it was sent.
   if (!notExecuted && exchange_.route->type != config::RouteType::stream)
     exchange_.recordUsage(exchange_.pendingAttempt.startedAt);
   auto header = forwardedResponseHeader(response_->get());
@@ -178,7 +180,7 @@
 }
 
 AttemptOutcome RunnerAttempt::storeFailure(unsigned status, std::string header, std::string body) {
-  // Such a status would promise to the client what this runner does not say.
+  // This status would tell the client that the request has not run, which the runner did not state.
   if (promisesNotExecuted(status))
     return AttemptOutcome::interrupted;
   exchange_.failure = {std::move(header), std::move(body)};
@@ -200,7 +202,8 @@
     return;
   const auto now = Exchange::now();
   connection_->clearDeadline();
-  // Detached: the client may disconnect while its response is written, when another request may have the connection.
+  // The watch is detached first. The client may disconnect while its response is being written, and by then another
+  // request may be using this connection, which must not be closed.
   exchange_.clientWatch->attach(nullptr);
   exchange_.context.connections.release(runnerId_, std::move(connection_), reusableUntil(response_->get(), now), now);
 }
--- a/libs/proxy/src/runner_attempt.hpp
+++ b/libs/proxy/src/runner_attempt.hpp
@@ -1,38 +1,40 @@
 /// @file
-/// One attempt at one runner: connection, request, response.
+/// One attempt at one runner: connects, sends the request and forwards the response.
 #pragma once
 #include "exchange.hpp"
 #include "upstream_response.hpp"
 namespace zinccleat::proxy {
 
-/// Sends the request to the runner that `exchange.runner` names and forwards its response, unless that is an error,
-/// which is kept in `exchange.failure`.
+/// Sends the request to the runner `exchange.runner` and forwards the response to the client. An error response is
+/// stored in `exchange.failure` instead.
 class RunnerAttempt {
  public:
   explicit RunnerAttempt(Exchange& exchange);
-  /// Runs the attempt; to be called once.
-  /// @return any outcome but `notSent` means that bytes of the request may have reached the runner.
+  /// Runs the attempt. Must be called only once.
+  /// @return the outcome; any outcome except `notSent` means that bytes of the request may have reached the runner.
   AttemptOutcome run();
 
  private:
   /// Takes a pooled connection or opens a new one.
-  /// @return false if the runner cannot be reached; it has been sent nothing.
+  /// @return false if the runner cannot be reached. Nothing was sent in that case.
   bool connect();
   /// Writes the request.
-  /// @return the outcome if the attempt has ended with that.
+  /// @return the outcome if writing the request ended the attempt; none otherwise.
   std::optional<AttemptOutcome> sendRequest();
+  /// Records that an open connection failed before any byte of the request was written.
   AttemptOutcome handleNothingSent();
-  /// The outcome of a request that was sent and has no complete response; records it against the runner or the
-  /// connection.
+  /// Determines the outcome of a request that was sent without a complete response. Records the failure for the runner,
+  /// or for the connection if the runner had dropped the connection while it was idle.
   AttemptOutcome handleLostResponse();
   AttemptOutcome relayResponse();
   AttemptOutcome relayEvents();
-  /// Forwards a response that is complete before the first byte of it is sent on.
+  /// Reads the complete response before forwarding its first byte.
   AttemptOutcome relayComplete(bool notExecuted);
   AttemptOutcome storeFailure(unsigned status, std::string header, std::string body);
   AttemptOutcome sendToClient(std::string header, const std::string& body);
   void recordResult(unsigned status, bool notExecuted);
-  /// Returns the connection to the pool, unless something of this request could reach another one on it.
+  /// Returns the connection to the pool, unless leftover bytes of this request or its response could affect the next
+  /// request on the connection.
   void releaseConnection();
   void recordFailure() { exchange_.context.runners.recordFailure(runner_, Exchange::now()); }
   bool clientDisconnected() const { return exchange_.clientWatch->disconnected(); }
@@ -42,8 +44,8 @@
   const std::string runnerId_;
   const std::string address_;
   std::unique_ptr<runtime::Connection> connection_;
-  bool reused_ = false;         ///< the connection is from the pool
-  bool partiallySent_ = false;  ///< only a part of the request was written
+  bool reused_ = false;         ///< whether the connection is from the pool
+  bool partiallySent_ = false;  ///< whether only a part of the request was written
   Buffer buffer_;
   std::optional<ResponseParser> response_;
   runtime::SocketError ec_;
--- a/libs/proxy/src/stream_relay.cpp
+++ b/libs/proxy/src/stream_relay.cpp
@@ -7,15 +7,15 @@
 constexpr std::size_t kStreamReadBytes = std::size_t{4} * 1024;
 constexpr auto kDeadlineMargin = 50ms;
 
-// Whether another runner would take over a live stream; one that would not leaves it where it is.
+// Whether a suitable runner exists to which a live stream can move. Without one the stream stays at its runner.
 bool hasMigrationTarget(Exchange& exchange) {
   auto& runners = exchange.context.runners;
   const int target = runners.choose(exchange.query, Exchange::now());
   return target >= 0 && !runners.at(target).migrateStreams && runners.at(target).consecutiveFailures == 0;
 }
 
-// Whether a live stream leaves its zone, which is drained, now that it is between two complete events. Charges the
-// retry budget if so.
+// Whether a live stream should now move to another runner because its zone is being drained. Called only between two
+// complete events. Charges the retry budget if it returns true.
 bool shouldMigrate(Exchange& exchange) {
   auto& context = exchange.context;
   if (exchange.runner < 0 || !context.runners.at(exchange.runner).migrateStreams || exchange.isLastAttempt)
@@ -43,7 +43,7 @@
         return AttemptOutcome::migrated;
       }
       if (!receive()) {
-        // Another runner continues after the last complete event.
+        // The partial event is dropped because another runner continues after the last complete event.
         exchange_.events.discardPartialEvent();
         return AttemptOutcome::interrupted;
       }
@@ -51,7 +51,7 @@
   }
 
  private:
-  // False: the client has disconnected.
+  // Writes the response header to the client unless a response has begun. Returns false if the client has disconnected.
   bool beginResponse() {
     if (exchange_.responseStarted)
       return true;
@@ -63,7 +63,7 @@
     return exchange_.writeToClient(header);
   }
 
-  // Forwards what the parser has found. False: the client has disconnected.
+  // Forwards the body bytes that the parser has decoded. Returns false if the client has disconnected.
   bool forwardReceived() {
     auto& body = response_.get().body();
     if (body.empty())
@@ -83,7 +83,8 @@
     return true;
   }
 
-  // Parses what is in the buffer, or else reads more into it. False: the stream is broken.
+  // Parses the bytes in the buffer, or reads more bytes if nothing can be parsed. Returns false if the stream is
+  // broken.
   bool receive() {
     runtime::SocketError ec;
     if (buffer_.size() > 0) {
@@ -100,7 +101,7 @@
       buffer_.commit(received);
       return true;
     }
-    // Without a length the stream ends with its connection.
+    // A stream without a length ends when its connection is closed.
     if (ec != asio::error::eof || response_.chunked() || response_.content_length())
       return false;
     response_.put_eof(ec);
@@ -119,7 +120,7 @@
   runtime::Connection& upstream_;
   Buffer& buffer_;
   ResponseParser& response_;
-  // Where another runner may continue the stream, the client gets complete events only.
+  // If another runner may have to continue the stream, only complete events are forwarded to the client.
   const bool completeEventsOnly_ = exchange_.route->streamResume;
 };
 }  // namespace
--- a/libs/proxy/src/stream_relay.hpp
+++ b/libs/proxy/src/stream_relay.hpp
@@ -4,11 +4,11 @@
 #include "exchange.hpp"
 #include "upstream_response.hpp"
 namespace zinccleat::proxy {
-/// Forwards a stream until it ends. Begins the client's response with this one's header if none has begun; else the
-/// events continue the response in progress.
-/// @param upstream  the connection that the response arrives on
-/// @param buffer    bytes of it that the parser has not seen yet
-/// @param response  its header has been parsed
-/// @return completed, interrupted, migrated or clientDisconnected.
+/// Forwards a stream until it ends. If the client's response has not begun, it begins with the header of `response`;
+/// otherwise the events continue the client's response.
+/// @param upstream  the connection on which the response arrives
+/// @param buffer    received bytes that the parser has not processed yet
+/// @param response  parser of the response; the header must have been parsed
+/// @return `completed`, `interrupted`, `migrated` or `clientDisconnected`.
 AttemptOutcome relayStream(Exchange& exchange, runtime::Connection& upstream, Buffer& buffer, ResponseParser& response);
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/upstream_response.cpp
+++ b/libs/proxy/src/upstream_response.cpp
@@ -5,10 +5,10 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::uint64_t kMaxResponseBytes = 64U << 20;
-constexpr int kMaxUnrelatedResponses = 2;  // to other attempts, skipped before ours
+constexpr int kMaxUnrelatedResponses = 2;  // responses to other attempts that are skipped
 constexpr int kMaxInterimResponses = 16;
-constexpr auto kDefaultKeepAlive = 20s;   // where the runner names no time
-constexpr auto kKeepAliveMargin = 700ms;  // the runner must not close what has just been reused
+constexpr auto kDefaultKeepAlive = 20s;   // used if the runner's response has no `Keep-Alive` timeout
+constexpr auto kKeepAliveMargin = 700ms;  // the runner must not close a connection that was just reused
 constexpr std::int64_t kMsPerS = 1000;
 constexpr unsigned kRequestTimeout = 408;
 constexpr unsigned kMisdirectedRequest = 421;
@@ -70,7 +70,7 @@
     }
     if (belongsTo(parser->get(), attemptId) || unrelatedResponses++ >= kMaxUnrelatedResponses)
       return {};
-    // A response to an earlier request on this connection is read to its end and dropped.
+    // This is a response to an earlier request on the connection. It is read to its end and discarded.
     readIntoParser(upstream, buffer, *parser, false, ec);
     if (ec)
       return ec;
