--- a/libs/balancing/src/warmup_tracker.cpp
+++ b/libs/balancing/src/warmup_tracker.cpp
@@ -20,7 +20,7 @@
     return;
   warmup.sequence = runner.sequence;
   const bool warmsUp = runner.software.warmupMs > 0;
-  warmup.announced = warmsUp ? now + Duration(runner.software.warmupMs) : TimePoint{};
+  warmup.announcedEnd = warmsUp ? now + Duration(runner.software.warmupMs) : TimePoint{};
   if (warmsUp)
     warming_.insert(runner.id);
 }
@@ -37,13 +37,13 @@
         zones.insert(zone);
   const auto before = std::exchange(evacuated_, zones).value_or(std::set<std::string>{});
   if (std::includes(zones.begin(), zones.end(), before.begin(), before.end()))
-    return;  // no zone is back in use
+    return;  // every zone that was evacuated before is still evacuated
   for (auto& [id, warmup] : runners_) {
     const bool released = before.contains(warmup.zone) && !zones.contains(warmup.zone);
     const auto limit = services_.find(warmup.service);
     if (!released || limit == services_.end())
       continue;
-    warmup.assumed = now + limit->second.warmup;
+    warmup.assumedEnd = now + limit->second.warmup;
     warming_.insert(id);
   }
 }
@@ -57,9 +57,9 @@
   const auto warmup = runners_.find(runner);
   return warmup == runners_.end() ? TimePoint{} : warmup->second.end();
 }
-bool WarmupTracker::isAnnounced(const std::string& runner) const {
+bool WarmupTracker::hasAnnouncedWarmup(const std::string& runner) const {
   const auto warmup = runners_.find(runner);
-  return warmup != runners_.end() && warmup->second.announced != TimePoint{};
+  return warmup != runners_.end() && warmup->second.announcedEnd != TimePoint{};
 }
 double WarmupTracker::requestsPerS(const std::string& runner) const {
   const auto warmup = runners_.find(runner);
--- a/libs/proxy/src/admission_check.cpp
+++ b/libs/proxy/src/admission_check.cpp
@@ -5,17 +5,17 @@
 
 namespace zinccleat::proxy {
 namespace {
-// A client of a process that is about to exit should retry soon: other nodes can serve it at once.
-constexpr Duration kRetryElsewhere{100};
-constexpr std::uint64_t kRetryElsewhereSpreadMs = 200;
-constexpr std::int64_t kOverloadRetryMs = 400;
+// `Retry-After` while this process shuts down is short because other nodes can serve the client immediately.
+constexpr Duration kShutdownRetryAfter{100};
+constexpr std::uint64_t kShutdownRetrySpreadMs = 200;
+constexpr std::int64_t kOverloadRetryAfterMs = 400;
 constexpr std::uint64_t kOverloadRetrySpreadMs = 900;
 constexpr std::uint64_t kDrawSteps = 1000;
 constexpr Duration kMinQuotaWait{15};
 constexpr Duration kMaxQuotaWait{150};
 constexpr Duration kMaxQuotaWaitResponsive{250};
 constexpr Duration kTokenResponseTimeout{100};
-using Rejected = std::optional<Rejection>;
+using MaybeRejection = std::optional<Rejection>;
 
 std::string_view bearerKey(const http::fields& fields) {
   constexpr std::string_view kScheme = "bearer ";
@@ -30,20 +30,20 @@
   return value;
 }
 
-Rejected checkServing(const Exchange& exchange) {
+MaybeRejection checkServing(const Exchange& exchange) {
   auto& context = exchange.context;
-  // A process that is about to exit could not answer what it accepts now.
+  // The process may exit before it could answer a request that it accepts now.
   if (!context.shutdown.acceptsRequests(exchange.arrivedAt)) {
-    const auto spread = Duration(static_cast<std::int64_t>(context.rng() % kRetryElsewhereSpreadMs));
-    return Rejection{503, kRetryElsewhere + spread, "shutting down"};
+    const auto spread = Duration(static_cast<std::int64_t>(context.rng() % kShutdownRetrySpreadMs));
+    return Rejection{503, kShutdownRetryAfter + spread, "shutting down"};
   }
-  // Without a valid lease the configuration may be older than the revocation of a key.
+  // Without a valid lease, the configuration may be outdated and still contain a revoked key.
   if (!context.hasLease(exchange.arrivedAt))
-    return Rejection{503, context.retryAfterLease(exchange.arrivedAt), "no fresh lease"};
+    return Rejection{503, context.retryAfterWithoutLease(exchange.arrivedAt), "no fresh lease"};
   return std::nullopt;
 }
 
-Rejected findRoute(Exchange& exchange) {
+MaybeRejection findRoute(Exchange& exchange) {
   const auto& configuration = *exchange.configuration;
   const std::string_view target(exchange.request.target().data(), exchange.request.target().size());
   const int index = configuration.find(headerValue(exchange.request, "Host"), target);
@@ -54,7 +54,7 @@
   return std::nullopt;
 }
 
-Rejected authenticate(Exchange& exchange) {
+MaybeRejection authenticate(Exchange& exchange) {
   const auto& configuration = *exchange.configuration;
   if (configuration.subscribers.empty() || exchange.route->keyless)
     return std::nullopt;
@@ -68,7 +68,7 @@
   return std::nullopt;
 }
 
-// One of the route's services, at random by their weights.
+// Chooses one of the route's services at random, in proportion to their weights.
 const config::Service& selectService(Exchange& exchange) {
   const auto& route = *exchange.route;
   std::uint64_t draw = route.totalWeight > 1 ? exchange.context.rng() % route.totalWeight : 0;
@@ -78,29 +78,29 @@
   return exchange.configuration->services[static_cast<std::size_t>(route.targets[target].service)];
 }
 
-Rejected checkOverload(Exchange& exchange) {
+MaybeRejection checkOverload(Exchange& exchange) {
   auto& context = exchange.context;
   const double draw = static_cast<double>(context.rng() % kDrawSteps) / kDrawSteps;
   if (context.admission.admits(*exchange.service, exchange.precedence, draw, exchange.arrivedAt))
     return std::nullopt;
   ++context.turnedAway[*exchange.service];
   const auto spread = static_cast<std::int64_t>(context.rng() % kOverloadRetrySpreadMs);
-  return Rejection{503, Duration(kOverloadRetryMs + spread), "overloaded"};
+  return Rejection{503, Duration(kOverloadRetryAfterMs + spread), "overloaded"};
 }
 
-// A request that waits for quota tokens, as long as it is in scope.
-class QuotaWait {
+// Registers a request as waiting for quota tokens for the duration of a scope.
+class QuotaWaitScope {
  public:
-  QuotaWait(ProxyContext& context, const std::string& tenant) : context_(context) {
+  QuotaWaitScope(ProxyContext& context, const std::string& tenant) : context_(context) {
     context_.quotaWaiters.push_back({&tenant, &waiter_});
   }
-  ~QuotaWait() {
+  ~QuotaWaitScope() {
     std::erase_if(context_.quotaWaiters, [this](const auto& waiting) { return waiting.waiter == &waiter_; });
   }
-  QuotaWait(const QuotaWait&) = delete;
-  QuotaWait& operator=(const QuotaWait&) = delete;
+  QuotaWaitScope(const QuotaWaitScope&) = delete;
+  QuotaWaitScope& operator=(const QuotaWaitScope&) = delete;
 
-  // False: the time was up before tokens were granted.
+  // Returns false if the timeout expired before tokens were granted.
   bool waitFor(Duration timeout) { return runtime::EventLoop::get().waitFor(waiter_, timeout); }
 
  private:
@@ -108,8 +108,9 @@
   runtime::Waiter waiter_;
 };
 
-// A rejection must come well within the latency target, so that the client's next attempt can still meet it. While the
-// leader answers, a late answer is worth a longer wait: it leaves time for the work, another attempt would not.
+// The time until which a request may wait for a quota token. A rejection must come well within the latency target, so
+// that the client's next attempt can still meet the target. While the leader is responsive, a longer wait is allowed,
+// because a late grant still leaves time to run the request, whereas another attempt would not.
 TimePoint quotaDeadline(const Exchange& exchange) {
   const auto target = exchange.route->latencyTarget;
   const bool responsive = exchange.context.quota.leaderResponsive(exchange.arrivedAt);
@@ -121,7 +122,7 @@
   auto& context = exchange.context;
   auto& quota = context.quota;
   const auto deadline = quotaDeadline(exchange);
-  QuotaWait wait(context, tenant);
+  QuotaWaitScope wait(context, tenant);
   while (Exchange::now() < deadline) {
     quota.requestToken(tenant);
     context.requestQuotaTokens();
@@ -131,8 +132,8 @@
       return true;
     if (!granted)
       continue;
-    // The leader has none: wait for its next token if that comes in time.
-    const auto nextToken = quota.nextTokenIn(tenant);
+    // The leader had no token for this request. Wait for the leader's next token if it is due before the deadline.
+    const auto nextToken = quota.timeToNextToken(tenant);
     if (Exchange::now() + nextToken >= deadline)
       break;
     (void)wait.waitFor(nextToken);
@@ -143,7 +144,7 @@
   return false;
 }
 
-Rejected checkQuota(Exchange& exchange) {
+MaybeRejection checkQuota(Exchange& exchange) {
   if (!exchange.subscriber || exchange.subscriber->ratePerS <= 0)
     return std::nullopt;
   auto& quota = exchange.context.quota;
@@ -192,7 +193,7 @@
     return rejection;
   const auto& service = selectService(exchange);
   exchange.service = &service.label;
-  // Before the quota: a request that is shed must not cost a token.
+  // Overload is checked before the quota because a request that is shed must not use up a token.
   if (auto rejection = checkOverload(exchange))
     return rejection;
   if (auto rejection = checkQuota(exchange))
--- a/libs/proxy/src/exchange.cpp
+++ b/libs/proxy/src/exchange.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr auto kClientWriteTimeout = 10s;
 constexpr double kMsPerS = 1000;
-constexpr std::size_t kChunkFraming = 32;  // bytes around a chunk, at most
+constexpr std::size_t kChunkFraming = 32;  // maximum number of framing bytes of a chunk
 constexpr int kHexBase = 16;
 
 std::string retryAfterHeader(Duration duration) {
@@ -16,7 +16,7 @@
   std::snprintf(header.data(), header.size(), "Retry-After: %.3f\r\n", static_cast<double>(duration.count()) / kMsPerS);
   return header.data();
 }
-// Whether this end of an attempt is a failure of the runner.
+// Whether an attempt with this outcome counts as a failure of the runner.
 bool isRunnerFailure(AttemptOutcome outcome, bool staleConnection) {
   if (outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::interrupted)
     return !staleConnection;
@@ -52,7 +52,7 @@
     headers += retryAfterHeader(retryAfter);
   ++context.rejected;
   const auto body = jsonError(reason.empty() ? reasonPhrase(status) : reason);
-  return writeToClient(plainResponse(status, headers, "application/json", body, keepsConnection())) && keepAlive;
+  return writeToClient(plainResponse(status, headers, "application/json", body, decideKeepAlive())) && keepAlive;
 }
 
 void Exchange::beginAttempt(int runnerIndex) {
@@ -99,19 +99,19 @@
 }
 
 void Exchange::observeRevision(AttemptOutcome outcome) {
-  // Nothing was sent, or nothing follows about the runner from how it ended.
-  const bool saysNothing = outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::notExecuted ||
-                           outcome == AttemptOutcome::clientDisconnected || outcome == AttemptOutcome::migrated ||
-                           staleConnection;
-  if (saysNothing)
+  // Nothing was sent, or the outcome does not depend on the runner's revision.
+  const bool isInconclusive = outcome == AttemptOutcome::notSent || outcome == AttemptOutcome::notExecuted ||
+                              outcome == AttemptOutcome::clientDisconnected || outcome == AttemptOutcome::migrated ||
+                              staleConnection;
+  if (isInconclusive)
     return;
-  const bool slowStream = context.paces.recordStream(*service, pace);
+  const bool slowStream = context.paceBaselines.recordStream(*service, pace);
   auto attempt = observedAttempt();
   attempt.answered = outcome != AttemptOutcome::interrupted && outcome != AttemptOutcome::deadlineExceeded;
   attempt.failed = outcome == AttemptOutcome::failed;
   attempt.slowStart = slowResponse && startIsComparable();
   attempt.slowPace = slowStream && runnerIsWarm();
-  // One that was recorded as slow and then fails counts once more.
+  // An attempt that was already recorded as slow is recorded a second time only if it failed or was not answered.
   if (!slownessRecorded || !attempt.answered || attempt.failed)
     context.revisions.recordAttempt(*service, attempt);
 }
@@ -132,7 +132,7 @@
     return;
   auto attempt = observedAttempt();
   attempt.slowStart = slowResponse && startIsComparable();
-  attempt.slowPace = context.paces.isSlowMidway(*service, pace);
+  attempt.slowPace = context.paceBaselines.isSlowWhileOpen(*service, pace);
   slownessRecorded = attempt.isSlow();
   if (slownessRecorded)
     context.revisions.recordAttempt(*service, attempt);
--- a/libs/proxy/src/request_handler.cpp
+++ b/libs/proxy/src/request_handler.cpp
@@ -8,22 +8,26 @@
 
 namespace zinccleat::proxy {
 namespace {
-constexpr int kExtraConnectAttempts = 3;  // beyond the route's attempts: an unreachable runner has been sent nothing
-constexpr std::int64_t kNoRunnerRetryMs = 100;
+// Attempts in addition to the route's `maxAttempts`. Connecting to an unreachable runner sends nothing, so such an
+// attempt does not use up one of the route's attempts.
+constexpr int kExtraConnectAttempts = 3;
+constexpr std::int64_t kNoRunnerRetryAfterMs = 100;
 constexpr std::uint64_t kNoRunnerRetrySpreadMs = 200;
 
 RetryState initialState(const Exchange& exchange) {
   RetryState state;
   state.kind = kindOf(*exchange.route);
-  // The partner site keeps the other attempts for itself: what it forwards gets one runner here.
+  // A request that the partner site forwarded gets only one runner here, because the partner site keeps the remaining
+  // attempts for itself.
   const bool fromPartner = !headerValue(exchange.request, kPartnerSiteHeader).empty();
   state.runnersAllowed = fromPartner ? 1 : exchange.route->maxAttempts;
   return state;
 }
 
-// The address of a partner node that caches a long prompt prefix which this site does not cache; empty: none.
-// Only for idempotent requests: a stale hint or a failing partner then costs a moment and never the response, because
-// the request continues here. The partner's runner counts as one of the request's, so one must be left for this site.
+// The address of a partner node that caches a long prompt prefix which this site does not cache; empty if there is
+// none. Only idempotent requests are forwarded to the partner site. If the cache hint is stale or the partner fails,
+// the request continues at this site and only loses a little time. The partner's runner counts towards the request's
+// runners, so at least one runner must remain for this site.
 std::string findPartner(Exchange& exchange, const RetryState& state) {
   auto& context = exchange.context;
   const bool qualifies = context.lookupPartner && state.runnersAllowed >= 2 &&
@@ -32,7 +36,7 @@
   if (!qualifies)
     return {};
   auto address = context.lookupPartner(exchange.query.affinity, exchange.tenant);
-  if (address.empty() || !context.partner.allows(Exchange::now()))
+  if (address.empty() || !context.partner.allowRequest(Exchange::now()))
     return {};
   return address;
 }
@@ -40,7 +44,7 @@
 void recordPartnerOutcome(ProxyContext& context, AttemptOutcome outcome) {
   if (outcome == AttemptOutcome::completed) {
     context.partner.recordSuccess();
-    ++context.fromPartner;
+    ++context.answeredByPartner;
   } else if (outcome != AttemptOutcome::clientDisconnected) {
     context.partner.recordFailure(Exchange::now());
   }
@@ -50,7 +54,7 @@
   const auto address = findPartner(exchange, state);
   if (address.empty())
     return RetryDecision::nextRunner;
-  ++exchange.context.toPartner;
+  ++exchange.context.forwardedToPartner;
   state.outcome = PartnerAttempt(exchange).run(address);
   recordPartnerOutcome(exchange.context, state.outcome);
   if (state.outcome != AttemptOutcome::completed && mayHaveRun(state.outcome)) {
@@ -62,10 +66,11 @@
   return decide(state);
 }
 
-/// Why there is no runner for an attempt.
-enum class NoRunner : std::uint8_t { leaseEnded, noneFits, budgetSpent };
+/// The reason why there is no runner for an attempt.
+enum class NoRunnerReason : std::uint8_t { leaseEnded, noneAvailable, budgetSpent };
 
-// A runner of the revision that the request is to go to; of another one if that has none and may be replaced.
+// Chooses a runner of the revision that the rollout selects for the request. If that revision has no usable runner and
+// a fallback is allowed, chooses a runner of another revision. Returns -1 if there is none.
 int chooseRunner(Exchange& exchange, bool isFirst) {
   auto& context = exchange.context;
   auto& query = exchange.query;
@@ -84,22 +89,22 @@
   return context.runners.choose(query, Exchange::now());
 }
 
-// The runner for the next attempt, paid for.
-tl::expected<int, NoRunner> selectRunner(Exchange& exchange, const RetryState& state, int earlierAttempts) {
+// Selects the runner for the next attempt and charges the retry budget if the attempt is a retry.
+tl::expected<int, NoRunnerReason> selectRunner(Exchange& exchange, const RetryState& state, int earlierAttempts) {
   auto& context = exchange.context;
   // Checked before each attempt: the lease may have ended during the last one.
   if (!context.hasLease(Exchange::now()))
-    return tl::unexpected(NoRunner::leaseEnded);
+    return tl::unexpected(NoRunnerReason::leaseEnded);
   const int runner = chooseRunner(exchange, earlierAttempts == 0);
   if (runner < 0) {
     ++context.turnedAway[*exchange.service];
-    return tl::unexpected(NoRunner::noneFits);
+    return tl::unexpected(NoRunnerReason::noneAvailable);
   }
   const bool isRetry = state.runnersUsed > 0;
-  const bool isFree = !isRetry || std::exchange(exchange.nextAttemptIsPaid, false);
-  if (isFree || context.retryBudget.tryWithdraw(*exchange.service, Exchange::now()))
+  const bool needsNoRetryToken = !isRetry || std::exchange(exchange.nextAttemptIsPaid, false);
+  if (needsNoRetryToken || context.retryBudget.tryWithdraw(*exchange.service, Exchange::now()))
     return runner;
-  return tl::unexpected(NoRunner::budgetSpent);
+  return tl::unexpected(NoRunnerReason::budgetSpent);
 }
 
 void attemptRunner(Exchange& exchange, int runner, RetryState& state) {
@@ -138,10 +143,11 @@
   return exchange.writeToClient(response) && exchange.keepAlive;
 }
 
-// Nothing has run: the client may come back, at a random time so that not all do at once.
+// The request has not run, so the client may retry. `Retry-After` is randomized so that clients do not retry all at
+// once.
 bool respondUnavailable(Exchange& exchange) {
   const auto spread = static_cast<std::int64_t>(exchange.context.rng() % kNoRunnerRetrySpreadMs);
-  return exchange.respond(503, Duration(kNoRunnerRetryMs + spread), "no runner is free");
+  return exchange.respond(503, Duration(kNoRunnerRetryAfterMs + spread), "no runner is free");
 }
 
 bool finish(Exchange& exchange, const RetryState& state, RetryDecision decision) {
@@ -151,7 +157,7 @@
       return exchange.keepAlive;
     case RetryDecision::nextRunner:  // not a final decision
     case RetryDecision::closeConnection:
-      // A response that has begun and not ended must not look complete.
+      // The connection is closed so that a truncated response does not look complete.
       if (exchange.responseStarted && state.outcome != AttemptOutcome::clientDisconnected)
         ++exchange.context.truncatedResponses;
       return false;
@@ -172,12 +178,12 @@
   Exchange exchange(context, client, parser);
   if (const auto rejection = admit(exchange))
     return exchange.respond(rejection->status, rejection->retryAfter, rejection->reason);
-  exchange.watch.emplace(client);
+  exchange.clientWatch.emplace(client);
 
   auto state = initialState(exchange);
   auto decision = attemptPartnerSite(exchange, state);
   for (int attempts = 0; decision == RetryDecision::nextRunner; ++attempts) {
-    if (exchange.watch->disconnected())
+    if (exchange.clientWatch->disconnected())
       return false;
     decision = attemptNextRunner(exchange, state, attempts);
   }
--- a/libs/proxy/src/runner_attempt.cpp
+++ b/libs/proxy/src/runner_attempt.cpp
@@ -6,7 +6,7 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr auto kConnectTimeout = 300ms;
-constexpr auto kDeadlineMargin = 50ms;  // for the runner's own response that the deadline has passed
+constexpr auto kDeadlineMargin = 50ms;  // time for the runner's own deadline response to arrive
 constexpr unsigned kNoContent = 204;
 constexpr unsigned kMisdirectedRequest = 421;
 }  // namespace
@@ -23,18 +23,18 @@
     return AttemptOutcome::notSent;
   if (clientDisconnected())
     return AttemptOutcome::clientDisconnected;
-  // The lease may have ended while the connection was established.
+  // The lease may have expired while the connection was being established.
   if (!exchange_.context.hasLease(Exchange::now())) {
     exchange_.staleConnection = true;
     return AttemptOutcome::notSent;
   }
-  const AttachedConnection attached(*exchange_.watch, *connection_);
+  const AttachedConnection attached(*exchange_.clientWatch, *connection_);
   connection_->setDeadline(exchange_.deadline + kDeadlineMargin);
   if (const auto outcome = sendRequest())
     return *outcome;
   ec_ = readFinalHeader(*connection_, buffer_, response_, exchange_.request.method(), exchange_.attemptId);
   if (ec_ || !belongsTo(response_->get(), exchange_.attemptId))
-    return responseLost();
+    return handleLostResponse();
   return relayResponse();
 }
 
@@ -81,14 +81,14 @@
     return AttemptOutcome::deadlineExceeded;
   }
   if (bytesWritten == 0)
-    return nothingSent();
-  // A part was sent: only a response that is here already can say what became of it.
+    return handleNothingSent();
+  // A part of the request was sent. Whether the runner ran the request is known only if a response has arrived already.
   partiallySent_ = true;
   return std::nullopt;
 }
 
-// The one case in which an open connection has certainly carried nothing.
-AttemptOutcome RunnerAttempt::nothingSent() {
+// A write of zero bytes is the only failure of an open connection after which certainly nothing reached the runner.
+AttemptOutcome RunnerAttempt::handleNothingSent() {
   exchange_.staleConnection = reused_;
   if (reused_)
     exchange_.context.connections.recordStaleConnection();
@@ -97,12 +97,13 @@
   return AttemptOutcome::notSent;
 }
 
-AttemptOutcome RunnerAttempt::responseLost() {
+AttemptOutcome RunnerAttempt::handleLostResponse() {
   if (clientDisconnected())
     return AttemptOutcome::clientDisconnected;
   if (connection_->deadlineExceeded() || Exchange::now() >= exchange_.deadline)
     return AttemptOutcome::deadlineExceeded;
-  // Not the runner's fault: it may have dropped a connection that was idle, and then resets it.
+  // A reset of a reused connection before any response byte is not counted as a failure of the runner: the runner may
+  // have dropped the connection while it was idle.
   exchange_.staleConnection = reused_ && ec_ == asio::error::connection_reset && !response_->got_some();
   if (exchange_.staleConnection)
     exchange_.context.connections.recordStaleConnection();
@@ -116,9 +117,9 @@
   exchange_.context.runners.updateLoad(runner_, headerValue(header, "X-Instance-Load"), Exchange::now());
   const bool success = isSuccess(header.result_int());
   const bool notExecuted = isNotExecuted(header);
-  // A success that says "not executed" contradicts itself: neither of the two can be relied on.
+  // A success status with "not executed" contradicts itself, so neither statement can be relied on.
   if (success && (notExecuted || !isSealed(header)))
-    return responseLost();
+    return handleLostResponse();
   const bool hasBody = header.result_int() != kNoContent && exchange_.request.method() != http::verb::head;
   if (success && hasBody && exchange_.route->type == config::RouteType::stream)
     return relayEvents();
@@ -128,7 +129,7 @@
 AttemptOutcome RunnerAttempt::relayEvents() {
   const auto outcome = relayStream(exchange_, *connection_, buffer_, *response_);
   if (outcome == AttemptOutcome::interrupted)
-    return responseLost();
+    return handleLostResponse();
   if (outcome == AttemptOutcome::migrated)
     ++exchange_.context.migratedStreams;
   if (outcome != AttemptOutcome::completed)
@@ -140,15 +141,16 @@
 }
 
 AttemptOutcome RunnerAttempt::relayComplete(bool notExecuted) {
-  pump(*connection_, buffer_, *response_, false, ec_);
+  readIntoParser(*connection_, buffer_, *response_, false, ec_);
   if (ec_ && clientDisconnected())
     return AttemptOutcome::clientDisconnected;
-  // "Not executed" in a complete header is valid whatever becomes of the body.
+  // "Not executed" in a complete header is valid even if the body does not arrive.
   if (ec_ && !notExecuted)
-    return responseLost();
+    return handleLostResponse();
   const auto status = response_->get().result_int();
   recordResult(status, notExecuted);
-  // A stream that has failed before its first event has not begun to run; anything else began about when it was sent.
+  // A stream that failed before its first event has not begun to run. Any other request began to run at about the time
+  // at which it was sent.
   if (!notExecuted && exchange_.route->type != config::RouteType::stream)
     exchange_.recordUsage(exchange_.pendingAttempt.startedAt);
   auto header = forwardedResponseHeader(response_->get());
@@ -161,7 +163,7 @@
     return AttemptOutcome::notExecuted;
   }
   if (!isSuccess(status))
-    return keepFailure(status, std::move(header), std::move(body));
+    return storeFailure(status, std::move(header), std::move(body));
   if (exchange_.responseStarted)
     return AttemptOutcome::interrupted;
   return sendToClient(std::move(header), body);
@@ -177,9 +179,9 @@
     exchange_.endPrefill(true);
 }
 
-AttemptOutcome RunnerAttempt::keepFailure(unsigned status, std::string header, std::string body) {
-  // Such a status would promise to the client what this runner does not say.
-  if (promisesNotRun(status))
+AttemptOutcome RunnerAttempt::storeFailure(unsigned status, std::string header, std::string body) {
+  // This status would tell the client that the request has not run, which the runner did not state.
+  if (promisesNotExecuted(status))
     return AttemptOutcome::interrupted;
   exchange_.failure = {std::move(header), std::move(body)};
   return AttemptOutcome::failed;
@@ -191,7 +193,7 @@
   header += "\r\n";
   if (exchange_.request.method() != http::verb::head)
     header += body;
-  exchange_.watch->attach(nullptr);
+  exchange_.clientWatch->attach(nullptr);
   return exchange_.writeToClient(header) ? AttemptOutcome::completed : AttemptOutcome::clientDisconnected;
 }
 
@@ -200,8 +202,9 @@
     return;
   const auto now = Exchange::now();
   connection_->clearDeadline();
-  // Detached: the client may disconnect while its response is written, when another request may have the connection.
-  exchange_.watch->attach(nullptr);
+  // The watch is detached first. The client may disconnect while its response is being written, and by then another
+  // request may be using this connection, which must not be closed.
+  exchange_.clientWatch->attach(nullptr);
   exchange_.context.connections.release(runnerId_, std::move(connection_), reusableUntil(response_->get(), now), now);
 }
 }  // namespace zinccleat::proxy
--- a/libs/proxy/src/upstream_response.cpp
+++ b/libs/proxy/src/upstream_response.cpp
@@ -5,10 +5,10 @@
 namespace zinccleat::proxy {
 namespace {
 constexpr std::uint64_t kMaxResponseBytes = 64U << 20;
-constexpr int kMaxUnrelatedResponses = 2;  // to other attempts, skipped before ours
+constexpr int kMaxUnrelatedResponses = 2;  // responses to other attempts that are skipped
 constexpr int kMaxInterimResponses = 16;
-constexpr auto kDefaultKeepAlive = 20s;   // where the runner names no time
-constexpr auto kKeepAliveMargin = 700ms;  // the runner must not close what has just been reused
+constexpr auto kDefaultKeepAlive = 20s;   // used if the runner's response has no `Keep-Alive` timeout
+constexpr auto kKeepAliveMargin = 700ms;  // the runner must not close a connection that was just reused
 constexpr std::int64_t kMsPerS = 1000;
 constexpr unsigned kRequestTimeout = 408;
 constexpr unsigned kMisdirectedRequest = 421;
@@ -16,7 +16,7 @@
 constexpr unsigned kServiceUnavailable = 503;
 }  // namespace
 
-bool promisesNotRun(unsigned status) {
+bool promisesNotExecuted(unsigned status) {
   return status == kRequestTimeout || status == kMisdirectedRequest || status == kTooManyRequests ||
          status == kServiceUnavailable;
 }
@@ -44,7 +44,7 @@
   return now + Duration(parseNumber(seconds, 1) * kMsPerS) - kKeepAliveMargin;
 }
 
-void prepare(ResponseParser& parser) {
+void configureParser(ResponseParser& parser) {
   parser.eager(true);
   parser.body_limit(kMaxResponseBytes);
 }
@@ -57,10 +57,10 @@
   int interimResponses = 0;
   for (;;) {
     parser.emplace();
-    prepare(*parser);
+    configureParser(*parser);
     if (request == http::verb::head)
       parser->skip(true);
-    pump(upstream, buffer, *parser, true, ec);
+    readIntoParser(upstream, buffer, *parser, true, ec);
     if (ec)
       return ec;
     if (isInterim(parser->get().result_int())) {
@@ -70,8 +70,8 @@
     }
     if (belongsTo(parser->get(), attemptId) || unrelatedResponses++ >= kMaxUnrelatedResponses)
       return {};
-    // A response to an earlier request on this connection is read to its end and dropped.
-    pump(upstream, buffer, *parser, false, ec);
+    // This is a response to an earlier request on the connection. It is read to its end and discarded.
+    readIntoParser(upstream, buffer, *parser, false, ec);
     if (ec)
       return ec;
   }
