--- a/tests/consensus_test.cpp
+++ b/tests/consensus_test.cpp
@@ -488,7 +488,7 @@
   self.node.receive(self.now, leader, snapshot);
   self.carryOutActions();
 
-  ASSERT_NE(self.node.entryAt(5), nullptr) << "an entry that this member has acknowledged is gone";
+  ASSERT_NE(self.node.entryAt(5), nullptr) << "an acknowledged entry is missing";
   EXPECT_EQ(self.node.entryAt(5)->operationId, "5");
   EXPECT_EQ(self.node.commitIndex(), 3);
 }
@@ -649,7 +649,7 @@
   int inTime = 0;
   for (std::uint64_t seed = 600; seed < 640 && !HasFailure(); ++seed)
     inTime += hasLeaderSoonAfterRestartOfAll(seed);
-  EXPECT_GE(inTime, 36) << "of 40";
+  EXPECT_GE(inTime, 36) << "restarts in time, of 40";
 }
 TEST(Consensus, LeadershipTransferTakesEffectAtOnce) {
   SimulatedCluster cluster(5);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -289,7 +289,7 @@
   cluster.leave(ip);
   while (cluster.nodes[ip].up && cluster.now - begun < 7s)
     cluster.runFor(50ms);
-  EXPECT_LT(cluster.now - begun, 2s) << "a member that restarts may exit soon";
+  EXPECT_LT(cluster.now - begun, 2s) << "a restarting member must be allowed to exit soon";
   cluster.runFor(300ms);
   cluster.start(ip, kSeeds, false);
   cluster.runFor(3000ms);
--- a/tests/model_checker.cpp
+++ b/tests/model_checker.cpp
@@ -122,7 +122,7 @@
     const auto actions = world.possibleActions();
     const auto found = std::find_if(actions.begin(), actions.end(),
                                     [&](const Action& action) { return world.describe(action) == wanted; });
-    checkInvariant(found != actions.end(), "each action of a written prefix is possible");
+    checkInvariant(found != actions.end(), "each action of the trace is possible");
     world.apply(*found);
     recordLeaders(world);
   }
--- a/tests/name_prefix_test.cpp
+++ b/tests/name_prefix_test.cpp
@@ -36,7 +36,7 @@
   const Folder folder;
   for (const std::string prefix : {"", "shard0-", "shard1-"}) {
     auto storage = prefix.empty() ? folder.plain() : folder.prefixed(prefix);
-    ASSERT_TRUE(storage.lock()) << "each has a lock of its own";
+    ASSERT_TRUE(storage.lock()) << "each storage has its own lock";
     ASSERT_TRUE(storage.load()->empty());
     ASSERT_TRUE(storage.append(recordOf("member" + prefix)));
   }
--- a/tests/posix_storage_test.cpp
+++ b/tests/posix_storage_test.cpp
@@ -99,12 +99,12 @@
 TEST(PosixStorage, RecordsAreLoadedInOrder) {
   const auto folder = freshDir();
   Storage storage(folder);
-  EXPECT_FALSE(storage.append(recordOf(1, true))) << "not loaded yet";
+  EXPECT_FALSE(storage.append(recordOf(1, true))) << "the storage is not loaded yet";
   ASSERT_TRUE(storage.load());
   ASSERT_TRUE(storage.append(recordOf(1, true)));
   ASSERT_TRUE(storage.append(recordOf(2, false)));
-  EXPECT_FALSE(storage.append(recordOf(4, false))) << "its predecessor is missing";
-  EXPECT_FALSE(storage.append(recordOf(2, false))) << "it exists already";
+  EXPECT_FALSE(storage.append(recordOf(4, false))) << "the record before it is missing";
+  EXPECT_FALSE(storage.append(recordOf(2, false))) << "the record exists already";
   ASSERT_TRUE(storage.append(recordOf(3, false)));
   const auto records = Storage(folder).load();
   ASSERT_TRUE(records);
@@ -117,7 +117,7 @@
   ASSERT_TRUE(storage.load());
   for (int i = 1; i <= 5; ++i)
     ASSERT_TRUE(storage.append(recordOf(i, i == 1 || i == 5)));
-  EXPECT_EQ(filesIn(folder), 5) << "removed after the acknowledgement, not before";
+  EXPECT_EQ(filesIn(folder), 5) << "append must not remove obsolete files";
   EXPECT_TRUE(storage.removeObsolete(3));
   EXPECT_FALSE(storage.removeObsolete(3));
   EXPECT_EQ(filesIn(folder), 1);
@@ -175,7 +175,7 @@
   ASSERT_TRUE(storage.append(recordOf(1, true)));
   const auto temporary = folder + "/" + recordName(2) + ".tmp";
   std::ofstream(temporary) << "half";
-  ASSERT_TRUE(storage.append(recordOf(2, false))) << "nor does it block the write";
+  ASSERT_TRUE(storage.append(recordOf(2, false))) << "a temporary file must not block the append";
   std::ofstream(temporary) << "half";
   const auto records = Storage(folder).load();
   ASSERT_TRUE(records);
--- a/tests/simulated_cluster.hpp
+++ b/tests/simulated_cluster.hpp
@@ -232,7 +232,7 @@
     std::vector<DiskRecord> records;
     for (const auto& bytes : disk) {
       const auto record = decodeRecord(bytes);
-      checkInvariant(record.has_value(), "a synced record reads back");
+      checkInvariant(record.has_value(), "a synced record can be decoded");
       if (record->full)
         records.clear();
       records.push_back(*record);
@@ -324,7 +324,7 @@
     if (node->paused)
       return schedule(kPausedRetry, [this, from, sender, receiver, bytes] { deliver(from, sender, receiver, bytes); });
     auto message = decodeMessage(bytes);
-    checkInvariant(message.has_value(), "a member's own message reads back");
+    checkInvariant(message.has_value(), "an encoded message can be decoded");
     node->raft->receive(now, sender, std::move(*message));
     carryOutActions(*node);
   }
--- a/tests/slow_disk_test.cpp
+++ b/tests/slow_disk_test.cpp
@@ -34,7 +34,7 @@
 };
 const SlowDisks kCases[] = {
     {"one", 1, 1500ms, 10s, false, 100ms, 200ms, 1},
-    {"one, stalled for good", 1, 3600s, 120s, false, 100ms, 200ms, 1},
+    {"one, stalled permanently", 1, 3600s, 120s, false, 100ms, 200ms, 1},
     {"a minority", 2, 1500ms, 10s, false, 100ms, 200ms, 1},
     {"a minority, the leader is lost", 2, 1500ms, 10s, true, 1600ms, 1600ms, 2},
     {"a majority", 3, 1500ms, 10s, false, 0ms, 3150ms, 0},
--- a/tests/storage_faults_test.cpp
+++ b/tests/storage_faults_test.cpp
@@ -263,7 +263,7 @@
   EXPECT_EQ(disk.names.size(), 4U);
   disk.operationResult = {};
   ASSERT_TRUE(appendAll(storage, "if", history, 1));
-  EXPECT_EQ(disk.names.size(), 1U) << "removed after the next full record";
+  EXPECT_EQ(disk.names.size(), 1U) << "obsolete files are removed after the next full record";
 }
 
 // --- Failing reads ---
@@ -279,7 +279,7 @@
     const auto records = storage.load();
     ASSERT_FALSE(records) << failing;
     EXPECT_EQ(records.error().subcode, EIO);
-    EXPECT_EQ(disk.content(), folder) << failing << ": nothing is changed";
+    EXPECT_EQ(disk.content(), folder) << failing << ": load must not change the files";
     const auto again = storage.load();
     ASSERT_TRUE(again);
     EXPECT_EQ(sequencesOf(*again), (Sequences{5, 6, 7}));
@@ -316,7 +316,7 @@
     const auto recovery = recoverStorage(storage, [&](const Error&) { return ++asked < 3; });
     ASSERT_FALSE(recovery);
     EXPECT_EQ(recovery.error().subcode, code);
-    EXPECT_EQ(asked, code == EIO ? 3 : 0) << "missing rights are permanent";
+    EXPECT_EQ(asked, code == EIO ? 3 : 0) << "a missing permission is a permanent error";
     EXPECT_EQ(disk.content(), folderOf("fii"));
   }
 }
--- a/tests/storage_fixtures.hpp
+++ b/tests/storage_fixtures.hpp
@@ -97,9 +97,9 @@
     if (record.seq != expected++)
       return "record " + std::to_string(record.seq) + " instead of " + std::to_string(expected - 1);
     if (encodeRecord(record) != history.written.at(record.seq))
-      return "record " + std::to_string(record.seq) + " is another one";
+      return "record " + std::to_string(record.seq) + " has different content";
   }
-  return expected == last + 1 ? "" : "the run ends early";
+  return expected == last + 1 ? "" : "the newest records are missing";
 }
 
 /// Appends records of this shape and removes obsolete files. A power loss ends the function with an exception.
--- a/tests/storage_quarantine_test.cpp
+++ b/tests/storage_quarantine_test.cpp
@@ -49,15 +49,15 @@
     ASSERT_TRUE(recovery) << shape << ": " << recovery.error().message;
     EXPECT_TRUE(recovery->records.empty());
     EXPECT_TRUE(recovery->identityLost);
-    ASSERT_EQ(recovery->warnings.size(), 1U) << "reported once, in a line";
+    ASSERT_EQ(recovery->warnings.size(), 1U) << "the corruption is reported in one line";
     EXPECT_NE(recovery->warnings[0].find("damaged-000001-"), std::string::npos);
     for (auto& [name, content] : folder)
       EXPECT_EQ(disk.content()["damaged-000001-" + name], content) << shape << ": " << name;
-    EXPECT_TRUE(disk.changes.empty()) << "all of it durable";
+    EXPECT_TRUE(disk.changes.empty()) << "all renames must be durable";
     EXPECT_TRUE(storage.append(recordOf(1, false)));
     auto restarted = storageOn(disk);
     EXPECT_EQ(sequencesOf(*restarted.load()), (Sequences{1}));
-    EXPECT_TRUE(restarted.hasQuarantine()) << "remembered over restarts";
+    EXPECT_TRUE(restarted.hasQuarantine()) << "the quarantine must be detected after a restart";
   }
 }
 TEST(StorageQuarantine, PowerLossAtEachOperationNeverRevivesAnOlderState) {
@@ -95,7 +95,7 @@
       ASSERT_TRUE(recovery->identityLost);
       for (const auto& [name, content] : disk.content())
         ASSERT_TRUE(name.starts_with("damaged-")) << name;
-      ASSERT_EQ(contentsOf(disk.content()), contentsOf(folder)) << "nothing deleted";
+      ASSERT_EQ(contentsOf(disk.content()), contentsOf(folder)) << "no file may be deleted";
     }
   }
 }
--- a/tests/storage_test.cpp
+++ b/tests/storage_test.cpp
@@ -54,7 +54,7 @@
     const auto records = loadFrom(disk);
     ASSERT_FALSE(records) << shape;
     EXPECT_EQ(records.error().code, ErrorCode::corruption) << shape;
-    EXPECT_EQ(disk.content(), folder) << shape << ": nothing is changed by looking";
+    EXPECT_EQ(disk.content(), folder) << shape << ": load must not change the files";
   }
 }
 TEST(Storage, RecordUnderAnotherNumberIsCorruption) {
@@ -80,7 +80,7 @@
   const auto records = loadFrom(disk);
   ASSERT_TRUE(records) << records.error().message;
   EXPECT_EQ(sequencesOf(*records), (Sequences{1, 2}));
-  EXPECT_EQ(disk.content(), folder) << "files of others stay";
+  EXPECT_EQ(disk.content(), folder) << "load must not change foreign files";
 }
 TEST(Storage, FormatOfAnotherVersionIsRejectedAndUnchanged) {
   const auto newer = encodeRecordAs(kRecordFormat + 1, recordOf(2, true));
