--- a/libs/consensus/include/consensus/raft_node.hpp
+++ b/libs/consensus/include/consensus/raft_node.hpp
@@ -30,13 +30,13 @@
   Duration leaseMargin{67};       ///< the leader's lease ends this much earlier than the promise, a sixth of `lease`
   Duration electionTimeout{430};  ///< longer than the lease
   Duration electionTimeoutSpread{200};
-  Duration tickInterval{50};           ///< how often `tick` is called
-  Duration syncStallTimeout{700};      ///< a leader whose sync takes longer steps down if a quorum syncs much faster
-  Duration unreachableAfter{2500};     ///< a voter that is silent for longer may be replaced or removed
-  Duration voteRetryInterval{100};     ///< between two pre-vote requests while a majority is missing
-  Duration resendTimeout{400};         ///< unacknowledged entries are sent again after this time
-  Duration joinInterval{500};          ///< between two join requests
-  Duration leaveInterval{100};         ///< between two leave requests
+  Duration tickInterval{50};        ///< how often `tick` is called
+  Duration syncStallTimeout{700};   ///< a leader with a longer sync transfers its leadership if a quorum is much faster
+  Duration unreachableAfter{2500};  ///< a voter that is silent for longer may be replaced or removed
+  Duration voteRetryInterval{100};  ///< between two pre-vote requests while a majority is missing
+  Duration resendTimeout{400};      ///< unacknowledged entries are sent again after this time
+  Duration joinInterval{500};       ///< between two join requests
+  Duration leaveInterval{100};      ///< between two leave requests
   Duration persistRetryInterval{300};  ///< delay before a record that the disk failed to write is written again
   std::size_t largeBodyBytes = 16384;  ///< larger bodies are sent ahead by the node that accepted the write
   std::size_t maxVoters = 9;  ///< further machines stay learners, since each write waits for the syncs of a majority
@@ -56,8 +56,8 @@
   std::int64_t ticket = 0;
   DiskRecord record;
 };
-/// Apply a committed entry. Entries follow the snapshot below them in the order of their indexes, and each entry is
-/// applied once per process.
+/// Apply a committed entry. Each process applies each entry once, in the order of the indexes, starting after the
+/// newest restored snapshot.
 struct ApplyEntry {
   transport::LogEntry entry;
 };
--- a/libs/consensus/src/election.cpp
+++ b/libs/consensus/src/election.cpp
@@ -107,8 +107,8 @@
   if (request.transferredTerm > 0 && request.transferredTerm >= term.current)
     return false;
   // The lease is void if the candidate was the leader of the current term and has restarted, since a restart ends the
-  // lease. A promise to a leader of a later term cannot be void by mistake: it is sent only once that later term is on
-  // this member's disk (`acknowledge`), and then `term.current` differs from `endedLeaseTerm`.
+  // lease. This rule cannot void a promise to a leader of a later term: such a promise is sent only once the later term
+  // is on this member's disk (`acknowledge`), and then `term.current` differs from `endedLeaseTerm`.
   return !(request.endedLeaseTerm > 0 && request.endedLeaseTerm == term.current);
 }
 void RaftCore::onPreVoteRequest(TimePoint now, const MemberId& from, const VoteRequest& request) {
--- a/libs/consensus/src/persistence.cpp
+++ b/libs/consensus/src/persistence.cpp
@@ -63,8 +63,8 @@
   return diskStalled() && !progressing;
 }
 // Only the oldest record is retried, since the disk writes records in order. If more records are queued behind it, all
-// of them are replaced by one full record: writing a backlog of single records would take longer than the
-// records took to accumulate.
+// of them are replaced by one full record: writing a backlog of single records would take longer than the records took
+// to accumulate.
 void RaftCore::retryPersist(TimePoint now) {
   if (!persistence.retryDue(now))
     return;
--- a/libs/consensus/src/raft_core.hpp
+++ b/libs/consensus/src/raft_core.hpp
@@ -120,8 +120,8 @@
   bool leaseValid(TimePoint now) const;
   bool recentlyHeard(TimePoint now, const PeerProgress& progress) const;
   /// Whether a quorum commits without this member's disk, in at most a third of the time for which this disk has been
-  /// writing. Otherwise a leadership transfer is useless: too many other disks are as slow, and the election would wait
-  /// for them too.
+  /// writing; a failed write counts as slow too. Otherwise a leadership transfer is useless: too many other disks are
+  /// as slow, and the election would wait for them too.
   bool quorumCommitsMuchFasterThanOwnDisk(TimePoint now) const;
   /// Tracks since when the commit index has been ahead of this member's disk.
   void trackCommitAheadOfDisk(TimePoint now);
