--- a/libs/controller/src/append_queue.cpp
+++ b/libs/controller/src/append_queue.cpp
@@ -34,10 +34,10 @@
       append.record.state = append.encodeState();
     results.push_back(append.storage->stage(append.record));
   }
-  const auto staged =
+  const auto placed =
       std::find_if(results.begin(), results.end(), [](const auto& result) { return result.has_value(); });
-  if (staged != results.end()) {
-    const auto synced = batch[static_cast<std::size_t>(staged - results.begin())].storage->syncFolder();
+  if (placed != results.end()) {
+    const auto synced = batch[static_cast<std::size_t>(placed - results.begin())].storage->syncFolder();
     for (auto& result : results)
       if (result && !synced)
         result = synced;
