--- a/libs/coordination/include/coordination/commands.hpp
+++ b/libs/coordination/include/coordination/commands.hpp
@@ -7,14 +7,14 @@
 namespace zinccleat::coordination {
 /// The kind of a command. The numeric values are part of the wire and disk formats.
 enum class CommandKind : std::int32_t {
-  acquireLock = 1,     ///< through the log
-  renewLock = 2,       ///< through the log
-  releaseLock = 3,     ///< through the log
-  nextNumber = 4,      ///< by the leaseholder, from its reserved block of numbers
-  reserveNumbers = 5,  ///< through the log: reserves a block of numbers for the leaseholder
-  putCell = 6,         ///< through the log
-  getCell = 7,         ///< by the leaseholder, from memory
-  /// By the leaseholder: the log index that a replica must have applied to be as recent as the leaseholder.
+  acquireLock = 1,     ///< executed through the log
+  renewLock = 2,       ///< executed through the log
+  releaseLock = 3,     ///< executed through the log
+  nextNumber = 4,      ///< answered by the leaseholder, from its reserved block of numbers
+  reserveNumbers = 5,  ///< executed through the log: reserves a block of numbers for the leaseholder
+  putCell = 6,         ///< executed through the log
+  getCell = 7,         ///< answered by the leaseholder, from memory
+  /// Answered by the leaseholder: the log index that a replica must have applied to be as recent as the leaseholder.
   readIndex = 8,
 };
 /// The expected revision of a put that applies to any revision of the cell.
