--- a/libs/platform/src/usage_collector.cpp
+++ b/libs/platform/src/usage_collector.cpp
@@ -11,7 +11,7 @@
 constexpr auto kLeaderDiscoveryTime = 2500ms;
 constexpr auto kForgetReporterAfter = 60s;
 // Windows that an earlier leader may have left unreported, if no report is known.
-constexpr std::int64_t kWindowsBeforeFirst = 2;
+constexpr std::int64_t kWindowsBeforeTerm = 2;
 constexpr std::int64_t kMaxWindowAge = 16;  // relative to the newest window; older windows are never reported
 }  // namespace
 
@@ -83,7 +83,7 @@
     return reports;
   const auto newest = windowOf(fleetTime, times_.windowLength) - 1;
   if (!firstWindow_)
-    firstWindow_ = newest - kWindowsBeforeFirst;
+    firstWindow_ = newest - kWindowsBeforeTerm;
   if (!counts_.empty())
     firstWindow_ = std::min(*firstWindow_, counts_.begin()->first);
   const auto oldest = known.empty() ? *firstWindow_ : std::min(*firstWindow_, known.windows().begin()->first);
