--- a/libs/coordination/src/shard_state.cpp
+++ b/libs/coordination/src/shard_state.cpp
@@ -297,7 +297,7 @@
   if (!contents)
     return tl::unexpected(contents.error());
   if (!std::all_of(contents->groups.begin(), contents->groups.end(), isConsistent))
-    return makeError(ErrorCode::corruption, "a group whose history has gaps");
+    return makeError(ErrorCode::corruption, "the history of a group in the snapshot has gaps");
   *this = ShardState(limits_);
   index_ = contents->index;
   timeMs_ = contents->timeMs;
--- a/libs/replicated_counters/src/counter_replica.cpp
+++ b/libs/replicated_counters/src/counter_replica.cpp
@@ -330,7 +330,7 @@
   actions_.emplace_back(std::move(write));
 }
 void CounterReplica::persisted(TimePoint now) {
-  checkInvariant(isPersisting_, "a write to the disk ends once");
+  checkInvariant(isPersisting_, "a disk write was reported as finished, but none is in progress");
   isPersisting_ = false;
   durable_ = std::move(persisting_);
   ownDiskTime_.end(now, sequenceIn(durable_, options_.origin));
