--- a/tests/balancing_test.cpp
+++ b/tests/balancing_test.cpp
@@ -29,8 +29,9 @@
 }
 }  // namespace
 
-// Nodes that restart, a leader that changes, demand far above the limit: no window exceeds its limit. Few nodes with
-// steady tenants (local reserves) and many that send rarely (immediate tokens); late responses; partitioned nodes.
+// Guards against grants that exceed a tenant's limit in any window: nodes restart and are partitioned, the leader
+// changes, grants arrive late, and the demand is far above the limit. Covers a few nodes with steady tenants (local
+// reserves) and many nodes that get requests rarely (immediate tokens).
 TEST(Quota, NoWindowExceedsItsLimit) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 rng(seed);
@@ -114,7 +115,8 @@
     }
   }
 }
-// A tenant's requests spread over few nodes or many: a token costs one round trip, none is lost by expiry.
+// Demand below the limit must not be rejected, whether a tenant's requests are spread over few nodes or many. A token
+// takes one round trip to the leader, and no token is lost by expiry.
 TEST(Quota, DemandBelowTheLimitIsAllowed) {
   for (const std::size_t count : {9U, 70U, 330U}) {
     std::mt19937_64 rng(3);
@@ -127,7 +129,7 @@
     int requestCount = 0;
     int rejectedCount = 0;
     for (int ms = 0; ms < 40000; ms += 10, now += 10ms) {
-      // 20 a second, in clumps of three at one node.
+      // 20 requests per second, in bursts of three at one node.
       if (ms > 4000 && rng() % 15 == 0) {
         const auto i = static_cast<std::size_t>(rng() % nodes.size());
         auto& node = nodes[i];
@@ -165,7 +167,7 @@
   EXPECT_TRUE(buckets.retryAcquire("t", now + 10ms));
   EXPECT_FALSE(buckets.retryAcquire("t", now + QuotaTokenBuckets::kImmediateTokenLifetime + 1ms));
 }
-// A node reports only tenants that send to it steadily, however many are configured or sent a single request.
+// A node reports only the tenants that send to it steadily, however many other tenants sent a single request.
 TEST(Quota, OnlySteadyTenantsAreReported) {
   QuotaTokenBuckets buckets;
   TimePoint now{100s};
@@ -186,13 +188,13 @@
   }
   for (int i = 0; i < 200; ++i, now += 400ms)
     (void)buckets.steadyDemand(now);
-  EXPECT_EQ(buckets.size(), 0U) << "tenants without requests are forgotten";
+  EXPECT_EQ(buckets.size(), 0U) << "tenants without requests are removed";
 }
 TEST(RetryBudget, RetriesStayWithinTheRatio) {
   std::mt19937_64 rng(9);
   RetryBudget budget(0.15, 2500ms);
   budget.setReserve(10, 0.5);
-  std::deque<std::pair<int, bool>> window;  // time in 10 ms, whether it was a retry
+  std::deque<std::pair<int, bool>> window;  // time in units of 10 ms, and whether the attempt was a retry
   TimePoint now{100s};
   for (int t = 0; t < 100000; ++t, now += 10ms) {
     if (rng() % 10 == 0)
@@ -208,7 +210,8 @@
     ASSERT_LE(retries, 0.2 * firstAttempts + 12) << t;
   }
 }
-// No traffic for long, then everything fails at once on all nodes: their reserves must fit the window's slack.
+// After a long time without traffic, all requests on all nodes fail at once. The nodes' reserves together must stay
+// within the slack of the window.
 TEST(RetryBudget, AllNodesTogetherStayWithinTheSlack) {
   std::mt19937_64 rng(4);
   for (int nodes : {3, 6, 9, 20, 70, 330}) {
@@ -217,7 +220,7 @@
     for (auto& budget : budgets)
       budget.setReserve(slack * 0.5 / nodes, static_cast<double>(rng() % 1000) / 1000);
     TimePoint now{100s};
-    // Much traffic once, then little: what was earned long ago must not be spent on the little.
+    // Much traffic is followed by little traffic. Tokens earned by the much traffic must not be spent on retries later.
     for (int i = 0; i < 500; ++i, now += 10ms)
       for (auto& budget : budgets)
         budget.recordRequest("s", now);
@@ -237,7 +240,8 @@
     EXPECT_GT(retries, 0) << nodes;
   }
 }
-// Steady traffic and a sudden end of it: the rule counts the requests of the window, or of the one before it.
+// After steady traffic has stopped, earned tokens must expire: the retry rule compares retries with the first attempts
+// of the same window or of the window before.
 TEST(RetryBudget, EarnedTokensExpire) {
   RetryBudget budget(0.15, 2500ms);
   budget.setReserve(0.2, 0.9);
@@ -282,11 +286,12 @@
   query.promptTokens = 3000;
   const int preferred = pool.choose(query, TimePoint{100s});
   pool.attemptStarted(preferred, 3000);
-  EXPECT_EQ(pool.choose(query, TimePoint{100s}), preferred) << "one waiting prompt is no reason to leave";
+  EXPECT_EQ(pool.choose(query, TimePoint{100s}), preferred) << "one waiting prompt does not change the choice";
   pool.attemptStarted(preferred, 30000);
   EXPECT_NE(pool.choose(query, TimePoint{100s}), preferred);
   pool.prefillEnded(preferred, 30000);
-  EXPECT_EQ(pool.choose(query, TimePoint{100s}), preferred) << "and it comes back";
+  EXPECT_EQ(pool.choose(query, TimePoint{100s}), preferred)
+      << "the preferred runner is chosen again once the backlog is gone";
 }
 TEST(RunnerPool, DrainingRunnersAreNeverChosenUnhealthyOnesOnlyAtNeed) {
   RunnerPool pool(1);
@@ -320,7 +325,8 @@
   pool.setRunners({runnerIn("r2", "b1")});
   RunnerQuery query;
   query.service = "s", query.zone = "a1", query.hasPrefixCache = true, query.affinity = 5, query.sharedTokens = 2000;
-  EXPECT_EQ(pool.at(pool.choose(query, TimePoint{100s})).id, "r2") << "far away is better than nowhere";
+  EXPECT_EQ(pool.at(pool.choose(query, TimePoint{100s})).id, "r2")
+      << "a runner in another region is chosen if there is no other";
 }
 TEST(PromptPrefix, ParsesParts) {
   const auto prefix = parsePromptPrefix("5c1e07a2:800,91bd3f06:410,e4402b7d:250");
@@ -338,7 +344,7 @@
   TimePoint now{100s};
   for (int i = 0; i < 400; ++i, now += 10ms) {
     admission.recordResponse("s", i % 3 == 0, now);
-    ASSERT_TRUE(admission.admits("s", 4, 0.0, now)) << "a third late is no overload";
+    ASSERT_TRUE(admission.admits("s", 4, 0.0, now)) << "one late response in three is no overload";
   }
   for (int i = 0; i < 400; ++i, now += 10ms)
     admission.recordResponse("s", true, now);
--- a/tests/chunked_test.cpp
+++ b/tests/chunked_test.cpp
@@ -1,4 +1,5 @@
-// Chunked bodies, cut where the network may cut them. The parser's own assertion once ended the process here.
+// Chunked bodies that arrive in two parts, split at every possible position. Guards against an assertion failure in the
+// HTTP parser, which ended the process when the last line of an empty body arrived separately.
 #include "standins.hpp"
 
 using namespace zinccleat;
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The phases after SIGTERM: their times, and what a proxy does with connections and requests in each of them.
+// The phases after SIGTERM: when each phase begins, and how a proxy treats connections and requests in each phase.
 #include "proxy/graceful_shutdown.hpp"
 
 #include "standins.hpp"
@@ -17,11 +17,11 @@
   shutdown.begin(kSigtermAt, grace);
   return shutdown;
 }
-// Begun so long ago that requests are no longer accepted.
+// Starts the shutdown with a start time so far in the past that requests are no longer accepted.
 void stopAcceptingRequests(ProxyContext& context) {
   context.shutdown.begin(Clock::now() - kNotReadyDuration, 8s);
 }
-// Whether the peer closes the connection before it sends anything.
+// Whether the peer closes the connection without sending anything.
 bool closesWithoutResponse(Connection& connection) {
   SocketError ec;
   char byte = 0;
@@ -49,8 +49,8 @@
   for (auto& [after, phase] : table)
     EXPECT_EQ(shutdown.phase(kSigtermAt + after), phase) << after.count() << " ms";
 }
-// The rule LOST forgives a cut response only for requests that were sent no later than 3 s after SIGTERM and at which a
-// runner still worked in the second half of `graceS`.
+// The rule LOST forgives a cut response only if the request was sent no later than 3 s after SIGTERM and a runner was
+// still processing it in the second half of `graceS`.
 TEST(GracefulShutdown, AcceptsNothingThatLostWouldCount) {
   for (Duration grace = 200ms; grace <= 60s; grace += 200ms) {
     const auto shutdown = shutdownWithGrace(grace);
@@ -59,7 +59,8 @@
       const bool lostWouldCount = after >= 3s || after >= grace / 2;
       EXPECT_FALSE(lostWouldCount && shutdown.acceptsRequests(now)) << grace.count() << ", " << after.count();
     }
-    EXPECT_TRUE(shutdown.mayExit(kSigtermAt + grace * 9 / 10, 1, 1)) << "it ends before it is killed";
+    EXPECT_TRUE(shutdown.mayExit(kSigtermAt + grace * 9 / 10, 1, 1))
+        << "the process exits before the platform kills it";
   }
 }
 TEST(GracefulShutdown, OnlyTheFirstSigtermCounts) {
@@ -69,8 +70,8 @@
 }
 TEST(GracefulShutdown, ExitsOnceNothingIsInFlight) {
   const auto shutdown = shutdownWithGrace(8s);
-  EXPECT_FALSE(shutdown.mayExit(kSigtermAt, 0, 0)) << "callers may still come";
-  EXPECT_FALSE(shutdown.mayExit(kSigtermAt + 2600ms, 1, 0)) << "a request may be half read";
+  EXPECT_FALSE(shutdown.mayExit(kSigtermAt, 0, 0)) << "callers may still send requests";
+  EXPECT_FALSE(shutdown.mayExit(kSigtermAt + 2600ms, 1, 0)) << "a request may have been read partly";
   EXPECT_TRUE(shutdown.mayExit(kSigtermAt + 2600ms, 0, 0));
   EXPECT_FALSE(shutdown.mayExit(kSigtermAt + 3s, 2, 1));
   EXPECT_TRUE(shutdown.mayExit(kSigtermAt + 3s, 1, 0));
@@ -147,7 +148,7 @@
     EXPECT_EQ(proxy.context.clients, 0);
   });
 }
-// The client sends in the very turn in which its connection is closed as idle.
+// The client sends a request in the same event loop iteration in which its connection is closed as idle.
 TEST(GracefulShutdown, BytesThatCameBeforeTheCloseAreStillAnswered) {
   withProxy([](TestProxy& proxy) {
     auto runner = proxy.runner("i-1", respondOk);
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -1,4 +1,4 @@
-// One request through the proxy, against stand-ins for client and runner on loopback.
+// Single requests through the proxy, with a fake client and fake runners on loopback connections.
 #include "standins.hpp"
 
 using namespace zinccleat;
@@ -70,7 +70,7 @@
       EXPECT_EQ(response.body, std::string("body of ") + id);
     }
     EXPECT_NE(runner->receivedRequests[1].find("\nabcde"), std::string::npos);
-    EXPECT_EQ(runner->connections, 1) << "the runner's connection is used again";
+    EXPECT_EQ(runner->connections, 1) << "the connection to the runner is reused";
   });
 }
 TEST(Proxy, AtMostOnceRequestsReachNoSecondRunnerAfterASend) {
@@ -85,7 +85,7 @@
       const auto response = sendRequest(proxy, requestText(path));
       EXPECT_EQ(r1->receivedRequests.size() + r2->receivedRequests.size(), 1U) << path;
       EXPECT_TRUE(response.status == 502 || response.status == 0)
-          << response.status << ": 408, 421, 429 and 503 would promise that it never ran";
+          << response.status << ": 408, 421, 429 and 503 would state that the request has not run";
     }
   });
 }
@@ -242,7 +242,7 @@
     proxy.runner("i-2", handler);
     const auto response = sendRequest(proxy, requestText("/resume/x"));
     EXPECT_TRUE(response.bodyComplete);
-    EXPECT_EQ(response.body, event(1) + event(2) + event(3) + event(4)) << "nothing missing, nothing twice";
+    EXPECT_EQ(response.body, event(1) + event(2) + event(3) + event(4)) << "no event is missing or repeated";
     EXPECT_EQ(response.headers.at("X-Server-Seal"), "seal-first");
     EXPECT_NE(second.find("Last-Event-Id: 2\n"), std::string::npos) << second;
   });
--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -1,5 +1,5 @@
-// The rules about one request that docs/rules.md lists: what a runner is given, when a response is complete, how long
-// each side waits. Against stand-ins for client and runner on loopback.
+// The rules of docs/rules.md that apply to a single request: what is forwarded to a runner, when a response is complete
+// and how long each side waits. Clients and runners are fakes on loopback connections.
 #include <sys/socket.h>
 
 #include "standins.hpp"
@@ -11,8 +11,9 @@
 using namespace zinccleat::state_machine;
 using namespace zinccleat::proxy_testing;
 namespace {
-constexpr auto kResponseMargin = 500ms;  // by then after its expiry a request has its final answer
-constexpr auto kCancelMargin = 500ms;    // by then after its client has left a request is over at its runner
+constexpr auto kResponseMargin = 500ms;  // maximum time from the expiry of a request to the end of its response
+constexpr auto kCancelMargin =
+    500ms;  // maximum time from a client's disconnect to the end of its request at the runner
 
 std::string headerOf(const std::string& request, const std::string& name) {
   const auto from = request.find("\n" + name + ": ");
@@ -27,7 +28,7 @@
   connection.read(asio::buffer(&byte, 1), ec);
   connection.close();
 }
-// Closes a connection with a reset.
+// Closes a connection with a TCP reset.
 void reset(Connection& connection) {
   const linger now{1, 0};
   ::setsockopt(connection.socket().native_handle(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -38,7 +39,7 @@
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + attempt + "\r\nX-Server-Seal: seal-1\r\nConnection: close\r\n\r\n" +
          body;
 }
-// Four routes with this expiry, otherwise as the proxy under test has them.
+// Sets the expiry of all routes of the proxy under test.
 void setExpiry(TestProxy& proxy, Duration expiry) {
   auto configuration = std::make_shared<Configuration>(*proxy.context.configuration);
   for (auto& route : configuration->routes)
@@ -103,8 +104,9 @@
     proxy.context.configuration = configuration;
     EXPECT_EQ(sendRequest(proxy, requestText("/safe/x", "a2", "X-Precedence: 0\r\n")).status, 200);
     ASSERT_EQ(runner->receivedRequests.size(), 2U);
-    EXPECT_EQ(headerOf(runner->receivedRequests[0], "X-Precedence"), "3") << "the route's";
-    EXPECT_EQ(headerOf(runner->receivedRequests[1], "X-Precedence"), "1") << "the subscriber's comes first";
+    EXPECT_EQ(headerOf(runner->receivedRequests[0], "X-Precedence"), "3") << "the precedence of the route";
+    EXPECT_EQ(headerOf(runner->receivedRequests[1], "X-Precedence"), "1")
+        << "the precedence of the subscriber overrides that of the route";
   });
 }
 TEST(RequestRules, ARunnerIsGivenNoMoreTimeThanIsLeft) {
@@ -130,7 +132,8 @@
       EXPECT_GT(deadlinesMs[0], 0) << "each runner gets a deadline";
       EXPECT_LE(deadlinesMs[0], row.maxMs);
       EXPECT_GT(deadlinesMs[1], 0);
-      EXPECT_LE(deadlinesMs[1], row.maxMs - kFirstAttemptDuration.count()) << "less what the first attempt used";
+      EXPECT_LE(deadlinesMs[1], row.maxMs - kFirstAttemptDuration.count())
+          << "the second deadline is reduced by the duration of the first attempt";
     });
 }
 TEST(RequestRules, NoMoreRunnersThanTheRouteAllowsHoweverRichTheBudget) {
@@ -189,7 +192,7 @@
       EXPECT_EQ(response.status, 200);
       EXPECT_FALSE(response.bodyComplete) << path;
       EventLoop::get().sleepFor(50ms);
-      EXPECT_TRUE(cancelled) << path << ": the runner's work ends too";
+      EXPECT_TRUE(cancelled) << path << ": the runner stops as well";
     });
 }
 TEST(RequestRules, WithoutAConfigurationNothingIsRejectedForGood) {
@@ -220,12 +223,13 @@
       EXPECT_LE(closedAt - disconnectedAt, kCancelMargin) << path;
     });
 }
-// A client may disconnect while its request waits unread because of `maxBodyBytes`.
+// A client may disconnect while its request is not being read because `maxBodyBytes` is exceeded. The request must not
+// reach a runner afterwards.
 TEST(RequestRules, AClientThatDisconnectedBeforeItsRequestWasReadReachesNoRunner) {
   withProxy([](TestProxy& proxy) {
     auto runner = proxy.runner("i-1", respondOk);
     EXPECT_EQ(sendRequest(proxy, requestText("/safe/x", "a1")).status,
-              200);  // leaves a connection to the runner for the next request
+              200);  // puts a connection to the runner into the pool
     proxy.context.bodyBytes = 2;
     proxy.context.maxBodyBytes = 1;
     auto client = proxy.connectClient();
@@ -292,10 +296,10 @@
   });
 }
 namespace {
-// A runner that answers as soon as it has a request's head, and reads the body only afterwards.
+// A runner that answers as soon as it has read the header of a request, and reads the body afterwards.
 struct EarlyResponder {
   tcp::acceptor acceptor{EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
-  std::vector<std::string> bodies;  // the bytes in the position of each body, by its length
+  std::vector<std::string> bodies;  // the bytes received after each header, as many as `Content-Length` announced
   std::size_t connections = 0;
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
   void acceptNext() {
@@ -354,7 +358,7 @@
       EXPECT_EQ(sendRequest(proxy, requestText("/safe/x", "a2", "", second)).body, "early");
       EventLoop::get().sleepFor(200ms);
       for (auto& body : runner.bodies)
-        EXPECT_TRUE(body == first || body == second) << "other bytes where a body is due, " << body.size();
+        EXPECT_TRUE(body == first || body == second) << "unexpected bytes in place of a body, " << body.size();
       EXPECT_EQ(runner.bodies.size(), 2U);
     });
 }
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -1,6 +1,7 @@
-// Which requests are retried after a reset, a close or a time-out, and which are not: every kind of request, on a new
-// and on a reused connection, with each failure at each byte position of request and response. Runners and clients are
-// stand-ins on loopback. Expectations follow the protocol page, not the code: `expected` below is the table in words.
+// Which requests are retried after a connection failure, and which are not. Covers each kind of request, on a new and
+// on a reused connection, with each failure mode at each position in the request and the response. Runners and clients
+// are fakes on loopback connections. The expected results in `expected` follow the protocol documentation, not the
+// code.
 #include <sys/socket.h>
 
 #include <cstdlib>
@@ -17,15 +18,15 @@
 
 enum class CallKind { safe, unsafe, stream, resumable };
 enum class FailureMode { reset, close, silence, garbage, notExecuted, otherId, extraBytes };
-// Where the failure occurs. The first five count the bytes of the request that the runner has read by then; the others
-// those of its answer that it has sent.
+// The position of the failure. Positions up to `completeRequest` say how much of the request the runner has read; the
+// later ones say how much of its response the runner has sent.
 enum class Position {
   beforeConnect,
   nothingRead,
   partOfHeader,
   completeHeader,
   partOfBody,
-  completeRequest,  // and no byte of the answer
+  completeRequest,  // no byte of the response was sent
   inStatusLine,
   inResponseHeader,
   afterResponseHeader,
@@ -68,7 +69,7 @@
 
 constexpr int kEvents = 4;
 const std::string kBody = "0123456789";
-// The correct response to a request, from its first event on or after the one that it names.
+// The correct response to a request. A stream begins after the event `after`; 0 sends all events.
 std::string correctResponse(CallKind kind, const std::string& id, int after = 0) {
   if (!isStream(kind))
     return completeResponse(id, "body of " + id);
@@ -95,7 +96,7 @@
       return response.substr(0, headerSize - 9);
     case Position::afterResponseHeader:
       return response.substr(0, headerSize);
-    case Position::inResponseBody:  // a stream: in the middle of its second event, inside a chunk
+    case Position::inResponseBody:  // for a stream: inside the chunk of its second event
       return isStream(kind) ? response.substr(0, headerSize + chunk(event(1)).size() + 9)
                             : response.substr(0, headerSize + 4);
     case Position::allButLastByte:
@@ -105,8 +106,8 @@
   }
 }
 
-// A runner that reads a given part of a request and then plays a failure. One script for all runners of a rig: the
-// first connection that carries a request plays it; all later requests are answered correctly.
+// A proxy with several runners that fail once: the first request that reaches any of the runners is read up to a given
+// position and then fails in the given way. All later requests are answered correctly.
 struct FailureScenario {
   struct ReceivedRequest {
     std::string runner, bytes;
@@ -118,7 +119,8 @@
   Position position = Position::completeRequest;
   bool failureInjected = false;
   int fibers = 0;
-  std::vector<std::shared_ptr<ReceivedRequest>> receivedRequests;  // one a request that began, in order
+  // One entry for each request that began to arrive, in order.
+  std::vector<std::shared_ptr<ReceivedRequest>> receivedRequests;
   struct RunnerListener {
     std::string id;
     std::shared_ptr<tcp::acceptor> acceptor;
@@ -185,7 +187,7 @@
     const auto from = at + field.size() + 4;
     return request.substr(from, request.find("\r\n", from) - from);
   }
-  // One request on a connection. False: the connection is over.
+  // Serves one request on a connection. Returns false if the connection has ended.
   bool serve(RunnerListener& listener, Connection& connection) {
     SocketError ec;
     connection.awaitReadable(ec);
@@ -229,7 +231,7 @@
   bool injectFailure(Connection& connection, ReceivedRequest& request, const std::string& id) {
     if (const auto prefix = responsePrefix(kind, position, id); !prefix.empty()) {
       sendBytes(connection, prefix);
-      // It arrives by itself: a reset would take back what the proxy has not read yet.
+      // The prefix must arrive before the failure: a reset discards bytes that the proxy has not read yet.
       EventLoop::get().sleepFor(2ms);
     }
     switch (failureMode) {
@@ -254,7 +256,8 @@
         sendBytes(connection, completeResponse(id, "full", 503, "X-Not-Executed: 1\r\n"));
         if (position == Position::completeRequest)
           return true;
-        // The rest is read, so that the close does not take the answer back.
+        // The rest of the request is read because closing a connection with unread bytes resets it, which would discard
+        // the response.
         connection.socket().shutdown(tcp::socket::shutdown_send, ignored_);
         for (std::string rest; readMore(connection, rest, 4096);) {
         }
@@ -268,7 +271,7 @@
     }
     return false;
   }
-  // Closes everything and waits until nothing refers to this rig.
+  // Closes all connections and waits until no fiber refers to this object.
   void closeAndWait() {
     SocketError ec;
     proxy.listener->close(ec);
@@ -280,7 +283,7 @@
       EventLoop::get().sleepFor(1ms);
     EXPECT_EQ(fibers, 0);
     EXPECT_EQ(proxy.context.clients, 0);
-    EventLoop::get().sleepFor(1ms);  // handlers of closed acceptors
+    EventLoop::get().sleepFor(1ms);  // lets the handlers of the closed acceptors run
   }
   int receivedRequestCount() const { return static_cast<int>(receivedRequests.size()); }
 
@@ -298,8 +301,9 @@
   return std::string(name(row.kind)) + ", " + (row.reused ? "reused" : "new") + ", " + name(row.failureMode) + ", " +
          name(row.position);
 }
-// Rows that make sense: X-Not-Executed, another id and surplus bytes are answers, so they come at a position of the
-// request. Garbage that fills up an announced length can't be distinguished from the response that was due.
+// Whether a combination can occur. `X-Not-Executed`, another id and extra bytes are responses of their own, so they
+// need a position in the request. Garbage within an announced body length cannot be distinguished from the correct
+// body.
 bool isMeaningful(const Row& row) {
   if (row.position == Position::beforeConnect)
     return !row.reused && (row.failureMode == FailureMode::reset || row.failureMode == FailureMode::silence);
@@ -312,34 +316,34 @@
   return true;
 }
 struct ScenarioResult {
-  int begun = 0;          // connections on which the runners saw a byte of this request
-  int ran = 0;            // of those, the ones whose runner did not say X-Not-Executed
-  int status = 0;         // what the client got; 0: a closed connection
-  bool complete = false;  // the client got the complete response
+  int begun = 0;          // times that a runner received at least one byte of the request
+  int ran = 0;            // of these, the times that the runner did not answer X-Not-Executed
+  int status = 0;         // status that the client received; 0 if the connection was closed
+  bool complete = false;  // whether the client received a complete response
   std::string body;
 };
-// The table in words.
+// The expected result of a combination.
 ScenarioResult expected(const Row& row) {
   ScenarioResult success{1, 1, 200, true, correctBody(row.kind, "a1")};
   auto successAfterRetry = success;
   successAfterRetry.begun = 2, successAfterRetry.ran = 2;
   if (row.position == Position::beforeConnect)
-    return success;  // nothing was sent: the next runner has it
+    return success;  // nothing was sent, so the next runner gets the request
   if (row.failureMode == FailureMode::notExecuted) {
-    successAfterRetry.ran = 1;  // the first runner says so
+    successAfterRetry.ran = 1;  // the first runner states that it did not run the request
     return successAfterRetry;
   }
   if (row.failureMode == FailureMode::otherId || row.failureMode == FailureMode::extraBytes)
-    return success;  // those bytes belong to no request
+    return success;  // the extra bytes belong to no request and are ignored
   const bool begun = row.kind == CallKind::stream && row.position >= Position::afterResponseHeader;
-  ScenarioResult truncatedStream{
-      1, 1, 200, false, {}};  // a stream that had begun, and that no other runner may take up
+  // The result for a stream that has begun and that no other runner may continue.
+  ScenarioResult truncatedStream{1, 1, 200, false, {}};
   if (row.position == Position::inResponseBody)
     truncatedStream.body = event(1) + "id: 2";
   if (row.position == Position::allButLastByte)
     truncatedStream.body = correctBody(row.kind, "a1");
   if (row.failureMode == FailureMode::silence) {
-    // A runner's silence is no reason to end sooner, nor to run it elsewhere: the deadline ends it.
+    // A silent runner does not cause a retry or an early end. The request ends at its deadline.
     if (row.kind == CallKind::resumable && row.position >= Position::afterResponseHeader) {
       truncatedStream.body = row.position == Position::inResponseBody   ? event(1)
                              : row.position == Position::allButLastByte ? correctBody(row.kind, "a1")
@@ -374,9 +378,9 @@
   if (row.position == Position::beforeConnect) {
     scenario->failureInjected = true;
     if (row.failureMode == FailureMode::reset) {
-      scenario->updateRunners("127.0.0.1:1");  // refused
+      scenario->updateRunners("127.0.0.1:1");  // refuses connections
     } else {
-      // A queue of connections that is full: the handshake gets no answer.
+      // A listener whose accept queue is full does not answer the TCP handshake.
       fullListener.emplace(EventLoop::get().io());
       fullListener->open(tcp::v4());
       fullListener->bind(tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -390,7 +394,7 @@
       }
       scenario->updateRunners("127.0.0.1:" + std::to_string(fullListener->local_endpoint().port()));
     }
-    // The request must meet the failure: the other runners are busy.
+    // The other runners are made busy so that the request goes to the runner that cannot be reached.
     for (int i = 1; i < 3; ++i)
       for (int k = 0; k < 3; ++k)
         proxy.context.runners.attemptStarted(i, 0);
@@ -398,7 +402,8 @@
   auto client = proxy.connectClient();
   Buffer buffer;
   const bool awaitsDeadline = row.failureMode == FailureMode::silence && row.position != Position::beforeConnect;
-  // Long enough for a busy machine: what the runner sends before its silence must arrive within it.
+  // The deadline is long enough for a busy machine: the bytes that the runner sends before it falls silent must arrive
+  // in time.
   sendBytes(*client, requestText(pathOf(row.kind), "a1", awaitsDeadline ? "X-Deadline-Ms: 400\r\n" : "", kBody));
   const auto response = readResponse(*client, buffer);
   ScenarioResult result;
@@ -413,7 +418,8 @@
     EXPECT_TRUE(scenario->failureInjected) << describe(row);
   }
 
-  // Nothing of it reaches the next client, on this connection or a new one, though runners' connections are reused.
+  // No byte of this request or its response may reach later requests, on this client connection or on a new one, even
+  // though the connections to the runners are reused.
   for (int i = 0; i < 6; ++i) {
     const auto id = "next-" + std::to_string(i);
     if (i % 2 || !response.bodyComplete) {
@@ -445,7 +451,7 @@
             rows.push_back(row);
   ASSERT_EQ(rows.size(), 360U);
   std::vector<ScenarioResult> results(rows.size());
-  // Side by side, so that those that wait for a deadline wait together.
+  // The rows run concurrently so that their waits for a deadline overlap.
   std::size_t nextRow = 0;
   std::size_t ended = 0;
   for (int worker = 0; worker < 24; ++worker)
@@ -484,7 +490,8 @@
   }
 }
 
-// The client, the deadline, the lease, the configuration or the process ends in the middle.
+// Requests during which the client disconnects, the deadline passes, the lease expires, the configuration changes or
+// the process shuts down.
 
 TEST(Retry, AClientThatDisconnectsEndsItEverywhere) {
   for (const char* path : {"/safe/x", "/once/x", "/stream/x", "/resume/x"})
@@ -516,7 +523,7 @@
         EXPECT_TRUE(EventLoop::get().waitFor(runnerDone, 3000ms)) << path;
         EventLoop::get().sleepFor(5ms);
         EXPECT_EQ(closed, 1) << path;
-        EXPECT_EQ(requests, 1) << path << ": nobody waits for a second one";
+        EXPECT_EQ(requests, 1) << path << ": a request of a disconnected client is not retried";
         EXPECT_EQ(proxy.context.inFlight, 0);
       });
 }
@@ -559,7 +566,7 @@
     int requests = 0;
     const auto handler = [&](FakeRunner&, Connection& connection, const std::string& id, const std::string&) {
       if (++requests == 1) {
-        // All routes go, and the service with them.
+        // The new configuration has no routes and a different service.
         proxy.context.configuration =
             *parseConfiguration(R"({"configVersion":8,"routeTable":[],"serviceTable":[{"label":"other"}]})");
         connection.close();
@@ -578,8 +585,8 @@
     EXPECT_EQ(requests, 1);
   });
 }
-// SIGTERM while a request is in flight: it is served to its end, retries included, and its connection is closed
-// gracefully, so that no client sends its next request on a connection that is about to end.
+// A request that is in flight at SIGTERM is completed, including retries. The response announces the close of the
+// connection, so that the client does not send its next request on it.
 TEST(Retry, AGracefulShutdownCompletesRequestsInFlight) {
   for (const char* path : {"/safe/x", "/resume/x", "/once/x"})
     withProxy([&](TestProxy& proxy) {
@@ -601,7 +608,7 @@
     });
 }
 
-// Answers that contradict themselves, and answers of unusual form.
+// Contradictory responses and unusual forms of responses.
 
 TEST(Retry, ASuccessThatSaysNotExecutedIsNeitherForwardedNorRetried) {
   for (const char* path : {"/stream/x", "/once/x", "/resume/x", "/safe/x"})
@@ -664,7 +671,8 @@
     EXPECT_EQ(requests, 1);
   });
 }
-// The runner says that it did not run the request, and then closes the connection.
+// The runner states in the header that it did not run the request, and closes the connection before the end of the
+// body.
 TEST(Retry, NotExecutedIsValidFromTheHeaderOn) {
   withProxy([](TestProxy& proxy) {
     int requests = 0;
@@ -681,7 +689,8 @@
     EXPECT_EQ(requests, 2);
   });
 }
-// An event without an id can't be named to another runner: resuming after the last id would repeat it.
+// After an event without an id a stream must not be resumed: another runner would continue after the last id and repeat
+// that event.
 TEST(Retry, AStreamIsNotResumedAfterAnEventWithoutAnId) {
   for (bool firstHasId : {true, false})
     withProxy([&](TestProxy& proxy) {
@@ -699,7 +708,7 @@
       EXPECT_EQ(response.body, (firstHasId ? event(1) : "") + "data: nameless\n\n");
     });
 }
-// Comments are no events: a stream that is kept alive by them is resumed as any other.
+// Comment lines are not events, so a stream that contains keep-alive comments can be resumed.
 TEST(Retry, AStreamIsResumedAfterAComment) {
   withProxy([](TestProxy& proxy) {
     int requests = 0;
@@ -716,7 +725,7 @@
     EXPECT_EQ(response.body, event(1) + ": still here\n\n" + event(2));
   });
 }
-// A zone that is drained has its live streams migrated: one without a target stays where it is.
+// Live streams in a zone that is being drained are migrated. A stream without a target runner stays where it is.
 TEST(Retry, AStreamWithoutATargetIsNotMigrated) {
   withProxy([](TestProxy& proxy) {
     proxy.fillRetryReserve(8, 12);
@@ -747,7 +756,8 @@
   });
 }
 
-// Bodies larger than the sockets' buffers: only a part of the request was sent when the runner closes.
+// Bodies larger than the socket buffers: only a part of the request has been sent when the runner closes the
+// connection.
 
 namespace {
 void allowLargeBodies(TestProxy& proxy) {
@@ -756,11 +766,12 @@
   configuration->limits.idleTimeout = 5s;
   proxy.context.configuration = configuration;
 }
-// A runner that reads the beginning of each request and then does what the test says.
+// A runner that reads the beginning of each request and then calls a function of the test.
 struct PartialReader {
   int requestCount = 0;
   std::shared_ptr<tcp::acceptor> acceptor;
-  std::function<void(Connection&, int, const std::string&)> handler;  // the how many-th, and what was read
+  // Arguments: the connection, the number of this request (from 1) and the bytes read so far.
+  std::function<void(Connection&, int, const std::string&)> handler;
   void accept() {
     acceptor->async_accept([this](SocketError ec, tcp::socket socket) {
       if (ec)
@@ -798,10 +809,11 @@
 TEST(Retry, APartiallySentBodyMayHaveRun) {
   const std::string body(24U << 20, 'b');
   for (const char* path : {"/safe/x", "/once/x"})
+    // Variants of the first attempt: 0 resets the connection, 1 closes it, 2 answers `X-Not-Executed` and resets it.
     for (int variant = 0; variant < 3; ++variant)
       withProxy([&](TestProxy& proxy) {
         allowLargeBodies(proxy);
-        // Static, like the harbour: its fibers may outlive the test.
+        // Never freed because the fibers of the runner may outlive the test.
         auto& runner =
             *new PartialReader([variant, &body](Connection& connection, int requestNumber, const std::string& bytes) {
               if (requestNumber == 1 && variant == 0)
@@ -819,7 +831,7 @@
             {Runner{"i-1", "s", runner.address(), "z", 4, 1, 0}, Runner{"i-2", "s", runner.address(), "z", 4, 1, 0}});
         const auto response = sendRequest(proxy, requestText(path, "a1", "", body));
         const bool safe = std::string_view(path) == "/safe/x";
-        // A runner's word that it did not run it may be lost with the reset: then it may have run.
+        // The reset may discard the runner's "not executed" response. Then the request may have run.
         if (variant == 2 && runner.requestCount == 2) {
           EXPECT_EQ(response.body, "ran") << path;
         } else if (safe) {
@@ -831,7 +843,8 @@
         }
       });
 }
-// Only a write that took no byte at all is certain not to have arrived.
+// The proxy relies on the number of bytes that a failed write has sent: only after zero bytes it is certain that
+// nothing has arrived.
 TEST(Retry, AWriteReturnsHowManyBytesWereSent) {
   withProxy([](TestProxy&) {
     tcp::acceptor acceptor(EventLoop::get().io(), tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -853,7 +866,7 @@
   });
 }
 
-// A partner site's node counts as a runner of the request like any other.
+// A node of the partner site counts as one of the runners of a request.
 
 namespace {
 std::shared_ptr<const Configuration> partnerRoutes(int maxAttempts) {
@@ -875,7 +888,7 @@
     proxy.context.lookupPartner = [&](std::uint64_t, const std::string&) { return partner.address(); };
     const auto response = sendRequest(proxy, requestText("/recap/x", "a1", kLongPrompt, "", ""));
     EXPECT_EQ(partnerRequests, 1);
-    EXPECT_EQ(response.status, 502) << "503 would promise that it has not run and never will";
+    EXPECT_EQ(response.status, 502) << "503 would state that the request has not run";
   });
 }
 TEST(Retry, APartnerSiteCountsAmongTheRunnersOfARequest) {
@@ -897,7 +910,8 @@
       EXPECT_EQ(requestCount, maxAttempts);
     });
 }
-// At most one runner there gets the request: this site's own come on top.
+// A request that a partner site forwarded goes to at most one runner here, because the partner site's own runners count
+// as well.
 TEST(Retry, ARequestFromAPartnerSiteGoesToOneRunner) {
   withProxy([](TestProxy& proxy) {
     proxy.fillRetryReserve(8, 12);
@@ -913,9 +927,10 @@
   });
 }
 
-// A connection that is idle in the pool when its runner closes it, or sends unsolicited bytes, is not reused.
+// A pooled connection is not reused if the runner has closed it or has sent unsolicited bytes while it was idle.
 TEST(Retry, AnIdleConnectionThatIsNoLongerCleanIsNotReused) {
   for (const char* path : {"/safe/x", "/once/x", "/stream/x", "/resume/x"}) {
+    // Variants: 0 resets the idle connection, 1 closes it, 2 sends an unsolicited response on it.
     for (int variant = 0; variant < 3; ++variant) {
       withProxy([&](TestProxy& proxy) {
         const auto kind = std::string_view(path) == "/safe/x" || std::string_view(path) == "/once/x" ? CallKind::safe
@@ -941,7 +956,7 @@
         const auto response = sendRequest(proxy, requestText(path, "a2"));
         EXPECT_EQ(response.status, 200) << path << " " << variant;
         EXPECT_EQ(response.body, correctBody(kind, "a2")) << path << " " << variant;
-        EXPECT_EQ(runner->receivedRequests.size(), 2U) << "each was sent once";
+        EXPECT_EQ(runner->receivedRequests.size(), 2U) << "each request was sent once";
         EXPECT_EQ(runner->connections, 2);
       });
     }
--- a/tests/retry_test.cpp
+++ b/tests/retry_test.cpp
@@ -1,4 +1,4 @@
-// The decision after each attempt, over everything that it depends on.
+// The retry decision after an attempt, checked for all combinations of its inputs.
 #include "retry.hpp"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
          (state.responseStarted ? " started" : "") + (state.resumePointKnown ? " resumable" : "") + " " +
          std::to_string(state.runnersUsed) + "/" + std::to_string(state.runnersAllowed);
 }
-// The rules of the pages, one by one, without the order in which the code asks them.
+// The documented retry rules, each evaluated separately and independently of the order in which the code checks them.
 bool mayRetry(const RetryState& state) {
   const bool isOver = state.outcome == AttemptOutcome::completed ||
                       state.outcome == AttemptOutcome::clientDisconnected ||
@@ -73,7 +73,7 @@
       if (state.outcome == AttemptOutcome::clientDisconnected) {
         EXPECT_EQ(decision, RetryDecision::closeConnection) << describe(state);
       }
-      // A response that has begun is continued or cut off, never followed by another.
+      // A response that has begun is continued or cut off. A second response must never follow it.
       if (state.responseStarted && state.outcome != AttemptOutcome::completed) {
         EXPECT_TRUE(decision == RetryDecision::closeConnection || decision == RetryDecision::nextRunner)
             << describe(state);
--- a/tests/revision_choice_test.cpp
+++ b/tests/revision_choice_test.cpp
@@ -1,4 +1,5 @@
-// The choice of a runner while its service is rolled out, and the pace of streams by which revisions are compared.
+// The choice of a runner while its service is being rolled out, and the pace of streams, by which revisions are
+// compared.
 #include <gtest/gtest.h>
 
 #include "balancing/runner_pool.hpp"
@@ -9,7 +10,7 @@
 using rollout::RevisionFilter;
 using Rule = RevisionFilter::Rule;
 namespace {
-constexpr int kRunners = 50;  // of each revision
+constexpr int kRunners = 50;  // runners of each revision
 const TimePoint kNow = TimePoint{} + 1h;
 
 state_machine::Runner runnerOf(const std::string& revision, int serial, std::int64_t warmupMs = 0) {
@@ -30,7 +31,7 @@
     query_.service = "s";
     query_.zone = "z";
   }
-  /// The id of the chosen runner; empty: none.
+  /// The id of the chosen runner; empty if none was chosen.
   std::string choose(const RevisionFilter& filter, std::uint64_t affinity = 0) {
     query_.revisions = filter;
     query_.affinity = affinity;
@@ -80,7 +81,8 @@
     used.insert(choose({Rule::only, "v2", 0.001}));
   EXPECT_EQ(used.size(), 3U);
 }
-// So the canary and each step of the shift warm the runner at which the prefix stays.
+// The canary and each step of the traffic shift must fill the cache of the runner that the prefix will use after the
+// rollout.
 TEST_F(RevisionChoice, APrefixGoesToTheCandidateOnlyWhereItWillStay) {
   int movedPrefixes = 0;
   constexpr int kPrefixes = 1000;
@@ -91,21 +93,21 @@
     for (const double share : {0.08, 0.25, 0.5}) {
       const auto chosen = choose({Rule::only, "v2", share}, affinity);
       EXPECT_TRUE(chosen.empty() || chosen == preferred);
-      EXPECT_FALSE(!before.empty() && chosen.empty()) << "once moved it does not move back";
+      EXPECT_FALSE(!before.empty() && chosen.empty()) << "a prefix that has moved to the candidate does not move back";
       before = chosen;
     }
     movedPrefixes += before.empty() ? 0 : 1;
   }
   EXPECT_NEAR(movedPrefixes, kPrefixes * 0.5, kPrefixes * 0.2);
 }
-// A group of the load test gets more requests than it would after completion: it has few runners, and all proxies
-// choose the same ones.
+// A load test group has few runners, so each runner gets more requests than after the rollout. All proxies must choose
+// the same runners for a group, and different groups must not share runners.
 TEST_F(RevisionChoice, EachGroupOfTheLoadTestHasRunnersOfItsOwn) {
   const auto runnersOf = [this](std::int32_t group) {
     std::set<std::string> used;
     for (int i = 0; i < 400; ++i)
       used.insert(choose({Rule::only, "v2", 1, group, 0.1}, rng_()));
-    used.erase("");  // its requests are thinned
+    used.erase("");  // some requests of a load test get no runner
     return used;
   };
   const auto first = runnersOf(1);
@@ -138,7 +140,7 @@
     used.erase("");
     return used.size();
   };
-  EXPECT_EQ(groupSize("2,0,16"), 2U) << "so few that each gets 2.5 times as many requests as usual";
+  EXPECT_EQ(groupSize("2,0,16"), 2U) << "each runner of the group gets 2.5 times as many requests as usual";
   EXPECT_EQ(groupSize("14,0,16"), 4U);
 }
 TEST_F(RevisionChoice, AttemptsAtOtherRevisionsAreCounted) {
@@ -160,7 +162,7 @@
   StreamPace pace;
   EXPECT_FALSE(pace.msPerTenEvents());
   pace.recordBytes("id: 1\ndata: a\n\n", kNow);
-  EXPECT_FALSE(pace.msPerTenEvents()) << "nothing has followed the first";
+  EXPECT_FALSE(pace.msPerTenEvents()) << "no event has followed the first bytes";
   pace.recordBytes("id: 2\nda", kNow + 20ms);
   pace.recordBytes("ta: b\n", kNow + 30ms);
   pace.recordBytes("\nid: 3\ndata: c\n\n", kNow + 80ms);
@@ -175,7 +177,7 @@
     return pace;
   };
   StreamPaceBaselines paceBaselines;
-  EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(800ms))) << "nothing is known yet";
+  EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(800ms))) << "there is no baseline yet";
   for (int i = 0; i < 200; ++i)
     EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(40ms)));
   EXPECT_FALSE(paceBaselines.recordStream("s", streamOf(60ms)));
@@ -190,11 +192,10 @@
       pace.recordBytes("data: a\n\n", kNow + interval * event);
     return pace;
   };
-  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(20, 500ms))) << "nothing is usual yet";
+  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(20, 500ms))) << "there is no baseline yet";
   for (int stream = 0; stream < 30; ++stream)
     paceBaselines.recordStream("s", streamOf(20, 20ms));
   EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(20, 25ms)));
-  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(2, 500ms)))
-      << "a prompt that was read beside it delays a few";
+  EXPECT_FALSE(paceBaselines.isSlowWhileOpen("s", streamOf(2, 500ms))) << "a concurrent prefill may delay a few events";
   EXPECT_TRUE(paceBaselines.isSlowWhileOpen("s", streamOf(8, 500ms)));
 }
--- a/tests/standins.hpp
+++ b/tests/standins.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Test doubles for clients and runners on loopback, around the proxy's own code.
+/// Fake clients and runners on loopback connections for tests of the proxy.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -12,13 +12,13 @@
 using namespace zinccleat::proxy;
 using namespace zinccleat::runtime;
 using namespace zinccleat::state_machine;
-/// A runner that handles each request with the test's function.
+/// A runner that passes each request to a function of the test.
 struct FakeRunner {
   std::string id, service = "s";
   std::shared_ptr<tcp::acceptor> acceptor;
-  std::vector<std::string> receivedRequests;  // the requests received
-  std::function<void(FakeRunner&, Connection&, const std::string&, const std::string&)>
-      handler;  // connection, attempt id, request
+  std::vector<std::string> receivedRequests;  // request line, header fields and body of each request
+  // Arguments: this runner, the connection, the attempt id and the request as in `receivedRequests`.
+  std::function<void(FakeRunner&, Connection&, const std::string&, const std::string&)> handler;
   int connections = 0;
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor->local_endpoint().port()); }
 };
@@ -80,7 +80,7 @@
 }
 struct TestProxy {
   ProxyContext context;
-  /// Sets a retry budget with a filled reserve.
+  /// Replaces the retry budget with one whose reserve holds `tokens` tokens.
   void fillRetryReserve(double tokens, double reserveLimit) {
     context.retryBudget = RetryBudget(0.15, Duration(2500));
     context.retryBudget.setReserve(reserveLimit, 0.5);
@@ -167,19 +167,22 @@
          (key.empty() ? "" : "Authorization: Bearer " + key + "\r\n") + extraHeaders +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
+/// Sends a request on a new connection and reads the response.
 inline ClientResponse sendRequest(TestProxy& proxy, const std::string& request) {
   auto connection = proxy.connectClient();
   Buffer buffer;
   sendBytes(*connection, request);
   return readResponse(*connection, buffer);
 }
+/// Runs a test function with a new `TestProxy` inside the event loop.
 template <class Test>
 void withProxy(Test test) {
   bool ended = false;
   EventLoop::get().spawn([&] {
     auto proxy = std::make_shared<TestProxy>();
     test(*proxy);
-    static std::vector<std::shared_ptr<TestProxy>> finished;  // its fibers may still refer to it
+    // The proxy is kept because its fibers may still refer to it.
+    static std::vector<std::shared_ptr<TestProxy>> finished;
     finished.push_back(proxy);
     ended = true;
     EventLoop::get().stop();
@@ -187,6 +190,7 @@
   EventLoop::get().run();
   EXPECT_TRUE(ended);
 }
+/// A `FakeRunner::handler` that answers each request with a complete 200 response.
 const auto respondOk = [](FakeRunner&, Connection& connection, const std::string& id, const std::string&) {
   sendBytes(connection, completeResponse(id, "body of " + id));
 };
--- a/tests/warmup_test.cpp
+++ b/tests/warmup_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// The slow start of runners: what is known of it, what the leader grants to all proxies together, what one proxy
-/// sends. The worlds play fleets of up to 330 proxies, leaders that change, lost answers and runners that lose their
-/// caches without notice, and count what each runner gets in each second.
+/// Warm-up (slow start) of runners: how warm-ups are tracked, what the leader grants to all proxies together, and what
+/// one proxy sends. The simulations run up to 330 proxies with leader changes and lost answers, and count the requests
+/// that each runner gets in any second.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -61,7 +61,8 @@
 }
 }  // namespace
 
-// Found on reading: the leader knew a configuration by its address alone, which the next one may take.
+// Guards against a leader that identifies a configuration by its memory address: the next configuration may be
+// allocated at the same address, and the leader would miss the change.
 TEST(Warmup, TheLeaderFollowsAConfigurationThatTakesTheAddressOfTheLast) {
   auto state = stateOf({runnerOf("i1", 1, 3000)});
   auto config = configurationOf(0);
@@ -70,7 +71,7 @@
   leader.startTerm(kStart);
   const auto later = kStart + 1s;
   (void)leader.allocate(later, "z1");
-  EXPECT_TRUE(leader.allocate(later + 1s, "z1").empty()) << "the service has no bound";
+  EXPECT_TRUE(leader.allocate(later + 1s, "z1").empty()) << "the service sets no limit";
   config = configurationOf(kRequestsPerS);
   config.version = 2;
   ++state.index;
@@ -89,10 +90,10 @@
   pool.setWarmupGrants({{"i1", 1}}, kStart + 1s);
   EXPECT_EQ(pool.choose(queryOf(), kStart + 1s), 0);
   pool.attemptStarted(0, 100, kStart + 1s);
-  EXPECT_EQ(pool.choose(queryOf(), kStart + 1s), -1) << "it is used up";
+  EXPECT_EQ(pool.choose(queryOf(), kStart + 1s), -1) << "the grant is used up";
   pool.setWarmupGrants({{"i1", 1}}, kStart + 1s);
-  EXPECT_EQ(pool.choose(queryOf(), kStart + 1s + transport::kWarmupGrantLifetime), -1) << "it has expired";
-  EXPECT_EQ(pool.choose(queryOf(), kStart + 3s), 0) << "it is warm";
+  EXPECT_EQ(pool.choose(queryOf(), kStart + 1s + transport::kWarmupGrantLifetime), -1) << "the grant has expired";
+  EXPECT_EQ(pool.choose(queryOf(), kStart + 3s), 0) << "the runner is warm";
   EXPECT_FALSE(pool.hasLimitedWarmup(kStart + 3s));
 }
 TEST(Warmup, WithoutABoundOfItsServiceARunnerIsUsedAtOnce) {
@@ -110,7 +111,7 @@
   EXPECT_EQ(pool.choose(queryOf(), kStart + 12s), 0) << "the same heartbeat counts once";
   pool.setRunners({runnerOf("i1", 8, 2000)}, kStart + 20s);
   pool.setRunners({runnerOf("i1", 9, 0)}, kStart + 21s);
-  EXPECT_EQ(pool.choose(queryOf(), kStart + 21s), 0) << "it says that it is warm";
+  EXPECT_EQ(pool.choose(queryOf(), kStart + 21s), 0) << "the runner reports that it is warm";
 }
 TEST(Warmup, RunnersOfAZoneThatIsBackInUseWarmUp) {
   const auto config = configurationOf(kRequestsPerS);
@@ -121,7 +122,7 @@
   EXPECT_EQ(pool.choose(queryOf(), kStart + 13s), 0);
 }
 
-// --- what heartbeats bring ---
+// --- heartbeats ---
 
 TEST(Warmup, AHeartbeatThatChangesAWarmupIsWrittenAndOthersAreNot) {
   controller_testing::FakeController controller;
@@ -137,13 +138,14 @@
   auto state = stateOf({runnerOf("i1", 1, 3000)});
   auto leader = leaderWithState(state, config);
   EXPECT_FALSE(leader.isChangedBy(kStart + 1s, runnerOf("i1", 2, 2000)));
-  EXPECT_TRUE(leader.isChangedBy(kStart + 1s, runnerOf("i1", 2, 3000))) << "it has begun anew";
-  EXPECT_TRUE(leader.isChangedBy(kStart + 4s, runnerOf("i1", 4, 0))) << "replicas that start later must know";
+  EXPECT_TRUE(leader.isChangedBy(kStart + 1s, runnerOf("i1", 2, 3000))) << "the warm-up has started again";
+  EXPECT_TRUE(leader.isChangedBy(kStart + 4s, runnerOf("i1", 4, 0)))
+      << "replicas that start later must learn that the runner is warm";
   state.index = 2;
   state.runners = {runnerOf("i1", 4, 0)};
   leader.follow(kStart + 4s, state, &config);
   EXPECT_FALSE(leader.isChangedBy(kStart + 5s, runnerOf("i1", 5, 0)));
-  EXPECT_TRUE(leader.isChangedBy(kStart + 6s, runnerOf("i1", 6, 2500))) << "it has lost its caches";
+  EXPECT_TRUE(leader.isChangedBy(kStart + 6s, runnerOf("i1", 6, 2500))) << "the runner has lost its caches";
   EXPECT_FALSE(leader.isChangedBy(kStart + 6s, runnerOf("unknown", 6, 2500)));
 }
 
@@ -162,7 +164,7 @@
   EXPECT_GE(sameZoneGrants, 20);
   EXPECT_EQ(otherZoneGrants, 0);
   leader.follow(kStart + 3s, state, &config);
-  EXPECT_TRUE(leader.allocate(kStart + 4s, "z1").empty()) << "it is warm";
+  EXPECT_TRUE(leader.allocate(kStart + 4s, "z1").empty()) << "the runner is warm";
 }
 TEST(Warmup, OtherZonesGetWhatTheRunnersZoneLeaves) {
   const auto config = configurationOf(kRequestsPerS);
@@ -182,19 +184,20 @@
     EXPECT_TRUE(leader.allocate(now, "z1").empty());
 }
 
-// --- fleets ---
+// --- simulations of many proxies ---
 
 namespace {
-/// Proxies that use each grant at once, at the worst moment of its lifetime, and more demand than any runner bears.
+/// A simulation with more demand than the runners can handle. Proxies use each grant either immediately or, at worst
+/// for the limit, at the end of the grant's lifetime.
 struct WarmupSimulation {
   struct Proxy {
     std::string zone;
     Duration phase{0};
-    std::vector<std::pair<std::string, TimePoint>> grants;  // runner, end
+    std::vector<std::pair<std::string, TimePoint>> grants;  // runner id and expiry time
   };
   explicit WarmupSimulation(std::uint64_t seed) : random(seed) {}
   std::mt19937_64 random;
-  std::map<std::string, std::vector<TimePoint>> arrivals;  // by runner
+  std::map<std::string, std::vector<TimePoint>> arrivals;  // arrival times of requests, by runner id
 
   std::size_t randomBelow(std::size_t limit) { return static_cast<std::size_t>(random() % limit); }
   /// The most requests that any runner got within one second.
@@ -239,7 +242,7 @@
   }
   void advance(Proxy& proxy, WarmupAllocator& leader, TimePoint now, bool usesGrantsLate) {
     const bool sendsRequest = toDuration(now - kStart - proxy.phase).count() % 400 == 0;
-    if (sendsRequest && randomBelow(20) != 0) {  // else the answer is lost, and its grants with it
+    if (sendsRequest && randomBelow(20) != 0) {  // otherwise the leader's answer is lost together with its grants
       const auto delay = Duration(randomBelow(60));
       for (const auto& grant : leader.allocate(now + delay, proxy.zone))
         proxy.grants.emplace_back(grant.runner, now + transport::kWarmupGrantLifetime);
@@ -262,10 +265,10 @@
       simulation.run(requestsPerS, proxies, static_cast<int>(seed % 3));
       EXPECT_LE(static_cast<double>(simulation.maxRequestsInOneSecond()), requestsPerS * kBounds.excess + kBounds.slack)
           << "seed " << seed << ", " << requestsPerS << " requests a second, " << proxies << " proxies";
-      // A bucket that is filled once a second gives nothing while the leader changes twice in two seconds.
+      // A bucket that earns one token per second may grant nothing if the leader changes twice within two seconds.
       if (requestsPerS > 1 || seed % 3 != 2) {
         EXPECT_GT(simulation.total(), 0U)
-            << "a runner that gets nothing never warms up, seed " << seed << ", " << requestsPerS;
+            << "a runner that gets no requests never warms up, seed " << seed << ", " << requestsPerS;
       }
     }
   }
--- a/tests/zone_drain_traffic_test.cpp
+++ b/tests/zone_drain_traffic_test.cpp
@@ -1,5 +1,5 @@
-/// A zone is drained while requests are under way: live streams and pushes complete while its runners and its proxies
-/// are taken out of service.
+/// A zone is drained while requests are in progress. Live streams and pushes must complete while the zone's runners and
+/// proxies are taken out of service.
 #include "standins.hpp"
 
 using namespace zinccleat;
@@ -16,21 +16,21 @@
 constexpr int kRunnersPerZone = 2;
 constexpr int kMaxPushMs = 300;
 
-// A step of a drain, as `Zones.Drain` distributes it.
+// A step of a zone drain, as `Zones.Drain` distributes it.
 struct DrainStep {
-  int percent = 0;
-  bool notAccepting = false;  // its proxies refuse new clients
+  int percent = 0;            // percent of new requests that are routed to other zones
+  bool notAccepting = false;  // whether the zone's proxies refuse new clients
 };
-// Announced, a quarter, half, all new work, no new clients.
+// Announcement, 25 %, 50 % and 100 % of new requests routed elsewhere, then no new clients.
 constexpr DrainStep kDrainSteps[] = {{0, false}, {25, false}, {50, false}, {100, false}, {100, true}, {100, true}};
 
-// What the runners saw.
+// Counters of the fake runners.
 struct RunnerStatistics {
-  std::map<std::string, int> pushRuns;  // by attempt id
-  int startedInDrainedZone = 0;         // once all new work is kept away
+  std::map<std::string, int> pushRuns;  // number of runs of each push, by attempt id
+  int startedInDrainedZone = 0;         // requests started in the zone after all new requests were routed elsewhere
   bool allNewRequestsDiverted = false;
 };
-// What the clients saw.
+// Counters of the clients.
 struct ClientStatistics {
   int open = 0;
   int pushes = 0, pushesServed = 0;
@@ -60,7 +60,7 @@
 class TwoZones {
  public:
   explicit TwoZones(TestProxy& proxyA) : proxyA_(proxyA) {
-    // Fibers may still refer to it when the test has ended.
+    // The proxy is kept because fibers may still refer to it after the test has ended.
     static std::vector<std::shared_ptr<TestProxy>> keptAlive;
     keptAlive.push_back(proxyB_);
     proxyA_.context.zone = "za";
@@ -139,7 +139,7 @@
       --clientStatistics_.open;
     });
   }
-  // The platform sends new clients of a zone that does not accept them to the other.
+  // If zone A accepts no new clients, the platform sends them to zone B.
   TestProxy& proxyFor(int number) { return proxyANotAccepting_ || number % 2 ? *proxyB_ : proxyA_; }
   ClientResponse request(const std::string& path, const std::string& attempt, int number) {
     return sendRequest(proxyFor(number), requestText(path, attempt, "X-Deadline-Ms: 20000\r\n"));
@@ -176,7 +176,7 @@
 
 TEST(ZoneDrainTraffic, EveryPushAndStreamCompletesOnceWhileAZoneDrains) {
   withProxy([](TestProxy& proxy) {
-    // The runners' fibers refer to it until the loop ends.
+    // The zones are kept because the runners' fibers refer to them until the event loop ends.
     static std::vector<std::unique_ptr<TwoZones>> keptAlive;
     auto& zones = *keptAlive.emplace_back(std::make_unique<TwoZones>(proxy));
 
@@ -192,11 +192,12 @@
     EXPECT_EQ(static_cast<int>(runners.pushRuns.size()), clients.pushes);
     for (const auto& [attempt, runs] : runners.pushRuns)
       EXPECT_EQ(runs, 1) << attempt << " ran " << runs << " times";
-    EXPECT_LT(clients.maxPushMs, kMaxPushMs) << "and on time";
+    EXPECT_LT(clients.maxPushMs, kMaxPushMs) << "pushes are answered in time";
     EXPECT_EQ(clients.streamsServed, clients.streams) << "every stream complete, no event lost or repeated";
-    EXPECT_EQ(runners.startedInDrainedZone, 0) << "no new work at the zone's runners once all of it is kept away";
+    EXPECT_EQ(runners.startedInDrainedZone, 0)
+        << "no request starts in the zone after all new requests were routed elsewhere";
     EXPECT_GT(zones.migratedStreams(), 0U) << "live streams were migrated";
-    EXPECT_EQ(zones.inFlightInZoneA(), 0) << "nothing is in flight there any more";
+    EXPECT_EQ(zones.inFlightInZoneA(), 0) << "no attempt is in flight in the drained zone";
   });
 }
 TEST(ZoneDrainTraffic, ADrainedZoneServesIfItIsTheOnlyOne) {
