--- a/libs/balancing/src/runner_pool.cpp
+++ b/libs/balancing/src/runner_pool.cpp
@@ -6,7 +6,7 @@
 constexpr int kMaxBackoffDoublings = 4;
 constexpr int kProbeOneIn = 12;  // one in 12 idempotent requests may probe a runner with an ejection level below 1
 constexpr std::uint64_t kPercent = 100;
-constexpr int kAffinityShift = 8;  // zone drains use the bits of the affinity hash above these
+constexpr int kAffinityShift = 8;  // zone drains use the affinity hash without its lowest 8 bits
 
 bool contains(const std::vector<int>& list, int value) {
   return std::find(list.begin(), list.end(), value) != list.end();
--- a/libs/proxy/src/request_handler.cpp
+++ b/libs/proxy/src/request_handler.cpp
@@ -92,7 +92,7 @@
 // Selects the runner for the next attempt and charges the retry budget if the attempt is a retry.
 tl::expected<int, NoRunnerReason> selectRunner(Exchange& exchange, const RetryState& state, int earlierAttempts) {
   auto& context = exchange.context;
-  // Checked before each attempt: the lease may have ended during the last one.
+  // The lease is checked before each attempt because it may have expired during the previous attempt.
   if (!context.hasLease(Exchange::now()))
     return tl::unexpected(NoRunnerReason::leaseEnded);
   const int runner = chooseRunner(exchange, earlierAttempts == 0);
