--- a/libs/proxy/src/exchange.hpp
+++ b/libs/proxy/src/exchange.hpp
@@ -45,14 +45,15 @@
   int runner = -1;                  ///< index in the runner pool; -1 if there is none or for a partner node
   std::int64_t prefillTokens = -1;  ///< tokens of the prompt until the runner begins to respond; -1 afterwards
   PendingAttempt pendingAttempt{};
-  bool usageRecorded = false;      ///< whether the attempt was counted because the runner has begun the request
-  bool observed = false;           ///< whether the attempt is compared with others because the service is rolled out
-  bool slowResponse = false;       ///< whether the response began far later than usual
-  double runnerLoad = 0;           ///< load of the runner when it began to respond, as a fraction of its slots
-  bool slownessRecorded = false;   ///< whether the attempt has been recorded as slow
-  balancing::StreamPace pace;      ///< pace of the events, measured if `observed`
-  bool staleConnection = false;    ///< whether a dropped pooled connection, not the runner, made the attempt fail
-  bool isLastAttempt = false;      ///< whether no other runner may be tried after this attempt
+  bool usageRecorded = false;     ///< whether the attempt was counted because the runner has begun the request
+  bool observed = false;          ///< whether the attempt is compared with others because the service is rolled out
+  bool slowResponse = false;      ///< whether the response began far later than usual
+  double runnerLoad = 0;          ///< load of the runner when it began to respond, as a fraction of its slots
+  bool slownessRecorded = false;  ///< whether the attempt has been recorded as slow
+  balancing::StreamPace pace;     ///< pace of the events, measured if `observed`
+  bool staleConnection =
+      false;                   ///< whether the failure is not the runner's, for example on a dropped pooled connection
+  bool isLastAttempt = false;  ///< whether no other runner may be tried after this attempt
   bool nextAttemptIsPaid = false;  ///< whether the retry budget was already charged for the next attempt
   runtime::Connection* pendingPartnerConnection = nullptr;  ///< to a partner node that has not begun to respond
 
