--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -262,7 +262,9 @@
     };
   }
   void forwardNothing() { here->proxy->context.lookupPartner = nullptr; }
-  std::string pushResponse(const std::string& attempt) { return sendRequest(*here->proxy, requestText("/push/x", attempt)).body; }
+  std::string pushResponse(const std::string& attempt) {
+    return sendRequest(*here->proxy, requestText("/push/x", attempt)).body;
+  }
 
   struct Outcome {
     double meanMs = 0;
@@ -282,8 +284,9 @@
     for (int i = 0; i < count; ++i) {
       const auto number = std::to_string(i);
       const auto started = Clock::now();
-      const auto stream = sendRequest(*here->proxy, streamRequest(name + "a" + number, prefixOf(i) + ",own" + number +
-                                                                                    ":100\r\nX-Token-Count: 5100,50"));
+      const auto stream = sendRequest(
+          *here->proxy,
+          streamRequest(name + "a" + number, prefixOf(i) + ",own" + number + ":100\r\nX-Token-Count: 5100,50"));
       outcome.meanMs += std::chrono::duration<double, std::milli>(Clock::now() - started).count() / count;
       outcome.completeStreams += stream.status == 200 && stream.bodyComplete && stream.body == allEvents();
       const auto push = name + "p" + number;
@@ -338,7 +341,8 @@
     for (int i = 0; i < 8; ++i) {
       const auto attempt = "n" + std::to_string(i);
       complete +=
-          sendRequest(*sites.here->proxy, streamRequest(attempt, attempt + ":5000,o:1\r\nX-Token-Count: 5001,5")).bodyComplete;
+          sendRequest(*sites.here->proxy, streamRequest(attempt, attempt + ":5000,o:1\r\nX-Token-Count: 5001,5"))
+              .bodyComplete;
     }
     EXPECT_EQ(complete, 8);
   });
@@ -348,8 +352,8 @@
     TwoSites sites;
     sites.forwardEverythingToPartner();
 
-    const auto response =
-        sendRequest(*sites.here->proxy, streamRequest("z1", "z:5000,o:1\r\nX-Token-Count: 5001,5", "X-Partner-Site: 1\r\n"));
+    const auto response = sendRequest(
+        *sites.here->proxy, streamRequest("z1", "z:5000,o:1\r\nX-Token-Count: 5001,5", "X-Partner-Site: 1\r\n"));
 
     EXPECT_EQ(response.status, 200);
     EXPECT_EQ(sites.partner->streams, 0);
@@ -376,7 +380,7 @@
       return;
     case PartnerFault::cutsItsStreams:
       sites.partner->proxy->runners[0]->handler = [](FakeRunner&, Connection& connection, const std::string& attempt,
-                                                 const std::string&) {
+                                                     const std::string&) {
         sendBytes(connection, streamHeader(attempt) + chunk(event(0) + event(1)));
         connection.close();
       };
@@ -403,8 +407,8 @@
   for (int i = 0; i < 10; ++i) {
     const auto number = std::to_string(i);
     const auto started = Clock::now();
-    const auto response =
-        sendRequest(*sites.here->proxy, streamRequest("k" + number, "k" + number + ":5000,o:1\r\nX-Token-Count: 5001,5"));
+    const auto response = sendRequest(*sites.here->proxy,
+                                      streamRequest("k" + number, "k" + number + ":5000,o:1\r\nX-Token-Count: 5001,5"));
     // A cut stream is resumed behind what had arrived; this stand-in sends all its events again.
     expectComplete(response, fault == PartnerFault::cutsItsStreams && i < 4);
     EXPECT_LT(Clock::now() - started, 500ms + 400ms);
--- a/tests/unhealthy_runners_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -31,19 +31,21 @@
   return static_cast<int>(r.receivedRequests.size());
 }
 bool probed(const FakeRunner& r) {
-  return std::any_of(r.receivedRequests.begin(), r.receivedRequests.end(), [](auto& g) { return g.find("/health") != std::string::npos; });
+  return std::any_of(r.receivedRequests.begin(), r.receivedRequests.end(),
+                     [](auto& g) { return g.find("/health") != std::string::npos; });
 }
 }  // namespace
 
 TEST(UnhealthyRunners, ARunnerThatFailsSomeRequestsIsEjectedWithoutHealthChecks) {
   withProxy([](TestProxy& h) {
     int n = 0;
-    auto unhealthy = h.runner("i-0", [&n](FakeRunner& r, Connection& w, const std::string& id, const std::string& text) {
-      if (++n % 2)
-        sendBytes(w, completeResponse(id, "failed", 500));
-      else
-        respondOk(r, w, id, text);
-    });
+    auto unhealthy =
+        h.runner("i-0", [&n](FakeRunner& r, Connection& w, const std::string& id, const std::string& text) {
+          if (++n % 2)
+            sendBytes(w, completeResponse(id, "failed", 500));
+          else
+            respondOk(r, w, id, text);
+        });
     for (int i = 1; i < 5; ++i)
       h.runner("i-" + std::to_string(i), respondOk);
     OutlierDetector detector;
@@ -78,7 +80,9 @@
       EXPECT_EQ(sendRequest(h, requestText("/open/x", "a" + std::to_string(i))).status, 200);
     (void)h.context.observer.takeReport(24);
     for (auto& r : {hangs, well})
-      r->handler = [](FakeRunner&, Connection&, const std::string&, const std::string&) { EventLoop::get().sleepFor(300ms); };
+      r->handler = [](FakeRunner&, Connection&, const std::string&, const std::string&) {
+        EventLoop::get().sleepFor(300ms);
+      };
     auto w = h.connectClient();
     sendBytes(*w, requestText("/open/x", "waits"));
     for (int i = 0; i < 200 && h.context.pendingAttempts.empty(); ++i)
