--- a/tests/unhealthy_runners_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -13,7 +13,7 @@
 using namespace zinccleat::controller;
 using namespace zinccleat::runtime;
 using namespace zinccleat::state_machine;
-using namespace zinccleat::standin;
+using namespace zinccleat::proxy_testing;
 namespace {
 // Reports this proxy's attempts to the leader's detector under two proxy names, because reports of one proxy alone
 // eject no runner.
@@ -31,10 +31,10 @@
     runners.push_back(Runner{runner->id, runner->service, runner->address(), "z", 4, 1, 0});
   return runners;
 }
-int requestsAt(const StandIn& runner) {
+int requestsAt(const FakeRunner& runner) {
   return static_cast<int>(runner.got.size());
 }
-bool probed(const StandIn& runner) {
+bool probed(const FakeRunner& runner) {
   return std::any_of(runner.got.begin(), runner.got.end(),
                      [](auto& request) { return request.find("/health") != std::string::npos; });
 }
@@ -43,15 +43,15 @@
 TEST(UnhealthyRunners, ARunnerThatFailsSomeRequestsIsEjectedWithoutHealthChecks) {
   withProxy([](TestProxy& testProxy) {
     int requestCount = 0;
-    auto unhealthy = testProxy.runner("i-0", [&requestCount](StandIn& runner, Connection& connection,
+    auto unhealthy = testProxy.runner("i-0", [&requestCount](FakeRunner& runner, Connection& connection,
                                                              const std::string& id, const std::string& text) {
       if (++requestCount % 2)
-        say(connection, completeResponse(id, "failed", 500));
+        sendBytes(connection, completeResponse(id, "failed", 500));
       else
-        answers(runner, connection, id, text);
+        respondOk(runner, connection, id, text);
     });
     for (int i = 1; i < 5; ++i)
-      testProxy.runner("i-" + std::to_string(i), answers);
+      testProxy.runner("i-" + std::to_string(i), respondOk);
     OutlierDetector detector;
     const auto allRunners = runnersOf(testProxy);
     TimePoint now = Clock::now();
@@ -59,7 +59,7 @@
     int served = 0;
     for (int i = 0; i < 120; ++i) {
       testProxy.context.runners.recordSuccess(0);  // as on a proxy that has sent the runner no request yet
-      const auto response = once(testProxy, ask("/open/" + std::to_string(i), "a" + std::to_string(i)));
+      const auto response = sendRequest(testProxy, requestText("/open/" + std::to_string(i), "a" + std::to_string(i)));
       served += response.status == 200;
       if (i % 10 == 9)
         reportToLeader(testProxy, detector, allRunners, now += 100ms);
@@ -70,7 +70,7 @@
     EXPECT_EQ(detector.ejections()[0].runner, "i-0");
     EXPECT_EQ(detector.ejections().size(), 1U);
     for (int i = 0; i < 40; ++i)
-      EXPECT_EQ(once(testProxy, ask("/open/x", "b" + std::to_string(i))).status, 200);
+      EXPECT_EQ(sendRequest(testProxy, requestText("/open/x", "b" + std::to_string(i))).status, 200);
     EXPECT_EQ(requestsAt(*unhealthy), before) << "an ejected runner gets no requests";
     for (auto& runner : testProxy.runners)
       EXPECT_FALSE(probed(*runner)) << "ejection does not depend on health checks, so none is sent";
@@ -78,17 +78,17 @@
 }
 TEST(UnhealthyRunners, ARunnerThatHangsIsReportedWhileItIsAwaited) {
   withProxy([](TestProxy& testProxy) {
-    auto hangs = testProxy.runner("i-0", answers);
-    auto well = testProxy.runner("i-1", answers);
+    auto hangs = testProxy.runner("i-0", respondOk);
+    auto well = testProxy.runner("i-1", respondOk);
     for (int i = 0; i < 30; ++i)
-      EXPECT_EQ(once(testProxy, ask("/open/x", "a" + std::to_string(i))).status, 200);
+      EXPECT_EQ(sendRequest(testProxy, requestText("/open/x", "a" + std::to_string(i))).status, 200);
     (void)testProxy.context.observer.takeReport(24);
     for (auto& runner : {hangs, well})
-      runner->act = [](StandIn&, Connection&, const std::string&, const std::string&) {
+      runner->handler = [](FakeRunner&, Connection&, const std::string&, const std::string&) {
         EventLoop::get().sleepFor(300ms);
       };
-    auto connection = testProxy.dial();
-    say(*connection, ask("/open/x", "waits"));
+    auto connection = testProxy.connectClient();
+    sendBytes(*connection, requestText("/open/x", "waits"));
     for (int i = 0; i < 200 && testProxy.context.pendingAttempts.empty(); ++i)
       EventLoop::get().sleepFor(1ms);
     ASSERT_EQ(testProxy.context.pendingAttempts.size(), 1U);
@@ -103,15 +103,16 @@
 }
 TEST(UnhealthyRunners, AFlappingRunnerCostsNoResponse) {
   withProxy([](TestProxy& testProxy) {
-    auto flaps = testProxy.runner("i-0", answers);
-    testProxy.runner("i-1", answers);
+    auto flaps = testProxy.runner("i-0", respondOk);
+    testProxy.runner("i-1", respondOk);
     const auto allRunners = runnersOf(testProxy);
     for (int i = 0; i < 60; ++i) {
       if (i == 10)
-        flaps->acc->close();  // the runner is down: connections are refused
+        flaps->acceptor->close();  // the runner is down: connections are refused
       testProxy.context.connections.closeAll("i-0");
       testProxy.context.runners.recordSuccess(0);
-      EXPECT_EQ(once(testProxy, ask(i % 2 ? "/open/x" : "/once/x", "a" + std::to_string(i))).status, 200) << i;
+      EXPECT_EQ(sendRequest(testProxy, requestText(i % 2 ? "/open/x" : "/once/x", "a" + std::to_string(i))).status, 200)
+          << i;
     }
     const auto report = testProxy.context.observer.takeReport(24);
     const auto attempts = std::find_if(report.begin(), report.end(), [](auto& entry) { return entry.runner == "i-0"; });
@@ -123,7 +124,7 @@
 TEST(UnhealthyRunners, ANewRunnerIsNotOverloaded) {
   withProxy([](TestProxy& testProxy) {
     for (int i = 0; i < 4; ++i)
-      testProxy.runner("i-" + std::to_string(i), answers);
+      testProxy.runner("i-" + std::to_string(i), respondOk);
     std::map<std::string, int> requestsByRunner;
     std::vector<int> busy;
     for (int i = 0; i < 8; ++i) {
@@ -132,7 +133,7 @@
       const int chosen = testProxy.context.runners.choose(query, Clock::now());
       testProxy.context.runners.attemptStarted(chosen, 0);
     }
-    testProxy.runner("i-new", answers);
+    testProxy.runner("i-new", respondOk);
     for (int i = 0; i < 12; ++i) {
       RunnerQuery query;
       query.service = "s", query.zone = "z";
@@ -148,8 +149,8 @@
 // that must not be repeated must not use such a connection; an idempotent request is retried.
 TEST(UnhealthyRunners, AStaleConnectionCostsNoUnrepeatableRequest) {
   withProxy([](TestProxy& testProxy) {
-    testProxy.runner("i-0", answers);
-    EXPECT_EQ(once(testProxy, ask("/once/x", "a1")).status, 200);
+    testProxy.runner("i-0", respondOk);
+    EXPECT_EQ(sendRequest(testProxy, requestText("/once/x", "a1")).status, 200);
     const auto now = Clock::now();
     EXPECT_EQ(testProxy.context.connections.acquire("i-0", now + 3s, false), nullptr)
         << "the connection was idle too long, so a new one is required";
@@ -165,18 +166,18 @@
 TEST(UnhealthyRunners, AResetOnAReusedConnectionIsNoRunnerFailure) {
   withProxy([](TestProxy& testProxy) {
     int requestCount = 0;
-    auto act = [&requestCount](StandIn& runner, Connection& connection, const std::string& id,
-                               const std::string& text) {
+    auto handler = [&requestCount](FakeRunner& runner, Connection& connection, const std::string& id,
+                                   const std::string& text) {
       if (++requestCount == 2) {
         const linger abortiveClose{1, 0};
         ::setsockopt(connection.socket().native_handle(), SOL_SOCKET, SO_LINGER, &abortiveClose, sizeof abortiveClose);
         return connection.close();  // resets the connection, as if the runner had dropped it
       }
-      answers(runner, connection, id, text);
+      respondOk(runner, connection, id, text);
     };
-    auto runner = testProxy.runner("i-0", act);
-    EXPECT_EQ(once(testProxy, ask("/open/x", "a1")).status, 200);
-    (void)once(testProxy, ask("/open/x", "a2"));
+    auto runner = testProxy.runner("i-0", handler);
+    EXPECT_EQ(sendRequest(testProxy, requestText("/open/x", "a1")).status, 200);
+    (void)sendRequest(testProxy, requestText("/open/x", "a2"));
     for (auto& attempts : testProxy.context.observer.takeReport(24))
       EXPECT_EQ(attempts.failed, 0) << attempts.runner;
     EXPECT_EQ(testProxy.context.runners.at(0).consecutiveFailures, 0);
