--- a/tests/unhealthy_runners_test.cpp
+++ b/tests/unhealthy_runners_test.cpp
@@ -32,10 +32,10 @@
   return runners;
 }
 int requestsAt(const FakeRunner& runner) {
-  return static_cast<int>(runner.got.size());
+  return static_cast<int>(runner.receivedRequests.size());
 }
 bool probed(const FakeRunner& runner) {
-  return std::any_of(runner.got.begin(), runner.got.end(),
+  return std::any_of(runner.receivedRequests.begin(), runner.receivedRequests.end(),
                      [](auto& request) { return request.find("/health") != std::string::npos; });
 }
 }  // namespace
