--- a/libs/agent/include/agent/agent_daemon.hpp
+++ b/libs/agent/include/agent/agent_daemon.hpp
@@ -1,4 +1,4 @@
-/// The agent: wires the parts of this library to sockets, timers and the settings. It decides nothing by itself.
+/// The agent's daemon: connects the components of this library to sockets, timers and settings.
 #pragma once
 #include "agent/core_links.hpp"
 #include "agent/feed_source.hpp"
@@ -7,7 +7,7 @@
 #include "agent/proxy_feed.hpp"
 #include "config/settings.hpp"
 namespace zinccleat::agent {
-/// Lives as long as the event loop, on whose thread all of it runs.
+/// Must exist until the event loop has ended. Used on the event loop's thread only.
 class AgentDaemon {
  public:
   explicit AgentDaemon(const config::Settings& settings);
@@ -16,9 +16,10 @@
   /// Listens for the proxy, connects to the core and starts the timers.
   /// @return the error of the proxy's endpoint or of its listener.
   Result<void> start();
-  /// SIGTERM has come: ends the event loop once the proxy has disconnected, or after nine tenths of the grace.
+  /// Handles SIGTERM: stops the event loop when the proxy has disconnected, or at the latest after nine tenths of the
+  /// grace period.
   void shutDown();
-  /// Takes over the seeds of settings that were read again.
+  /// Applies the seeds of reloaded settings.
   void reloadSettings(const config::Settings& settings);
 
  private:
@@ -32,14 +33,14 @@
   void sendStateToAll();
   void sendStateIfDue(const transport::PeerLinkPtr& link);
 
-  /// Follows another member if the feed is to come from there now.
+  /// Selects the source of the log and subscribes there if the source has changed or the agent follows none.
   void chooseSource();
   transport::PeerLinkPtr sourceLink() const { return links_.connectedLink(sourceAddress_); }
   void follow(const transport::PeerLinkPtr& link, bool refetch);
   void unsubscribe(const std::string& address);
   void refetch();
   void refetchIfBehind();
-  /// Logs that the replica lags, and when it has caught up.
+  /// Logs that the replica lags, and later that the replica has caught up.
   void reportLag(TimePoint now);
   void applyEntries();
 
@@ -56,14 +57,14 @@
   std::string identity_;  // "IP#agent"
   LeaderDiscovery discovery_;
   FeedSource feedSource_;
-  std::string sourceAddress_;           // of the member that feeds this agent; empty: none
-  std::int64_t sourceCommitIndex_ = 0;  // the newest that this member has said to have committed
+  std::string sourceAddress_;           // member that sends the log to this agent; empty if there is none
+  std::int64_t sourceCommitIndex_ = 0;  // highest commit index reported by the source
   LogFollower follower_;
   ProxyFeed proxyFeed_;
   CoreLinks links_;
   int receiptsSinceState_ = 0;
   int stateMessages_ = 0;
-  Duration loggedLag_{0};   // as last logged; 0: not since the replica caught up
-  Duration longestLag_{0};  // since the replica caught up
+  Duration loggedLag_{0};   // lag that was last logged; 0 if none since the replica caught up
+  Duration longestLag_{0};  // longest lag since the replica last caught up
 };
 }  // namespace zinccleat::agent
--- a/libs/agent/include/agent/feed_source.hpp
+++ b/libs/agent/include/agent/feed_source.hpp
@@ -1,54 +1,60 @@
-/// Which member of the core feeds an agent with the log. Pure: the present time and the state of the connections are
-/// passed in.
+/// Selects the member of the core that sends the replicated log to an agent, called the source. Pure: the current time
+/// and the state of the connections are passed in.
 ///
-/// The members of the core all hold the same committed entries, so any of them can feed any agent. The one in the
-/// agent's own zone is preferred: what the leader commits then crosses to each zone once, not once for each agent. The
-/// leader remains the source where no member stands in the zone or that one lags. Leases always come from the leader.
+/// All members of the core have the same committed entries, so any member can be the source of any agent. A member in
+/// the agent's own zone is preferred, so that each committed entry is sent to each zone once instead of once per agent.
+/// The leader is the source if no member is in the agent's zone or if that member lags. Leases always come from the
+/// leader.
 #pragma once
 #include "transport/access_messages.hpp"
 namespace zinccleat::agent {
-/// Chooses the source; see the file's comment.
+/// Tracks the members of the agent's zone and selects the source among them and the leader.
 class FeedSource {
  public:
-  /// A source that said nothing for so long while entries were missing is left for the leader; so is one to which there
-  /// is no connection for so long.
+  /// The agent switches from its source to the leader if the source sends no message for this time while entries are
+  /// missing. The agent also waits this long for the first connection to a new member of its zone.
   static constexpr auto kStallTimeout = 300ms;
-  /// ... that answers and has none of the missing entries itself, after so long: it is cut off from the core, or slow.
-  /// With a renewal of the lease, which tells of an entry, this stays well below the time in which drains and
-  /// configurations bind (2 s). Shorter, and a zone whose controller is busy for a moment would load the leader
-  /// besides.
+  /// The agent switches to the leader if entries are missing for this time and the source sends messages but has not
+  /// committed the missing entries: the source is isolated from the core, or slow. The sum of this timeout and one
+  /// lease renewal, which reports a new entry, is well below the 2 s within which drains and configurations must take
+  /// effect. A shorter timeout would move the agents of a zone to the leader whenever the zone's controller is briefly
+  /// busy.
   static constexpr auto kIsolationTimeout = 400ms;
-  /// ... that has them, after so long: the complete state of a large fleet takes a while.
+  /// The agent switches to the leader if entries are missing for this time although the source has committed them. The
+  /// timeout is long because the transfer of the complete state of a large fleet takes time.
   static constexpr auto kTransferTimeout = 2000ms;
-  /// A member that the newest lists do not have is forgotten after so long.
+  /// A member that is absent from the received lists for this time is removed.
   static constexpr auto kRetentionTime = 2000ms;
-  /// A source that was left is not used again for so long.
+  /// A member that `avoid` was called for is not selected again for this time.
   static constexpr auto kAvoidTime = 10000ms;
 
   /// @param zone the agent's zone.
-  /// @param seed of the choice among several members of the zone, which is this agent's own.
+  /// @param seed seed of the selection among several members of the zone. It differs per agent, so that the agents of a
+  ///             zone are distributed over its members.
   FeedSource(std::string zone, std::uint64_t seed) : zone_(std::move(zone)), seed_(seed) {}
-  /// Takes over where the members stand that are up. An empty list changes nothing.
+  /// Updates the zones of the members that are up. An empty list changes nothing.
   void setMembers(const std::vector<transport::MemberZone>& members, TimePoint now);
-  /// Whether it is known where members stand.
+  /// Whether a list of members with their zones has been received.
   bool knowsMembers() const { return knowsMembers_; }
-  /// The member of the agent's zone that is to be linked to; empty: none, or it is avoided now.
+  /// Returns the address of the selected member of the agent's zone; empty if the zone has no member, or none that is
+  /// not avoided at present.
   std::string memberInZone(TimePoint now) const;
-  /// The address of the member that is to feed the agent now; empty: none yet. While a member of the zone is new and
-  /// the connection to it is being made, the present source remains.
-  /// @param leader the leader's address; empty: unknown.
-  /// @param present the source until now; empty: none.
+  /// Returns the address of the member that should be the source now; empty if there is none yet. While the connection
+  /// to a new member of the zone is being established, the present source is kept.
+  /// @param leader the leader's address; empty if unknown.
+  /// @param present the current source; empty if there is none.
+  /// @param isConnected whether there is a connection to an address.
   std::string choose(TimePoint now, const std::string& leader, const std::string& present,
                      const std::function<bool(const std::string&)>& isConnected) const;
-  /// What is known of a source while entries are missing.
+  /// State of a source while entries are missing.
   struct Activity {
-    TimePoint lastReceivedAt{};      ///< the newest message of any kind
-    bool hasMissingEntries = false;  ///< it has said that it has committed more than the agent has applied
+    TimePoint lastReceivedAt{};      ///< time of the last message of any type
+    bool hasMissingEntries = false;  ///< the source's commit index is above the agent's applied index
   };
-  /// Whether the source is to be left for the leader.
-  /// @param stalledFor how long entries have been missing and none has come.
+  /// Whether the agent should switch from the source to the leader.
+  /// @param stalledFor how long entries have been missing without any entry being applied.
   static bool isStalled(TimePoint now, Duration stalledFor, const Activity& source);
-  /// The member that feeds the agent lacks what the leader has committed: it is avoided for a while.
+  /// Excludes a member from selection for `kAvoidTime`, because it lacks entries that the leader has committed.
   void avoid(const std::string& address, TimePoint now) { avoidedSince_[address] = now; }
 
  private:
@@ -56,9 +62,9 @@
   std::uint64_t seed_;
   struct ZoneMember {
     TimePoint knownSince{};
-    TimePoint listedAt{};  // in the newest list that had it
+    TimePoint listedAt{};  // time of the newest list that contained the member
   };
-  std::map<std::string, ZoneMember> inZone_;  // by address
+  std::map<std::string, ZoneMember> inZone_;  // members of the agent's zone; key: address
   bool knowsMembers_ = false;
   std::map<std::string, TimePoint> avoidedSince_;
 };
--- a/libs/agent/include/agent/log_follower.hpp
+++ b/libs/agent/include/agent/log_follower.hpp
@@ -1,61 +1,64 @@
-/// The agent's side of following the replicated log: what to request from the leader, and when. Pure: messages come in,
-/// messages to be sent go out, the present time is passed in.
+/// The agent's part of the protocol that replicates the log: decides which entries to request from the source, and
+/// when. Pure: received messages and the current time are passed in, messages to send are returned.
 #pragma once
 #include "agent/followed_replica.hpp"
 #include "agent/replica_lag.hpp"
 namespace zinccleat::agent {
-/// Follows one leader after the other. A gap is closed before anything behind it is applied; the leader keeps what was
-/// missed.
+/// Follows the log of one source, the member of the core chosen by `FeedSource`, at a time. Entries after a gap are
+/// applied only when the missing entries have arrived. The source retains entries, so the follower can request the ones
+/// that it missed.
 class LogFollower {
  public:
-  /// Time between two requests for what is missing.
+  /// Minimum time between two requests for missing entries.
   static constexpr auto kRefetchInterval = 150ms;
-  /// Entries kept for a proxy that connects again.
+  /// Number of applied entries that are retained for a proxy that reconnects.
   static constexpr std::size_t kTailCapacity = 256;
 
-  /// Subscribes to the leader's log, or requests again what is missing.
+  /// Creates a message that subscribes to the source's log.
+  /// @param refetch whether the message requests missing entries again.
   transport::FollowLog follow(TimePoint now, bool refetch);
-  /// Whether the leader was sent a request since `stopFollowing`.
+  /// Whether `follow` has been called since `stopFollowing`.
   bool following() const { return following_; }
-  /// There is another leader, whose log has to be subscribed to.
+  /// Records that the subscription has ended, because the leader changed or the connection was lost.
   void stopFollowing() { following_ = false; }
-  /// Whether something is missing that is known to exist.
+  /// Whether entries that are known to be committed are missing, or the replica is corrupted.
   bool isBehind() const;
-  /// How long something has been missing without any entry coming in; 0: nothing is missing. To be asked often: it
-  /// counts from the first time that it was found so.
+  /// Returns how long entries have been missing without any entry or snapshot being applied; 0 if none is missing. The
+  /// time is counted from the first call that finds entries missing, so the function must be called regularly.
   Duration stalledFor(TimePoint now);
   /// Whether `kRefetchInterval` has passed since the last request.
   bool mayRefetch(TimePoint now) const { return now - lastFollow_ >= kRefetchInterval; }
 
   /// Queues the entries of a message.
   void offer(transport::FeedEntries feed);
-  /// Keeps the body of a large write for its entry.
+  /// Stores the body of a large write until its entry arrives.
   void offerBody(transport::BodyAhead body) { replica_.offerBody(body.digest, std::move(body.body)); }
   /// Applies the next entry; see `FollowedReplica::applyNext`.
   std::optional<FollowedReplica::Applied> applyNext();
-  /// Whether a snapshot would bring the replica forward.
+  /// See `FollowedReplica::needsSnapshot`.
   bool needsSnapshot(const transport::FeedSnapshot& snapshot) const { return replica_.needsSnapshot(snapshot); }
-  /// Takes over a snapshot. If it cannot be read, the replica is corrupted, and the error is returned.
+  /// Replaces the replica's state by that of a snapshot.
+  /// @return the error if the snapshot cannot be decoded. The replica is marked as corrupted in this case.
   Result<void> restore(const transport::FeedSnapshot& snapshot);
-  /// Records the newest index that the core has committed.
-  /// @return whether the replica is behind it.
+  /// Records the commit index of the core.
+  /// @return whether the replica has not applied all entries up to this index.
   bool recordCommitIndex(TimePoint now, std::int64_t index);
-  /// How long this replica has lacked what is known to be committed.
+  /// Returns how long this replica has lacked entries that are known to be committed.
   Duration lag(TimePoint now) const { return lag_.at(now); }
-  /// The newest index known to be committed.
+  /// Highest index that is known to be committed.
   std::int64_t newestIndex() const { return newestIndex_; }
 
-  /// The entries after an index; none if the tail does not reach back to it, so that a snapshot is needed.
+  /// Returns the entries after an index; none if they are no longer retained, so that a snapshot is needed.
   std::optional<transport::FeedEntries> entriesAfter(std::int64_t index) const;
   const FollowedReplica& replica() const { return replica_; }
 
  private:
   FollowedReplica replica_;
-  std::deque<transport::LogEntry> tail_;  // the last entries applied, oldest first
-  std::int64_t newestIndex_ = 0;          // the newest index known to be committed
+  std::deque<transport::LogEntry> tail_;  // the last applied entries, oldest first
+  std::int64_t newestIndex_ = 0;          // highest index that is known to be committed
   ReplicaLag lag_;
   TimePoint lastFollow_{};
-  std::optional<TimePoint> stalledSince_;  // none: nothing was missing, or something has come since
+  std::optional<TimePoint> stalledSince_;  // empty if no entry was missing or one was applied since
   bool following_ = false;
 };
 }  // namespace zinccleat::agent
--- a/libs/agent/include/agent/proxy_feed.hpp
+++ b/libs/agent/include/agent/proxy_feed.hpp
@@ -1,23 +1,24 @@
-/// The agent's connection to its proxy, and what the proxy has received over it.
+/// Sends the replicated log from the agent to its proxy.
 #pragma once
 #include "agent/log_follower.hpp"
 #include "transport/peer_link.hpp"
 namespace zinccleat::agent {
-/// Brings the proxy to the state of the agent's replica and keeps it there. There is one proxy: a new subscription
-/// replaces the one before.
+/// Sends the state of the agent's replica and all later entries to the proxy. An agent serves one proxy: a new
+/// subscription replaces the previous one.
 class ProxyFeed {
  public:
   /// @param follower must outlive this object.
   explicit ProxyFeed(const LogFollower& follower) : follower_(follower) {}
   /// Whether a proxy has subscribed and is connected.
   bool connected() const { return link_ && link_->open(); }
-  /// A proxy subscribes, or requests again what it lacks: it gets entries, or a snapshot if those do not suffice.
+  /// Handles a subscription of a proxy, or its request to send missing state again. The proxy gets the entries that it
+  /// lacks. It gets a snapshot instead if the entries are no longer retained or if it requested missing state again.
   void subscribe(const transport::PeerLinkPtr& link, const transport::FollowLog& request);
-  /// Sends entries that were applied just now, if there are any and a proxy is connected.
+  /// Sends entries that were just applied. Does nothing if there are no entries or no proxy is connected.
   void sendEntries(std::vector<transport::LogEntry> entries);
-  /// Sends the complete state, without what the proxy has of it; nothing if no proxy is connected.
+  /// Sends the complete state, without the parts that the proxy has cached. Does nothing if no proxy is connected.
   void sendSnapshot();
-  /// Passes a message of the core on; dropped if no proxy is connected.
+  /// Forwards a message of the core to the proxy. The message is dropped if no proxy is connected.
   void forward(const transport::Envelope& envelope);
 
  private:
@@ -25,6 +26,6 @@
 
   const LogFollower& follower_;
   transport::PeerLinkPtr link_;
-  std::string proxyDigest_;  // of the configuration that the proxy has, once it has read what was sent
+  std::string proxyDigest_;  // of the proxy's configuration after it has processed all sent messages
 };
 }  // namespace zinccleat::agent
--- a/libs/agent/include/agent/replica_lag.hpp
+++ b/libs/agent/include/agent/replica_lag.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// For how long a replica has lacked what is known to be committed. Pure: the present time is passed in.
+/// Measures for how long a replica has lacked entries that are known to be committed. Pure: the current time is passed
+/// in.
 ///
-/// Differs from the time since the last progress (`LogFollower::stalledFor`): a replica that applies one entry after
-/// another and is never done lags all the same, and what it decides about is that old.
+/// The lag differs from the time since the last progress (`LogFollower::stalledFor`): a replica that constantly applies
+/// entries but never catches up makes progress and still lags, and decisions based on it use state of that age.
 #pragma once
 #include <deque>
 
@@ -11,13 +12,14 @@
 /// The lag of one replica behind the committed log.
 class ReplicaLag {
  public:
-  /// Records that the log was committed up to `committed` at `at`. Indexes that do not rise are ignored.
+  /// Records that at time `at` the log was committed up to index `committed`. Calls without a higher index are ignored.
   void recordCommitted(TimePoint at, std::int64_t committed);
   /// Records that the replica has applied all entries up to `applied`.
   void recordApplied(std::int64_t applied);
-  /// Since when the oldest entry that is missing has been known to be committed; none: nothing is known to be missing.
+  /// Returns since when the oldest missing entry has been known to be committed; none if no entry is known to be
+  /// missing.
   std::optional<TimePoint> since() const;
-  /// How long the oldest entry that is missing has been known to be committed; 0: nothing is known to be missing.
+  /// Returns how long the oldest missing entry has been known to be committed; 0 if no entry is known to be missing.
   Duration at(TimePoint now) const;
 
  private:
@@ -25,7 +27,7 @@
     std::int64_t index = 0;
     TimePoint observedAt{};
   };
-  std::deque<CommitObservation> missing_;  // of rising index, none of them applied
+  std::deque<CommitObservation> missing_;  // indexes that are not yet applied, in ascending order
   std::int64_t applied_ = 0;
 };
 }  // namespace zinccleat::agent
--- a/libs/agent/include/agent/request_forwarding.hpp
+++ b/libs/agent/include/agent/request_forwarding.hpp
@@ -1,4 +1,5 @@
-/// Which messages pass through the agent unread: the proxy's requests to the leader, and the responses to them. Pure.
+/// Classifies the messages that the agent forwards between the proxy and the leader: the proxy's requests and the
+/// leader's responses. Pure.
 #pragma once
 #include "transport/envelope.hpp"
 namespace zinccleat::agent {
--- a/libs/agent/src/agent_daemon.cpp
+++ b/libs/agent/src/agent_daemon.cpp
@@ -9,11 +9,11 @@
 namespace zinccleat::agent {
 namespace {
 constexpr auto kStateInterval = 1000ms;  // between two reports of the agent's state to the core
-constexpr int kReceiptsPerState = 32;    // ... or so many entries' messages and snapshots received
-constexpr int kStatesPerViewSample = 8;  // each so many-th report bears a sample of the partial view
-constexpr auto kLinkInterval = 250ms;    // between two looks at which links are wanted
+constexpr int kReceiptsPerState = 32;    // a report is also due after this number of messages with entries or snapshots
+constexpr int kStatesPerViewSample = 8;  // one in this many reports includes a sample of the partial view
+constexpr auto kLinkInterval = 250ms;    // between two selections of the links to the core
 constexpr auto kShutdownInterval = 100ms;
-constexpr Duration kReportedLag{300};  // a replica that lags for longer is reported, and again at each doubling
+constexpr Duration kReportedLag{300};  // a longer lag is logged, and again each time it has doubled
 }  // namespace
 
 AgentDaemon::AgentDaemon(const config::Settings& settings)
@@ -58,7 +58,7 @@
   loop.callEvery(LogFollower::kRefetchInterval, [this] { refetchIfBehind(); });
 }
 void AgentDaemon::shutDown() {
-  // The proxy ends its work within the grace; the agent outlasts it.
+  // The proxy completes its requests within the grace period and needs the agent until then.
   const auto deadline = Clock::now() + settings_.timers.grace * 9 / 10;
   runtime::EventLoop::get().callEvery(kShutdownInterval, [this, deadline] { stopOnceProxyDisconnects(deadline); });
 }
@@ -129,8 +129,8 @@
   if (const auto link = sourceLink())
     follow(link, true);
 }
-// A member that does not lead commits a moment after the leader, and so feeds a moment after the leader grants a lease
-// that requires the entry: being behind is only worth a message once it lasts.
+// A follower of the core commits an entry slightly later than the leader, so it sends the entry shortly after the
+// leader has granted a lease that requires it. Missing entries are therefore requested only after `kRefetchInterval`.
 void AgentDaemon::refetchIfBehind() {
   const auto now = Clock::now();
   reportLag(now);
@@ -183,7 +183,7 @@
 
 void AgentDaemon::onCoreConnected(const std::string& address, const transport::PeerLinkPtr& link) {
   link->send(stateMessage());
-  // A subscription ended with the connection that it was made on.
+  // A subscription ends when the connection that it was made on is closed.
   if (address == sourceAddress_)
     follower_.stopFollowing();
   chooseSource();
@@ -217,11 +217,11 @@
   if (change.leader) {
     discovery_.setLeader(status.leader);
     log::debug("leader_followed", {{"member", status.leader}, {"term", status.term}});
-    // A leader of an earlier term has stopped feeding the agents of other zones.
+    // The leader of the earlier term no longer sends entries to agents of other zones, so a new subscription is needed.
     follower_.stopFollowing();
     chooseLinks();
   }
-  // The leader knows best who is up; anyone's word serves until it is heard.
+  // The leader's list of members is the most reliable. Until one is received, the list of any member is used.
   if (sender == discovery_.leader() || !feedSource_.knowsMembers()) {
     feedSource_.setMembers(status.extension.members, Clock::now());
     chooseLinks();
@@ -266,7 +266,7 @@
   const auto leader = leaderLink();
   if (!leader)
     return proxy->send(
-        transport::pack(transport::ClusterStatus{}));  // keeps the link alive: there is no leader to forward to
+        transport::pack(transport::ClusterStatus{}));  // without a leader, the message only keeps the link alive
   auto forwarded = envelope;
   forwarded.sender = identity_;
   leader->send(forwarded);
--- a/libs/agent/src/feed_source.cpp
+++ b/libs/agent/src/feed_source.cpp
@@ -8,7 +8,8 @@
   for (const auto& member : members)
     if (!zone_.empty() && member.zone == zone_)
       inZone_.try_emplace(member.address, ZoneMember{now, now}).first->second.listedAt = now;
-  // A new leader has not heard of all members yet: one that it does not list at once has not gone.
+  // A new leader may not have received messages from all members yet, so a member that is absent from its first lists
+  // may still be up.
   std::erase_if(inZone_, [now](const auto& entry) { return now - entry.second.listedAt >= kRetentionTime; });
 }
 bool FeedSource::isStalled(TimePoint now, Duration stalledFor, const Activity& source) {
@@ -36,7 +37,8 @@
   auto nearby = memberInZone(now);
   if (isUsable(nearby))
     return nearby;
-  // All that the agent lacks, the complete state at its start, would else come from the leader first.
+  // While the connection to a new member of the zone is being established, the agent waits for it. Otherwise the agent
+  // would first request all missing entries, at its start the complete state, from the leader.
   const bool connecting = !nearby.empty() && now - inZone_.at(nearby).knownSince < kStallTimeout;
   if (connecting)
     return isUsable(present) ? present : std::string();
--- a/libs/agent/src/leader_discovery.cpp
+++ b/libs/agent/src/leader_discovery.cpp
@@ -5,7 +5,7 @@
 namespace zinccleat::agent {
 namespace {
 constexpr std::size_t kViewCapacity = 12;
-/// How nodes of the partial view are marked by their role: "IP/core", "IP/access".
+/// Suffixes that mark the role of a node in the partial view: "IP/core", "IP/access".
 constexpr std::string_view kCoreSuffix = "/core";
 constexpr std::string_view kAccessSuffix = "/access";
 
@@ -44,7 +44,7 @@
   return leader_.empty() ? std::string() : consensus::addressOf(leader_);
 }
 
-/// The voters in an order of this node's own, so that the links of all nodes spread over the core.
+/// Returns the voters in an order that differs per node, so that the links of all nodes are distributed over the core.
 std::vector<std::string> LeaderDiscovery::votersByRank() const {
   auto ranked = voters_;
   std::sort(ranked.begin(), ranked.end(),
@@ -63,7 +63,8 @@
     if (desired.size() < kExtraVoterLinks + 1)
       desired.insert(consensus::addressOf(voter));
   const bool connected = std::any_of(desired.begin(), desired.end(), isConnected);
-  // Without a lease too: those known may all be on the minority's side of a network partition.
+  // All machines are added without a lease too, because the connected ones may all be on the minority side of a network
+  // partition.
   if (!connected || now - lastLease_ > kLeaseTimeout)
     addAllKnown(desired);
   return desired;
--- a/libs/agent/src/replica_lag.cpp
+++ b/libs/agent/src/replica_lag.cpp
@@ -2,7 +2,8 @@
 
 namespace zinccleat::agent {
 namespace {
-/// More observations than that are merged into the newest one: a replica that is so far behind lags by the oldest one.
+/// Observations beyond this number are merged into the newest one, which limits the memory used. The lag depends on the
+/// oldest observation, so merging does not understate it.
 constexpr std::size_t kMaxObservations = 64;
 }  // namespace
 
--- a/libs/proxy_daemon/include/proxy_daemon/daemon.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/daemon.hpp
@@ -1,4 +1,4 @@
-/// The proxy's daemon: wires the parts of this library to the proxy, to sockets, timers and settings.
+/// The proxy's daemon: connects the components of this library to the proxy, to sockets, timers and settings.
 #pragma once
 #include "agent/followed_replica.hpp"
 #include "config/settings.hpp"
@@ -12,7 +12,7 @@
 #include "proxy_daemon/state_adoption.hpp"
 #include "transport/listener.hpp"
 namespace zinccleat::proxy_daemon {
-/// Lives as long as the event loop, on whose thread all of it runs.
+/// Must exist until the event loop has ended. Used on the event loop's thread only.
 class ProxyDaemon {
  public:
   explicit ProxyDaemon(const config::Settings& settings);
@@ -21,9 +21,9 @@
   /// Connects to the agent, opens the listeners and starts the timers.
   /// @return the error of the first endpoint or listener that cannot be used.
   Result<void> start();
-  /// SIGTERM has come: ends the event loop after the phases of `GracefulShutdown`.
+  /// Handles SIGTERM: stops the event loop after the phases of `GracefulShutdown`.
   void shutDown();
-  /// Takes over the timers of settings that were read again.
+  /// Applies the timers of reloaded settings.
   void reloadSettings(const config::Settings& settings) { settings_.timers = settings.timers; }
 
  private:
@@ -43,7 +43,7 @@
   void adopt(state_machine::ReplicatedState::Change change);
 
   void renewLease();
-  /// Logs that the lease is not renewed although the proxy serves under it, and that it is again.
+  /// Logs when the renewal of a lease that is still valid becomes overdue, and when the lease is renewed again.
   void reportAgingLease(TimePoint now);
   void onLeaseResponse(const transport::LeaseResponse& response);
   void useLease();
@@ -54,14 +54,15 @@
   agent::FollowedReplica replica_;
   StateAdoption adoption_;
   LeaseRenewal lease_;
-  TimePoint grantedLeaseEnds_{};  // of the lease that may be used, whether or not the replica has come to lag since
-  bool leaseIsAging_ = false;     // as last reported
+  TimePoint grantedLeaseEnds_{};  // expiry of the usable lease, not shortened by a lag of the replica
+  bool leaseIsAging_ = false;     // state that was last logged
   NodeReport report_;
   QuotaTokenClient quotaTokens_;
-  std::optional<PartnerLookup> partnerLookup_;  // none without a partner site
+  std::optional<PartnerLookup> partnerLookup_;  // empty without a partner site
   ReadinessServer readiness_;
   std::optional<transport::Listener> clientListener_;
-  // From 0 to 1, random: decides which nodes get a slack in retries that is too small to be shared by all.
+  // Random number from 0 to 1. If the fleet-wide retry slack is too small to give each node a retry, this number
+  // decides which nodes get one.
   double retrySlackDraw_;
 };
 }  // namespace zinccleat::proxy_daemon
--- a/libs/proxy_daemon/include/proxy_daemon/node_report.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/node_report.hpp
@@ -1,17 +1,17 @@
-/// What the leader is to know of this machine: it travels with each lease request.
+/// The report on this machine that the proxy sends to the leader with each lease request.
 #pragma once
 #include "proxy/proxy_context.hpp"
 #include "proxy_daemon/zone_drains.hpp"
 #include "transport/access_messages.hpp"
 namespace zinccleat::proxy_daemon {
-/// Requests a second, measured from the count of all requests. Pure.
+/// Computes requests per second from a running count of all requests. Pure: the current time is passed in.
 class RequestRate {
  public:
-  /// @param start when the count was 0.
+  /// @param start the time at which the count was 0.
   explicit RequestRate(TimePoint start) : measuredAt_(start) {}
-  /// Measures anew if the last measurement is old enough.
-  /// @param total requests since `start`.
-  /// @return requests a second between the last two measurements.
+  /// Takes a new measurement if the last one is older than 900 ms.
+  /// @param total number of requests since `start`.
+  /// @return requests per second between the last two measurements.
   double update(TimePoint now, std::uint64_t total);
 
  private:
@@ -20,13 +20,14 @@
   double requestsPerS_ = 0;
 };
 
-/// Gathers the report.
+/// Builds the report from the proxy's state.
 class NodeReport {
  public:
   /// @param context must outlive this object.
   NodeReport(proxy::ProxyContext& context, ZoneToRegion zones, TimePoint start)
       : context_(context), zones_(std::move(zones)), rate_(start) {}
-  /// Fills in quotas, load, the outcome of attempts since the last report, and what was seen of rollouts.
+  /// Fills in quota demand, load, the outcome of attempts since the last report, and observations of rollouts.
+  /// @param drains the drains of zones and regions whose progress is reported.
   void fill(transport::LeaseRequest& request, TimePoint now, const std::vector<state_machine::ZoneDrain>& drains);
 
  private:
--- a/libs/proxy_daemon/include/proxy_daemon/pending_requests.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/pending_requests.hpp
@@ -1,31 +1,32 @@
-/// Matches responses to the requests that await them. Pure: the present time is passed in.
+/// Matches responses to pending requests. `PendingRequests` is pure: the current time is passed in.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::proxy_daemon {
-/// Where the request ids of one incarnation begin: random, so that a response to an earlier incarnation matches no
-/// request. Small enough to stay short on the wire.
+/// Returns a random id at which the request ids of one process start. Because the id is random, a response to an
+/// earlier process on this machine matches no pending request. The id has 40 bits, to keep its encoding on the wire
+/// short.
 std::int64_t randomRequestId();
 
-/// The last few requests of one type that have not been answered. Ids ascend by one.
+/// The most recent requests of one type that have not been answered. Each request id is one above the previous id.
 class PendingRequests {
  public:
-  /// Requests remembered; a response to an older one is ignored.
+  /// Maximum number of pending requests. A response to an older request is ignored.
   static constexpr std::size_t kCapacity = 16;
   /// @param previousId the first request gets the id after this one.
   explicit PendingRequests(std::int64_t previousId) : newestId_(previousId) {}
-  /// Begins a request and forgets the oldest beyond the capacity.
-  /// @return its id.
+  /// Starts a request. Drops the oldest pending request if there are more than `kCapacity`.
+  /// @return the id of the new request.
   std::int64_t start(TimePoint now);
-  /// When a request was started; none if it is not pending.
+  /// Returns when a request was started; none if the request is not pending.
   std::optional<TimePoint> startedAt(std::int64_t requestId) const;
-  /// Ends a request.
-  /// @return whether it was pending: a response that comes twice counts once.
+  /// Removes a request.
+  /// @return whether the request was pending. The result is false for a duplicate response.
   bool finish(std::int64_t requestId) { return startTimes_.erase(requestId) > 0; }
-  /// The id of the request that was started last.
+  /// Id of the request that was started last.
   std::int64_t newestId() const { return newestId_; }
 
  private:
   std::int64_t newestId_;
-  std::map<std::int64_t, TimePoint> startTimes_;  // by request id
+  std::map<std::int64_t, TimePoint> startTimes_;  // key: request id
 };
 }  // namespace zinccleat::proxy_daemon
--- a/libs/proxy_daemon/include/proxy_daemon/state_adoption.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/state_adoption.hpp
@@ -1,22 +1,23 @@
-/// Hands the fleet's state, as the replica has it, to the proxy.
+/// Applies the fleet's replicated state to the proxy.
 #pragma once
 #include "proxy/proxy_context.hpp"
 #include "proxy_daemon/zone_drains.hpp"
 #include "state_machine/replicated_state.hpp"
 #include "transport/access_messages.hpp"
 namespace zinccleat::proxy_daemon {
-/// Guarantees: adoption happens without yielding, so no request sees half of a change; requests in flight keep the
-/// configuration with which they began.
+/// Guarantees: a change is applied without yielding to other fibers, so no request sees a partly applied change.
+/// Requests in flight keep the configuration with which they started.
 class StateAdoption {
  public:
   /// @param context must outlive this object.
   StateAdoption(proxy::ProxyContext& context, ZoneToRegion zones) : context_(context), zones_(std::move(zones)) {}
-  /// Takes over what has changed.
-  /// @return whether the proxy has another configuration now.
+  /// Applies the changed parts of the state.
+  /// @param change which parts of the state have changed.
+  /// @return whether the proxy's configuration was replaced.
   bool adopt(const state_machine::StateContents& state, state_machine::ReplicatedState::Change change);
-  /// Takes over the leader's list of ejected runners, if the response has another version of it.
+  /// Applies the leader's list of ejected runners if its version differs from `ejectionsVersion()`.
   void adoptEjections(const transport::LeaseResponse& response);
-  /// The version of that list; 0: none has come.
+  /// Version of the list of ejected runners that was applied last; 0 if no list has been received.
   std::int64_t ejectionsVersion() const { return ejectionsVersion_; }
 
  private:
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -8,11 +8,12 @@
 namespace {
 constexpr auto kRenewalInterval = LeaseRenewal::kInterval;
 constexpr auto kRenewalIntervalWithoutLease = kRenewalInterval / 4;
-/// A lease that was not renewed for so long is reported: three renewals have failed, or the replica lags.
+/// A lease that has not been renewed for this time is logged: three renewals have failed, or the replica lags.
 constexpr auto kAgingLease = kRenewalInterval * 3;
 constexpr auto kConnectionSweepInterval = 1000ms;
 constexpr auto kShutdownInterval = 100ms;
-/// This node's retry budget stays below the rule's by a margin.
+/// Margins that keep this node's retry budget below the limits in the settings: the ratio and the slack are multiplied
+/// by these fractions, and the window is divided.
 constexpr double kRetryRatioPart = 0.75;
 constexpr double kRetrySlackPart = 0.5;
 constexpr int kRetryWindowParts = 4;
@@ -45,7 +46,7 @@
   connectCallbacks();
 }
 void ProxyDaemon::applyLimits() {
-  constexpr int kReservedDescriptors = 260;  // for files, listeners, the agent, and a margin
+  constexpr int kReservedDescriptors = 260;  // for files, listeners, the agent's connection, and a margin
   constexpr int kDescriptorsPerRequest = 2;  // one for the client, one for the runner
   constexpr int kMinClients = 64;
   constexpr std::size_t kBytesPerMb = std::size_t{1024} * 1024;
@@ -56,7 +57,7 @@
     context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryPartForBodies;
 }
 void ProxyDaemon::connectCallbacks() {
-  context_.requestReserveRefill = [this] { renewLease(); };  // a lease request carries the quota demand too
+  context_.requestReserveRefill = [this] { renewLease(); };  // a lease request also contains the quota demand
   context_.requestQuotaTokens = [this] { quotaTokens_.requestSoon(); };
   if (!settings_.partner || settings_.partner->access.empty())
     return;
@@ -97,7 +98,8 @@
 void ProxyDaemon::startTimers() {
   auto& loop = runtime::EventLoop::get();
   loop.callEvery(kRenewalInterval, [this] { renewLease(); });
-  // More often without a lease: while there is no leader, such a request goes no further than the agent.
+  // Without a lease, requests are sent more often. This puts no load on the core while there is no leader, because the
+  // agent then does not forward lease requests.
   loop.callEvery(kRenewalIntervalWithoutLease, [this] {
     if (!context_.hasLease(Clock::now()))
       renewLease();
@@ -155,7 +157,7 @@
     replica_.offer(std::move(entry));
   applyEntries();
 }
-/// Does not yield: no request sees a part of the entries applied.
+/// Does not yield to other fibers, so no request sees a state in which only some of the entries are applied.
 void ProxyDaemon::applyEntries() {
   state_machine::ReplicatedState::Change changes;
   while (const auto applied = replica_.applyNext()) {
@@ -171,7 +173,8 @@
   adopt(changes);
   useLease();
 }
-/// A corrupted replica must not decide about requests: nothing is served until a full snapshot has come.
+/// Revokes the lease, because a corrupted replica must not decide about requests: the proxy serves no request until a
+/// full snapshot has been restored.
 void ProxyDaemon::requestSnapshot() {
   replica_.markCorrupted();
   grantedLeaseEnds_ = {};
@@ -211,7 +214,8 @@
   const auto granted = lease_.accept(response);
   if (!granted)
     return;
-  // Only from the newest: what a later request reported of the local reserve did not include these tokens yet.
+  // Tokens are taken only from the response to the newest request. A newer request has already reported a local reserve
+  // that did not include the tokens of this response.
   if (granted->newestRequest)
     context_.quota.refillReserve(response.grants, granted->requestedAt);
   context_.revisions.addGrants(response.extension.exposures, granted->requestedAt);
@@ -223,8 +227,9 @@
   adoption_.adoptEjections(response);
   useLease();
 }
-// Called after each response and after each applied entry: a lease counts only once the replica has applied as far as
-// the leader had committed when it granted the lease. An earlier one is cut short where the replica lags.
+// Called after each lease response and after entries were applied. A lease may be used only after the replica has
+// applied all entries that the leader had committed when it granted the lease. A lease in use is shortened while the
+// replica lacks entries that are known to be committed.
 void ProxyDaemon::useLease() {
   if (replica_.corrupted())
     return;
--- a/libs/proxy_daemon/src/lease_renewal.cpp
+++ b/libs/proxy_daemon/src/lease_renewal.cpp
@@ -7,7 +7,7 @@
   return timers.revokedFail ? timers.revoke - timers.revoke / kMarginDivisor : kWithoutRevocation;
 }
 Duration LeaseRenewal::maxLag(const config::Timers& timers) {
-  constexpr Duration kAttemptsUnderWay{300};  // of requests that were admitted before: connecting takes so long at most
+  constexpr Duration kAttemptsUnderWay{300};  // longest connect of a request admitted before the end
   constexpr Duration kShortest{500};
   return std::max(kShortest, std::min(timers.drain, timers.configApply) - kInterval - kAttemptsUnderWay);
 }
--- a/libs/proxy_daemon/src/node_report.cpp
+++ b/libs/proxy_daemon/src/node_report.cpp
@@ -2,7 +2,7 @@
 
 namespace zinccleat::proxy_daemon {
 namespace {
-constexpr std::size_t kMaxReportedRunners = 24;  // the worst first
+constexpr std::size_t kMaxReportedRunners = 24;  // runners with the worst outcomes come first
 constexpr auto kRateInterval = 900ms;
 constexpr auto kRunnerLoadInterval = 900ms;
 }  // namespace
@@ -41,7 +41,8 @@
   loadsReportedAt_ = now;
   report.loads = runnerLoads();
 }
-/// One record for each service and zone in which runners are ordered by their load, and one for what found no runner.
+/// Returns one record per zone for each service with a `scaling` section, and one record per such service that counts
+/// the requests that were shed or found no runner.
 std::vector<transport::RunnerLoadReport> NodeReport::runnerLoads() {
   std::vector<transport::RunnerLoadReport> loads;
   if (!context_.configuration)
@@ -68,7 +69,7 @@
   context_.turnedAway.clear();
   return loads;
 }
-/// The load of the machine, and the progress of each drain.
+/// Returns the load of this machine, followed by the progress of each drain.
 std::vector<transport::ZoneLoad> NodeReport::load(TimePoint now, const std::vector<state_machine::ZoneDrain>& drains) {
   std::vector<transport::ZoneLoad> loads;
   loads.push_back({"", rate_.update(now, context_.served + context_.rejected), 0});
--- a/libs/proxy_daemon/src/partner_lookup.cpp
+++ b/libs/proxy_daemon/src/partner_lookup.cpp
@@ -32,7 +32,7 @@
   transport::PrefixLookupRequest request;
   request.requestId = ++newestRequestId_;
   request.promptPrefix = static_cast<std::int64_t>(promptPrefix);
-  // The same digest on all nodes of the site, so that a tenant is counted once.
+  // The digest of a tenant is the same on all nodes of the site, so the leader counts each tenant only once.
   request.tenantDigest = static_cast<std::int64_t>(hash64(tenant, tenantSeed_));
   PendingLookup pending;
   pending_[request.requestId] = &pending;
