--- a/libs/agent/include/agent/feed_source.hpp
+++ b/libs/agent/include/agent/feed_source.hpp
@@ -17,8 +17,8 @@
   /// The agent switches to the leader if entries are missing for this time and the source sends messages but has not
   /// committed the missing entries: the source is isolated from the core, or slow. The sum of this timeout and one
   /// lease renewal, which reports a new entry, is well below the 2 s within which drains and configurations must take
-  /// effect. A shorter timeout would move the agents of a zone to the leader whenever the zone's controller is briefly
-  /// busy.
+  /// effect. A shorter timeout would add the agents of a
+  /// zone to the leader's load whenever the zone's controller is briefly busy.
   static constexpr auto kIsolationTimeout = 400ms;
   /// The agent switches to the leader if entries are missing for this time although the source has committed them. The
   /// timeout is long because the transfer of the complete state of a large fleet takes time.
@@ -37,10 +37,10 @@
   /// Whether a list of members with their zones has been received.
   bool knowsMembers() const { return knowsMembers_; }
   /// Returns the address of the selected member of the agent's zone; empty if the zone has no member, or none that is
-  /// not avoided at present.
+  /// not avoided now.
   std::string memberInZone(TimePoint now) const;
   /// Returns the address of the member that should be the source now; empty if there is none yet. While the connection
-  /// to a new member of the zone is being established, the present source is kept.
+  /// to a new member of the zone is being established, the current source is kept.
   /// @param leader the leader's address; empty if unknown.
   /// @param present the current source; empty if there is none.
   /// @param isConnected whether there is a connection to an address.
--- a/libs/hints/include/hints/hints.hpp
+++ b/libs/hints/include/hints/hints.hpp
@@ -28,7 +28,8 @@
   /// Returns a message authentication code (HMAC-SHA-512-256, in hex), which proves that the sender of a text knows the
   /// secret.
   std::string sign(std::string_view text) const;
-  /// Whether a code is the message authentication code of a text. The comparison takes constant time.
+  /// Whether a code is the message authentication code of a text. The comparison time does not depend on how much of a
+  /// wrong code matches.
   bool verify(std::string_view text, std::string_view code) const;
 
  private:
@@ -79,9 +80,8 @@
   HintUpdate nextUpdate(TimePoint now, std::int64_t epoch);
   /// Applies an update of the partner. If the update's base version was not applied before, the partner's list is
   /// discarded, which makes the partner send a full list next.
-  /// @return `ErrorCode::invalidArgument` if the update is too large or of a key period that is not adjacent to
-  /// `epoch`.
-  ///         The update is then counted as rejected.
+  /// @return `ErrorCode::invalidArgument` if the update is too large or of a key period that is neither
+  ///         `epoch` nor adjacent to it. The update is then counted as rejected.
   Result<void> applyUpdate(TimePoint now, std::int64_t epoch, const HintUpdate& update);
   /// Number of digests in the list announced last, including padding.
   std::size_t announcedCount() const { return announced_.size(); }
