--- a/libs/agent/include/agent/feed_source.hpp
+++ b/libs/agent/include/agent/feed_source.hpp
@@ -17,8 +17,8 @@
   /// The agent switches to the leader if entries are missing for this time and the source sends messages but has not
   /// committed the missing entries: the source is isolated from the core, or slow. The sum of this timeout and one
   /// lease renewal, which reports a new entry, is well below the 2 s within which drains and configurations must take
-  /// effect. A shorter timeout would add the agents of a
-  /// zone to the leader's load whenever the zone's controller is briefly busy.
+  /// effect. A shorter timeout would add the agents of a zone to the leader's load whenever the zone's controller is
+  /// briefly busy.
   static constexpr auto kIsolationTimeout = 400ms;
   /// The agent switches to the leader if entries are missing for this time although the source has committed them. The
   /// timeout is long because the transfer of the complete state of a large fleet takes time.
--- a/libs/hints/include/hints/hints.hpp
+++ b/libs/hints/include/hints/hints.hpp
@@ -2,11 +2,11 @@
 /// disclosing which tenants sent the prompts. Pure: the current time is passed in.
 ///
 /// Privacy. A hint is a keyed digest (SipHash-2-4) of a prefix under a key that both sites derive from a shared secret
-/// and replace every `HintBounds::keyPeriod`. Without the secret it is not possible to test a guessed prefix
-/// against a hint, or to recognise the same prefix under the next key. The partner knows the secret and can test
-/// prefixes that it knows. Therefore a prefix is announced only after several tenants have sent it, so that no hint
-/// identifies a single tenant. Lists are padded with random digests to a multiple of a fixed number, so that their
-/// length does not reveal how many prefixes are cached.
+/// and replace every `HintBounds::keyPeriod`. Without the secret it is not possible to test a guessed prefix against a
+/// hint, or to recognise the same prefix under the next key. The partner knows the secret and can test prefixes that it
+/// knows. Therefore a prefix is announced only after several tenants have sent it, so that no hint identifies a single
+/// tenant. Lists are padded with random digests to a multiple of a fixed number, so that their length does not reveal
+/// how many prefixes are cached.
 ///
 /// A hint may be wrong, because the prefix may have been evicted since it was announced. See docs/notes-hints.md.
 #pragma once
@@ -80,8 +80,8 @@
   HintUpdate nextUpdate(TimePoint now, std::int64_t epoch);
   /// Applies an update of the partner. If the update's base version was not applied before, the partner's list is
   /// discarded, which makes the partner send a full list next.
-  /// @return `ErrorCode::invalidArgument` if the update is too large or of a key period that is neither
-  ///         `epoch` nor adjacent to it. The update is then counted as rejected.
+  /// @return `ErrorCode::invalidArgument` if the update is too large or of a key period that is neither `epoch` nor
+  ///         adjacent to it. The update is then counted as rejected.
   Result<void> applyUpdate(TimePoint now, std::int64_t epoch, const HintUpdate& update);
   /// Number of digests in the list announced last, including padding.
   std::size_t announcedCount() const { return announced_.size(); }
--- a/libs/proxy_daemon/include/proxy_daemon/partner_lookup.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/partner_lookup.hpp
@@ -29,8 +29,7 @@
   /// Looks up which site should serve a prompt. Blocks the calling fiber for at most 10 ms.
   /// @param promptPrefix the prefix's hash.
   /// @return the address of a proxy of the partner site; empty if the prompt should be served by this site, which is
-  /// also
-  ///         the result if no response arrives within 10 ms.
+  ///         also the result if no response arrives within 10 ms.
   std::string lookup(std::uint64_t promptPrefix, const std::string& tenant);
   /// Passes a response to the fiber that waits for it. A response whose lookup has timed out is ignored.
   void accept(transport::PrefixLookupResponse response);
