--- a/libs/proxy_daemon/include/proxy_daemon/zone_drains.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/zone_drains.hpp
@@ -10,7 +10,7 @@
 using ZoneDrainLevels = std::map<std::string, balancing::RunnerPool::ZoneDrainLevel>;
 
 /// Returns the zones that a name refers to: one zone, or all zones of a region. Empty if the name is unknown.
-std::set<std::string> zonesNamed(const ZoneToRegion& zones, const std::string& name);
+std::set<std::string> zonesMatching(const ZoneToRegion& zones, const std::string& name);
 /// Computes the drain level of each zone. If several drains apply to a zone, such as one of the zone and one of its
 /// region, the strictest value of each field applies.
 ZoneDrainLevels drainLevels(const ZoneToRegion& zones, const std::vector<state_machine::ZoneDrain>& drains);
--- a/libs/proxy_daemon/src/node_report.cpp
+++ b/libs/proxy_daemon/src/node_report.cpp
@@ -78,7 +78,7 @@
   return loads;
 }
 transport::ZoneLoad NodeReport::loadOf(const state_machine::ZoneDrain& drain) const {
-  const auto zones = zonesNamed(zones_, drain.zone);
+  const auto zones = zonesMatching(zones_, drain.zone);
   const int ownRequests = zones.contains(context_.zone) ? context_.inFlight : 0;
   return {drain.zone, static_cast<double>(context_.runners.inFlightInZones(zones)), static_cast<double>(ownRequests)};
 }
--- a/libs/proxy_daemon/src/zone_drains.cpp
+++ b/libs/proxy_daemon/src/zone_drains.cpp
@@ -1,7 +1,7 @@
 #include "proxy_daemon/zone_drains.hpp"
 
 namespace zinccleat::proxy_daemon {
-std::set<std::string> zonesNamed(const ZoneToRegion& zones, const std::string& name) {
+std::set<std::string> zonesMatching(const ZoneToRegion& zones, const std::string& name) {
   std::set<std::string> named;
   for (const auto& [zone, region] : zones)
     if (zone == name || region == name)
@@ -11,7 +11,7 @@
 ZoneDrainLevels drainLevels(const ZoneToRegion& zones, const std::vector<state_machine::ZoneDrain>& drains) {
   ZoneDrainLevels levels;
   for (const auto& drain : drains)
-    for (const auto& zone : zonesNamed(zones, drain.zone)) {
+    for (const auto& zone : zonesMatching(zones, drain.zone)) {
       auto& level = levels[zone];
       level.drainPercent = std::max(level.drainPercent, static_cast<int>(drain.drainPercent));
       level.migrateStreams = level.migrateStreams || drain.notAccepting;
@@ -20,7 +20,7 @@
 }
 void addEvacuations(ZoneDrainLevels& levels, const ZoneToRegion& zones, const std::vector<std::string>& evacuated) {
   for (const auto& place : evacuated)
-    for (const auto& zone : zonesNamed(zones, place))
+    for (const auto& zone : zonesMatching(zones, place))
       levels[zone].evacuated = true;
 }
 }  // namespace zinccleat::proxy_daemon
--- a/tests/proxy_state_test.cpp
+++ b/tests/proxy_state_test.cpp
@@ -41,9 +41,9 @@
 }  // namespace
 
 TEST(ZoneDrains, ANameMeansAZoneOrARegion) {
-  EXPECT_EQ(zonesNamed(kZones, "z1"), (Zones{"z1"}));
-  EXPECT_EQ(zonesNamed(kZones, "north"), (Zones{"z1", "z2"}));
-  EXPECT_EQ(zonesNamed(kZones, "west"), Zones{});
+  EXPECT_EQ(zonesMatching(kZones, "z1"), (Zones{"z1"}));
+  EXPECT_EQ(zonesMatching(kZones, "north"), (Zones{"z1", "z2"}));
+  EXPECT_EQ(zonesMatching(kZones, "west"), Zones{});
 }
 TEST(ZoneDrains, OfZoneAndRegionTheStricterCounts) {
   const auto levels = drainLevels(kZones, {drainOf("z1", 30, true), drainOf("north", 50), drainOf("west", 100)});
