--- a/libs/proxy_daemon/include/proxy_daemon/daemon.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/daemon.hpp
@@ -44,7 +44,7 @@
 
   void renewLease();
   /// Logs when the renewal of a lease that is still valid becomes overdue, and when the lease is renewed again.
-  void reportAgingLease(TimePoint now);
+  void logOverdueRenewal(TimePoint now);
   void onLeaseResponse(const transport::LeaseResponse& response);
   void useLease();
 
@@ -54,8 +54,8 @@
   agent::FollowedReplica replica_;
   StateAdoption adoption_;
   LeaseRenewal lease_;
-  TimePoint grantedLeaseEnds_{};  // expiry of the usable lease, not shortened by a lag of the replica
-  bool leaseIsAging_ = false;     // state that was last logged
+  TimePoint grantedLeaseExpiresAt_{};  // expiry of the usable lease, not shortened by a lag of the replica
+  bool isRenewalOverdue_ = false;      // state that was last logged
   NodeReport report_;
   QuotaTokenClient quotaTokens_;
   std::optional<PartnerLookup> partnerLookup_;  // empty without a partner site
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -9,7 +9,7 @@
 constexpr auto kRenewalInterval = LeaseRenewal::kInterval;
 constexpr auto kRenewalIntervalWithoutLease = kRenewalInterval / 4;
 /// A lease that has not been renewed for this time is logged: three renewals have failed, or the replica lags.
-constexpr auto kAgingLease = kRenewalInterval * 3;
+constexpr auto kRenewalOverdueAfter = kRenewalInterval * 3;
 constexpr auto kConnectionSweepInterval = 1000ms;
 constexpr auto kShutdownInterval = 100ms;
 /// Margins that keep this node's retry budget below the limits in the settings: the ratio and the slack are multiplied
@@ -177,7 +177,7 @@
 /// full snapshot has been restored.
 void ProxyDaemon::requestSnapshot() {
   replica_.markCorrupted();
-  grantedLeaseEnds_ = {};
+  grantedLeaseExpiresAt_ = {};
   context_.leaseExpiresAt = {};
   transport::FollowLog message;
   message.refetch = true;
@@ -192,19 +192,19 @@
   if (!agentLink_.connected())
     return;
   const auto now = Clock::now();
-  reportAgingLease(now);
+  logOverdueRenewal(now);
   transport::LeaseRequest request;
   request.requestId = lease_.start(now);
   report_.fill(request, now, replica_.state().zoneDrains);
   request.outliersVersion = adoption_.ejectionsVersion();
   agentLink_.send(request);
 }
-void ProxyDaemon::reportAgingLease(TimePoint now) {
-  const auto left = grantedLeaseEnds_ - now;
-  const bool aging = left > 0ms && left < LeaseRenewal::leaseDuration(settings_.timers) - kAgingLease;
-  if (std::exchange(leaseIsAging_, aging) == aging)
+void ProxyDaemon::logOverdueRenewal(TimePoint now) {
+  const auto left = grantedLeaseExpiresAt_ - now;
+  const bool isOverdue = left > 0ms && left < LeaseRenewal::leaseDuration(settings_.timers) - kRenewalOverdueAfter;
+  if (std::exchange(isRenewalOverdue_, isOverdue) == isOverdue)
     return;
-  log::debug(aging ? "lease_not_renewed" : "lease_renewed",
+  log::debug(isOverdue ? "lease_not_renewed" : "lease_renewed",
              {{"index", replica_.lastApplied()},
               {"required", lease_.requiredIndex()},
               {"left_ms", context_.hasLease(now) ? toDuration(context_.leaseExpiresAt - now) : Duration(0)},
@@ -235,9 +235,9 @@
     return;
   const auto freshUntil = lease_.freshUntil(replica_.lastApplied());
   const auto usableUntil = lease_.usableUntil(replica_.lastApplied());
-  if (usableUntil && grantedLeaseEnds_ == TimePoint{})
+  if (usableUntil && grantedLeaseExpiresAt_ == TimePoint{})
     log::debug("lease_acquired", {{"index", replica_.lastApplied()}});
-  grantedLeaseEnds_ = std::max(grantedLeaseEnds_, usableUntil.value_or(TimePoint{}));
-  context_.leaseExpiresAt = std::min(grantedLeaseEnds_, freshUntil);
+  grantedLeaseExpiresAt_ = std::max(grantedLeaseExpiresAt_, usableUntil.value_or(TimePoint{}));
+  context_.leaseExpiresAt = std::min(grantedLeaseExpiresAt_, freshUntil);
 }
 }  // namespace zinccleat::proxy_daemon
