--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -14,9 +14,9 @@
 constexpr auto kShutdownInterval = 100ms;
 /// Margins that keep this node's retry budget below the limits in the settings: the ratio and the slack are multiplied
 /// by these fractions, and the window is divided.
-constexpr double kRetryRatioPart = 0.75;
-constexpr double kRetrySlackPart = 0.5;
-constexpr int kRetryWindowParts = 4;
+constexpr double kRetryRatioFraction = 0.75;
+constexpr double kRetrySlackFraction = 0.5;
+constexpr int kRetryWindowDivisor = 4;
 
 double randomFraction() {
   constexpr std::uint64_t kSteps = 10007;
@@ -37,8 +37,8 @@
   context_.runners = balancing::RunnerPool(randomSeed());
   context_.runners.setRegions(settings.zones);
   context_.revisions.setExposureShare(settings.timers.exposureShare);
-  context_.retryBudget = balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioPart,
-                                                settings.timers.retryWindow / kRetryWindowParts);
+  context_.retryBudget = balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioFraction,
+                                                settings.timers.retryWindow / kRetryWindowDivisor);
   if (settings.platform)
     context_.usage = platform::UsageRecorder(
         settings.platform->usageReporting ? settings.timers.reportWindow : Duration(0), randomRequestId() | 1);
@@ -50,11 +50,11 @@
   constexpr int kDescriptorsPerRequest = 2;  // one for the client, one for the runner
   constexpr int kMinClients = 64;
   constexpr std::size_t kBytesPerMb = std::size_t{1024} * 1024;
-  constexpr std::size_t kMemoryPartForBodies = 4;
+  constexpr std::size_t kMemoryDivisorForBodies = 4;
   if (settings_.fdLimit > 0)
     context_.maxClients = std::max(kMinClients, (settings_.fdLimit - kReservedDescriptors) / kDescriptorsPerRequest);
   if (settings_.memoryMb > 0)
-    context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryPartForBodies;
+    context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryDivisorForBodies;
 }
 void ProxyDaemon::connectCallbacks() {
   context_.requestReserveRefill = [this] { renewLease(); };  // a lease request also contains the quota demand
@@ -223,7 +223,8 @@
   context_.runners.setWarmupGrants(response.extension.extension.warmups, granted->requestedAt);
   if (response.accessMachines > 0)
     context_.retryBudget.setReserve(
-        settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines), retrySlackDraw_);
+        settings_.timers.retrySlack * kRetrySlackFraction / static_cast<double>(response.accessMachines),
+        retrySlackDraw_);
   adoption_.adoptEjections(response);
   useLease();
 }
--- a/libs/proxy_daemon/src/lease_renewal.cpp
+++ b/libs/proxy_daemon/src/lease_renewal.cpp
@@ -3,13 +3,13 @@
 namespace zinccleat::proxy_daemon {
 Duration LeaseRenewal::leaseDuration(const config::Timers& timers) {
   constexpr int kMarginDivisor = 10;
-  constexpr Duration kWithoutRevocation{60000};
-  return timers.revokedFail ? timers.revoke - timers.revoke / kMarginDivisor : kWithoutRevocation;
+  constexpr Duration kDurationWithoutRevocation{60000};
+  return timers.revokedFail ? timers.revoke - timers.revoke / kMarginDivisor : kDurationWithoutRevocation;
 }
 Duration LeaseRenewal::maxLag(const config::Timers& timers) {
-  constexpr Duration kAttemptsUnderWay{300};  // longest connect of a request admitted before the end
-  constexpr Duration kShortest{500};
-  return std::max(kShortest, std::min(timers.drain, timers.configApply) - kInterval - kAttemptsUnderWay);
+  constexpr Duration kMaxConnectDuration{300};  // longest connect of a request admitted before the end
+  constexpr Duration kMinMaxLag{500};
+  return std::max(kMinMaxLag, std::min(timers.drain, timers.configApply) - kInterval - kMaxConnectDuration);
 }
 std::optional<LeaseRenewal::Granted> LeaseRenewal::accept(const transport::LeaseResponse& response) {
   const auto requestedAt = pending_.startedAt(response.requestId);
