--- a/libs/proxy_daemon/include/proxy_daemon/node_report.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/node_report.hpp
@@ -34,7 +34,7 @@
   std::vector<transport::ZoneLoad> load(TimePoint now, const std::vector<state_machine::ZoneDrain>& drains);
   void fillPlatform(transport::PlatformReport& report, TimePoint now);
   std::vector<transport::RunnerLoadReport> runnerLoads();
-  transport::ZoneLoad loadOf(const state_machine::ZoneDrain& drain) const;
+  transport::ZoneLoad drainLoad(const state_machine::ZoneDrain& drain) const;
 
   proxy::ProxyContext& context_;
   ZoneToRegion zones_;
--- a/libs/proxy_daemon/src/node_report.cpp
+++ b/libs/proxy_daemon/src/node_report.cpp
@@ -74,10 +74,10 @@
   std::vector<transport::ZoneLoad> loads;
   loads.push_back({"", rate_.update(now, context_.served + context_.rejected), 0});
   for (const auto& drain : drains)
-    loads.push_back(loadOf(drain));
+    loads.push_back(drainLoad(drain));
   return loads;
 }
-transport::ZoneLoad NodeReport::loadOf(const state_machine::ZoneDrain& drain) const {
+transport::ZoneLoad NodeReport::drainLoad(const state_machine::ZoneDrain& drain) const {
   const auto zones = zonesMatching(zones_, drain.zone);
   const int ownRequests = zones.contains(context_.zone) ? context_.inFlight : 0;
   return {drain.zone, static_cast<double>(context_.runners.inFlightInZones(zones)), static_cast<double>(ownRequests)};
--- a/libs/proxy_daemon/src/state_adoption.cpp
+++ b/libs/proxy_daemon/src/state_adoption.cpp
@@ -20,8 +20,8 @@
 }
 void StateAdoption::adoptZoneDrains(const state_machine::StateContents& state) {
   auto levels = drainLevels(zones_, state.zoneDrains);
-  const auto own = levels.find(context_.zone);
-  context_.zoneDraining = own != levels.end() && own->second.migrateStreams;
+  const auto ownLevel = levels.find(context_.zone);
+  context_.zoneDraining = ownLevel != levels.end() && ownLevel->second.migrateStreams;
   addEvacuations(levels, zones_, state.evacuatedZones);
   context_.runners.setZoneDrains(std::move(levels));
   context_.runners.setEvacuations(state.evacuatedZones, Clock::now());
--- a/libs/proxy_daemon/src/zone_drains.cpp
+++ b/libs/proxy_daemon/src/zone_drains.cpp
@@ -2,11 +2,11 @@
 
 namespace zinccleat::proxy_daemon {
 std::set<std::string> zonesMatching(const ZoneToRegion& zones, const std::string& name) {
-  std::set<std::string> named;
+  std::set<std::string> matching;
   for (const auto& [zone, region] : zones)
     if (zone == name || region == name)
-      named.insert(zone);
-  return named;
+      matching.insert(zone);
+  return matching;
 }
 ZoneDrainLevels drainLevels(const ZoneToRegion& zones, const std::vector<state_machine::ZoneDrain>& drains) {
   ZoneDrainLevels levels;
@@ -19,8 +19,8 @@
   return levels;
 }
 void addEvacuations(ZoneDrainLevels& levels, const ZoneToRegion& zones, const std::vector<std::string>& evacuated) {
-  for (const auto& place : evacuated)
-    for (const auto& zone : zonesMatching(zones, place))
+  for (const auto& zoneOrRegion : evacuated)
+    for (const auto& zone : zonesMatching(zones, zoneOrRegion))
       levels[zone].evacuated = true;
 }
 }  // namespace zinccleat::proxy_daemon
