--- a/libs/agent/include/agent/agent_daemon.hpp
+++ b/libs/agent/include/agent/agent_daemon.hpp
@@ -41,7 +41,7 @@
   void refetch();
   void refetchIfBehind();
   /// Logs that the replica lags, and later that the replica has caught up.
-  void reportLag(TimePoint now);
+  void logReplicaLag(TimePoint now);
   void applyEntries();
 
   void onCoreConnected(const std::string& address, const transport::PeerLinkPtr& link);
@@ -62,8 +62,8 @@
   LogFollower follower_;
   ProxyFeed proxyFeed_;
   CoreLinks links_;
-  int receiptsSinceState_ = 0;
-  int stateMessages_ = 0;
+  int receiptsSinceStateReport_ = 0;
+  int stateReportCount_ = 0;
   Duration loggedLag_{0};   // lag that was last logged; 0 if none since the replica caught up
   Duration longestLag_{0};  // longest lag since the replica last caught up
 };
--- a/libs/agent/src/agent_daemon.cpp
+++ b/libs/agent/src/agent_daemon.cpp
@@ -8,12 +8,13 @@
 
 namespace zinccleat::agent {
 namespace {
-constexpr auto kStateInterval = 1000ms;  // between two reports of the agent's state to the core
-constexpr int kReceiptsPerState = 32;    // a report is also due after this number of messages with entries or snapshots
-constexpr int kStatesPerViewSample = 8;  // one in this many reports includes a sample of the partial view
-constexpr auto kLinkInterval = 250ms;    // between two selections of the links to the core
+constexpr auto kStateReportInterval = 1000ms;  // between two reports of the agent's state to the core
+constexpr int kReceiptsPerStateReport =
+    32;  // a report is also due after this number of messages with entries or snapshots
+constexpr int kStateReportsPerViewSample = 8;   // one in this many reports includes a sample of the partial view
+constexpr auto kLinkSelectionInterval = 250ms;  // between two selections of the links to the core
 constexpr auto kShutdownInterval = 100ms;
-constexpr Duration kReportedLag{300};  // a longer lag is logged, and again each time it has doubled
+constexpr Duration kMinLoggedLag{300};  // a longer lag is logged, and again each time it has doubled
 }  // namespace
 
 AgentDaemon::AgentDaemon(const config::Settings& settings)
@@ -53,8 +54,8 @@
 }
 void AgentDaemon::startTimers() {
   auto& loop = runtime::EventLoop::get();
-  loop.callEvery(kLinkInterval, [this] { chooseLinks(); });
-  loop.callEvery(kStateInterval, [this] { sendStateToAll(); });
+  loop.callEvery(kLinkSelectionInterval, [this] { chooseLinks(); });
+  loop.callEvery(kStateReportInterval, [this] { sendStateToAll(); });
   loop.callEvery(LogFollower::kRefetchInterval, [this] { refetchIfBehind(); });
 }
 void AgentDaemon::shutDown() {
@@ -95,19 +96,19 @@
 transport::Envelope AgentDaemon::stateMessage() {
   transport::AgentState state;
   state.lastApplied = follower_.replica().lastApplied();
-  if (++stateMessages_ % kStatesPerViewSample == 1)
+  if (++stateReportCount_ % kStateReportsPerViewSample == 1)
     state.view = discovery_.sampleView();
   return transport::pack(state, identity_);
 }
 void AgentDaemon::sendStateToAll() {
   links_.sendToAll([this] { return stateMessage(); });
-  receiptsSinceState_ = 0;
+  receiptsSinceStateReport_ = 0;
 }
 void AgentDaemon::sendStateIfDue(const transport::PeerLinkPtr& link) {
-  if (++receiptsSinceState_ < kReceiptsPerState)
+  if (++receiptsSinceStateReport_ < kReceiptsPerStateReport)
     return;
   link->send(stateMessage());
-  receiptsSinceState_ = 0;
+  receiptsSinceStateReport_ = 0;
 }
 
 void AgentDaemon::follow(const transport::PeerLinkPtr& link, bool refetch) {
@@ -133,7 +134,7 @@
 // leader has granted a lease that requires it. Missing entries are therefore requested only after `kRefetchInterval`.
 void AgentDaemon::refetchIfBehind() {
   const auto now = Clock::now();
-  reportLag(now);
+  logReplicaLag(now);
   const auto stalledFor = follower_.stalledFor(now);
   const auto source = sourceLink();
   const FeedSource::Activity activity{source ? source->lastReceivedAt() : TimePoint{},
@@ -147,10 +148,10 @@
   if (stalledFor >= LogFollower::kRefetchInterval)
     refetch();
 }
-void AgentDaemon::reportLag(TimePoint now) {
+void AgentDaemon::logReplicaLag(TimePoint now) {
   const auto lag = follower_.lag(now);
   longestLag_ = std::max(longestLag_, lag);
-  if (lag >= std::max(kReportedLag, loggedLag_ * 2)) {
+  if (lag >= std::max(kMinLoggedLag, loggedLag_ * 2)) {
     const auto source = sourceLink();
     log::debug("replica_lags", {{"member", sourceAddress_},
                                 {"leader", discovery_.leaderAddress()},
