--- a/libs/agent/include/agent/feed_source.hpp
+++ b/libs/agent/include/agent/feed_source.hpp
@@ -42,9 +42,9 @@
   /// Returns the address of the member that should be the source now; empty if there is none yet. While the connection
   /// to a new member of the zone is being established, the current source is kept.
   /// @param leader the leader's address; empty if unknown.
-  /// @param present the current source; empty if there is none.
+  /// @param currentSource the current source; empty if there is none.
   /// @param isConnected whether there is a connection to an address.
-  std::string choose(TimePoint now, const std::string& leader, const std::string& present,
+  std::string choose(TimePoint now, const std::string& leader, const std::string& currentSource,
                      const std::function<bool(const std::string&)>& isConnected) const;
   /// State of a source while entries are missing.
   struct Activity {
@@ -64,7 +64,7 @@
     TimePoint knownSince{};
     TimePoint listedAt{};  // time of the newest list that contained the member
   };
-  std::map<std::string, ZoneMember> inZone_;  // members of the agent's zone; key: address
+  std::map<std::string, ZoneMember> zoneMembers_;  // members of the agent's zone; key: address
   bool knowsMembers_ = false;
   std::map<std::string, TimePoint> avoidedSince_;
 };
