--- a/libs/agent/include/agent/replica_lag.hpp
+++ b/libs/agent/include/agent/replica_lag.hpp
@@ -27,7 +27,7 @@
     std::int64_t index = 0;
     TimePoint observedAt{};
   };
-  std::deque<CommitObservation> missing_;  // indexes that are not yet applied, in ascending order
+  std::deque<CommitObservation> observations_;  // indexes that are not yet applied, in ascending order
   std::int64_t applied_ = 0;
 };
 }  // namespace zinccleat::agent
--- a/libs/agent/src/replica_lag.cpp
+++ b/libs/agent/src/replica_lag.cpp
@@ -8,22 +8,23 @@
 }  // namespace
 
 void ReplicaLag::recordCommitted(TimePoint at, std::int64_t committed) {
-  if (committed <= applied_ || (!missing_.empty() && committed <= missing_.back().index))
+  if (committed <= applied_ || (!observations_.empty() && committed <= observations_.back().index))
     return;
-  if (missing_.size() >= kMaxObservations)
-    missing_.back().index = committed;
+  if (observations_.size() >= kMaxObservations)
+    observations_.back().index = committed;
   else
-    missing_.push_back({committed, at});
+    observations_.push_back({committed, at});
 }
 void ReplicaLag::recordApplied(std::int64_t applied) {
   applied_ = std::max(applied_, applied);
-  while (!missing_.empty() && missing_.front().index <= applied_)
-    missing_.pop_front();
+  while (!observations_.empty() && observations_.front().index <= applied_)
+    observations_.pop_front();
 }
 std::optional<TimePoint> ReplicaLag::since() const {
-  return missing_.empty() ? std::nullopt : std::optional(missing_.front().observedAt);
+  return observations_.empty() ? std::nullopt : std::optional(observations_.front().observedAt);
 }
 Duration ReplicaLag::at(TimePoint now) const {
-  return missing_.empty() ? Duration(0) : std::max(Duration(0), toDuration(now - missing_.front().observedAt));
+  return observations_.empty() ? Duration(0)
+                               : std::max(Duration(0), toDuration(now - observations_.front().observedAt));
 }
 }  // namespace zinccleat::agent
