--- a/tests/isolated_source_test.cpp
+++ b/tests/isolated_source_test.cpp
@@ -19,7 +19,7 @@
 constexpr auto kTimeout = 10s;
 /// A drain binds 2,000 ms after its acknowledgement on the users' small sites. The proxy renews its lease, and so hears
 /// of a new entry, every 400 ms.
-constexpr Duration kDrainBound{2000};
+constexpr Duration kMaxDrainDelay{2000};
 constexpr Duration kRenewalInterval{400};
 
 LogEntry runnerJoins(std::int64_t index) {
@@ -31,13 +31,13 @@
   return entry;
 }
 
-/// A member of the core that feeds the entries which it has, and grants leases if it leads.
-struct StandInMember {
+/// A member of the core that feeds the entries which it has, and grants leases if it isLeader.
+struct FakeCoreMember {
   std::string address;
   std::string leader;  ///< whom it takes for the leader
   std::vector<MemberZone> members;
   std::vector<LogEntry> entries;
-  bool leads = false;
+  bool isLeader = false;
   int followers = 0;  ///< requests to follow its log
   int refetches = 0;
 
@@ -68,7 +68,7 @@
     receive<LeaseRequest>(link, envelope, [&](const LeaseRequest& request) {
       LeaseResponse response;
       response.requestId = request.requestId;
-      response.granted = leads;
+      response.granted = isLeader;
       response.commitIndex = commitIndex();
       link->send(pack(response, id()));
     });
@@ -86,11 +86,11 @@
 };
 
 /// A proxy that renews its lease and keeps the newest index that it was fed.
-struct StandInProxy {
+struct FakeProxyClient {
   std::int64_t newestEntry = 0;
   std::int64_t lastRequest = 0;
   Dialer dialer;
-  explicit StandInProxy(const config::Settings& settings)
+  explicit FakeProxyClient(const config::Settings& settings)
       : dialer(
             *parseEndpoint(agentEndpoint(settings)),
             [this](const PeerLinkPtr& link, const Envelope& envelope) {
@@ -110,15 +110,15 @@
 /// Two members of the core, the second of them in the agent's zone, and one access machine. Kept to the end of the
 /// process, since timers of the loop refer to it.
 struct SmallFleet {
-  StandInMember leader{"127.0.6.1", "127.0.6.1#0"};
-  StandInMember neighbour{"127.0.6.2", "127.0.6.1#0"};
+  FakeCoreMember leader{"127.0.6.1", "127.0.6.1#0"};
+  FakeCoreMember zoneMember{"127.0.6.2", "127.0.6.1#0"};
   std::unique_ptr<AgentDaemon> agent;
-  std::unique_ptr<StandInProxy> proxy;
+  std::unique_ptr<FakeProxyClient> proxy;
 
   void start() {
-    leader.leads = true;
-    const std::vector<MemberZone> members{{leader.address, "a"}, {neighbour.address, "b"}};
-    for (auto* member : {&leader, &neighbour}) {
+    leader.isLeader = true;
+    const std::vector<MemberZone> members{{leader.address, "a"}, {zoneMember.address, "b"}};
+    for (auto* member : {&leader, &zoneMember}) {
       member->members = members;
       member->entries = {runnerJoins(1)};
       member->start();
@@ -128,10 +128,10 @@
     settings.ip = "127.0.6.3";
     settings.zone = "b";
     settings.firstPort = kFirstPort;
-    settings.seeds = {leader.address + ":8477", neighbour.address + ":8477"};
+    settings.seeds = {leader.address + ":8477", zoneMember.address + ":8477"};
     agent = std::make_unique<AgentDaemon>(settings);
     ASSERT_TRUE(agent->start());
-    proxy = std::make_unique<StandInProxy>(settings);
+    proxy = std::make_unique<FakeProxyClient>(settings);
     EventLoop::get().callEvery(kRenewalInterval, [this] { proxy->renewLease(); });
   }
   static bool waitUntil(const std::function<bool()>& condition) {
@@ -156,14 +156,14 @@
   static SmallFleet fleet;
   runOnLoop([] {
     ASSERT_NO_FATAL_FAILURE(fleet.start());
-    ASSERT_TRUE(SmallFleet::waitUntil([] { return fleet.proxy->newestEntry == 1 && fleet.neighbour.followers > 0; }))
+    ASSERT_TRUE(SmallFleet::waitUntil([] { return fleet.proxy->newestEntry == 1 && fleet.zoneMember.followers > 0; }))
         << "the member of the zone feeds the agent";
     const auto acknowledgedAt = Clock::now();
     fleet.leader.entries.push_back(runnerJoins(2));  // which the other member never gets
     ASSERT_TRUE(SmallFleet::waitUntil([] { return fleet.proxy->newestEntry == 2; }));
     const auto staleFor = toDuration(Clock::now() - acknowledgedAt);
-    EXPECT_GT(fleet.neighbour.refetches, 0) << "the source was asked again, and answered";
-    EXPECT_LT(staleFor, kDrainBound / 2) << "half of the bound is for the attempts that are under way";
+    EXPECT_GT(fleet.zoneMember.refetches, 0) << "the source was asked again, and answered";
+    EXPECT_LT(staleFor, kMaxDrainDelay / 2) << "half of the bound is for the attempts that are under way";
   });
 }
 
