--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -24,14 +24,14 @@
     return runner;
   }
   /// As a proxy does when the state has changed.
-  void adopt(TimePoint now = kNow) {
+  void applyStateToPool(TimePoint now = kNow) {
     const auto& state = controller.replica().state();
     auto levels = proxy_daemon::drainLevels(kZones, state.zoneDrains);
     proxy_daemon::addEvacuations(levels, kZones, state.evacuatedZones);
     pool.setZoneDrains(std::move(levels));
     pool.setEvacuations(state.evacuatedZones, now);
   }
-  std::string chosen(const std::string& zone, std::vector<int> excluded = {}) {
+  std::string chosenRunnerId(const std::string& zone, std::vector<int> excluded = {}) {
     balancing::RunnerQuery query;
     query.service = "s", query.zone = zone, query.excluded = std::move(excluded);
     const int index = pool.choose(query, kNow);
@@ -43,25 +43,25 @@
 }  // namespace
 
 TEST_F(Evacuation, NothingIsSentToAnEvacuatedZoneEvenIfNothingElseIsLeft) {
-  EXPECT_EQ(chosen("z1"), "i1");
+  EXPECT_EQ(chosenRunnerId("z1"), "i1");
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z1", "").status, HttpStatus::ok);
-  adopt();
+  applyStateToPool();
   for (int i = 0; i < 100; ++i)
-    EXPECT_EQ(chosen("z1"), "i2");
+    EXPECT_EQ(chosenRunnerId("z1"), "i2");
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z2", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z1"), "") << "a drain prefers other runners, an evacuation binds";
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z1"), "") << "a drain prefers other runners, an evacuation binds";
   EXPECT_EQ(controller.post("/v1/Evacuation.Release/z1", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z2"), "i1");
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z2"), "i1");
 }
 TEST_F(Evacuation, ARegionMeansAllItsZones) {
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/r", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z1"), "");
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z1"), "");
   EXPECT_EQ(controller.post("/v1/Evacuation.Release/r", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z2"), "i2");
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z2"), "i2");
 }
 TEST_F(Evacuation, AnOrderThatIsRepeatedIsAcknowledgedAgain) {
   for (int i = 0; i < 3; ++i)
