--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -41,7 +41,7 @@
 bool announces(const HintUpdate& update, std::int64_t digest) {
   return std::find(update.added.begin(), update.added.end(), digest) != update.added.end();
 }
-std::vector<std::int64_t> inBoth(const HintUpdate& one, const HintUpdate& other) {
+std::vector<std::int64_t> commonDigests(const HintUpdate& one, const HintUpdate& other) {
   std::vector<std::int64_t> common;
   std::set_intersection(one.added.begin(), one.added.end(), other.added.begin(), other.added.end(),
                         std::back_inserter(common));
@@ -88,7 +88,7 @@
   EXPECT_EQ(first.added.size(), 64U);
   ASSERT_EQ(second.added.size(), 64U) << "a full list under the new key";
 
-  EXPECT_TRUE(inBoth(first, second).empty());
+  EXPECT_TRUE(commonDigests(first, second).empty());
 }
 TEST(HintTable, GuessedPrefixesCannotBeTestedWithoutTheSecret) {
   auto table = makeTable(3);
@@ -123,9 +123,10 @@
   auto partner = makeTable(2);
   sendPrefix(partner, kPrefix);
 
-  auto silenced = makeTable(1);
-  exchange(silenced, partner, kStart, kEpoch);
-  EXPECT_FALSE(silenced.cachedOnlyAtPartner(kStart + 11s, kEpoch, kPrefix, kTenantHere)) << "the partner is silent";
+  auto withSilentPartner = makeTable(1);
+  exchange(withSilentPartner, partner, kStart, kEpoch);
+  EXPECT_FALSE(withSilentPartner.cachedOnlyAtPartner(kStart + 11s, kEpoch, kPrefix, kTenantHere))
+      << "the partner is silent";
 
   const auto later = kStart + HintBounds{}.lifetime + 2s;
   auto afterLifetime = makeTable(3);
@@ -174,19 +175,19 @@
   EXPECT_FALSE(HintKey::parse(std::string(64, 'z')));
 }
 TEST(PartnerCircuitBreaker, AllowsAQuarterAndFewAfterFailures) {
-  PartnerCircuitBreaker trust;
+  PartnerCircuitBreaker circuitBreaker;
   TimePoint now = kStart;
   int allowed = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    allowed += trust.allowRequest(now);
+    allowed += circuitBreaker.allowRequest(now);
   EXPECT_LE(allowed, 255);
   EXPECT_GT(allowed, 200);
 
   int allowedWhileFailing = 0;
   for (int i = 0; i < 1000; ++i, now += 10ms)
-    if (trust.allowRequest(now)) {
+    if (circuitBreaker.allowRequest(now)) {
       ++allowedWhileFailing;
-      trust.recordFailure(now);
+      circuitBreaker.recordFailure(now);
     }
   EXPECT_LE(allowedWhileFailing, 5);
 }
--- a/tests/lease_renewal_test.cpp
+++ b/tests/lease_renewal_test.cpp
@@ -140,14 +140,14 @@
     for (const auto renewedBefore : {0ms, 1ms, 399ms}) {
       LeaseRenewal renewal(lease, kMaxLag, 0);
       // By the true clock the revocation is acknowledged at 0, after the leader has answered this renewal.
-      const auto local = [clockSpeed](Duration trueTime) {
+      const auto localTime = [clockSpeed](Duration trueTime) {
         return kNow + Duration(static_cast<std::int64_t>(static_cast<double>(trueTime.count()) * clockSpeed));
       };
-      const auto requestId = renewal.start(local(-renewedBefore));
+      const auto requestId = renewal.start(localTime(-renewedBefore));
       ASSERT_TRUE(renewal.accept(grant(requestId)));
       const auto servesUntil = *renewal.usableUntil(0);
       // A request is read, and its time taken, no sooner than it was sent.
-      EXPECT_GE(local(timers.revoke + 1ms), servesUntil) << "clock at " << clockSpeed;
-      EXPECT_LT(local(timers.revoke * 8 / 10 - renewedBefore), servesUntil) << "most of the bound is service";
+      EXPECT_GE(localTime(timers.revoke + 1ms), servesUntil) << "clock at " << clockSpeed;
+      EXPECT_LT(localTime(timers.revoke * 8 / 10 - renewedBefore), servesUntil) << "most of the bound is service";
     }
 }
