--- a/libs/agent/src/agent_daemon.cpp
+++ b/libs/agent/src/agent_daemon.cpp
@@ -8,9 +8,8 @@
 
 namespace zinccleat::agent {
 namespace {
-constexpr auto kStateReportInterval = 1000ms;  // between two reports of the agent's state to the core
-constexpr int kReceiptsPerStateReport =
-    32;  // a report is also due after this number of messages with entries or snapshots
+constexpr auto kStateReportInterval = 1000ms;   // between two reports of the agent's state to the core
+constexpr int kReceiptsPerStateReport = 32;     // a report is also due after this number of entry or snapshot messages
 constexpr int kStateReportsPerViewSample = 8;   // one in this many reports includes a sample of the partial view
 constexpr auto kLinkSelectionInterval = 250ms;  // between two selections of the links to the core
 constexpr auto kShutdownInterval = 100ms;
@@ -174,7 +173,8 @@
   std::vector<transport::LogEntry> entries;
   while (auto applied = follower_.applyNext()) {
     if (applied->change.corrupted) {
-      log::error("replica_corrupted", {{"index", applied->entry.index}, {"reason", "a delta did not fit"}});
+      log::error("replica_corrupted",
+                 {{"index", applied->entry.index}, {"reason", "a configuration delta does not match the replica"}});
       refetch();
     }
     entries.push_back(std::move(applied->entry));
--- a/libs/proxy_daemon/include/proxy_daemon/partner_lookup.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/partner_lookup.hpp
@@ -23,8 +23,9 @@
 /// Sends lookups to the leader through the agent and passes each response to the fiber that waits for it.
 class PartnerLookup {
  public:
-  /// @param context and agent must outlive the event loop.
-  /// @param secret shared with the partner site.
+  /// @param context must outlive the event loop.
+  /// @param agent must outlive the event loop.
+  /// @param secret the secret shared with the partner site.
   PartnerLookup(proxy::ProxyContext& context, AgentLink& agent, const std::string& secret);
   /// Looks up which site should serve a prompt. Blocks the calling fiber for at most 10 ms.
   /// @param promptPrefix the prefix's hash.
--- a/libs/proxy_daemon/include/proxy_daemon/quota_token_client.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/quota_token_client.hpp
@@ -8,7 +8,8 @@
 /// Sends token requests through the agent and adds the granted tokens to the proxy's quota.
 class QuotaTokenClient {
  public:
-  /// @param context and agent must outlive the event loop.
+  /// @param context must outlive the event loop.
+  /// @param agent must outlive the event loop.
   QuotaTokenClient(proxy::ProxyContext& context, AgentLink& agent)
       : context_(context), agent_(agent), pending_(randomRequestId()) {}
   /// Schedules one token request on the event loop. It covers all client requests that are waiting when it is sent.
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -167,13 +167,14 @@
     changes.rollouts |= applied->change.rollouts;
   }
   if (replica_.corrupted()) {
-    log::error("replica_corrupted", {{"index", replica_.lastApplied()}, {"reason", "a delta did not fit"}});
+    log::error("replica_corrupted",
+               {{"index", replica_.lastApplied()}, {"reason", "a configuration delta does not match the replica"}});
     return requestSnapshot();
   }
   adopt(changes);
   useLease();
 }
-/// Revokes the lease, because a corrupted replica must not decide about requests: the proxy serves no request until a
+/// Drops the lease, because a corrupted replica must not decide about requests: the proxy serves no request until a
 /// full snapshot has been restored.
 void ProxyDaemon::requestSnapshot() {
   replica_.markCorrupted();
--- a/libs/proxy_daemon/src/lease_renewal.cpp
+++ b/libs/proxy_daemon/src/lease_renewal.cpp
@@ -7,7 +7,7 @@
   return timers.revokedFail ? timers.revoke - timers.revoke / kMarginDivisor : kDurationWithoutRevocation;
 }
 Duration LeaseRenewal::maxLag(const config::Timers& timers) {
-  constexpr Duration kMaxConnectDuration{300};  // longest connect of a request admitted before the end
+  constexpr Duration kMaxConnectDuration{300};  // requests admitted before the limit may connect until then
   constexpr Duration kMinMaxLag{500};
   return std::max(kMinMaxLag, std::min(timers.drain, timers.configApply) - kInterval - kMaxConnectDuration);
 }
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Evacuations of zones: the calls, the replicated state, and what a proxy sends to the runners of an evacuated zone.
+/// Tests evacuations of zones: the API calls, the replicated state, and the runners that a proxy selects.
 #include <gtest/gtest.h>
 
 #include "balancing/runner_pool.hpp"
@@ -23,7 +23,7 @@
     runner.id = id, runner.service = "s", runner.address = "10.0.0.1:" + id, runner.zone = zone, runner.capacity = 4;
     return runner;
   }
-  /// As a proxy does when the state has changed.
+  /// Applies the replicated state to the pool in the same way as a proxy.
   void applyStateToPool(TimePoint now = kNow) {
     const auto& state = controller.replica().state();
     auto levels = proxy_daemon::drainLevels(kZones, state.zoneDrains);
@@ -50,7 +50,7 @@
     EXPECT_EQ(chosenRunnerId("z1"), "i2");
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z2", "").status, HttpStatus::ok);
   applyStateToPool();
-  EXPECT_EQ(chosenRunnerId("z1"), "") << "a drain prefers other runners, an evacuation binds";
+  EXPECT_EQ(chosenRunnerId("z1"), "") << "unlike a drain, an evacuation excludes runners even if no others are left";
   EXPECT_EQ(controller.post("/v1/Evacuation.Release/z1", "").status, HttpStatus::ok);
   applyStateToPool();
   EXPECT_EQ(chosenRunnerId("z2"), "i1");
@@ -87,7 +87,7 @@
   controller.waited = Duration(0);
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z1", "").status, HttpStatus::service_unavailable);
   EXPECT_TRUE(controller.replica().state().evacuatedZones.empty());
-  EXPECT_LE(controller.waited, 900ms) << "the caller has given up after a second";
+  EXPECT_LE(controller.waited, 900ms) << "the caller's timeout is 1 s";
 }
 TEST_F(Evacuation, SnapshotsKeepIt) {
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z1", "").status, HttpStatus::ok);
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -1,5 +1,5 @@
-/// Prefix hints between partner sites: what they announce, what they hide, and that a wrong hint delays a request but
-/// never costs its response.
+/// Tests prefix hints between partner sites: what the updates contain, what they must not reveal, and that a wrong hint
+/// may delay a request but never loses its response.
 #include "hints/hints.hpp"
 
 #include "balancing/prompt_prefix.hpp"
@@ -19,19 +19,19 @@
 constexpr std::uint64_t kOtherPrefix = 43;
 constexpr std::uint64_t kTenantHere = 9;
 
-/// A key whose secret repeats one hex digit.
+/// Creates a key whose secret repeats one hex digit.
 HintKey keyOf(char digit = 'a') {
   return *HintKey::parse(std::string(64, digit));
 }
 HintTable makeTable(std::uint64_t seed) {
   return HintTable(keyOf(), HintBounds{}, seed);
 }
-/// Lets tenants 1 to `tenants` send a prefix through a site.
+/// Records that tenants 1 to `tenants` send a prompt with this prefix to a site.
 void sendPrefix(HintTable& site, std::uint64_t prefix, std::uint64_t tenants = HintBounds{}.minTenants) {
   for (std::uint64_t tenant = 1; tenant <= tenants; ++tenant)
     EXPECT_FALSE(site.cachedOnlyAtPartner(kStart, kEpoch, prefix, tenant));
 }
-/// Both sites send each other updates.
+/// Sends updates in both directions between two sites, `times` times each.
 void exchange(HintTable& one, HintTable& other, TimePoint now, std::int64_t epoch, int times = 2) {
   for (int i = 0; i < times; ++i) {
     (void)other.applyUpdate(now, epoch, one.nextUpdate(now, epoch));
@@ -57,8 +57,10 @@
   exchange(here, partner, kStart, kEpoch);
 
   EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere));
-  EXPECT_FALSE(here.cachedOnlyAtPartner(kStart, kEpoch, kOtherPrefix, kTenantHere)) << "another prefix";
-  EXPECT_FALSE(partner.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere)) << "cached at the partner itself";
+  EXPECT_FALSE(here.cachedOnlyAtPartner(kStart, kEpoch, kOtherPrefix, kTenantHere))
+      << "the partner has not announced this prefix";
+  EXPECT_FALSE(partner.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere))
+      << "the partner does not forward a prefix that it has cached";
 }
 TEST(HintTable, NeverAnnouncesThePrefixOfASingleTenant) {
   auto here = makeTable(1);
@@ -70,8 +72,8 @@
   exchange(here, partner, kStart, kEpoch);
   EXPECT_FALSE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere));
 }
-// Towards an observer: lists are as long for no prefix as for one tenant's or for forty, and nothing recurs under the
-// next key.
+// An observer sees lists of the same length for no prefix, for prefixes of a single tenant and for 40 announced
+// prefixes, and no digest appears again under the next key.
 TEST(HintTable, ListsRevealNeitherHowManyPrefixesNorTheSameOnesUnderTheNextKey) {
   auto empty = makeTable(1);
   auto ofOneTenant = makeTable(2);
@@ -86,7 +88,7 @@
   const auto first = ofForty.nextUpdate(kStart, kEpoch);
   const auto second = ofForty.nextUpdate(kStart + 1s, kEpoch + 1);
   EXPECT_EQ(first.added.size(), 64U);
-  ASSERT_EQ(second.added.size(), 64U) << "a full list under the new key";
+  ASSERT_EQ(second.added.size(), 64U) << "a new key causes a full list";
 
   EXPECT_TRUE(commonDigests(first, second).empty());
 }
@@ -99,7 +101,7 @@
 
   for (std::uint64_t prefix = 0; prefix < 40; ++prefix) {
     EXPECT_TRUE(announces(update, keyOf().digest(prefix, kEpoch))) << "with the secret";
-    EXPECT_FALSE(announces(update, keyOf('b').digest(prefix, kEpoch))) << "with another one";
+    EXPECT_FALSE(announces(update, keyOf('b').digest(prefix, kEpoch))) << "with another secret";
   }
 }
 TEST(HintTable, SendsChangesAndRecoversFromALostUpdateByAFullList) {
@@ -126,16 +128,18 @@
   auto withSilentPartner = makeTable(1);
   exchange(withSilentPartner, partner, kStart, kEpoch);
   EXPECT_FALSE(withSilentPartner.cachedOnlyAtPartner(kStart + 11s, kEpoch, kPrefix, kTenantHere))
-      << "the partner is silent";
+      << "the partner has sent no update for longer than `partnerTimeout`";
 
   const auto later = kStart + HintBounds{}.lifetime + 2s;
   auto afterLifetime = makeTable(3);
   exchange(afterLifetime, partner, later, kEpoch);
-  EXPECT_FALSE(afterLifetime.cachedOnlyAtPartner(later, kEpoch, kPrefix, kTenantHere)) << "nobody sends it any more";
+  EXPECT_FALSE(afterLifetime.cachedOnlyAtPartner(later, kEpoch, kPrefix, kTenantHere))
+      << "no tenant has sent the prefix within its lifetime";
 
   auto afterTwoKeys = makeTable(4);
   exchange(afterTwoKeys, partner, later, kEpoch);
-  EXPECT_FALSE(afterTwoKeys.cachedOnlyAtPartner(later, kEpoch + 2, kPrefix, kTenantHere)) << "two key periods later";
+  EXPECT_FALSE(afterTwoKeys.cachedOnlyAtPartner(later, kEpoch + 2, kPrefix, kTenantHere))
+      << "hints are not used two key periods later";
 }
 TEST(HintTable, RejectsOversizedAndOutdatedUpdatesWithoutEffect) {
   auto here = makeTable(1);
@@ -153,7 +157,7 @@
   EXPECT_FALSE(here.applyUpdate(kStart, kEpoch, outdated));
 
   EXPECT_EQ(here.rejectedCount(), 2U);
-  EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere)) << "what was known remains";
+  EXPECT_TRUE(here.cachedOnlyAtPartner(kStart, kEpoch, kPrefix, kTenantHere)) << "earlier hints are kept";
 }
 TEST(HintTable, AnnouncesABoundedNumberOfPrefixes) {
   auto table = makeTable(1);
@@ -162,7 +166,7 @@
 
   const auto announced = table.nextUpdate(kStart, kEpoch).added.size();
   EXPECT_LE(announced, 2048U + 64U);
-  EXPECT_GE(announced, 2048U) << "the bound is reached";
+  EXPECT_GE(announced, 2048U) << "as many prefixes are announced as allowed";
 }
 TEST(HintKey, VerifiesOnlyCodesOfTheSameSecretAndText) {
   EXPECT_TRUE(keyOf().verify("text", keyOf().sign("text")));
@@ -204,14 +208,15 @@
   return requestText("/recap/x", attempt, more + "X-Prompt-Prefix: " + prefixHeader + "\r\n");
 }
 
-/// A site with one runner, which takes time to read a prompt prefix that it has not cached before it streams.
+/// A site with one runner. Before the runner streams a response, it needs `prefillTime` for a prompt prefix that it has
+/// not cached.
 struct Site {
   std::shared_ptr<TestProxy> proxy;
   HintTable hints;
-  std::set<std::string> cached;  // prefixes, as their header field
+  std::set<std::string> cached;  // header fields of the prefixes that the runner has cached
   int streams = 0;
   int pushes = 0;
-  int markedRequests = 0;  // whose mark of a partner site reached the runner, which it must not
+  int markedRequests = 0;  // requests that reached the runner with X-Partner-Site, which proxies must remove
   Duration prefillTime{25};
 
   Site(std::shared_ptr<TestProxy> ownProxy, std::uint64_t seed) : proxy(std::move(ownProxy)), hints(makeTable(seed)) {
@@ -242,14 +247,15 @@
   }
 };
 
-/// Two partner sites; requests enter at `here`.
+/// Two partner sites. The test sends all requests to `here`.
 struct TwoSites {
   std::shared_ptr<Site> here = std::make_shared<Site>(std::make_shared<TestProxy>(), 1);
   std::shared_ptr<Site> partner = std::make_shared<Site>(std::make_shared<TestProxy>(), 2);
   std::string partnerAddress = partner->address();
 
   TwoSites() {
-    static std::vector<std::shared_ptr<Site>> sites;  // fibers may refer to them after the test
+    static std::vector<std::shared_ptr<Site>>
+        sites;  // kept until the process ends: fibers may use the sites after the test
     sites.push_back(here);
     sites.push_back(partner);
   }
@@ -273,7 +279,7 @@
     int completePushes = 0;
   };
   /// Sends one stream and one push for each of `count` prefixes that the partner has cached and announced.
-  /// @param name begins the names of the prefixes and attempts.
+  /// @param name prefix of the names of prompt prefixes and attempts.
   Outcome run(int count, const std::string& name) {
     const auto prefixOf = [&](int i) { return name + std::to_string(i) + ":5000"; };
     for (int i = 0; i < count; ++i) {
@@ -296,16 +302,17 @@
     return outcome;
   }
 };
-/// After 24 long requests that could be forwarded.
+/// Checks the number of forwarded requests after 24 streams with long prompts that could be forwarded.
 void expectAQuarterForwarded(const TwoSites& sites) {
   EXPECT_GE(sites.partner->streams, 6);
-  EXPECT_LE(sites.partner->streams, 9) << "one in four, and two at the beginning";
+  EXPECT_LE(sites.partner->streams, 9) << "a quarter of the requests, and two at the beginning";
   EXPECT_EQ(sites.partner->pushes, 0) << "pushes are never forwarded";
   EXPECT_EQ(sites.partner->markedRequests + sites.here->markedRequests, 0);
 }
 void compareWithAndWithoutHints() {
   TwoSites sites;
-  sites.here->prefillTime = sites.partner->prefillTime = 60ms;  // long beside what a busy machine adds to a request
+  sites.here->prefillTime = sites.partner->prefillTime =
+      60ms;  // long compared to the delay of a request on a busy machine
 
   sites.forwardNothing();
   const auto without = sites.run(24, "a");
@@ -316,10 +323,10 @@
   EXPECT_EQ(without.completeStreams, 24);
   EXPECT_EQ(with.completeStreams, 24);
   EXPECT_EQ(with.completePushes, 24);
-  EXPECT_EQ(sites.here->streams + sites.partner->streams, 48) << "each request runs once";
+  EXPECT_EQ(sites.here->streams + sites.partner->streams, 48) << "each stream runs once";
   expectAQuarterForwarded(sites);
   EXPECT_LT(with.meanMs, without.meanMs * 0.9) << with.meanMs << " and " << without.meanMs;
-  std::printf("first events, mean: %.1f ms without hints, %.1f ms with (stand-ins)\n", without.meanMs, with.meanMs);
+  std::printf("first events, mean: %.1f ms without hints, %.1f ms with (fake runners)\n", without.meanMs, with.meanMs);
 }
 }  // namespace
 
@@ -331,7 +338,7 @@
     TwoSites sites;
     sites.forwardByHints();
     const auto withHints = sites.run(16, "l");
-    sites.partner->cached.clear();  // evicted; the hints are wrong from here on
+    sites.partner->cached.clear();  // the prefixes are evicted, so the hints are wrong from now on
     sites.forwardNothing();
     const auto withoutHints = sites.run(4, "m");
     EXPECT_EQ(withHints.completeStreams, 16);
@@ -393,7 +400,8 @@
     ++events;
   return events;
 }
-/// @param mayBeResumed whether two events may have come from the partner before.
+/// Checks that a response is complete.
+/// @param mayBeResumed whether the response may start with two events from the partner before the stream was resumed.
 void expectComplete(const ClientResponse& response, bool mayBeResumed) {
   EXPECT_EQ(response.status, 200);
   EXPECT_TRUE(response.bodyComplete);
@@ -410,13 +418,13 @@
     const auto started = Clock::now();
     const auto response = sendRequest(*sites.here->proxy,
                                       streamRequest("k" + number, "k" + number + ":5000,o:1\r\nX-Token-Count: 5001,5"));
-    // A cut stream is resumed behind what had arrived; this stand-in sends all its events again.
+    // An interrupted stream is resumed after the received events, but the fake runner sends all its events again.
     expectComplete(response, fault == PartnerFault::cutsItsStreams && i < 4);
     EXPECT_LT(Clock::now() - started, 500ms + 400ms);
     EXPECT_EQ(sites.pushResponse("q" + number), "pushed q" + number);
   }
   EXPECT_EQ(sites.partner->pushes, 0);
-  EXPECT_LE(sites.here->proxy->context.forwardedToPartner, 4U) << "few requests are forwarded to a partner that fails";
+  EXPECT_LE(sites.here->proxy->context.forwardedToPartner, 4U) << "few requests are forwarded to a faulty partner";
 }
 }  // namespace
 
--- a/tests/isolated_source_test.cpp
+++ b/tests/isolated_source_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// An agent with its real links, on loopback, whose source of the log is cut off from the rest of the core and still
-/// answers it: what the core has acknowledged must reach the agent within the bounds of the rules all the same.
+/// Tests an agent with real connections on loopback. The member that sends the log to the agent is isolated from the
+/// rest of the core but still answers the agent. Acknowledged entries must reach the agent within the required time.
 #include <gtest/gtest.h>
 
 #include "agent/agent_daemon.hpp"
@@ -17,8 +17,8 @@
 namespace {
 constexpr int kFirstPort = 7940;
 constexpr auto kTimeout = 10s;
-/// A drain binds 2,000 ms after its acknowledgement on the users' small sites. The proxy renews its lease, and so hears
-/// of a new entry, every 400 ms.
+/// On the users' small sites, a drain must take effect within 2,000 ms after its acknowledgement. The proxy renews its
+/// lease every 400 ms, and each lease response reports new entries.
 constexpr Duration kMaxDrainDelay{2000};
 constexpr Duration kRenewalInterval{400};
 
@@ -31,10 +31,10 @@
   return entry;
 }
 
-/// A member of the core that feeds the entries which it has, and grants leases if it isLeader.
+/// A member of the core that sends its entries to followers of its log, and grants leases if it is the leader.
 struct FakeCoreMember {
   std::string address;
-  std::string leader;  ///< whom it takes for the leader
+  std::string leader;  ///< identity of the leader in the status messages of this member
   std::vector<MemberZone> members;
   std::vector<LogEntry> entries;
   bool isLeader = false;
@@ -85,7 +85,7 @@
   }
 };
 
-/// A proxy that renews its lease and keeps the newest index that it was fed.
+/// A proxy that renews its lease and records the highest index of the received entries.
 struct FakeProxyClient {
   std::int64_t newestEntry = 0;
   std::int64_t lastRequest = 0;
@@ -107,8 +107,8 @@
   }
 };
 
-/// Two members of the core, the second of them in the agent's zone, and one access machine. Kept to the end of the
-/// process, since timers of the loop refer to it.
+/// Two members of the core, the second of them in the agent's zone, and one access machine. Objects must exist until
+/// the end of the process, because timers of the event loop refer to them.
 struct SmallFleet {
   FakeCoreMember leader{"127.0.6.1", "127.0.6.1#0"};
   FakeCoreMember zoneMember{"127.0.6.2", "127.0.6.1#0"};
@@ -150,20 +150,21 @@
 }
 }  // namespace
 
-// Regression (DRAIN, CONFIG): the agent took each answer of its source, also those to its own refetches, for a transfer
-// under way and waited for it for 2 s; proxies served from the old state as long.
+// Regression (DRAIN, CONFIG): the agent treated each message of its source, including responses to its own refetch
+// requests, as a sign that a transfer of entries was in progress, and waited 2 s for that transfer. Proxies served from
+// the old state for that time.
 TEST(IsolatedSource, AMemberThatAnswersButHasNoEntriesIsLeftInTimeForADrain) {
   static SmallFleet fleet;
   runOnLoop([] {
     ASSERT_NO_FATAL_FAILURE(fleet.start());
     ASSERT_TRUE(SmallFleet::waitUntil([] { return fleet.proxy->newestEntry == 1 && fleet.zoneMember.followers > 0; }))
-        << "the member of the zone feeds the agent";
+        << "the member of the zone is the source";
     const auto acknowledgedAt = Clock::now();
-    fleet.leader.entries.push_back(runnerJoins(2));  // which the other member never gets
+    fleet.leader.entries.push_back(runnerJoins(2));  // the member of the agent's zone never receives this entry
     ASSERT_TRUE(SmallFleet::waitUntil([] { return fleet.proxy->newestEntry == 2; }));
     const auto staleFor = toDuration(Clock::now() - acknowledgedAt);
-    EXPECT_GT(fleet.zoneMember.refetches, 0) << "the source was asked again, and answered";
-    EXPECT_LT(staleFor, kMaxDrainDelay / 2) << "half of the bound is for the attempts that are under way";
+    EXPECT_GT(fleet.zoneMember.refetches, 0) << "the source received refetch requests and responded";
+    EXPECT_LT(staleFor, kMaxDrainDelay / 2) << "half of the allowed time is reserved for attempts in progress";
   });
 }
 
@@ -171,7 +172,7 @@
   config::Settings settings;
   settings.firstPort = kFirstPort;
   settings.ip = "10.1.0.5";
-  EXPECT_EQ(agentEndpoint(settings), "127.0.0.1:7941") << "no other machine reaches it";
+  EXPECT_EQ(agentEndpoint(settings), "127.0.0.1:7941") << "other machines cannot connect";
   settings.ip = "127.0.6.3";
-  EXPECT_EQ(agentEndpoint(settings), "127.0.6.3:7941") << "many machines on one host";
+  EXPECT_EQ(agentEndpoint(settings), "127.0.6.3:7941") << "supports many machines on one host";
 }
--- a/tests/leader_discovery_test.cpp
+++ b/tests/leader_discovery_test.cpp
@@ -1,4 +1,4 @@
-// Which members of the core an agent connects to.
+// Tests which members of the core an agent connects to, and which messages the agent forwards.
 #include "agent/leader_discovery.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   status.voters = std::move(voters);
   return status;
 }
-/// Knows all voters and the leader 10.0.0.3, which granted a lease at `kNow`.
+/// Creates a discovery that knows all voters and the leader 10.0.0.3, which granted a lease at `kNow`.
 LeaderDiscovery settledDiscovery(std::uint64_t seed = 1) {
   LeaderDiscovery discovery("10.1.0.1", seed);
   discovery.observe(statusOf(3, "10.0.0.3#c"));
@@ -52,7 +52,7 @@
   EXPECT_EQ(addresses.size(), 1 + LeaderDiscovery::kExtraVoterLinks);
   EXPECT_TRUE(addresses.contains("10.0.0.3"));
   EXPECT_TRUE(std::includes(kVoterAddresses.begin(), kVoterAddresses.end(), addresses.begin(), addresses.end()));
-  EXPECT_EQ(discovery.desiredAddresses(kNow + 500ms, allConnected), addresses) << "the choice is kept";
+  EXPECT_EQ(discovery.desiredAddresses(kNow + 500ms, allConnected), addresses) << "the selected voters do not change";
 }
 TEST(LeaderDiscovery, NodesSpreadOverTheVoters) {
   Addresses chosen;
@@ -76,7 +76,7 @@
   const auto discovery = settledDiscovery();
   EXPECT_EQ(discovery.desiredAddresses(kNow + 1000ms, allConnected).size(), 3U);
   EXPECT_EQ(discovery.desiredAddresses(kNow + 1001ms, allConnected), kVoterAddresses)
-      << "those connected may be on the minority's side of a partition";
+      << "all connected members may be on the minority side of a partition";
 }
 TEST(LeaderDiscovery, RemembersMembersItHeardFromOrOf) {
   LeaderDiscovery discovery("10.1.0.1", 1);
@@ -85,7 +85,7 @@
   status.view = {"10.0.0.8/core", "10.1.0.2/access"};
   discovery.observe(status);
   EXPECT_EQ(discovery.desiredAddresses(kNow, noneConnected), (Addresses{"10.0.0.7", "10.0.0.8"}))
-      << "an access machine is no member";
+      << "an access machine is not a member of the core";
 }
 TEST(LeaderDiscovery, NoticesAnotherLeaderAndOtherVoters) {
   auto discovery = settledDiscovery();
@@ -99,7 +99,7 @@
   const auto otherLeader = discovery.observe(statusOf(4, "10.0.0.1#a", {"10.0.0.1#a"}));
   EXPECT_TRUE(otherLeader.leader);
   EXPECT_TRUE(otherLeader.voters);
-  EXPECT_EQ(discovery.leader(), "10.0.0.3#c") << "until it is set";
+  EXPECT_EQ(discovery.leader(), "10.0.0.3#c") << "unchanged until `setLeader` is called";
 }
 TEST(LeaderDiscovery, TheSameLeaderInANewTermIsFollowedAnew) {
   auto discovery = settledDiscovery();
--- a/tests/lease_renewal_test.cpp
+++ b/tests/lease_renewal_test.cpp
@@ -1,4 +1,4 @@
-// Until when a proxy may serve, and the matching of responses to requests.
+// Tests until when a proxy may serve, and how responses are matched to requests.
 #include "proxy_daemon/lease_renewal.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   EXPECT_TRUE(pending.finish(101));
   EXPECT_FALSE(pending.finish(101));
   EXPECT_FALSE(pending.startedAt(101));
-  EXPECT_FALSE(pending.finish(7)) << "of an earlier incarnation";
+  EXPECT_FALSE(pending.finish(7)) << "an id of an earlier process";
 }
 TEST(PendingRequests, ForgetsTheOldest) {
   PendingRequests pending(0);
@@ -53,7 +53,7 @@
   timers.revoke = 5000ms;
   EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 4500ms);
   timers.revoke = 400ms;
-  EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 360ms) << "never longer than the bound";
+  EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 360ms) << "never longer than the revocation time";
   timers.revokedFail = false;
   EXPECT_EQ(LeaseRenewal::leaseDuration(timers), 60s);
 }
@@ -83,7 +83,7 @@
   const auto first = lease.start(kNow);
   const auto second = lease.start(kNow + 400ms);
   EXPECT_TRUE(lease.accept(grant(second, 20))->newestRequest);
-  EXPECT_TRUE(lease.accept(grant(first, 30))) << "late, and older: it changes nothing";
+  EXPECT_TRUE(lease.accept(grant(first, 30))) << "a delayed response to an older request does not change the lease";
   EXPECT_FALSE(lease.usableUntil(19));
   EXPECT_EQ(lease.usableUntil(20), kNow + 400ms + kLease);
 }
@@ -114,10 +114,10 @@
   EXPECT_EQ(LeaseRenewal::maxLag(timers), kMaxLag);
   EXPECT_LT(LeaseRenewal::kInterval + LeaseRenewal::maxLag(timers), timers.drain);
   timers.configApply = 1000ms;
-  EXPECT_EQ(LeaseRenewal::maxLag(timers), 500ms) << "the shortest: less would end service at each slow entry";
+  EXPECT_EQ(LeaseRenewal::maxLag(timers), 500ms) << "the minimum: a lower limit would stop service at each slow entry";
 }
-// Regression (DRAIN, CONFIG): a lease of 3.5 s was served under to its end, although its renewals had told for over 2 s
-// that the replica lacked an entry.
+// Regression (DRAIN, CONFIG): a proxy served until the end of a lease of 3.5 s, although the responses to its lease
+// requests had shown for over 2 s that its replica lacked an entry.
 TEST(LeaseRenewal, AReplicaThatIsKnownToLagEndsServiceBeforeTheLeaseDoes) {
   LeaseRenewal lease(kLease, kMaxLag, 0);
   lease.accept(grant(lease.start(kNow), 7));
@@ -126,12 +126,13 @@
   for (int renewal = 1; renewal <= 4; ++renewal)
     lease.accept(grant(lease.start(kNow + renewal * LeaseRenewal::kInterval), 7 + renewal));
   const auto firstMissing = kNow + LeaseRenewal::kInterval;
-  EXPECT_EQ(lease.freshUntil(7), firstMissing + kMaxLag) << "later news move nothing";
+  EXPECT_EQ(lease.freshUntil(7), firstMissing + kMaxLag) << "entries reported later do not extend the time";
   EXPECT_EQ(lease.freshUntil(8), firstMissing + LeaseRenewal::kInterval + kMaxLag);
   EXPECT_EQ(lease.freshUntil(11), TimePoint::max());
 }
-// A key is revoked and its proxy cut off at once. Whatever of the proxy's clock's speed, and however long its process
-// stands still between reading the clock and the check, no request that is sent after the bound is served.
+// A proxy loses its connections immediately after a key was revoked. For each tested speed of the proxy's clock, and
+// however long the proxy's process is paused between reading the clock and checking the lease, the proxy must not serve
+// a request that is sent later than `Timers::revoke` after the revocation.
 TEST(LeaseRenewal, NoRequestSentAfterARevocationsBoundIsServed) {
   config::Timers timers;
   timers.revoke = 5000ms;
@@ -139,15 +140,16 @@
   for (const double clockSpeed : {0.9, 0.97, 1.0, 1.1})
     for (const auto renewedBefore : {0ms, 1ms, 399ms}) {
       LeaseRenewal renewal(lease, kMaxLag, 0);
-      // By the true clock the revocation is acknowledged at 0, after the leader has answered this renewal.
+      // In true time, the revocation is acknowledged at 0, after the leader has answered this lease request.
       const auto localTime = [clockSpeed](Duration trueTime) {
         return kNow + Duration(static_cast<std::int64_t>(static_cast<double>(trueTime.count()) * clockSpeed));
       };
       const auto requestId = renewal.start(localTime(-renewedBefore));
       ASSERT_TRUE(renewal.accept(grant(requestId)));
       const auto servesUntil = *renewal.usableUntil(0);
-      // A request is read, and its time taken, no sooner than it was sent.
+      // The proxy reads a request, and the clock for its check, no earlier than the request was sent.
       EXPECT_GE(localTime(timers.revoke + 1ms), servesUntil) << "clock at " << clockSpeed;
-      EXPECT_LT(localTime(timers.revoke * 8 / 10 - renewedBefore), servesUntil) << "most of the bound is service";
+      EXPECT_LT(localTime(timers.revoke * 8 / 10 - renewedBefore), servesUntil)
+          << "the proxy serves for most of the revocation time";
     }
 }
--- a/tests/log_follower_test.cpp
+++ b/tests/log_follower_test.cpp
@@ -1,4 +1,4 @@
-// The agent's side of following the replicated log.
+// Tests the agent's part of the protocol that replicates the log.
 #include "agent/log_follower.hpp"
 
 #include <gtest/gtest.h>
@@ -16,14 +16,15 @@
     indexes.push_back(applied->entry.index);
   return indexes;
 }
-/// A follower whose version 1 differs from the leader's, as after a memory error.
+/// Creates a follower with a corrupted replica: its configuration of version 1 differs from the leader's, as after a
+/// memory error, so the delta to version 2 does not apply.
 LogFollower corruptedFollower() {
   LogFollower follower;
   follower.offer(feedOf({firstConfiguration("x"), deltaConfiguration()}, 2));
   applyAll(follower);
   return follower;
 }
-/// A follower that has applied entries 1 to `index`.
+/// Creates a follower that has applied entries 1 to `index`.
 LogFollower followerAt(std::int64_t index) {
   LogFollower follower;
   for (std::int64_t i = 1; i <= index; ++i)
@@ -120,7 +121,7 @@
   ASSERT_TRUE(follower.restore(snapshot));
   EXPECT_FALSE(follower.isBehind());
   EXPECT_EQ(follower.replica().state().configuration, configurationText(2, 11));
-  EXPECT_FALSE(follower.needsSnapshot(snapshot)) << "an intact replica has it already";
+  EXPECT_FALSE(follower.needsSnapshot(snapshot)) << "an intact replica has applied this index before";
 }
 TEST(LogFollower, ASnapshotNeverLeadsBack) {
   LogFollower follower;
@@ -130,7 +131,8 @@
   EXPECT_FALSE(follower.needsSnapshot(snapshotAfter({firstConfiguration(), runnerJoins(2)})));
   EXPECT_TRUE(follower.needsSnapshot(snapshotAfter({firstConfiguration(), runnerJoins(2), runnerJoins(3)})));
   auto corrupted = corruptedFollower();
-  EXPECT_FALSE(corrupted.needsSnapshot(snapshotAfter({firstConfiguration()}))) << "not for a corrupted one either";
+  EXPECT_FALSE(corrupted.needsSnapshot(snapshotAfter({firstConfiguration()})))
+      << "an older snapshot does not repair a corrupted replica";
 }
 TEST(LogFollower, ASnapshotThatCannotBeReadCorruptsTheReplica) {
   LogFollower follower;
@@ -157,13 +159,13 @@
   EXPECT_EQ(fromTail->entries.size(), LogFollower::kTailCapacity);
   EXPECT_EQ(fromTail->entries.front().index, 45);
   EXPECT_EQ(fromTail->newestIndex, 300);
-  EXPECT_FALSE(follower.entriesAfter(43)) << "entry 44 is not kept any more";
+  EXPECT_FALSE(follower.entriesAfter(43)) << "entry 44 is no longer retained";
 }
 TEST(LogFollower, NoEntriesForAProxyThatHasThemAll) {
   const auto follower = followerAt(300);
   for (const std::int64_t index : {300, 301}) {
     const auto feed = follower.entriesAfter(index);
-    ASSERT_TRUE(feed) << "no snapshot either, at " << index;
+    ASSERT_TRUE(feed) << "no snapshot is needed at index " << index;
     EXPECT_TRUE(feed->entries.empty()) << index;
   }
 }
--- a/tests/proxy_state_test.cpp
+++ b/tests/proxy_state_test.cpp
@@ -1,4 +1,4 @@
-// What the proxy's daemon takes from the replicated state, and what it reports of its machine.
+// Tests how the proxy's daemon applies the replicated state, and what it reports about its machine.
 #include <gtest/gtest.h>
 
 #include "proxy_daemon/node_report.hpp"
@@ -110,16 +110,16 @@
   adoption.adopt(state, {.runners = true});
   adoption.adoptEjections(ejectionsOf(4, "i-z1"));
   adoption.adoptEjections(ejectionsOf(4, "i-other"));
-  EXPECT_EQ(context.runners.at(0).ejected, 1) << "the list of this version is here already";
+  EXPECT_EQ(context.runners.at(0).ejected, 1) << "a list of this version was applied before";
   adoption.adoptEjections(ejectionsOf(0, "i-other"));
-  EXPECT_EQ(context.runners.at(0).ejected, 1) << "no list";
+  EXPECT_EQ(context.runners.at(0).ejected, 1) << "version 0 means that the response has no list";
   adoption.adoptEjections(ejectionsOf(5, "i-other"));
   EXPECT_EQ(context.runners.at(0).ejected, 0);
 }
 
 TEST(RequestRate, IsMeasuredAnewAfterTheInterval) {
   RequestRate rate(kNow);
-  EXPECT_EQ(rate.update(kNow + 900ms, 900), 0) << "not measured yet";
+  EXPECT_EQ(rate.update(kNow + 900ms, 900), 0) << "no new measurement before the interval has passed";
   EXPECT_DOUBLE_EQ(rate.update(kNow + 1000ms, 500), 500);
   EXPECT_DOUBLE_EQ(rate.update(kNow + 1400ms, 9000), 500);
   EXPECT_DOUBLE_EQ(rate.update(kNow + 3000ms, 900), 200);
--- a/tests/replica_lag_test.cpp
+++ b/tests/replica_lag_test.cpp
@@ -1,4 +1,4 @@
-// How long a replica has lacked what is known to be committed.
+// Tests how long a replica has lacked entries that are known to be committed.
 #include "agent/replica_lag.hpp"
 
 #include <gtest/gtest.h>
@@ -16,9 +16,10 @@
   lag.recordCommitted(kNow + 400ms, 9);
   EXPECT_EQ(lag.at(kNow + 1s), 1s);
   lag.recordApplied(4);
-  EXPECT_EQ(lag.at(kNow + 1s), 1s) << "progress alone ends no lag";
+  EXPECT_EQ(lag.at(kNow + 1s), 1s)
+      << "applying entries does not end the lag while the oldest missing entry is not applied";
   lag.recordApplied(5);
-  EXPECT_EQ(lag.at(kNow + 1s), 600ms) << "entry 9 was known 400 ms later";
+  EXPECT_EQ(lag.at(kNow + 1s), 600ms) << "entry 9 was reported 400 ms later";
   lag.recordApplied(9);
   EXPECT_EQ(lag.at(kNow + 9s), Duration(0));
 }
@@ -29,7 +30,7 @@
   EXPECT_EQ(lag.at(kNow + 1s), Duration(0));
   lag.recordCommitted(kNow + 1s, 8);
   lag.recordCommitted(kNow + 2s, 8);
-  EXPECT_EQ(lag.at(kNow + 3s), 2s) << "the same news again";
+  EXPECT_EQ(lag.at(kNow + 3s), 2s) << "a repeated report of the same index";
   lag.recordApplied(3);
   EXPECT_EQ(lag.at(kNow + 3s), 2s);
 }
@@ -39,7 +40,7 @@
     lag.recordCommitted(kNow + Duration(index), index);
   EXPECT_EQ(lag.at(kNow + 2s), 1999ms);
   lag.recordApplied(999);
-  EXPECT_GT(lag.at(kNow + 2s), 1s) << "the last one was merged: its lag is not understated";
+  EXPECT_GT(lag.at(kNow + 2s), 1s) << "merging observations does not understate the lag";
   lag.recordApplied(1000);
   EXPECT_EQ(lag.at(kNow + 2s), Duration(0));
 }
