--- a/libs/proxy_daemon/src/lease_renewal.cpp
+++ b/libs/proxy_daemon/src/lease_renewal.cpp
@@ -7,7 +7,7 @@
   return timers.revokedFail ? timers.revoke - timers.revoke / kMarginDivisor : kDurationWithoutRevocation;
 }
 Duration LeaseRenewal::maxLag(const config::Timers& timers) {
-  constexpr Duration kMaxConnectDuration{300};  // requests admitted before the limit may connect until then
+  constexpr Duration kMaxConnectDuration{300};  // an admitted request may try to connect to a runner for this time
   constexpr Duration kMinMaxLag{500};
   return std::max(kMinMaxLag, std::min(timers.drain, timers.configApply) - kInterval - kMaxConnectDuration);
 }
--- a/tests/hints_test.cpp
+++ b/tests/hints_test.cpp
@@ -254,8 +254,7 @@
   std::string partnerAddress = partner->address();
 
   TwoSites() {
-    static std::vector<std::shared_ptr<Site>>
-        sites;  // kept until the process ends: fibers may use the sites after the test
+    static std::vector<std::shared_ptr<Site>> sites;  // static, because fibers may use the sites after the test
     sites.push_back(here);
     sites.push_back(partner);
   }
@@ -311,8 +310,7 @@
 }
 void compareWithAndWithoutHints() {
   TwoSites sites;
-  sites.here->prefillTime = sites.partner->prefillTime =
-      60ms;  // long compared to the delay of a request on a busy machine
+  sites.here->prefillTime = sites.partner->prefillTime = 60ms;  // long compared to the delays of a busy machine
 
   sites.forwardNothing();
   const auto without = sites.run(24, "a");
--- a/tests/lease_renewal_test.cpp
+++ b/tests/lease_renewal_test.cpp
@@ -132,7 +132,7 @@
 }
 // A proxy loses its connections immediately after a key was revoked. For each tested speed of the proxy's clock, and
 // however long the proxy's process is paused between reading the clock and checking the lease, the proxy must not serve
-// a request that is sent later than `Timers::revoke` after the revocation.
+// a request that is sent later than `Timers::revoke` after the revocation was acknowledged.
 TEST(LeaseRenewal, NoRequestSentAfterARevocationsBoundIsServed) {
   config::Timers timers;
   timers.revoke = 5000ms;
