--- a/libs/proxy_daemon/include/proxy_daemon/lease_renewal.hpp
+++ b/libs/proxy_daemon/include/proxy_daemon/lease_renewal.hpp
@@ -21,7 +21,7 @@
   /// A response that grants the lease.
   struct Granted {
     TimePoint requestedAt;
-    bool newestRequest = false;  ///< the response is to the newest request
+    bool isNewestRequest = false;  ///< the response is to the newest request
   };
   /// Returns the duration of a lease under these settings. A key revocation that is acknowledged after a lease request
   /// was sent must apply to client requests that are sent `Timers::revoke` later. A client request is checked after its
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -217,7 +217,7 @@
     return;
   // Tokens are taken only from the response to the newest request. A newer request has already reported a local reserve
   // that did not include the tokens of this response.
-  if (granted->newestRequest)
+  if (granted->isNewestRequest)
     context_.quota.refillReserve(response.grants, granted->requestedAt);
   context_.revisions.addGrants(response.extension.exposures, granted->requestedAt);
   context_.usage.accept(response.extension.extension.extension, granted->requestedAt, Clock::now());
--- a/tests/lease_renewal_test.cpp
+++ b/tests/lease_renewal_test.cpp
@@ -69,7 +69,7 @@
   const auto granted = lease.accept(grant(first));
   ASSERT_TRUE(granted);
   EXPECT_EQ(granted->requestedAt, kNow);
-  EXPECT_FALSE(granted->newestRequest);
+  EXPECT_FALSE(granted->isNewestRequest);
   EXPECT_EQ(lease.usableUntil(0), kNow + kLease);
 }
 TEST(LeaseRenewal, UsableOnlyOnceTheReplicaHasCaughtUp) {
@@ -82,7 +82,7 @@
   LeaseRenewal lease(kLease, kMaxLag, 0);
   const auto first = lease.start(kNow);
   const auto second = lease.start(kNow + 400ms);
-  EXPECT_TRUE(lease.accept(grant(second, 20))->newestRequest);
+  EXPECT_TRUE(lease.accept(grant(second, 20))->isNewestRequest);
   EXPECT_TRUE(lease.accept(grant(first, 30))) << "a delayed response to an older request does not change the lease";
   EXPECT_FALSE(lease.usableUntil(19));
   EXPECT_EQ(lease.usableUntil(20), kNow + 400ms + kLease);
