--- a/libs/agent/include/agent/log_follower.hpp
+++ b/libs/agent/include/agent/log_follower.hpp
@@ -4,9 +4,9 @@
 #include "agent/followed_replica.hpp"
 #include "agent/replica_lag.hpp"
 namespace zinccleat::agent {
-/// Follows the log of one source, the member of the core chosen by `FeedSource`, at a time. Entries after a gap are
-/// applied only when the missing entries have arrived. The source retains entries, so the follower can request the ones
-/// that it missed.
+/// Follows the log of one member of the core at a time, the source that `FeedSource` selects. Entries after a gap are
+/// applied only when the missing entries have arrived. The source retains its entries, so the follower can request
+/// those that it missed.
 class LogFollower {
  public:
   /// Minimum time between two requests for missing entries.
