--- a/libs/agent/include/agent/feed_source.hpp
+++ b/libs/agent/include/agent/feed_source.hpp
@@ -11,8 +11,9 @@
 /// Tracks the members of the agent's zone and selects the source among them and the leader.
 class FeedSource {
  public:
-  /// The agent switches from its source to the leader if the source sends no message for this time while entries are
-  /// missing. The agent also waits this long for the first connection to a new member of its zone.
+  /// The agent switches from its source to the leader if the source sends no message, or is not connected, for this
+  /// time while entries are missing. The agent also waits this long for the first connection to a new member of its
+  /// zone.
   static constexpr auto kStallTimeout = 300ms;
   /// The agent switches to the leader if entries are missing for this time and the source sends messages but has not
   /// committed the missing entries: the source is isolated from the core, or slow. The sum of this timeout and one
--- a/libs/agent/include/agent/leader_discovery.hpp
+++ b/libs/agent/include/agent/leader_discovery.hpp
@@ -38,7 +38,7 @@
   void setLeader(std::string leader) { leader_ = std::move(leader); }
 
   std::int64_t term() const { return term_; }
-  /// Whether a log message of a term is accepted. Messages from leaders of earlier terms are not.
+  /// Whether log messages of a term are accepted. Those of a term earlier than `term()` are rejected.
   bool acceptsTerm(std::int64_t term) const { return term >= term_; }
   /// Identity of the leader; empty if unknown.
   const std::string& leader() const { return leader_; }
