--- a/libs/agent/include/agent/proxy_feed.hpp
+++ b/libs/agent/include/agent/proxy_feed.hpp
@@ -26,6 +26,6 @@
 
   const LogFollower& follower_;
   transport::PeerLinkPtr link_;
-  std::string proxyDigest_;  // configuration of the proxy after all sent messages
+  std::string proxyDigest_;  // digest of the proxy's configuration after all sent messages
 };
 }  // namespace zinccleat::agent
