--- a/libs/agent/src/agent_daemon.cpp
+++ b/libs/agent/src/agent_daemon.cpp
@@ -8,12 +8,12 @@
 
 namespace zinccleat::agent {
 namespace {
-constexpr auto kStateInterval = 1000ms;  // between two reports of the agent's state to the core
-constexpr int kReceiptsPerState = 32;    // ... or so many entries' messages and snapshots received
-constexpr int kStatesPerViewSample = 8;  // each so many-th report bears a sample of the partial view
-constexpr auto kLinkInterval = 250ms;    // between two looks at which links are wanted
+constexpr auto kStateReportInterval = 1000ms;   // between two reports of the agent's state to the core
+constexpr int kReceiptsPerStateReport = 32;     // a report is also due after this number of entry or snapshot messages
+constexpr int kStateReportsPerViewSample = 8;   // one in this many reports includes a sample of the partial view
+constexpr auto kLinkSelectionInterval = 250ms;  // between two selections of the links to the core
 constexpr auto kShutdownInterval = 100ms;
-constexpr Duration kReportedLag{300};  // a replica that lags for longer is reported, and again at each doubling
+constexpr Duration kMinLoggedLag{300};  // a longer lag is logged, and again each time it has doubled
 }  // namespace
 
 AgentDaemon::AgentDaemon(const config::Settings& settings)
@@ -53,12 +53,12 @@
 }
 void AgentDaemon::startTimers() {
   auto& loop = runtime::EventLoop::get();
-  loop.callEvery(kLinkInterval, [this] { chooseLinks(); });
-  loop.callEvery(kStateInterval, [this] { sendStateToAll(); });
+  loop.callEvery(kLinkSelectionInterval, [this] { chooseLinks(); });
+  loop.callEvery(kStateReportInterval, [this] { sendStateToAll(); });
   loop.callEvery(LogFollower::kRefetchInterval, [this] { refetchIfBehind(); });
 }
 void AgentDaemon::shutDown() {
-  // The proxy ends its work within the grace; the agent outlasts it.
+  // The proxy completes its requests within the grace period and needs the agent until then.
   const auto deadline = Clock::now() + settings_.timers.grace * 9 / 10;
   runtime::EventLoop::get().callEvery(kShutdownInterval, [this, deadline] { stopOnceProxyDisconnects(deadline); });
 }
@@ -95,19 +95,19 @@
 transport::Envelope AgentDaemon::stateMessage() {
   transport::AgentState state;
   state.lastApplied = follower_.replica().lastApplied();
-  if (++stateMessages_ % kStatesPerViewSample == 1)
+  if (++stateReportCount_ % kStateReportsPerViewSample == 1)
     state.view = discovery_.sampleView();
   return transport::pack(state, identity_);
 }
 void AgentDaemon::sendStateToAll() {
   links_.sendToAll([this] { return stateMessage(); });
-  receiptsSinceState_ = 0;
+  receiptsSinceStateReport_ = 0;
 }
 void AgentDaemon::sendStateIfDue(const transport::PeerLinkPtr& link) {
-  if (++receiptsSinceState_ < kReceiptsPerState)
+  if (++receiptsSinceStateReport_ < kReceiptsPerStateReport)
     return;
   link->send(stateMessage());
-  receiptsSinceState_ = 0;
+  receiptsSinceStateReport_ = 0;
 }
 
 void AgentDaemon::follow(const transport::PeerLinkPtr& link, bool refetch) {
@@ -129,11 +129,11 @@
   if (const auto link = sourceLink())
     follow(link, true);
 }
-// A member that does not lead commits a moment after the leader, and so feeds a moment after the leader grants a lease
-// that requires the entry: being behind is only worth a message once it lasts.
+// A follower of the core commits an entry slightly later than the leader, so it sends the entry shortly after the
+// leader has granted a lease that requires it. Missing entries are therefore requested only after `kRefetchInterval`.
 void AgentDaemon::refetchIfBehind() {
   const auto now = Clock::now();
-  reportLag(now);
+  logReplicaLag(now);
   const auto stalledFor = follower_.stalledFor(now);
   const auto source = sourceLink();
   const FeedSource::Activity activity{source ? source->lastReceivedAt() : TimePoint{},
@@ -147,10 +147,10 @@
   if (stalledFor >= LogFollower::kRefetchInterval)
     refetch();
 }
-void AgentDaemon::reportLag(TimePoint now) {
+void AgentDaemon::logReplicaLag(TimePoint now) {
   const auto lag = follower_.lag(now);
   longestLag_ = std::max(longestLag_, lag);
-  if (lag >= std::max(kReportedLag, loggedLag_ * 2)) {
+  if (lag >= std::max(kMinLoggedLag, loggedLag_ * 2)) {
     const auto source = sourceLink();
     log::debug("replica_lags", {{"member", sourceAddress_},
                                 {"leader", discovery_.leaderAddress()},
@@ -173,7 +173,8 @@
   std::vector<transport::LogEntry> entries;
   while (auto applied = follower_.applyNext()) {
     if (applied->change.corrupted) {
-      log::error("replica_corrupted", {{"index", applied->entry.index}, {"reason", "a delta did not fit"}});
+      log::error("replica_corrupted",
+                 {{"index", applied->entry.index}, {"reason", "a configuration delta does not match the replica"}});
       refetch();
     }
     entries.push_back(std::move(applied->entry));
@@ -183,7 +184,7 @@
 
 void AgentDaemon::onCoreConnected(const std::string& address, const transport::PeerLinkPtr& link) {
   link->send(stateMessage());
-  // A subscription ended with the connection that it was made on.
+  // A subscription ends when the connection that it was made on is closed.
   if (address == sourceAddress_)
     follower_.stopFollowing();
   chooseSource();
@@ -217,11 +218,11 @@
   if (change.leader) {
     discovery_.setLeader(status.leader);
     log::debug("leader_followed", {{"member", status.leader}, {"term", status.term}});
-    // A leader of an earlier term has stopped feeding the agents of other zones.
+    // The leader of the earlier term no longer sends entries to agents of other zones, so a new subscription is needed.
     follower_.stopFollowing();
     chooseLinks();
   }
-  // The leader knows best who is up; anyone's word serves until it is heard.
+  // The leader's list of members is the most reliable. Until one is received, the list of any member is used.
   if (sender == discovery_.leader() || !feedSource_.knowsMembers()) {
     feedSource_.setMembers(status.extension.members, Clock::now());
     chooseLinks();
@@ -266,7 +267,7 @@
   const auto leader = leaderLink();
   if (!leader)
     return proxy->send(
-        transport::pack(transport::ClusterStatus{}));  // keeps the link alive: there is no leader to forward to
+        transport::pack(transport::ClusterStatus{}));  // without a leader, the message only keeps the link alive
   auto forwarded = envelope;
   forwarded.sender = identity_;
   leader->send(forwarded);
--- a/libs/hints/src/hints.cpp
+++ b/libs/hints/src/hints.cpp
@@ -57,7 +57,8 @@
     return;
   lastExpiry_ = now;
   std::erase_if(cached_, [&](const auto& entry) { return now - entry.second.lastUsed > bounds_.lifetime; });
-  // Full in spite of that: everything goes. Only hints are lost, and an order by age would cost more than it saves.
+  // If the table is still full, it is cleared. Only hints are lost, and evicting the oldest prefixes would cost more
+  // time than the lost hints save.
   if (cached_.size() >= bounds_.capacity)
     cached_.clear();
 }
@@ -82,7 +83,8 @@
   return false;
 }
 
-// Of the prefixes that enough tenants have sent, the most recently used ones.
+// Returns the digests of the most recently used prefixes among those that at least `HintBounds::minTenants` tenants
+// have sent.
 std::set<std::int64_t> HintTable::digestsToAnnounce(std::int64_t epoch) const {
   struct Candidate {
     TimePoint lastUsed;
@@ -104,12 +106,13 @@
     digests.insert(key_.digest(candidate.promptPrefix, epoch));
   return digests;
 }
-// The same padding stays while a key lasts: new random digests in each update would show which ones are padding.
+// The same padding digests are kept during a key period, because new random digests in each update would reveal which
+// digests are padding.
 void HintTable::pad(std::set<std::int64_t>& digests) {
   const auto rounded = (digests.size() + bounds_.padding - 1) / bounds_.padding * bounds_.padding;
   const auto wanted = std::max(rounded, bounds_.padding);
   while (digests.size() + padding_.size() < wanted) {
-    rng_ = hash64("fill", rng_);  // the golden files hold numbers drawn in this way
+    rng_ = hash64("fill", rng_);  // golden files contain these numbers, so the generator must not change
     padding_.insert(static_cast<std::int64_t>(rng_));
   }
   while (!padding_.empty() && digests.size() + padding_.size() > wanted)
@@ -152,7 +155,7 @@
   }
   const bool full = update.baseVersion == 0;
   if (!full && (update.baseVersion != partnerVersion_ || update.epoch != partnerEpoch_)) {
-    // No error: an earlier update was lost on its way.
+    // This is no error: an earlier update was lost in transit.
     discardPartnerList();
     return {};
   }
--- a/libs/proxy_daemon/src/daemon.cpp
+++ b/libs/proxy_daemon/src/daemon.cpp
@@ -8,14 +8,15 @@
 namespace {
 constexpr auto kRenewalInterval = LeaseRenewal::kInterval;
 constexpr auto kRenewalIntervalWithoutLease = kRenewalInterval / 4;
-/// A lease that was not renewed for so long is reported: three renewals have failed, or the replica lags.
-constexpr auto kAgingLease = kRenewalInterval * 3;
+/// A lease that has not been renewed for this time is logged: three renewals have failed, or the replica lags.
+constexpr auto kRenewalOverdueAfter = kRenewalInterval * 3;
 constexpr auto kConnectionSweepInterval = 1000ms;
 constexpr auto kShutdownInterval = 100ms;
-/// This node's retry budget stays below the rule's by a margin.
-constexpr double kRetryRatioPart = 0.75;
-constexpr double kRetrySlackPart = 0.5;
-constexpr int kRetryWindowParts = 4;
+/// Margins that keep this node's retry budget below the limits in the settings: the ratio and the slack are multiplied
+/// by these fractions, and the window is divided.
+constexpr double kRetryRatioFraction = 0.75;
+constexpr double kRetrySlackFraction = 0.5;
+constexpr int kRetryWindowDivisor = 4;
 
 double randomFraction() {
   constexpr std::uint64_t kSteps = 10007;
@@ -36,8 +37,8 @@
   context_.runners = balancing::RunnerPool(randomSeed());
   context_.runners.setRegions(settings.zones);
   context_.revisions.setExposureShare(settings.timers.exposureShare);
-  context_.retryBudget = balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioPart,
-                                                settings.timers.retryWindow / kRetryWindowParts);
+  context_.retryBudget = balancing::RetryBudget(settings.timers.retryRatio * kRetryRatioFraction,
+                                                settings.timers.retryWindow / kRetryWindowDivisor);
   if (settings.platform)
     context_.usage = platform::UsageRecorder(
         settings.platform->usageReporting ? settings.timers.reportWindow : Duration(0), randomRequestId() | 1);
@@ -45,18 +46,18 @@
   connectCallbacks();
 }
 void ProxyDaemon::applyLimits() {
-  constexpr int kReservedDescriptors = 260;  // for files, listeners, the agent, and a margin
+  constexpr int kReservedDescriptors = 260;  // for files, listeners, the agent's connection, and a margin
   constexpr int kDescriptorsPerRequest = 2;  // one for the client, one for the runner
   constexpr int kMinClients = 64;
   constexpr std::size_t kBytesPerMb = std::size_t{1024} * 1024;
-  constexpr std::size_t kMemoryPartForBodies = 4;
+  constexpr std::size_t kMemoryDivisorForBodies = 4;
   if (settings_.fdLimit > 0)
     context_.maxClients = std::max(kMinClients, (settings_.fdLimit - kReservedDescriptors) / kDescriptorsPerRequest);
   if (settings_.memoryMb > 0)
-    context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryPartForBodies;
+    context_.maxBodyBytes = static_cast<std::size_t>(settings_.memoryMb) * kBytesPerMb / kMemoryDivisorForBodies;
 }
 void ProxyDaemon::connectCallbacks() {
-  context_.requestReserveRefill = [this] { renewLease(); };  // a lease request carries the quota demand too
+  context_.requestReserveRefill = [this] { renewLease(); };  // a lease request also contains the quota demand
   context_.requestQuotaTokens = [this] { quotaTokens_.requestSoon(); };
   if (!settings_.partner || settings_.partner->access.empty())
     return;
@@ -97,7 +98,8 @@
 void ProxyDaemon::startTimers() {
   auto& loop = runtime::EventLoop::get();
   loop.callEvery(kRenewalInterval, [this] { renewLease(); });
-  // More often without a lease: while there is no leader, such a request goes no further than the agent.
+  // Without a lease, requests are sent more often. This puts no load on the core while there is no leader, because the
+  // agent then does not forward lease requests.
   loop.callEvery(kRenewalIntervalWithoutLease, [this] {
     if (!context_.hasLease(Clock::now()))
       renewLease();
@@ -155,7 +157,7 @@
     replica_.offer(std::move(entry));
   applyEntries();
 }
-/// Does not yield: no request sees a part of the entries applied.
+/// Does not yield to other fibers, so no request sees a state in which only some of the entries are applied.
 void ProxyDaemon::applyEntries() {
   state_machine::ReplicatedState::Change changes;
   while (const auto applied = replica_.applyNext()) {
@@ -165,16 +167,18 @@
     changes.rollouts |= applied->change.rollouts;
   }
   if (replica_.corrupted()) {
-    log::error("replica_corrupted", {{"index", replica_.lastApplied()}, {"reason", "a delta did not fit"}});
+    log::error("replica_corrupted",
+               {{"index", replica_.lastApplied()}, {"reason", "a configuration delta does not match the replica"}});
     return requestSnapshot();
   }
   adopt(changes);
   useLease();
 }
-/// A corrupted replica must not decide about requests: nothing is served until a full snapshot has come.
+/// Drops the lease, because a corrupted replica must not decide about requests: the proxy serves no request until a
+/// full snapshot has been restored.
 void ProxyDaemon::requestSnapshot() {
   replica_.markCorrupted();
-  grantedLeaseEnds_ = {};
+  grantedLeaseExpiresAt_ = {};
   context_.leaseExpiresAt = {};
   transport::FollowLog message;
   message.refetch = true;
@@ -189,19 +193,19 @@
   if (!agentLink_.connected())
     return;
   const auto now = Clock::now();
-  reportAgingLease(now);
+  logOverdueRenewal(now);
   transport::LeaseRequest request;
   request.requestId = lease_.start(now);
   report_.fill(request, now, replica_.state().zoneDrains);
   request.outliersVersion = adoption_.ejectionsVersion();
   agentLink_.send(request);
 }
-void ProxyDaemon::reportAgingLease(TimePoint now) {
-  const auto left = grantedLeaseEnds_ - now;
-  const bool aging = left > 0ms && left < LeaseRenewal::leaseDuration(settings_.timers) - kAgingLease;
-  if (std::exchange(leaseIsAging_, aging) == aging)
+void ProxyDaemon::logOverdueRenewal(TimePoint now) {
+  const auto left = grantedLeaseExpiresAt_ - now;
+  const bool isOverdue = left > 0ms && left < LeaseRenewal::leaseDuration(settings_.timers) - kRenewalOverdueAfter;
+  if (std::exchange(isRenewalOverdue_, isOverdue) == isOverdue)
     return;
-  log::debug(aging ? "lease_not_renewed" : "lease_renewed",
+  log::debug(isOverdue ? "lease_not_renewed" : "lease_renewed",
              {{"index", replica_.lastApplied()},
               {"required", lease_.requiredIndex()},
               {"left_ms", context_.hasLease(now) ? toDuration(context_.leaseExpiresAt - now) : Duration(0)},
@@ -211,28 +215,31 @@
   const auto granted = lease_.accept(response);
   if (!granted)
     return;
-  // Only from the newest: what a later request reported of the local reserve did not include these tokens yet.
-  if (granted->newestRequest)
+  // Tokens are taken only from the response to the newest request. A newer request has already reported a local reserve
+  // that did not include the tokens of this response.
+  if (granted->isNewestRequest)
     context_.quota.refillReserve(response.grants, granted->requestedAt);
   context_.revisions.addGrants(response.extension.exposures, granted->requestedAt);
   context_.usage.accept(response.extension.extension.extension, granted->requestedAt, Clock::now());
   context_.runners.setWarmupGrants(response.extension.extension.warmups, granted->requestedAt);
   if (response.accessMachines > 0)
     context_.retryBudget.setReserve(
-        settings_.timers.retrySlack * kRetrySlackPart / static_cast<double>(response.accessMachines), retrySlackDraw_);
+        settings_.timers.retrySlack * kRetrySlackFraction / static_cast<double>(response.accessMachines),
+        retrySlackDraw_);
   adoption_.adoptEjections(response);
   useLease();
 }
-// Called after each response and after each applied entry: a lease counts only once the replica has applied as far as
-// the leader had committed when it granted the lease. An earlier one is cut short where the replica lags.
+// Called after each lease response and after entries were applied. A lease may be used only after the replica has
+// applied all entries that the leader had committed when it granted the lease. A lease in use is shortened while the
+// replica lacks entries that are known to be committed.
 void ProxyDaemon::useLease() {
   if (replica_.corrupted())
     return;
   const auto freshUntil = lease_.freshUntil(replica_.lastApplied());
   const auto usableUntil = lease_.usableUntil(replica_.lastApplied());
-  if (usableUntil && grantedLeaseEnds_ == TimePoint{})
+  if (usableUntil && grantedLeaseExpiresAt_ == TimePoint{})
     log::debug("lease_acquired", {{"index", replica_.lastApplied()}});
-  grantedLeaseEnds_ = std::max(grantedLeaseEnds_, usableUntil.value_or(TimePoint{}));
-  context_.leaseExpiresAt = std::min(grantedLeaseEnds_, freshUntil);
+  grantedLeaseExpiresAt_ = std::max(grantedLeaseExpiresAt_, usableUntil.value_or(TimePoint{}));
+  context_.leaseExpiresAt = std::min(grantedLeaseExpiresAt_, freshUntil);
 }
 }  // namespace zinccleat::proxy_daemon
--- a/tests/evacuation_test.cpp
+++ b/tests/evacuation_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Evacuations of zones: the calls, the replicated state, and what a proxy sends to the runners of an evacuated zone.
+/// Tests evacuations of zones: the API calls, the replicated state, and the runners that a proxy selects.
 #include <gtest/gtest.h>
 
 #include "balancing/runner_pool.hpp"
@@ -23,15 +23,15 @@
     runner.id = id, runner.service = "s", runner.address = "10.0.0.1:" + id, runner.zone = zone, runner.capacity = 4;
     return runner;
   }
-  /// As a proxy does when the state has changed.
-  void adopt(TimePoint now = kNow) {
+  /// Applies the replicated state to the pool in the same way as a proxy.
+  void applyStateToPool(TimePoint now = kNow) {
     const auto& state = controller.replica().state();
     auto levels = proxy_daemon::drainLevels(kZones, state.zoneDrains);
     proxy_daemon::addEvacuations(levels, kZones, state.evacuatedZones);
     pool.setZoneDrains(std::move(levels));
     pool.setEvacuations(state.evacuatedZones, now);
   }
-  std::string chosen(const std::string& zone, std::vector<int> excluded = {}) {
+  std::string chosenRunnerId(const std::string& zone, std::vector<int> excluded = {}) {
     balancing::RunnerQuery query;
     query.service = "s", query.zone = zone, query.excluded = std::move(excluded);
     const int index = pool.choose(query, kNow);
@@ -43,25 +43,25 @@
 }  // namespace
 
 TEST_F(Evacuation, NothingIsSentToAnEvacuatedZoneEvenIfNothingElseIsLeft) {
-  EXPECT_EQ(chosen("z1"), "i1");
+  EXPECT_EQ(chosenRunnerId("z1"), "i1");
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z1", "").status, HttpStatus::ok);
-  adopt();
+  applyStateToPool();
   for (int i = 0; i < 100; ++i)
-    EXPECT_EQ(chosen("z1"), "i2");
+    EXPECT_EQ(chosenRunnerId("z1"), "i2");
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z2", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z1"), "") << "a drain prefers other runners, an evacuation binds";
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z1"), "") << "unlike a drain, an evacuation excludes runners even if no others are left";
   EXPECT_EQ(controller.post("/v1/Evacuation.Release/z1", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z2"), "i1");
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z2"), "i1");
 }
 TEST_F(Evacuation, ARegionMeansAllItsZones) {
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/r", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z1"), "");
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z1"), "");
   EXPECT_EQ(controller.post("/v1/Evacuation.Release/r", "").status, HttpStatus::ok);
-  adopt();
-  EXPECT_EQ(chosen("z2"), "i2");
+  applyStateToPool();
+  EXPECT_EQ(chosenRunnerId("z2"), "i2");
 }
 TEST_F(Evacuation, AnOrderThatIsRepeatedIsAcknowledgedAgain) {
   for (int i = 0; i < 3; ++i)
@@ -87,7 +87,7 @@
   controller.waited = Duration(0);
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z1", "").status, HttpStatus::service_unavailable);
   EXPECT_TRUE(controller.replica().state().evacuatedZones.empty());
-  EXPECT_LE(controller.waited, 900ms) << "the caller has given up after a second";
+  EXPECT_LE(controller.waited, 900ms) << "the caller's timeout is 1 s";
 }
 TEST_F(Evacuation, SnapshotsKeepIt) {
   EXPECT_EQ(controller.post("/v1/Evacuation.Begin/z1", "").status, HttpStatus::ok);
