--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -51,8 +51,8 @@
     "  --help, --version\n"
     "exit status: 0 as asked, 1 it went otherwise, 2 the command line or a file is wrong";
 constexpr int kUsageError = 2;
-constexpr int kLeastTrialSeconds = 3;
-constexpr int kMostTrialSeconds = 600;
+constexpr int kMinTrialSeconds = 3;
+constexpr int kMaxTrialSeconds = 600;
 constexpr const char* kThisProgram = "/proc/self/exe";
 
 // What follows the subcommand, without flags.
@@ -178,7 +178,7 @@
 }
 int trial(const Arguments& /*arguments*/) {
   const int seconds = absl::GetFlag(FLAGS_seconds);
-  if (seconds < kLeastTrialSeconds || seconds > kMostTrialSeconds)
+  if (seconds < kMinTrialSeconds || seconds > kMaxTrialSeconds)
     return usageError("trial", "--seconds is 3 to 600");
   return simulation::trial(kThisProgram, seconds);
 }
--- a/libs/operations/src/call.cpp
+++ b/libs/operations/src/call.cpp
@@ -4,8 +4,8 @@
 
 namespace zinccleat::operations {
 namespace {
-constexpr std::size_t kLargestBodyBytes = std::size_t{64} << 20;
-constexpr int kMostRedirections = 2;
+constexpr std::size_t kMaxResponseBodyBytes = std::size_t{64} << 20;
+constexpr int kMaxRedirections = 2;
 constexpr int kTemporaryRedirect = 307;
 constexpr int kFirstServerError = 500;
 
@@ -54,7 +54,7 @@
   proxy::Buffer buffer;
   http::response_parser<http::string_body> parser;
   parser.eager(true);
-  parser.body_limit(kLargestBodyBytes);
+  parser.body_limit(kMaxResponseBodyBytes);
   if (!failure)
     proxy::readIntoParser(connection, buffer, parser, false, failure);
   if (failure)
@@ -82,7 +82,7 @@
     auto answer = exchange(destination, call, timeout);
     if (!answer)
       return tl::unexpected(answer.error());
-    if (answer->response.status != kTemporaryRedirect || redirections == kMostRedirections)
+    if (answer->response.status != kTemporaryRedirect || redirections == kMaxRedirections)
       return std::move(answer->response);
     auto next = parseLocation(answer->location);
     if (!next)
--- a/libs/operations/src/coordination_command.cpp
+++ b/libs/operations/src/coordination_command.cpp
@@ -12,12 +12,12 @@
 constexpr int kOk = 200;
 constexpr int kGone = 410;
 constexpr int kExitOk = 0;
-constexpr int kExitOtherwise = 1;
+constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 constexpr Duration kWatchRetryInterval{500};
 constexpr int kWatchWaitMs = 10'000;
 constexpr Duration kWatchTimeout{12'000};
-constexpr int kMaxSilentWatches = 10;  // in a row, before a watch gives up
+constexpr int kMaxUnansweredWatches = 10;  // in a row, before a watch gives up
 
 using Arguments = std::vector<std::string>;
 
@@ -34,7 +34,7 @@
   const auto reason =
       response ? "status " + std::to_string(response->status) + ": " + response->body : response.error().message;
   std::fprintf(stderr, "zinccleat: %s\n", reason.c_str());
-  return kExitOtherwise;
+  return kExitFailure;
 }
 std::string textField(std::string_view name, const std::string& text) {
   return config::quoteJson(name) + ":" + config::quoteJson(text);
@@ -94,7 +94,7 @@
   std::string_view verb;  ///< empty: the subject has no verbs
   std::string_view usage;
   std::size_t argumentCount;
-  Call (*callOf)(const Arguments& given);
+  Call (*makeCall)(const Arguments& given);
 };
 constexpr Command kCommands[] = {
     {"lock", "begin", "lock begin NAME HOLDER HOLD_MS ADDRESS:PORT...", 3, beginLock},
@@ -108,7 +108,7 @@
     {"evacuation", "begin", "evacuation begin ZONE ADDRESS:PORT...", 1, beginEvacuation},
     {"evacuation", "release", "evacuation release ZONE ADDRESS:PORT...", 1, releaseEvacuation},
 };
-std::string usagesOf(std::string_view subject) {
+std::string joinUsages(std::string_view subject) {
   std::string usages;
   for (const auto& command : kCommands)
     if (command.subject == subject)
@@ -116,7 +116,7 @@
   return usages;
 }
 /// The part of a list from an index on.
-Arguments restOf(const Arguments& arguments, std::size_t first) {
+Arguments argumentsFrom(const Arguments& arguments, std::size_t first) {
   return {arguments.begin() + static_cast<std::ptrdiff_t>(first), arguments.end()};
 }
 void printShardHeader() {
@@ -175,7 +175,7 @@
 int printFromEach(const Arguments& addresses, const std::string& path, bool asJson, void (*printHeader)(),
                   void (*printRows)(const std::string& json)) {
   return runOnEventLoop([&] {
-    int status = kExitOtherwise;
+    int status = kExitFailure;
     if (!asJson)
       printHeader();
     for (const auto& address : addresses) {
@@ -196,26 +196,26 @@
 int coordinationCommand(const std::string& subject, const Arguments& arguments) {
   for (const auto& command : kCommands) {
     const std::size_t verbs = command.verb.empty() ? 0 : 1;
-    const bool isMeant =
+    const bool matchesCommand =
         command.subject == subject && (verbs == 0 || (!arguments.empty() && arguments[0] == command.verb));
-    if (!isMeant)
+    if (!matchesCommand)
       continue;
     if (arguments.size() <= verbs + command.argumentCount)
       return usageError("wants " + std::string(command.usage));
-    const auto call = command.callOf(restOf(arguments, verbs));
-    const auto addresses = restOf(arguments, verbs + command.argumentCount);
+    const auto call = command.makeCall(argumentsFrom(arguments, verbs));
+    const auto addresses = argumentsFrom(arguments, verbs + command.argumentCount);
     return runOnEventLoop([&] { return report(callAny(addresses, call, kCallTimeout)); });
   }
-  return usageError("wants " + usagesOf(subject));
+  return usageError("wants " + joinUsages(subject));
 }
 int watchCommand(const Arguments& arguments) {
   constexpr std::size_t kGroupAndRevision = 2;
   if (arguments.size() <= kGroupAndRevision)
     return usageError("wants watch GROUP REVISION ADDRESS:PORT...");
-  const auto addresses = restOf(arguments, kGroupAndRevision);
+  const auto addresses = argumentsFrom(arguments, kGroupAndRevision);
   return runOnEventLoop([&] {
     auto revision = arguments[1];
-    for (int silent = 0; silent < kMaxSilentWatches; ++silent) {
+    for (int silent = 0; silent < kMaxUnansweredWatches; ++silent) {
       const auto path = "/v1/watch/" + arguments[0] + "?after=" + revision + "&waitMs=" + std::to_string(kWatchWaitMs);
       const auto response = callAny(addresses, {"GET", path, "", {}}, kWatchTimeout);
       if (response && (response->status == kGone || response->status / 100 == 4))
@@ -246,7 +246,7 @@
 int tallyCommand(const Arguments& arguments, bool asJson) {
   if (arguments.empty() || arguments[0] != "sides")
     return coordinationCommand("tally", arguments);
-  const auto addresses = restOf(arguments, 1);
+  const auto addresses = argumentsFrom(arguments, 1);
   if (addresses.empty())
     return usageError("tally sides: say which nodes: ADDRESS:PORT...");
   return printFromEach(addresses, "/v1/Tallies.List", asJson, printPeerHeader, printPeers);
--- a/libs/operations/src/observation.cpp
+++ b/libs/operations/src/observation.cpp
@@ -33,7 +33,7 @@
     return std::nullopt;
   return number;
 }
-bool inOrder(Comparison comparison, const std::string& left, const std::string& right) {
+bool compareNumbers(Comparison comparison, const std::string& left, const std::string& right) {
   const auto leftNumber = toNumber(left);
   const auto rightNumber = toNumber(right);
   if (!leftNumber || !rightNumber)
@@ -49,7 +49,7 @@
       return *leftNumber >= *rightNumber;
   }
 }
-bool meetsOne(const Observation& observation, const std::string& answer) {
+bool answerMeets(const Observation& observation, const std::string& answer) {
   const auto found = fieldOf(answer, observation.field);
   if (!found)
     return observation.comparison == Comparison::notEqual;
@@ -61,7 +61,7 @@
     case Comparison::contains:
       return found->find(observation.value) != std::string::npos;
     default:
-      return inOrder(observation.comparison, *found, observation.value);
+      return compareNumbers(observation.comparison, *found, observation.value);
   }
 }
 }  // namespace
@@ -94,7 +94,7 @@
 
 bool meets(const Observation& observation, const std::vector<std::string>& answers) {
   const auto count = static_cast<std::size_t>(std::count_if(
-      answers.begin(), answers.end(), [&](const std::string& answer) { return meetsOne(observation, answer); }));
+      answers.begin(), answers.end(), [&](const std::string& answer) { return answerMeets(observation, answer); }));
   switch (observation.quantifier) {
     case Quantifier::any:
       return count > 0;
--- a/libs/operations/src/rollout_command.cpp
+++ b/libs/operations/src/rollout_command.cpp
@@ -11,10 +11,10 @@
 namespace {
 constexpr int kOk = 200;
 constexpr int kExitOk = 0;
-constexpr int kExitOtherwise = 1;
+constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 constexpr Duration kWatchInterval{500};
-constexpr int kMaxSilentPolls = 60;  // in a row, before a watch gives up
+constexpr int kMaxUnansweredPolls = 60;  // in a row, before a watch gives up
 
 int usageError(const std::string& problem) {
   std::fprintf(stderr, "zinccleat rollout: %s\n", problem.c_str());
@@ -26,7 +26,7 @@
                                      fieldOf(response->body, "error").value_or(response->body)
                                : response.error().message;
   std::fprintf(stderr, "zinccleat rollout: %s\n", reason.c_str());
-  return kExitOtherwise;
+  return kExitFailure;
 }
 int report(const Result<CallResponse>& response) {
   if (!response || response->status != kOk)
@@ -77,7 +77,7 @@
 }
 int watch(const RolloutCommand& command) {
   std::string printed;
-  for (int silent = 0; silent < kMaxSilentPolls; ++silent) {
+  for (int silent = 0; silent < kMaxUnansweredPolls; ++silent) {
     const auto response = retrieve(command);
     if (response && response->status == kOk) {
       silent = 0;
@@ -86,7 +86,7 @@
         print(response->body, command.asJson);
       const auto state = field(response->body, "state");
       if (state != "in_progress")
-        return state == "completed" ? kExitOk : kExitOtherwise;
+        return state == "completed" ? kExitOk : kExitFailure;
     } else if (response && response->status / 100 == 4) {
       return failure(response);
     }
--- a/libs/operations/src/runbook_executor.cpp
+++ b/libs/operations/src/runbook_executor.cpp
@@ -6,8 +6,8 @@
 namespace zinccleat::operations {
 namespace {
 constexpr Duration kRetryInterval{300};
-constexpr std::size_t kMostPrintedBody = 100;
-constexpr std::size_t kMostPrintedAnswer = 300;
+constexpr std::size_t kMaxPrintedBodyBytes = 100;
+constexpr std::size_t kMaxPrintedAnswerBytes = 300;
 constexpr const char* kIndent = "     ";
 
 class RunbookExecutor {
@@ -34,10 +34,10 @@
 
   const RunbookEnvironment& environment_;
   bool dryRun_;
-  int headings_ = 0;
+  int headingCount_ = 0;
   std::vector<HttpHeader> headers_;  // for the next call
   Call call_;                        // the last call
-  bool toAll_ = false;               // it went to all controllers
+  bool sentToAll_ = false;           // it went to all controllers
   std::vector<std::string> bodies_;  // its answers; "{}" for none
   std::vector<std::string> statuses_;
 };
@@ -77,7 +77,7 @@
 }
 
 void RunbookExecutor::printHeading(const Step& step) {
-  environment_.print(std::to_string(++headings_) + ". " + step.text);
+  environment_.print(std::to_string(++headingCount_) + ". " + step.text);
 }
 void RunbookExecutor::addHeader(const Step& step) {
   auto [name, value, hasValue] = splitFirstWord(step.text);
@@ -91,9 +91,9 @@
 bool RunbookExecutor::call(const Step& step) {
   call_ = Call{step.kind == StepKind::post ? "POST" : "GET", step.path, step.body, std::move(headers_)};
   headers_.clear();
-  toAll_ = step.kind == StepKind::getFromAll;
+  sentToAll_ = step.kind == StepKind::getFromAll;
   printIndented(call_.method + " " + call_.path +
-                (call_.body.empty() ? "" : " " + call_.body.substr(0, kMostPrintedBody)));
+                (call_.body.empty() ? "" : " " + call_.body.substr(0, kMaxPrintedBodyBytes)));
   if (dryRun_)
     return true;
   if (call_.body.starts_with('@')) {
@@ -111,7 +111,7 @@
 void RunbookExecutor::repeatCall() {
   bodies_.clear();
   statuses_.clear();
-  if (!toAll_)
+  if (!sentToAll_)
     return record(environment_.callAny(call_));
   for (const auto& response : environment_.callAll(call_))
     record(response);
@@ -135,7 +135,7 @@
   }
   printStop(step, "wanted " + condition + ", saw " + observedValues(step.observation, answersFor(step)));
   for (const auto& body : bodies_)
-    printIndented("answer: " + body.substr(0, kMostPrintedAnswer));
+    printIndented("answer: " + body.substr(0, kMaxPrintedAnswerBytes));
   return false;
 }
 const std::vector<std::string>& RunbookExecutor::answersFor(const Step& step) const {
--- a/libs/operations/src/runbook_parser.cpp
+++ b/libs/operations/src/runbook_parser.cpp
@@ -20,7 +20,7 @@
   std::from_chars(text.data(), text.data() + text.size(), value);
   return value;
 }
-Duration secondsOf(std::string_view text) {
+Duration parseSeconds(std::string_view text) {
   return std::chrono::seconds(leadingInteger(text));
 }
 
@@ -69,7 +69,7 @@
   return step;
 }
 Result<Step> parsePause(Step step, const std::string& text) {
-  step.timeout = secondsOf(text);
+  step.timeout = parseSeconds(text);
   return step;
 }
 Result<Step> parseExpect(Step step, const std::string& text) {
@@ -82,7 +82,7 @@
 }
 Result<Step> parseAwait(Step step, const std::string& text) {
   const auto [seconds, observation, hasObservation] = splitFirstWord(text);
-  step.timeout = secondsOf(seconds);
+  step.timeout = parseSeconds(seconds);
   if (step.timeout <= Duration(0) || !hasObservation)
     return errorAt(step.line, "await needs seconds");
   return parseExpect(std::move(step), observation);
@@ -123,7 +123,7 @@
   ParameterValues values_;
   Runbook runbook_;
   int line_ = 0;
-  bool called_ = false;  // there is a call whose answers can be observed
+  bool hasCall_ = false;  // there is a call whose answers can be observed
 };
 
 Result<Runbook> RunbookParser::parse(const std::string& text) {
@@ -154,7 +154,7 @@
   auto step = parseStep(keyword, rest);
   if (!step)
     return tl::unexpected(step.error());
-  called_ = called_ || isCall(step->kind);
+  hasCall_ = hasCall_ || isCall(step->kind);
   runbook_.steps.push_back(std::move(*step));
   return {};
 }
@@ -176,7 +176,7 @@
                                  [&](const StepForm& candidate) { return candidate.keyword == keyword; });
   if (form == kStepForms.end())
     return errorAt(line_, "unknown word '" + keyword + "'");
-  if (isObservation(form->kind) && !called_)
+  if (isObservation(form->kind) && !hasCall_)
     return errorAt(line_, "nothing was called that could be observed");
   Step step;
   step.kind = form->kind;
--- a/libs/simulation/src/child_process.cpp
+++ b/libs/simulation/src/child_process.cpp
@@ -24,15 +24,15 @@
   pid_t parent;
 };
 // Checks the parent too: one that ended before prctl() was called sends no signal.
-bool dieWithParent(pid_t parent) {
+bool killOnParentExit(pid_t parent) {
   return ::prctl(PR_SET_PDEATHSIG, SIGKILL) == 0 && ::getppid() == parent;
 }
-bool redirect(const Launch& launch) {
+bool redirectOutputToLog(const Launch& launch) {
   const int log = ::open(launch.logPath, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
   return log >= 0 && ::dup2(log, STDOUT_FILENO) >= 0 && ::dup2(log, STDERR_FILENO) >= 0;
 }
 // The rest is closed: a child that kept our sockets open would keep connections alive that we have closed.
-bool keepOnlyInherited(const Launch& launch) {
+bool closeAllButInherited(const Launch& launch) {
   // dup2() of a descriptor onto itself would leave close-on-exec as it is.
   if (launch.inherited == kInheritedDescriptor) {
     if (::fcntl(kInheritedDescriptor, F_SETFD, 0) != 0)
@@ -42,10 +42,11 @@
   }
   return ::close_range(kFirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC) == 0;
 }
-[[noreturn]] void becomeChild(Launch launch) {
+[[noreturn]] void execInChild(Launch launch) {
   // Out of the way of descriptor 3.
   launch.errorPipe = ::fcntl(launch.errorPipe, F_DUPFD_CLOEXEC, kFirstClosedDescriptor);
-  if (launch.errorPipe >= 0 && dieWithParent(launch.parent) && redirect(launch) && keepOnlyInherited(launch))
+  if (launch.errorPipe >= 0 && killOnParentExit(launch.parent) && redirectOutputToLog(launch) &&
+      closeAllButInherited(launch))
     ::execv(launch.arguments[0], launch.arguments);
   const int error = errno;
   if (launch.errorPipe >= 0)
@@ -75,7 +76,7 @@
   const Launch launch{pointers.data(), logPath.c_str(), inherited, errorPipe[1], ::getpid()};
   const pid_t child = ::fork();
   if (child == 0)
-    becomeChild(launch);
+    execInChild(launch);
   ::close(errorPipe[1]);
   const int error = child < 0 ? errno : awaitExec(errorPipe[0]);
   ::close(errorPipe[0]);
--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -110,7 +110,7 @@
 std::string LocalFleet::readiness(int machine) const {
   return accessIp(machine) + ":" + std::to_string(kReadinessPort);
 }
-bool LocalFleet::startPair() {
+bool LocalFleet::startAccessMachine() {
   const int machine = accessMachines_++;
   const auto number = std::to_string(machine + 1);
   const auto name = "access-" + number;
@@ -128,7 +128,7 @@
   const auto pid = processes_[process].pid;
   return pid > 0 && ::kill(pid, number) == 0;
 }
-std::optional<int> LocalFleet::takeExit(std::size_t process) {
+std::optional<int> LocalFleet::pollExitStatus(std::size_t process) {
   auto& pid = processes_[process].pid;
   int status = 0;
   if (pid <= 0 || ::waitpid(pid, &status, WNOHANG) != pid)
@@ -149,7 +149,7 @@
   pid = 0;
   return true;
 }
-bool LocalFleet::startAgain(std::size_t process) {
+bool LocalFleet::restartProcess(std::size_t process) {
   return processes_[process].pid == 0 && spawn(processes_[process]);
 }
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/fleet.hpp
+++ b/libs/simulation/src/fleet.hpp
@@ -40,17 +40,17 @@
   /// Starts the controllers. @return false if one could not be started; `errno` says why.
   bool startCore();
   /// Starts an agent and a proxy beside the controllers, on one more access machine, with the same result.
-  bool startPair();
+  bool startAccessMachine();
   /// Sends a signal to a process, which is not waited for. @return false if it is not running.
   bool signal(std::size_t process, int number) const;
   /// The status (see `waitpid`) of a process that has ended by now; none: it runs, or its end was seen before.
-  std::optional<int> takeExit(std::size_t process);
+  std::optional<int> pollExitStatus(std::size_t process);
   /// Writes a machine's settings file again, as an operator who changes nothing in it.
   void touchSettings(std::size_t process) const;
   /// Ends a process at once (SIGKILL) and waits for its end. @return false if it was not running.
   bool kill(std::size_t process);
   /// Starts a process again that was killed.
-  bool startAgain(std::size_t process);
+  bool restartProcess(std::size_t process);
   /// Address and port of a controller's control interface; indexes past the last begin again at the first.
   std::string control(std::size_t controller) const;
   /// Address and port where the proxy of an access machine serves clients.
--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -21,7 +21,7 @@
     return std::tie(version, body) < std::tie(other.version, other.body);
   }
 };
-SentConfiguration sentIn(const OperatorCall& call) {
+SentConfiguration sentConfigurationOf(const OperatorCall& call) {
   return {call.version, call.body};
 }
 // The sequential specification: one configuration that all operators change and read.
@@ -30,23 +30,23 @@
   std::string body;
   std::set<SentConfiguration> accepted;
 
-  bool wasAccepted(const OperatorCall& call) const { return accepted.contains(sentIn(call)); }
+  bool wasAccepted(const OperatorCall& call) const { return accepted.contains(sentConfigurationOf(call)); }
   bool wouldAccept(const OperatorCall& call) const {
     return !wasAccepted(call) && call.base == version && call.version > version;
   }
   void accept(const OperatorCall& call) {
     version = call.version;
     body = call.body;
-    accepted.insert(sentIn(call));
+    accepted.insert(sentConfigurationOf(call));
   }
   // Undoes accept() of a change that was not accepted before.
   void undo(const OperatorCall& call, std::int64_t versionBefore, std::string bodyBefore) {
-    accepted.erase(sentIn(call));
+    accepted.erase(sentConfigurationOf(call));
     version = versionBefore;
     body = std::move(bodyBefore);
   }
   // Whether the call, answered as it was, fits here without changing anything.
-  bool explains(const OperatorCall& call) const {
+  bool allowsResult(const OperatorCall& call) const {
     if (call.kind == Kind::retrieve)
       return call.version == version && call.body == body;
     if (wasAccepted(call))
@@ -64,10 +64,10 @@
   explicit Search(std::vector<OperatorCall> history)
       : calls_(std::move(history)),
         linearized_(calls_.size(), false),
-        unexplained_(std::count_if(calls_.begin(), calls_.end(), isAnswered)) {}
+        unlinearizedAnswered_(std::count_if(calls_.begin(), calls_.end(), isAnswered)) {}
   LinearizabilityResult run() {
     LinearizabilityResult result;
-    result.linearizable = explainAll();
+    result.linearizable = linearizeAllAnswered();
     result.statesVisited = visited_.size();
     if (!result.linearizable)
       result.explanation = visited_.size() >= kMaxStates ? "the search gave up" : deepestFailure_;
@@ -95,11 +95,11 @@
   }
   void linearize(std::size_t call) {
     linearized_[call] = true;
-    unexplained_ -= isAnswered(calls_[call]);
+    unlinearizedAnswered_ -= isAnswered(calls_[call]);
   }
   void unlinearize(std::size_t call) {
     linearized_[call] = false;
-    unexplained_ += isAnswered(calls_[call]);
+    unlinearizedAnswered_ += isAnswered(calls_[call]);
   }
   // Calls that change nothing are put into the order as soon as they fit: that excludes no order of the others.
   std::vector<std::size_t> linearizeAllThatFit(const Register& state) {
@@ -107,7 +107,7 @@
     for (bool found = true; found;) {
       found = false;
       for (auto i : nextCalls())
-        if (isAnswered(calls_[i]) && state.explains(calls_[i])) {
+        if (isAnswered(calls_[i]) && state.allowsResult(calls_[i])) {
           linearize(i);
           fitting.push_back(i);
           found = true;
@@ -123,7 +123,8 @@
       const auto& call = calls_[i];
       if (call.kind != Kind::replace || !state.wouldAccept(call))
         continue;
-      if (call.answer == Answer::acknowledged || (!isAnswered(call) && seenUnanswered.insert(sentIn(call)).second))
+      if (call.answer == Answer::acknowledged ||
+          (!isAnswered(call) && seenUnanswered.insert(sentConfigurationOf(call)).second))
         result.push_back(i);
     }
     return result;
@@ -138,27 +139,27 @@
     std::string body;
   };
   // Depth first over the orders of the changes. True: every answered call is in the order.
-  bool explainAll() {
-    enter();
-    while (unexplained_ != 0 && !steps_.empty()) {
+  bool linearizeAllAnswered() {
+    enterState();
+    while (unlinearizedAnswered_ != 0 && !steps_.empty()) {
       undoChange();
       if (steps_.back().candidates.empty())
-        leave();
+        leaveState();
       else
         applyNextChange();
     }
-    return unexplained_ == 0;
+    return unlinearizedAnswered_ == 0;
   }
-  void enter() {
+  void enterState() {
     auto& step = steps_.emplace_back();
     step.fitting = linearizeAllThatFit(register_);
-    if (unexplained_ == 0 || !isNew(register_))
+    if (unlinearizedAnswered_ == 0 || !markVisited(register_))
       return;
     recordDeepest(register_);
     step.candidates = changes(register_);
     std::reverse(step.candidates.begin(), step.candidates.end());
   }
-  void leave() {
+  void leaveState() {
     for (auto call : steps_.back().fitting)
       unlinearize(call);
     steps_.pop_back();
@@ -172,7 +173,7 @@
     step.body = register_.body;
     register_.accept(calls_[call]);
     linearize(call);
-    enter();
+    enterState();
   }
   void undoChange() {
     auto& step = steps_.back();
@@ -183,7 +184,7 @@
     step.change.reset();
   }
   // Whether the state was not visited before: which calls are in the order, and the configuration.
-  bool isNew(const Register& state) {
+  bool markVisited(const Register& state) {
     if (visited_.size() >= kMaxStates)
       return false;
     std::string key = std::to_string(state.version) + " " + state.body + " ";
@@ -192,10 +193,10 @@
     return visited_.insert(digestOf(key)).second;
   }
   void recordDeepest(const Register& state) {
-    if (!deepestFailure_.empty() && unexplained_ >= fewestUnexplained_)
+    if (!deepestFailure_.empty() && unlinearizedAnswered_ >= fewestUnlinearizedAnswered_)
       return;
-    fewestUnexplained_ = unexplained_;
-    deepestFailure_ = "in version " + std::to_string(state.version) + " nothing explains:";
+    fewestUnlinearizedAnswered_ = unlinearizedAnswered_;
+    deepestFailure_ = "in version " + std::to_string(state.version) + " no order of the calls permits:";
     std::size_t named = 0;
     for (auto i : nextCalls())
       if (isAnswered(calls_[i]) && ++named <= kMaxNamedCalls)
@@ -214,7 +215,8 @@
   std::vector<bool> linearized_;
   Register register_;
   std::vector<Step> steps_;
-  std::ptrdiff_t unexplained_ = 0, fewestUnexplained_ = 0;  // answered calls that are not in the order
+  std::ptrdiff_t unlinearizedAnswered_ = 0,
+                 fewestUnlinearizedAnswered_ = 0;  // answered calls that are not in the order
   std::unordered_set<std::string> visited_;
   std::string deepestFailure_;
 };
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -18,13 +18,13 @@
 constexpr int kOperators = 2;
 constexpr int kPhases = 3;  // before the leader is lost, before a runner is lost, after both
 constexpr std::uint64_t kSeed = 7;
-constexpr auto kPoll = 50ms;
-constexpr int kLeaderPolls = 100;
-constexpr int kEndPolls = 120;
+constexpr auto kPollInterval = 50ms;
+constexpr int kMaxLeaderPolls = 100;
+constexpr int kMaxShutdownPolls = 120;
 constexpr auto kStabilizationTime = 1000ms;  // until the proxy has its lease and the runners are known
 constexpr auto kLeaderDownTime = 300ms;
-constexpr Duration kAfterRollout{2000};  // between its term and the end of the load
-constexpr Duration kMinRolloutTerm{1000};
+constexpr Duration kLoadAfterRollout{2000};  // between its term and the end of the load
+constexpr Duration kMinRolloutDuration{1000};
 constexpr Duration kReversalTimeout{5000};  // when the load has ended
 
 void printLine(const std::string& line) {
@@ -44,14 +44,14 @@
   Result<void> startFleet();
   void startRunners();
   void awaitReadiness();
-  void announce() const;
+  void printFleetDescription() const;
   void killLeader();
   void killRunner();
   void stopLoad();
   bool report() const;
   bool reportClients() const;
   bool reportOperators() const;
-  int doubledPushes() const;
+  int countRepeatedPushes() const;
 
   LocalFleet fleet_;
   Duration phaseLength_;
@@ -70,11 +70,11 @@
     return tl::unexpected(started.error());
   startRunners();
   awaitReadiness();
-  announce();
+  printFleetDescription();
   printLine("rolls out a revision of two runners that fails half of its streams");
   clients_.start(kClients);
   operators_.start(kOperators);
-  if (!rollout_.begin(std::max(kMinRolloutTerm, kPhases * phaseLength_ - kAfterRollout)))
+  if (!rollout_.begin(std::max(kMinRolloutDuration, kPhases * phaseLength_ - kLoadAfterRollout)))
     return makeError(ErrorCode::unavailable, "no controller acknowledged the rollout");
   loop.sleepFor(phaseLength_);
   killLeader();
@@ -86,9 +86,9 @@
   return report();
 }
 Result<void> Trial::startFleet() {
-  if (!fleet_.startCore() || !fleet_.startPair())
+  if (!fleet_.startCore() || !fleet_.startAccessMachine())
     return makeError(ErrorCode::ioError, "cannot start " + fleet_.binary());
-  if (!operators_.installFirst())
+  if (!operators_.installInitialConfiguration())
     return makeError(ErrorCode::unavailable, "the core took no configuration in 10 s");
   return {};
 }
@@ -100,11 +100,11 @@
   }
 }
 void Trial::awaitReadiness() {
-  for (int i = 0; i < kLeaderPolls && !findLeader(fleet_); ++i)
-    runtime::EventLoop::get().sleepFor(kPoll);
+  for (int i = 0; i < kMaxLeaderPolls && !findLeader(fleet_); ++i)
+    runtime::EventLoop::get().sleepFor(kPollInterval);
   runtime::EventLoop::get().sleepFor(kStabilizationTime);
 }
-void Trial::announce() const {
+void Trial::printFleetDescription() const {
   printLine("a core of three, an agent and a proxy, " + std::to_string(kRunners) + " runners, " +
             std::to_string(kClients) + " clients; folder " + fleet_.folder());
   printLine("while it runs: zinccleat status " + fleet_.control(0) + " " + fleet_.control(1) + " " + fleet_.control(2));
@@ -116,7 +116,7 @@
   printLine("kills the leader, " + fleet_.processes()[*leader].name + ", without a word");
   fleet_.kill(*leader);
   runtime::EventLoop::get().sleepFor(kLeaderDownTime);
-  fleet_.startAgain(*leader);
+  fleet_.restartProcess(*leader);
 }
 void Trial::killRunner() {
   printLine("kills " + runners_[0]->id() + ", without a word");
@@ -128,10 +128,10 @@
   rollout_.stopHeartbeats();
   clients_.stop();
   operators_.stop();
-  for (int i = 0; i < kEndPolls && clients_.running() + operators_.running() > 0; ++i)
-    runtime::EventLoop::get().sleepFor(kPoll);
+  for (int i = 0; i < kMaxShutdownPolls && clients_.running() + operators_.running() > 0; ++i)
+    runtime::EventLoop::get().sleepFor(kPollInterval);
 }
-int Trial::doubledPushes() const {
+int Trial::countRepeatedPushes() const {
   return static_cast<int>(std::count_if(executions_.begin(), executions_.end(),
                                         [](const auto& execution) { return execution.second > 1; }));
 }
@@ -143,7 +143,7 @@
 }
 bool Trial::reportClients() const {
   const auto& seen = clients_.statistics();
-  const int doubled = doubledPushes();
+  const int doubled = countRepeatedPushes();
   std::printf("\npushes served %d, streams served %d, of these late (over a second) %d\n", seen.pushes, seen.streams,
               seen.late);
   std::printf("refused with a time to come back %d, failed tries %d\n", seen.refusals, seen.failures);
@@ -174,10 +174,10 @@
 int trial(const std::string& binary, int seconds) {
   // The loop outlives everything on it: sockets end on the loop that they were made on.
   static runtime::EventLoop loop;
-  Trial theTrial(binary, seconds);
+  Trial runningTrial(binary, seconds);
   int exitCode = 1;
   loop.spawn([&] {
-    exitCode = runAndReport(theTrial);
+    exitCode = runAndReport(runningTrial);
     loop.stop();
   });
   loop.run();
--- a/libs/simulation/src/trial_clients.cpp
+++ b/libs/simulation/src/trial_clients.cpp
@@ -5,9 +5,9 @@
 
 namespace zinccleat::simulation {
 namespace {
-constexpr auto kPatience = 5s;  // for a request with all its attempts
+constexpr auto kTotalRequestTimeout = 5s;  // for a request with all its attempts
 constexpr auto kAttemptTimeout = 3s;
-constexpr auto kLate = 1s;
+constexpr auto kLateThreshold = 1s;
 constexpr Duration kRetryInterval{50};  // where the answer names none
 constexpr Duration kMinRetryInterval{20};
 constexpr auto kRequestInterval = 20ms;
@@ -48,12 +48,12 @@
 }
 void TrialClients::makeRequest(RequestKind kind, const std::string& requestId) {
   const auto begin = Clock::now();
-  for (int number = 0; Clock::now() - begin < kPatience; ++number) {
+  for (int number = 0; Clock::now() - begin < kTotalRequestTimeout; ++number) {
     const auto result = attempt(kind, requestId + "-" + std::to_string(number));
     count(result.end);
     if (result.end == AttemptEnd::served) {
       ++(kind == RequestKind::push ? statistics_.pushes : statistics_.streams);
-      statistics_.late += Clock::now() - begin > kLate;
+      statistics_.late += Clock::now() - begin > kLateThreshold;
       return;
     }
     const auto retryAfter = result.end == AttemptEnd::refused ? result.retryAfter : kRetryInterval;
--- a/libs/simulation/src/trial_operators.cpp
+++ b/libs/simulation/src/trial_operators.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kMinPauseMs = 50;
 constexpr std::uint64_t kPauseSpreadMs = 200;
 constexpr std::uint64_t kMaxVersionStep = 2;
-constexpr std::uint64_t kLostAnswers = 4;  // one in so many
+constexpr std::uint64_t kLostAnswerDivisor = 4;  // one in so many
 constexpr int kOk = 200;
 constexpr int kInvalid = 400;
 constexpr int kOtherVersion = 412;
@@ -22,7 +22,7 @@
 std::int64_t nowMicroseconds() {
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
 }
-bool isClear(const operations::CallResponse& answer) {
+bool isConclusive(const operations::CallResponse& answer) {
   return answer.status == kOk || answer.status == kInvalid || answer.status == kOtherVersion;
 }
 }  // namespace
@@ -35,7 +35,7 @@
          {"label":")" +
          subscriber + R"(","accessKeys":["key-of-)" + subscriber + R"("]}]})";
 }
-bool TrialOperators::installFirst() {
+bool TrialOperators::installInitialConfiguration() {
   const Change first{0, 1, trialConfiguration(1, "first")};
   for (std::size_t attempt = 0; attempt < kInstallAttempts; ++attempt) {
     if (sendChange("first", attempt, first))
@@ -69,7 +69,7 @@
   if (!answer || answerIsLost())
     return false;
   recorder_.replaceAnswered(call, nowMicroseconds(), answer->status);
-  return isClear(*answer);
+  return isConclusive(*answer);
 }
 std::optional<std::int64_t> TrialOperators::readVersion(const std::string& name, std::size_t controller) {
   const auto call = recorder_.retrieveSent(name, nowMicroseconds());
@@ -84,6 +84,6 @@
   return version;
 }
 bool TrialOperators::answerIsLost() {
-  return random_() % kLostAnswers == 0;
+  return random_() % kLostAnswerDivisor == 0;
 }
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/trial_operators.hpp
+++ b/libs/simulation/src/trial_operators.hpp
@@ -16,7 +16,7 @@
   TrialOperators(const LocalFleet& fleet, std::mt19937_64& random) : fleet_(fleet), random_(random) {}
   /// Sends the first configuration to each controller in turn until one has answered clearly.
   /// @return false if none has after 100 attempts. Runs on a fiber.
-  bool installFirst();
+  bool installInitialConfiguration();
   /// Starts a fiber for each of so many operators.
   void start(int operators);
   /// Each operator ends after its call under way.
--- a/libs/simulation/src/trial_runner.cpp
+++ b/libs/simulation/src/trial_runner.cpp
@@ -90,7 +90,7 @@
 // A stream that was cut resumes behind the last event that its client has.
 void TrialRunner::answerStream(const std::string& attemptId, int lastEvent, runtime::Connection& connection,
                                runtime::SocketError& ec) {
-  if (++streams_ % 2 == 0 && version_.failsHalf)
+  if (++streams_ % 2 == 0 && version_.failsEverySecondStream)
     return send(responseHead(attemptId, "500 Failed", "Content-Length: 0\r\n\r\n"), connection, ec);
   const auto headers = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
   send(responseHead(attemptId, "200 OK", headers), connection, ec);
--- a/libs/simulation/src/trial_runner.hpp
+++ b/libs/simulation/src/trial_runner.hpp
@@ -15,7 +15,7 @@
 /// The software of a runner.
 struct TrialVersion {
   std::string revision = "v1";
-  bool failsHalf = false;  ///< every other stream is answered with an error
+  bool failsEverySecondStream = false;  ///< every other stream is answered with an error
 };
 
 class TrialRunner : public std::enable_shared_from_this<TrialRunner> {
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -246,7 +246,7 @@
     std::int64_t base = 0, version = 0;
     std::string body;
   };
-  static constexpr Duration kPoll{20}, kWriteTimeout{2500}, kReadTimeout{900};
+  static constexpr Duration kPollInterval{20}, kWriteTimeout{2500}, kReadTimeout{900};
   static constexpr int kAttempts = 6;
 
   std::int64_t nowMs() const { return std::chrono::duration_cast<Duration>(cluster_.now.time_since_epoch()).count(); }
@@ -324,7 +324,7 @@
       return answer(0);
     if (const auto outcome = machine(ip).replica.outcomeOf(operation); outcome && !machine(ip).paused)
       return answer(statusOf(*outcome));
-    schedule(kPoll, [=, this] { awaitOutcome(ip, incarnation, operation, until, answer); });
+    schedule(kPollInterval, [=, this] { awaitOutcome(ip, incarnation, operation, until, answer); });
   }
   // What a machine does before it answers a Retrieve: it leads under a lease, or asks the leader for its read index.
   void awaitReadIndex(const std::string& ip, int incarnation, TimePoint until,
@@ -352,7 +352,7 @@
       return answer(false);
     if (!machine(ip).paused && machine(ip).replica.state().index >= readIndex)
       return answer(true);
-    schedule(kPoll, [=, this] { awaitIndex(ip, incarnation, readIndex, until, answer); });
+    schedule(kPollInterval, [=, this] { awaitIndex(ip, incarnation, readIndex, until, answer); });
   }
 
   SimulatedCluster& cluster_;
@@ -405,7 +405,7 @@
                        [](auto& call) { return call.kind == Kind::replace && call.answer == kAcknowledged; });
 }
 constexpr std::uint64_t kWorlds = 30;
-int worldsExplained(InjectedFault fault) {
+int countLinearizableWorlds(InjectedFault fault) {
   int explained = 0;
   for (std::uint64_t seed = 1; seed <= kWorlds; ++seed)
     explained += checkLinearizable(recordedHistory(seed, fault)).linearizable;
@@ -428,8 +428,8 @@
   EXPECT_GT(changes, static_cast<std::ptrdiff_t>(kWorlds) * 20) << "of " << calls << " calls";
 }
 TEST(Linearizability, ReadsWithoutTheLeaderAreFound) {
-  EXPECT_LT(worldsExplained(InjectedFault::staleRead), static_cast<int>(kWorlds) / 2);
+  EXPECT_LT(countLinearizableWorlds(InjectedFault::staleRead), static_cast<int>(kWorlds) / 2);
 }
 TEST(Linearizability, WritesAcknowledgedBeforeCommitAreFound) {
-  EXPECT_LT(worldsExplained(InjectedFault::earlyAcknowledgement), static_cast<int>(kWorlds) / 2);
+  EXPECT_LT(countLinearizableWorlds(InjectedFault::earlyAcknowledgement), static_cast<int>(kWorlds) / 2);
 }
--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -80,7 +80,7 @@
     const auto now = Clock::now();
     for (std::size_t process = 0; process < states_.size(); ++process) {
       auto& state = states_[process];
-      if (const auto status = run_.fleet.takeExit(process)) {
+      if (const auto status = run_.fleet.pollExitStatus(process)) {
         run_.seen.exits.push_back({run_.fleet.processes()[process].name, *status, state.terminatedAt, state.killed,
                                    state.startedAt, now, state.masks});
         disturb(process, state.terminatedAt.has_value());
@@ -91,7 +91,7 @@
         state.startAt = TimePoint::max();
         disturb(process, true);
         state.startedAt = now;
-        (void)run_.fleet.startAgain(process);
+        (void)run_.fleet.restartProcess(process);
       }
       // As the platform: its grace is over. A process that needs this is reported by its exit's status.
       if (state.terminatedAt && now - *state.terminatedAt > run_.seen.bounds.grace)
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -56,7 +56,7 @@
   if (!run.fleet.startCore())
     return false;
   for (int machine = 0; machine < run.plan.access; ++machine)
-    if (!run.fleet.startPair())
+    if (!run.fleet.startAccessMachine())
       return false;
   return installFirstConfiguration(run);
 }
