--- a/libs/operations/include/operations/commands.hpp
+++ b/libs/operations/include/operations/commands.hpp
@@ -1,46 +1,54 @@
-/// The command line's subcommands for operators. Each prints to stdout, complains to stderr and returns the process's
-/// exit status: 0 as asked, 1 it went otherwise, 2 the command line or a file is wrong.
+/// The command line's subcommands for operators. Each function prints results to stdout and errors to stderr, and
+/// returns the process's exit status: 0 on success, 1 on failure, 2 if the command line or an input file is invalid.
+/// Exceptions are stated at the functions.
 #pragma once
 #include <string>
 #include <vector>
 namespace zinccleat::operations {
-/// `zinccleat check KIND FILE`: parses a file and says whether it is valid.
+/// `zinccleat check KIND FILE`: parses a file and reports whether it is valid.
 /// @param kind `settings`, `configuration`, `rollout` or `runbook`
+/// @return 1 if the file cannot be read or is invalid, 2 for an unknown kind
 int checkCommand(const std::string& kind, const std::string& file);
-/// `zinccleat runbook FILE`: runs a runbook against the controllers that the parameter `core` names.
+/// `zinccleat runbook FILE`: runs a runbook against the controllers listed in the parameter `core`.
 /// @param assignments the parameters' values as NAME=VALUE
-/// @param dryRun prints the steps, calls nothing
+/// @param dryRun prints the steps without sending any request
+/// @return 1 if a step stopped the runbook, 2 if the file or an assignment is invalid
 int runbookCommand(const std::string& file, const std::vector<std::string>& assignments, bool dryRun);
-/// What `zinccleat rollout` is to do.
+/// Arguments of `zinccleat rollout`.
 struct RolloutCommand {
-  std::string verb;      ///< `begin`, `status`, `watch` or `revert`
-  std::string service;   ///< label
-  std::string revision;  ///< `begin`: of the new runners
-  std::string seconds;   ///< `begin`: the term
-  std::vector<std::string> addresses;
+  std::string verb;                    ///< `begin`, `status`, `watch` or `revert`
+  std::string service;                 ///< the service's label
+  std::string revision;                ///< `begin` only: revision of the new runners
+  std::string seconds;                 ///< `begin` only: duration of the rollout
+  std::vector<std::string> addresses;  ///< "IP:port" of the controllers to call in turn
   bool asJson = false;
 };
-/// `zinccleat rollout VERB SERVICE ...`: orders, shows, follows or takes back the rollout of a service.
-/// @return of `watch`: 0 once it is completed, 1 once it is reverted, 2 if no controller answers
+/// `zinccleat rollout VERB SERVICE ...`: starts, shows, follows or reverts the rollout of a service.
+/// @return for `watch`: 0 when the rollout has completed, 1 when it was reverted, 2 if no controller responds
 int rolloutCommand(const RolloutCommand& command);
-/// `zinccleat lock|number|cells|evacuation ...`: one call; prints the answer's body.
+/// `zinccleat lock|number|cells|tally|evacuation ...`: sends one request and prints the body of the response.
 /// @param subject `lock`, `number`, `cells`, `tally` or `evacuation`
-/// @param arguments the verb, where the subject has verbs, its arguments, and the nodes to ask in turn
-/// @return 1 for any answer but 200, 2 for a wrong command line
+/// @param arguments the verb, if the subject has verbs, then the verb's arguments, then the nodes to call in turn
+/// @return 1 for any status but 200 or no response, 2 for an invalid command line
 int coordinationCommand(const std::string& subject, const std::vector<std::string>& arguments);
-/// `zinccleat watch GROUP REVISION ADDRESS...`: prints each answer that goes beyond the revision, until it is
-/// interrupted. @return 1 if the revision is too old (410), 2 if no controller answers
+/// `zinccleat watch GROUP REVISION ADDRESS...`: prints each response with a newer revision than the last one printed,
+/// until the process is interrupted.
+/// @return 1 if the revision is too old (410) or a controller rejects the request with another 4xx status, 2 if no
+///   controller responds
 int watchCommand(const std::vector<std::string>& arguments);
-/// `zinccleat shards ADDRESS...`: the shards of the coordination service as each node sees them.
-/// @return 1 if none of them answered
+/// `zinccleat shards ADDRESS...`: prints the shards of the coordination service as each node sees them.
+/// @return 1 if no node responded with status 200
 int shardsCommand(const std::vector<std::string>& addresses, bool asJson);
-/// `zinccleat functions ADDRESS...`: usage reports and orders of runners, as the leader knows them.
-/// @return 1 if none of the nodes answered
+/// `zinccleat functions ADDRESS...`: prints the state of usage reports and of the orders for runners, as the leader
+/// knows them.
+/// @return 1 if no node responded with status 200
 int functionsCommand(const std::vector<std::string>& addresses, bool asJson);
-/// `zinccleat tally add|get|sides ...`: one call on a replicated counter, or what each node knows of the others: whom
-/// it reaches, and what either side lacks. @return 1 for any answer but 200, 2 for a wrong command line
+/// `zinccleat tally add|get|sides ...`: `add` and `get` send one request about a replicated counter. `sides` prints for
+/// each node which peers it reaches and how many increments the node and each peer have not yet received from the
+/// other.
+/// @return `add`, `get`: as `coordinationCommand`. `sides`: 1 if no node responded with status 200
 int tallyCommand(const std::vector<std::string>& arguments, bool asJson);
-/// `zinccleat status ADDRESS...`: prints what controllers report about themselves, as a table or as a JSON list.
-/// @return 1 if none of them answered
+/// `zinccleat status ADDRESS...`: prints the status reports of controllers as a table or as a JSON list.
+/// @return 1 if no controller responded with status 200
 int statusCommand(const std::vector<std::string>& addresses, bool asJson);
 }  // namespace zinccleat::operations
--- a/libs/operations/src/call.cpp
+++ b/libs/operations/src/call.cpp
@@ -11,9 +11,9 @@
 
 struct HttpAnswer {
   CallResponse response;
-  std::string location;  // of a redirection
+  std::string location;  // the Location header field; empty if there is none
 };
-// Where a redirection points to.
+// The node and request target of a request or redirect.
 struct Destination {
   std::string address;
   std::string path;
@@ -35,7 +35,7 @@
   return makeError(ErrorCode::unavailable, address + ": " + reason);
 }
 
-// One request to one node, without redirections.
+// Sends one request to one node and returns its response. Does not follow redirects.
 Result<HttpAnswer> exchange(const Destination& destination, const Call& call, Duration timeout) {
   const auto& address = destination.address;
   const auto endpoint = runtime::parseEndpoint(address);
@@ -48,7 +48,7 @@
   if (failure)
     return connectionError(address, connection, failure);
   if (call.mayStillSend && !call.mayStillSend())
-    return makeError(ErrorCode::unavailable, address + ": no longer to be sent");
+    return makeError(ErrorCode::unavailable, address + ": request was cancelled before it was sent");
   const auto request = writeRequest(address, destination.path, call);
   connection.write(asio::buffer(request), failure);
   proxy::Buffer buffer;
@@ -86,7 +86,7 @@
       return std::move(answer->response);
     auto next = parseLocation(answer->location);
     if (!next)
-      return makeError(ErrorCode::unavailable, destination.address + ": a redirection without an address");
+      return makeError(ErrorCode::unavailable, destination.address + ": redirect without a valid Location");
     destination = std::move(*next);
   }
 }
--- a/libs/operations/src/check_command.cpp
+++ b/libs/operations/src/check_command.cpp
@@ -9,7 +9,7 @@
 
 namespace zinccleat::operations {
 namespace {
-// Returns what is wrong, or an empty text.
+// Returns the error message, or an empty string if the result is valid.
 template <class Value>
 std::string errorOf(const Result<Value>& result) {
   return result ? std::string() : result.error().message;
--- a/libs/operations/src/coordination_command.cpp
+++ b/libs/operations/src/coordination_command.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kWatchRetryInterval{500};
 constexpr int kWatchWaitMs = 10'000;
 constexpr Duration kWatchTimeout{12'000};
-constexpr int kMaxUnansweredWatches = 10;  // in a row, before a watch gives up
+constexpr int kMaxUnansweredWatches = 10;  // consecutive polls without a response before a watch fails
 
 using Arguments = std::vector<std::string>;
 
@@ -25,7 +25,7 @@
   std::fprintf(stderr, "zinccleat: %s\n", problem.c_str());
   return kExitUsage;
 }
-/// Prints an answer's body, or why there is none.
+/// Prints the body of a response with status 200 to stdout; prints any other status or the error to stderr.
 int report(const Result<CallResponse>& response) {
   if (response && response->status == kOk) {
     std::printf("%s\n", response->body.c_str());
@@ -43,7 +43,7 @@
   return config::quoteJson(name) + ":" + digits;
 }
 
-// --- what each command sends; its arguments come in the order of its usage ---
+// --- Builders of each command's request. `given` holds the arguments in the order of the command's usage text. ---
 
 Call beginLock(const Arguments& given) {
   return {"POST",
@@ -91,7 +91,7 @@
 }
 struct Command {
   std::string_view subject;
-  std::string_view verb;  ///< empty: the subject has no verbs
+  std::string_view verb;  ///< empty if the subject has no verbs
   std::string_view usage;
   std::size_t argumentCount;
   Call (*makeCall)(const Arguments& given);
@@ -115,7 +115,7 @@
       usages += (usages.empty() ? "" : ", or ") + std::string(command.usage);
   return usages;
 }
-/// The part of a list from an index on.
+/// The arguments from index `first` to the end.
 Arguments argumentsFrom(const Arguments& arguments, std::size_t first) {
   return {arguments.begin() + static_cast<std::ptrdiff_t>(first), arguments.end()};
 }
@@ -170,8 +170,8 @@
                 order("reason").c_str());
   }
 }
-/// Asks each node and prints what it answers, as a table or as it is.
-/// @return 1 if none of them answered.
+/// Sends a GET request to each node and prints the responses, as rows of a table or as the JSON received.
+/// @return 1 if no node responded with status 200.
 int printFromEach(const Arguments& addresses, const std::string& path, bool asJson, void (*printHeader)(),
                   void (*printRows)(const std::string& json)) {
   return runOnEventLoop([&] {
--- a/libs/operations/src/fiber_run.hpp
+++ b/libs/operations/src/fiber_run.hpp
@@ -1,12 +1,12 @@
-/// Running a function that blocks a fiber from a plain thread.
+/// Runs fiber-blocking functions from a thread that has no event loop.
 #pragma once
 #include <functional>
 
 #include "runtime/common.hpp"
 namespace zinccleat::operations {
-/// How long an operator's command waits for one node's answer.
+/// Time limit of an operator's command for one node's response.
 constexpr Duration kCallTimeout{3000};
-/// Runs a function on a fiber of an event loop of its own until it returns.
-/// @return what the function returned
+/// Creates an event loop, runs the function on one of its fibers, and stops the loop when the function returns.
+/// @return the function's result
 int runOnEventLoop(const std::function<int()>& function);
 }  // namespace zinccleat::operations
--- a/libs/operations/src/json_path.cpp
+++ b/libs/operations/src/json_path.cpp
@@ -12,8 +12,8 @@
 
 struct Segment {
   std::string_view name;
-  bool isCount = false;
-  std::string_view key;  // of NAME[KEY=VALUE]; empty: no element is selected
+  bool isCount = false;  // the segment is NAME#
+  std::string_view key;  // KEY of NAME[KEY=VALUE]; empty for the other forms
   std::string_view value;
 };
 
@@ -26,7 +26,7 @@
   return minified.str();
 }
 
-// Where the first segment of a path ends: at a dot that is not inside brackets.
+// Length of the path's first segment, which ends at the first dot outside brackets or at the end of the path.
 std::size_t segmentLength(std::string_view path) {
   int depth = 0;
   for (std::size_t i = 0; i < path.size(); ++i) {
@@ -39,7 +39,7 @@
   }
   return path.size();
 }
-// Removes the first segment of a path and the dot behind it.
+// Removes the first segment and the dot after it from the path. Returns the segment.
 std::string_view takeSegment(std::string_view& path) {
   const auto length = segmentLength(path);
   const auto segment = path.substr(0, length);
@@ -47,7 +47,7 @@
   return segment;
 }
 
-// Returns nothing for brackets without '='.
+// Returns std::nullopt if there is no '=' between the brackets.
 std::optional<Segment> parseSegment(std::string_view text) {
   Segment segment;
   segment.isCount = text.ends_with('#');
--- a/libs/operations/src/observation.cpp
+++ b/libs/operations/src/observation.cpp
@@ -87,7 +87,7 @@
   std::getline(words >> std::ws, observation.value);
   const auto comparison = findKeyword(kComparisons, operation);
   if (comparison == kComparisons.end() || observation.field.empty() || observation.value.empty())
-    return makeError(ErrorCode::invalidArgument, "no observation: '" + std::string(text) + "'");
+    return makeError(ErrorCode::invalidArgument, "invalid observation: '" + std::string(text) + "'");
   observation.comparison = comparison->value;
   return observation;
 }
--- a/libs/operations/src/rollout_command.cpp
+++ b/libs/operations/src/rollout_command.cpp
@@ -14,13 +14,13 @@
 constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 constexpr Duration kWatchInterval{500};
-constexpr int kMaxUnansweredPolls = 60;  // in a row, before a watch gives up
+constexpr int kMaxUnansweredPolls = 60;  // consecutive polls without a response before a watch fails
 
 int usageError(const std::string& problem) {
   std::fprintf(stderr, "zinccleat rollout: %s\n", problem.c_str());
   return kExitUsage;
 }
-// Prints why a call went otherwise.
+// Prints the error, or the status and error message of the response, to stderr.
 int failure(const Result<CallResponse>& response) {
   const auto reason = response ? "status " + std::to_string(response->status) + ": " +
                                      fieldOf(response->body, "error").value_or(response->body)
--- a/libs/operations/src/runbook_command.cpp
+++ b/libs/operations/src/runbook_command.cpp
@@ -29,7 +29,7 @@
   }
   return values;
 }
-// Splits at commas; empty parts are left out.
+// Splits a list at commas and omits empty elements.
 std::vector<std::string> splitAddresses(std::string_view list) {
   std::vector<std::string> addresses;
   while (!list.empty()) {
@@ -70,7 +70,7 @@
     return usageError(file + ": " + runbook.error().message);
   const auto addresses = splitAddresses((*values)[kAddressesParameter]);
   if (addresses.empty() && !dryRun)
-    return usageError("say --set core=ADDRESS:PORT,... (the nodes that serve control)");
+    return usageError("--set core=ADDRESS:PORT,... is required (the nodes that serve the control API)");
   return runOnEventLoop([&] { return runRunbook(*runbook, environmentOf(addresses), dryRun); });
 }
 }  // namespace zinccleat::operations
--- a/libs/operations/src/runbook_executor.cpp
+++ b/libs/operations/src/runbook_executor.cpp
@@ -1,4 +1,4 @@
-// Running runbooks: one function for each kind of step.
+// Runs runbooks. There is one member function for each kind of step.
 #include "config/settings.hpp"
 #include "operations/runbook.hpp"
 #include "text.hpp"
@@ -13,7 +13,7 @@
 class RunbookExecutor {
  public:
   RunbookExecutor(const RunbookEnvironment& environment, bool dryRun) : environment_(environment), dryRun_(dryRun) {}
-  // Returns false if a step stopped the runbook.
+  // Runs the steps in order. Returns false if a step stopped the runbook.
   bool run(const Runbook& runbook);
 
  private:
@@ -24,7 +24,7 @@
   bool call(const Step& step);
   bool observe(const Step& step);
 
-  // Makes the last call (again) and keeps what it gave.
+  // Sends the request `call_`, for the first time or again, and replaces `bodies_` and `statuses_` by the results.
   void repeatCall();
   void record(const Result<CallResponse>& response);
   const std::vector<std::string>& answersFor(const Step& step) const;
@@ -35,11 +35,11 @@
   const RunbookEnvironment& environment_;
   bool dryRun_;
   int headingCount_ = 0;
-  std::vector<HttpHeader> headers_;  // for the next call
-  Call call_;                        // the last call
-  bool sentToAll_ = false;           // it went to all controllers
-  std::vector<std::string> bodies_;  // its answers; "{}" for none
-  std::vector<std::string> statuses_;
+  std::vector<HttpHeader> headers_;    // header fields for the next call
+  Call call_;                          // the most recent call
+  bool sentToAll_ = false;             // whether `call_` is sent to all controllers instead of any one
+  std::vector<std::string> bodies_;    // response bodies of the most recent call; "{}" where there was no response
+  std::vector<std::string> statuses_;  // {"status":N} for each element of `bodies_`; N is 0 if there was no response
 };
 
 bool RunbookExecutor::run(const Runbook& runbook) {
--- a/libs/operations/src/runbook_parser.cpp
+++ b/libs/operations/src/runbook_parser.cpp
@@ -1,4 +1,4 @@
-// Parsing runbooks: a table of keywords, one function for each form of step.
+// Parses runbooks. `kStepForms` maps each keyword to the function that parses the step's text.
 #include <array>
 #include <charconv>
 #include <sstream>
@@ -12,7 +12,7 @@
   return makeError(ErrorCode::invalidArgument, "line " + std::to_string(line) + ": " + problem);
 }
 
-// The integer that a text begins with; 0 if it begins with none.
+// The integer at the beginning of a text, with an optional sign; 0 if there is none.
 int leadingInteger(std::string_view text) {
   int value = 0;
   if (text.starts_with('+'))
@@ -24,11 +24,12 @@
   return std::chrono::seconds(leadingInteger(text));
 }
 
-// Only lower-case letters and hyphens: the braces of JSON bodies stay.
+// Parameter names consist of lower-case letters and hyphens only, so that braces in JSON bodies are not taken for
+// parameters.
 bool isParameterName(std::string_view name) {
   return !name.empty() && name.find_first_not_of("abcdefghijklmnopqrstuvwxyz-") == std::string_view::npos;
 }
-// The name in braces at a position of a text; empty if there is none.
+// The parameter name in braces that begins at `position`; empty if there is none.
 std::string parameterAt(const std::string& text, std::size_t position) {
   if (text[position] != '{')
     return {};
@@ -38,7 +39,7 @@
   auto name = text.substr(position + 1, end - position - 1);
   return isParameterName(name) ? name : std::string();
 }
-// Replaces each {name} by its value.
+// Replaces each {name} by its value. Returns an error with the line number for a parameter without a value.
 Result<std::string> substitute(const std::string& text, const ParameterValues& values, int line) {
   std::string filled;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -49,7 +50,7 @@
     }
     const auto value = values.find(name);
     if (value == values.end())
-      return errorAt(line, "no value for '" + name + "': say --set " + name + "=...");
+      return errorAt(line, "no value for '" + name + "': use --set " + name + "=...");
     filled += value->second;
     i += name.size() + 1;
   }
@@ -63,7 +64,7 @@
 Result<Step> parseCall(Step step, const std::string& text) {
   auto [path, body, hasBody] = splitFirstWord(text);
   if (!path.starts_with('/'))
-    return errorAt(step.line, "a call needs a path");
+    return errorAt(step.line, "a call needs a path that begins with '/'");
   step.path = std::move(path);
   step.body = std::move(body);
   return step;
@@ -84,7 +85,7 @@
   const auto [seconds, observation, hasObservation] = splitFirstWord(text);
   step.timeout = parseSeconds(seconds);
   if (step.timeout <= Duration(0) || !hasObservation)
-    return errorAt(step.line, "await needs seconds");
+    return errorAt(step.line, "await needs a positive number of seconds and an observation");
   return parseExpect(std::move(step), observation);
 }
 
@@ -123,7 +124,7 @@
   ParameterValues values_;
   Runbook runbook_;
   int line_ = 0;
-  bool hasCall_ = false;  // there is a call whose answers can be observed
+  bool hasCall_ = false;  // whether a call precedes the current line, so that an observation is allowed
 };
 
 Result<Runbook> RunbookParser::parse(const std::string& text) {
@@ -175,9 +176,9 @@
   const auto form = std::find_if(kStepForms.begin(), kStepForms.end(),
                                  [&](const StepForm& candidate) { return candidate.keyword == keyword; });
   if (form == kStepForms.end())
-    return errorAt(line_, "unknown word '" + keyword + "'");
+    return errorAt(line_, "unknown keyword '" + keyword + "'");
   if (isObservation(form->kind) && !hasCall_)
-    return errorAt(line_, "nothing was called that could be observed");
+    return errorAt(line_, "an observation needs a preceding call");
   Step step;
   step.kind = form->kind;
   step.line = line_;
--- a/libs/operations/src/status_command.cpp
+++ b/libs/operations/src/status_command.cpp
@@ -12,8 +12,8 @@
 
 struct NodeStatus {
   std::string address;
-  std::string json;     // the node's report; empty if there is none
-  std::string problem;  // why there is none
+  std::string json;     // the node's status report; empty if none was received
+  std::string problem;  // error message if no status report was received; otherwise empty
 };
 
 NodeStatus fetchStatus(const std::string& address) {
@@ -46,7 +46,8 @@
   return "{\"node\":" + config::quoteJson(node.address) + ",\"error\":" + config::quoteJson(node.problem) + "}";
 }
 
-// Each row is printed as soon as its node has answered. Returns how many did.
+// Requests the nodes' reports in turn and prints each row as soon as its node has responded or failed. Returns the
+// number of reports received.
 std::size_t printTable(const std::vector<std::string>& addresses) {
   std::size_t answered = 0;
   printHeader();
@@ -58,6 +59,7 @@
   }
   return answered;
 }
+// Prints one JSON list after all nodes were queried. Returns the number of reports received.
 std::size_t printJson(const std::vector<std::string>& addresses) {
   std::size_t answered = 0;
   std::string list;
--- a/libs/operations/src/text.hpp
+++ b/libs/operations/src/text.hpp
@@ -1,16 +1,16 @@
-/// Splitting lines of text.
+/// Helpers for splitting lines of text.
 #pragma once
 #include <string>
 #include <string_view>
 namespace zinccleat::operations {
-/// A text without spaces and tabs at both ends and without a carriage return at its end.
+/// Removes spaces and tabs from both ends of a text, and carriage returns from its end.
 std::string trim(std::string_view text);
 
-/// A text's first word and what follows it, trimmed.
+/// The first word of a text and the text after it, trimmed.
 struct SplitWord {
   std::string word;
   std::string rest;
-  bool hasRest = false;  ///< there was a space behind the word
+  bool hasRest = false;  ///< whether a space followed the word
 };
 /// Splits a text at its first space.
 SplitWord splitFirstWord(std::string_view text);
