--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -1,4 +1,4 @@
-/// The zinccleat program: one binary whose parts are chosen by a subcommand.
+/// Main program of zinccleat: one binary for all daemons and operators' commands, selected by a subcommand.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -18,11 +18,11 @@
 #include "simulation/trial.hpp"
 
 ABSL_FLAG(std::string, settings, "", "path of the settings file; default: $ZINCCLEAT_CONFIG");
-ABSL_FLAG(std::vector<std::string>, set, {}, "runbook: name=value,...; a list value is split by +");
-ABSL_FLAG(bool, dry, false, "runbook: show the steps, call nothing");
-ABSL_FLAG(bool, json, false, "status, rollout, shards, functions, tally sides: as JSON");
-ABSL_FLAG(int, seconds, 9, "trial: how long it serves");
-ABSL_FLAG(bool, verbose, false, "write log notes at once, not only when something goes wrong");
+ABSL_FLAG(std::vector<std::string>, set, {}, "runbook: name=value,...; + separates the elements of a list value");
+ABSL_FLAG(bool, dry, false, "runbook: print the steps without sending requests");
+ABSL_FLAG(bool, json, false, "status, rollout, shards, functions, tally sides: print JSON");
+ABSL_FLAG(int, seconds, 9, "trial: how long clients send requests, 3 to 600");
+ABSL_FLAG(bool, verbose, false, "write log notes immediately, not only when an error occurs");
 
 namespace {
 using namespace zinccleat;
@@ -32,30 +32,30 @@
     "zinccleat SUBCOMMAND [--settings FILE] [--verbose]\n"
     "  proxy          the proxy on access machines\n"
     "  agent          the agent beside each proxy\n"
-    "  controller     control, on core machines\n"
+    "  controller     the controller on core machines\n"
     "  check KIND FILE  checks a file; KIND is settings, configuration, rollout or runbook\n"
-    "  status ADDRESS:PORT... [--json]  what the core's nodes know\n"
+    "  status ADDRESS:PORT... [--json]  shows the status that controllers report\n"
     "  rollout begin SERVICE REVISION SECONDS ADDRESS:PORT...  moves a service to another revision of its runners\n"
-    "  rollout status|watch|revert SERVICE ADDRESS:PORT... [--json]  shows it, follows it to its end, takes it back\n"
-    "  lock begin|renew|release NAME HOLDER [FENCE] [HOLD_MS] ADDRESS:PORT...  takes, keeps, gives back a lock\n"
-    "  number NAME ADDRESS:PORT...  the next number of a name\n"
-    "  cells get NAME, cells put NAME VALUE REVISION|any ADDRESS:PORT...  reads or puts a cell\n"
-    "  watch GROUP REVISION ADDRESS:PORT...  follows the puts of a group\n"
+    "  rollout status|watch|revert SERVICE ADDRESS:PORT... [--json]  shows, follows or reverts a rollout\n"
+    "  lock begin|renew|release NAME HOLDER [FENCE] [HOLD_MS] ADDRESS:PORT...  acquires, renews or releases a lock\n"
+    "  number NAME ADDRESS:PORT...  allocates the next number of a name\n"
+    "  cells get NAME, cells put NAME VALUE REVISION|any ADDRESS:PORT...  reads or writes a cell\n"
+    "  watch GROUP REVISION ADDRESS:PORT...  prints the changes of a group of cells as they occur\n"
     "  tally add NAME INSTANCE_ID AMOUNT, tally get NAME ADDRESS:PORT...  adds to or reads a replicated counter\n"
-    "  tally sides ADDRESS:PORT... [--json]  whom each node reaches, and which increments either side lacks\n"
-    "  evacuation begin|release ZONE ADDRESS:PORT...  sends nothing more to a zone's runners, takes it back in use\n"
-    "  shards ADDRESS:PORT... [--json]  the coordination service as each node sees it\n"
-    "  functions ADDRESS:PORT... [--json]  usage reports and orders of runners at the platform\n"
-    "  runbook FILE --set name=value,... [--dry]  runs a runbook; lists of addresses are joined by +\n"
-    "  trial [--seconds N]  a small fleet on loopback that serves while a leader and a runner are lost\n"
+    "  tally sides ADDRESS:PORT... [--json]  shows which peers each node reaches and which increments are missing\n"
+    "  evacuation begin|release ZONE ADDRESS:PORT...  stops or resumes sending requests to a zone's runners\n"
+    "  shards ADDRESS:PORT... [--json]  shows the shards of the coordination service as each node sees them\n"
+    "  functions ADDRESS:PORT... [--json]  shows usage reports and orders for runners at the platform\n"
+    "  runbook FILE --set name=value,... [--dry]  runs a runbook; + separates addresses in a list\n"
+    "  trial [--seconds N]  runs a small fleet on loopback in which the leader is killed and a runner stops\n"
     "  --help, --version\n"
-    "exit status: 0 as asked, 1 it went otherwise, 2 the command line or a file is wrong";
+    "exit status: 0 success, 1 failure, 2 invalid command line or input file";
 constexpr int kUsageError = 2;
 constexpr int kMinTrialSeconds = 3;
 constexpr int kMaxTrialSeconds = 600;
 constexpr const char* kThisProgram = "/proc/self/exe";
 
-// What follows the subcommand, without flags.
+// The positional arguments after the subcommand.
 using Arguments = std::vector<std::string>;
 
 int usageError(const std::string& subcommand, const std::string& problem) {
@@ -63,7 +63,8 @@
   return kUsageError;
 }
 
-// --- Which subcommands know a flag. One given to another is an error: it would have no effect.
+// --- Flags and the subcommands that accept them. A flag given to another subcommand is an error, because the flag
+// would have no effect there. ---
 struct FlagUse {
   std::string_view flag;
   std::string_view subcommands;  // separated by spaces
@@ -75,7 +76,7 @@
                                             {"json", "status rollout shards functions tally"},
                                             {"seconds", "trial"}}};
 
-// The flag's name in an argument "--name" or "--name=value"; nothing if it is no flag.
+// The name of the flag in an argument "--name" or "--name=value"; std::nullopt if the argument is not a flag.
 std::optional<std::string_view> flagName(std::string_view argument) {
   constexpr std::string_view kDashes = "--";
   if (!argument.starts_with(kDashes) || argument.size() == kDashes.size())
@@ -84,18 +85,19 @@
   return argument.substr(0, argument.find('='));
 }
 const FlagUse* findFlag(std::string_view name) {
-  constexpr std::string_view kNegation = "no";  // --nodry is --dry=false
+  constexpr std::string_view kNegation = "no";  // Abseil accepts --nodry for --dry=false
   const auto negated = name.starts_with(kNegation) ? name.substr(kNegation.size()) : std::string_view{};
   for (const auto& use : kFlagUses)
     if (use.flag == name || use.flag == negated)
       return &use;
   return nullptr;
 }
+// Whether a subcommand accepts a flag.
 bool knows(std::string_view subcommand, const FlagUse& use) {
   const auto list = " " + std::string(use.subcommands) + " ";
   return list.find(" " + std::string(subcommand) + " ") != std::string::npos;
 }
-// What is wrong with a flag given to a subcommand; empty if nothing is.
+// The error message for a flag that the subcommand does not accept; empty if the flag is accepted.
 std::string flagError(std::string_view subcommand, std::string_view name) {
   const auto* const use = findFlag(name);
   if (!use)
@@ -104,6 +106,8 @@
     return "the flag '--" + std::string(name) + "' is for: " + std::string(use->subcommands);
   return {};
 }
+// The error message for the first flag that is not accepted; empty if there is none. The first argument that does not
+// begin with '-' is taken as the subcommand.
 std::string firstFlagError(const std::vector<std::string_view>& arguments) {
   const auto subcommand = std::find_if(arguments.begin(), arguments.end(), [](std::string_view argument) {
     return !argument.empty() && argument.front() != '-';
@@ -164,7 +168,7 @@
 int functions(const Arguments& arguments) {
   return operations::functionsCommand(arguments, absl::GetFlag(FLAGS_json));
 }
-// A bare name means one of the runbooks that come with the program.
+// Path of a runbook file. A name without '.' and '/' refers to runbooks/NAME.run, a runbook shipped with the program.
 std::string runbookPath(const std::string& file) {
   return file.find_first_of("./") == std::string::npos ? "runbooks/" + file + ".run" : file;
 }
@@ -235,7 +239,7 @@
   return kUsageError;
 }
 
-// What --help or --version prints, wherever it stands; empty if neither is given.
+// The output of --help, -h or --version, whichever comes first in the arguments; empty if none of them is given.
 std::string helpText(const std::vector<std::string_view>& arguments) {
   for (const auto argument : arguments) {
     if (argument == "--help" || argument == "-h")
@@ -246,8 +250,8 @@
   return {};
 }
 
-// Ends the process without waiting for fibers: the fiber library would wait for those parked on connections that
-// nobody serves any more.
+// Flushes all output and ends the process without destroying static objects. A normal exit would block, because the
+// fiber library waits for fibers that are suspended on connections whose event loop no longer runs.
 [[noreturn]] void exitNow(int exitStatus) {
   std::fflush(nullptr);
   ::_exit(exitStatus);
@@ -255,7 +259,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  // At once: a SIGTERM that comes before is not lost but ends a daemon in order, as one that comes later.
+  // Blocks the lifecycle signals first, so that a SIGTERM during startup stays pending and causes a graceful shutdown
+  // like any later SIGTERM.
   if (argc > 1 && isDaemon(argv[1]))
     runtime::holdLifecycleSignals();
   const std::vector<std::string_view> given(argv + std::min(argc, 1), argv + argc);
--- a/libs/operations/include/operations/runbook.hpp
+++ b/libs/operations/include/operations/runbook.hpp
@@ -27,7 +27,7 @@
   int line = 0;                 ///< line number in the runbook's file, from 1
   std::string text;             ///< heading, message: the text; header: NAME VALUE
   std::string path;             ///< get, getFromAll, post
-  std::string body;             ///< post; `@FILE` means the content of that file
+  std::string body;             ///< get, getFromAll, post; `@FILE` means the content of that file
   Observation observation;      ///< expect, await
   bool observesStatus = false;  ///< expect, await: tests the HTTP status instead of the body
   Duration timeout{0};          ///< await: time limit; pause: time to wait
--- a/libs/simulation/src/child_process.cpp
+++ b/libs/simulation/src/child_process.cpp
@@ -13,17 +13,19 @@
 constexpr int kInheritedDescriptor = 3;
 constexpr int kFirstClosedDescriptor = kInheritedDescriptor + 1;
 constexpr int kLogMode = 0644;
-constexpr int kExitCannotStart = 127;  // as of a shell
+constexpr int kExitCannotStart = 127;  // the status with which shells report a command that cannot be executed
 
-// What the child needs between fork() and exec(), where nothing may be allocated.
+// Data that the child uses between fork() and exec(). It is prepared before fork(), as the child must not allocate
+// memory before exec().
 struct Launch {
   char* const* arguments;
   const char* logPath;
   int inherited;
-  int errorPipe;  // closed by exec(); carries errno if something fails before
+  int errorPipe;  // the child writes errno to it if a step before or in exec() fails; exec() closes it
   pid_t parent;
 };
-// Checks the parent too: one that ended before prctl() was called sends no signal.
+// Makes the kernel kill this process when its parent ends. Returns false if that fails or the parent has already ended:
+// a parent that ended before the call of prctl() causes no signal.
 bool killOnParentExit(pid_t parent) {
   return ::prctl(PR_SET_PDEATHSIG, SIGKILL) == 0 && ::getppid() == parent;
 }
@@ -31,9 +33,10 @@
   const int log = ::open(launch.logPath, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
   return log >= 0 && ::dup2(log, STDOUT_FILENO) >= 0 && ::dup2(log, STDERR_FILENO) >= 0;
 }
-// The rest is closed: a child that kept our sockets open would keep connections alive that we have closed.
+// Copies the inherited descriptor to descriptor 3 and marks all higher descriptors close-on-exec. A child with copies
+// of the parent's sockets would keep connections open that the parent has closed.
 bool closeAllButInherited(const Launch& launch) {
-  // dup2() of a descriptor onto itself would leave close-on-exec as it is.
+  // dup2() of a descriptor onto itself does not clear its close-on-exec flag, so that fcntl() has to clear it.
   if (launch.inherited == kInheritedDescriptor) {
     if (::fcntl(kInheritedDescriptor, F_SETFD, 0) != 0)
       return false;
@@ -43,7 +46,7 @@
   return ::close_range(kFirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC) == 0;
 }
 [[noreturn]] void execInChild(Launch launch) {
-  // Out of the way of descriptor 3.
+  // Moves the pipe above descriptor 3, which closeAllButInherited overwrites.
   launch.errorPipe = ::fcntl(launch.errorPipe, F_DUPFD_CLOEXEC, kFirstClosedDescriptor);
   if (launch.errorPipe >= 0 && killOnParentExit(launch.parent) && redirectOutputToLog(launch) &&
       closeAllButInherited(launch))
@@ -53,7 +56,8 @@
     (void)!::write(launch.errorPipe, &error, sizeof error);
   ::_exit(kExitCannotStart);
 }
-// The errno that the child reports, or 0 once its exec() has closed the pipe.
+// Waits until the child has executed the program or failed. Returns the errno that the child wrote to the pipe, or 0 if
+// exec() succeeded and thereby closed the pipe.
 int awaitExec(int errorPipe) {
   int error = 0;
   ssize_t received = 0;
--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -13,7 +13,8 @@
 namespace {
 constexpr int kFirstNetwork = 16;
 constexpr int kNetworks = 224;
-// Internal ports: so many for each network, all below those that the kernel gives out itself (from 32768 by default).
+// Each network has `kInternalPorts` ports of its own. All are below the kernel's ephemeral port range, which begins at
+// 32768 by default.
 constexpr int kFirstInternalPort = 20'000;
 constexpr int kInternalPorts = 16;
 static_assert(kFirstInternalPort + kNetworks * kInternalPorts < 32'768);
@@ -35,8 +36,8 @@
     network_ = kFirstNetwork + (::getpid() + attempt) % kNetworks;
     boost::system::error_code ec;
     reservation_.open(tcp::v4(), ec);
-    // Without address reuse: the kernel gives the address to one socket at a time. The children inherit the socket
-    // (see spawn), so the network is free again once the last process of the fleet has ended.
+    // SO_REUSEADDR is not set, so that the kernel lets only one socket at a time bind the address. The child processes
+    // inherit the socket (see spawn), so that the network stays reserved until the fleet's last process has ended.
     reservation_.bind({boost::asio::ip::make_address_v4(ip(255, 254)), kControlPort}, ec);
     if (!ec)
       return;
--- a/libs/simulation/src/fleet.hpp
+++ b/libs/simulation/src/fleet.hpp
@@ -1,10 +1,11 @@
-/// A fleet of real processes on loopback addresses, with a folder of its own that is removed with it.
+/// A fleet of real processes on loopback addresses. Its settings, data and logs are kept in a temporary folder, which
+/// the fleet's destructor removes.
 ///
-/// Each fleet reserves a network 127.N.0.0/16 for itself, so that several on one machine, of trials and of soak runs,
-/// never share an address: it binds a socket to 127.N.255.254, which the kernel grants to one at a time, and its
-/// processes inherit that socket, so that the network is not free before the last of them has ended. They end with the
-/// process that owns the fleet, also when that is killed (see child_process.hpp). The network's number gives the fleet
-/// its internal ports too.
+/// Each fleet reserves a network 127.N.0.0/16, so that concurrent fleets of trials and soak runs on one machine never
+/// share an address. To reserve the network, the fleet binds a socket to 127.N.255.254, which the kernel permits to
+/// only one socket at a time. The fleet's processes inherit the socket, so that the network stays reserved until the
+/// last process has ended. The processes are killed when the process that owns the fleet ends, even if the owner is
+/// killed (see child_process.hpp). The fleet's internal ports are derived from N as well.
 #pragma once
 #include <sys/types.h>
 
@@ -14,58 +15,62 @@
 
 #include "runtime/common.hpp"
 namespace zinccleat::simulation {
-/// What all machines of a fleet are told alike.
+/// Settings that all machines of a fleet share.
 struct FleetOptions {
-  int core = 3;                         ///< controllers
-  std::vector<std::string> zones{"z"};  ///< machines of each class stand in them in turn
-  std::string timers = "{}";            ///< the settings' member of that name, JSON
+  int core = 3;                         ///< number of controllers
+  std::vector<std::string> zones{"z"};  ///< controllers and access machines are each assigned to the zones in turn
+  std::string timers = "{}";            ///< JSON value of the settings field `timers`
 };
 class LocalFleet {
  public:
   static constexpr unsigned short kControlPort = 8407;
   static constexpr unsigned short kAccessPort = 8405;
   struct Process {
-    std::string name;      ///< of its log file too
+    std::string name;      ///< also the name of the log file, without extension
     std::string role;      ///< the program's subcommand
-    std::string settings;  ///< name of its settings file
+    std::string settings;  ///< name of the settings file, without extension
     pid_t pid = 0;         ///< 0: not running
   };
-  /// Reserves addresses and makes the folder; starts nothing. @param core the number of controllers.
+  /// Reserves a network and creates the folder, without starting any process. @param core the number of controllers.
   LocalFleet(std::string binary, int core) : LocalFleet(std::move(binary), FleetOptions{.core = core}) {}
   LocalFleet(std::string binary, FleetOptions options);
   /// Kills all processes and removes the folder.
   ~LocalFleet();
   LocalFleet(const LocalFleet&) = delete;
   LocalFleet& operator=(const LocalFleet&) = delete;
-  /// Starts the controllers. @return false if one could not be started; `errno` says why.
+  /// Starts the controllers. @return false if a process could not be started; `errno` holds the error.
   bool startCore();
-  /// Starts an agent and a proxy beside the controllers, on one more access machine, with the same result.
+  /// Starts an agent and a proxy on one more access machine.
+  /// @return false if a process could not be started; `errno` holds the error.
   bool startAccessMachine();
-  /// Sends a signal to a process, which is not waited for. @return false if it is not running.
+  /// Sends a signal to a process without waiting for its effect. @return false if the process is not running.
   bool signal(std::size_t process, int number) const;
-  /// The status (see `waitpid`) of a process that has ended by now; none: it runs, or its end was seen before.
+  /// Reaps a process that has ended by itself.
+  /// @return the status as of `waitpid`; `std::nullopt` if the process is still running or was already reaped.
   std::optional<int> pollExitStatus(std::size_t process);
-  /// Writes a machine's settings file again, as an operator who changes nothing in it.
+  /// Sets the modification time of a process's settings file to now without changing the content.
   void touchSettings(std::size_t process) const;
-  /// Ends a process at once (SIGKILL) and waits for its end. @return false if it was not running.
+  /// Kills a process with SIGKILL and waits until it has ended. @return false if the process was not running.
   bool kill(std::size_t process);
-  /// Starts a process again that was killed.
+  /// Starts a process again that is not running.
+  /// @return false if the process is running or cannot be started.
   bool restartProcess(std::size_t process);
-  /// Address and port of a controller's control interface; indexes past the last begin again at the first.
+  /// Address and port of a controller's control API. @param controller index in `core`, taken modulo its size.
   std::string control(std::size_t controller) const;
   /// Address and port where the proxy of an access machine serves clients.
   std::string access(int machine = 0) const { return accessIp(machine) + ":" + std::to_string(kAccessPort); }
-  /// Address and port where an access machine says whether it is ready.
+  /// Address and port of an access machine's readiness endpoint.
   std::string readiness(int machine = 0) const;
-  /// Access machines that were started.
+  /// Number of access machines for which `startAccessMachine` was called.
   int accessMachines() const { return accessMachines_; }
   /// The first of the fleet's internal ports.
   unsigned short internalPort() const;
-  /// An address of the fleet's own network.
+  /// The address 127.N.third.fourth in the fleet's network.
   std::string ip(int third, int fourth) const;
   /// The controllers' addresses.
   const std::vector<std::string>& core() const { return core_; }
-  /// The controllers in the order of `core`, then agent and proxy, as far as they were started.
+  /// The processes that were started: the controllers in the order of `core`, then an agent and a proxy for each access
+  /// machine.
   const std::vector<Process>& processes() const { return processes_; }
   const std::string& binary() const { return binary_; }
   const std::string& folder() const { return folder_; }
@@ -73,8 +78,8 @@
  private:
   struct Machine {
     std::string name, ip, role, zone;
-    std::string bindAddresses;  // members of the JSON object
-    bool hasDisk = false;       // controllers have one
+    std::string bindAddresses;  // fields of the JSON object `bindAddresses`, without braces
+    bool hasDisk = false;       // true for controllers, which store data in the folder
   };
   void reserveNetwork();
   std::string accessIp(int machine) const { return ip(3, machine + 1); }
@@ -88,7 +93,7 @@
   int accessMachines_ = 0;
   int network_ = 0;  // N of 127.N.0.0/16
   boost::asio::io_context reservationIo_;
-  boost::asio::ip::tcp::acceptor reservation_{reservationIo_};  // open as long as the network is reserved
+  boost::asio::ip::tcp::acceptor reservation_{reservationIo_};  // bound to 127.N.255.254 to reserve the network
   std::vector<std::string> core_;
   std::vector<Process> processes_;
 };
--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -10,10 +10,10 @@
 namespace {
 using Kind = OperatorCall::Kind;
 using Answer = OperatorCall::Answer;
-constexpr std::size_t kMaxStates = 2'000'000;  // beyond this the search gives up, which counts as not linearizable
-constexpr std::size_t kMaxNamedCalls = 8;      // calls named in an explanation
+constexpr std::size_t kMaxStates = 2'000'000;  // limit at which the search is aborted and reported as not linearizable
+constexpr std::size_t kMaxNamedCalls = 8;      // calls listed in an explanation
 
-// A configuration as it was sent.
+// The configuration in a Replace request. Two requests with equal version and body are the same change.
 struct SentConfiguration {
   std::int64_t version = 0;
   std::string body;
@@ -39,13 +39,13 @@
     body = call.body;
     accepted.insert(sentConfigurationOf(call));
   }
-  // Undoes accept() of a change that was not accepted before.
+  // Reverts accept() of a call that had not been accepted before; restores the version and body from before accept().
   void undo(const OperatorCall& call, std::int64_t versionBefore, std::string bodyBefore) {
     accepted.erase(sentConfigurationOf(call));
     version = versionBefore;
     body = std::move(bodyBefore);
   }
-  // Whether the call, answered as it was, fits here without changing anything.
+  // Whether the specification permits the call's recorded answer in the current state without a change of the state.
   bool allowsResult(const OperatorCall& call) const {
     if (call.kind == Kind::retrieve)
       return call.version == version && call.body == body;
@@ -70,14 +70,16 @@
     result.linearizable = linearizeAllAnswered();
     result.statesVisited = visited_.size();
     if (!result.linearizable)
-      result.explanation = visited_.size() >= kMaxStates ? "the search gave up" : deepestFailure_;
+      result.explanation =
+          visited_.size() >= kMaxStates ? "the search was aborted at the limit of states" : deepestFailure_;
     return result;
   }
 
  private:
   static bool isAnswered(const OperatorCall& call) { return call.answer != Answer::unknown; }
 
-  // A call may come next if no other that is not yet in the order ended before it began.
+  // The earliest end of the answered calls that are not yet in the order; kNever if there is none. Only calls that
+  // began by this time may come next in the order.
   std::int64_t earliestEnd() const {
     auto earliest = OperatorCall::kNever;
     for (std::size_t i = 0; i < calls_.size(); ++i)
@@ -85,6 +87,7 @@
         earliest = std::min(earliest, calls_[i].ended);
     return earliest;
   }
+  // The calls that may come next in the order.
   std::vector<std::size_t> nextCalls() const {
     const auto until = earliestEnd();
     std::vector<std::size_t> result;
@@ -101,7 +104,8 @@
     linearized_[call] = false;
     unlinearizedAnswered_ += isAnswered(calls_[call]);
   }
-  // Calls that change nothing are put into the order as soon as they fit: that excludes no order of the others.
+  // Appends to the order all answered calls that the state permits without a change, and returns them. Appending such
+  // calls as early as possible excludes no order of the other calls.
   std::vector<std::size_t> linearizeAllThatFit(const Register& state) {
     std::vector<std::size_t> fitting;
     for (bool found = true; found;) {
@@ -115,7 +119,8 @@
     }
     return fitting;
   }
-  // Changes that may come next; of equal ones without an answer only one has to be tried.
+  // The Replace calls that may come next and would be accepted. Of equal unanswered calls only one is included, because
+  // all of them lead to the same state.
   std::vector<std::size_t> changes(const Register& state) const {
     std::vector<std::size_t> result;
     std::set<SentConfiguration> seenUnanswered;
@@ -129,16 +134,16 @@
     }
     return result;
   }
-  // One level of the search, kept in a vector rather than on the call stack: a history may hold thousands of changes,
-  // and a fiber's stack is small.
+  // One level of the search. The levels are kept in a vector instead of on the call stack, because a history may
+  // contain thousands of changes and a fiber's stack is small.
   struct Step {
-    std::vector<std::size_t> fitting;     // calls that fit without a change
-    std::vector<std::size_t> candidates;  // changes still to try, the next one last
-    std::optional<std::size_t> change;    // the change accepted last from here
-    std::int64_t version = 0;             // of the register before it
-    std::string body;
+    std::vector<std::size_t> fitting;     // calls that were appended to the order without a change of the state
+    std::vector<std::size_t> candidates;  // changes that have not been tried yet; the next one to try is last
+    std::optional<std::size_t> change;    // the change that is currently applied at this level
+    std::int64_t version = 0;             // version of the register before `change`
+    std::string body;                     // body of the register before `change`
   };
-  // Depth first over the orders of the changes. True: every answered call is in the order.
+  // Depth-first search over the orders of the changes. Returns true if an order contains every answered call.
   bool linearizeAllAnswered() {
     enterState();
     while (unlinearizedAnswered_ != 0 && !steps_.empty()) {
@@ -150,6 +155,7 @@
     }
     return unlinearizedAnswered_ == 0;
   }
+  // Adds a level for the current state of the register, with the changes to try from there.
   void enterState() {
     auto& step = steps_.emplace_back();
     step.fitting = linearizeAllThatFit(register_);
@@ -159,6 +165,7 @@
     step.candidates = changes(register_);
     std::reverse(step.candidates.begin(), step.candidates.end());
   }
+  // Removes the last level and takes its calls out of the order.
   void leaveState() {
     for (auto call : steps_.back().fitting)
       unlinearize(call);
@@ -183,7 +190,8 @@
     unlinearize(*step.change);
     step.change.reset();
   }
-  // Whether the state was not visited before: which calls are in the order, and the configuration.
+  // Records the search state, which consists of the set of calls in the order and the configuration. Returns false if
+  // the state was visited before or the limit of states is reached.
   bool markVisited(const Register& state) {
     if (visited_.size() >= kMaxStates)
       return false;
@@ -192,6 +200,7 @@
       key.push_back(done ? '1' : '0');
     return visited_.insert(digestOf(key)).second;
   }
+  // Writes the explanation for the state with the fewest answered calls outside the order so far.
   void recordDeepest(const Register& state) {
     if (!deepestFailure_.empty() && unlinearizedAnswered_ >= fewestUnlinearizedAnswered_)
       return;
@@ -215,12 +224,12 @@
   std::vector<bool> linearized_;
   Register register_;
   std::vector<Step> steps_;
-  std::ptrdiff_t unlinearizedAnswered_ = 0,
-                 fewestUnlinearizedAnswered_ = 0;  // answered calls that are not in the order
+  // Number of answered calls that are not in the order: now, and the minimum reached during the search.
+  std::ptrdiff_t unlinearizedAnswered_ = 0, fewestUnlinearizedAnswered_ = 0;
   std::unordered_set<std::string> visited_;
   std::string deepestFailure_;
 };
-// A read without an answer constrains nothing.
+// A Retrieve without an answer neither changes the configuration nor restricts the order.
 bool isUninformative(const OperatorCall& call) {
   return call.kind == Kind::retrieve && call.answer == Answer::unknown;
 }
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -16,28 +16,29 @@
 constexpr int kRunners = 4;
 constexpr int kClients = 6;
 constexpr int kOperators = 2;
-constexpr int kPhases = 3;  // before the leader is lost, before a runner is lost, after both
+constexpr int kPhases = 3;  // before the leader is killed, between that and the stop of a runner, and after both
 constexpr std::uint64_t kSeed = 7;
 constexpr auto kPollInterval = 50ms;
 constexpr int kMaxLeaderPolls = 100;
 constexpr int kMaxShutdownPolls = 120;
-constexpr auto kStabilizationTime = 1000ms;  // until the proxy has its lease and the runners are known
+constexpr auto kStabilizationTime = 1000ms;  // allows the proxy to get its lease and the runners to register
 constexpr auto kLeaderDownTime = 300ms;
-constexpr Duration kLoadAfterRollout{2000};  // between its term and the end of the load
+constexpr Duration kLoadAfterRollout{2000};  // between the planned end of the rollout and the end of the load
 constexpr Duration kMinRolloutDuration{1000};
-constexpr Duration kReversalTimeout{5000};  // when the load has ended
+constexpr Duration kReversalTimeout{5000};  // time limit for the reversal after the last phase
 
 void printLine(const std::string& line) {
   std::printf("%s\n", line.c_str());
   std::fflush(stdout);
 }
 
-/// One trial, phase by phase. Its parts are used by fibers that never run again once the loop has stopped.
+/// Runs one trial in consecutive phases. Fibers hold references to the members; the event loop is stopped before the
+/// members are destroyed, and no fiber runs afterwards.
 class Trial {
  public:
   Trial(std::string binary, int seconds)
       : fleet_(std::move(binary), kControllers), phaseLength_(seconds * 1000 / kPhases) {}
-  /// @return whether nothing was lost, wrong or run twice.
+  /// @return whether all criteria of `simulation::trial` are met; an error if the trial could not be set up.
   Result<bool> run();
 
  private:
@@ -71,7 +72,7 @@
   startRunners();
   awaitReadiness();
   printFleetDescription();
-  printLine("rolls out a revision of two runners that fails half of its streams");
+  printLine("rolling out a revision with two runners that fail half of their streams");
   clients_.start(kClients);
   operators_.start(kOperators);
   if (!rollout_.begin(std::max(kMinRolloutDuration, kPhases * phaseLength_ - kLoadAfterRollout)))
@@ -89,7 +90,7 @@
   if (!fleet_.startCore() || !fleet_.startAccessMachine())
     return makeError(ErrorCode::ioError, "cannot start " + fleet_.binary());
   if (!operators_.installInitialConfiguration())
-    return makeError(ErrorCode::unavailable, "the core took no configuration in 10 s");
+    return makeError(ErrorCode::unavailable, "the core accepted no configuration within 10 s");
   return {};
 }
 void Trial::startRunners() {
@@ -113,13 +114,13 @@
   const auto leader = findLeader(fleet_);
   if (!leader)
     return;
-  printLine("kills the leader, " + fleet_.processes()[*leader].name + ", without a word");
+  printLine("killing the leader, " + fleet_.processes()[*leader].name + ", with SIGKILL");
   fleet_.kill(*leader);
   runtime::EventLoop::get().sleepFor(kLeaderDownTime);
   fleet_.restartProcess(*leader);
 }
 void Trial::killRunner() {
-  printLine("kills " + runners_[0]->id() + ", without a word");
+  printLine("stopping " + runners_[0]->id() + " without detaching it");
   runners_[0]->stop();
 }
 void Trial::stopLoad() {
@@ -146,9 +147,9 @@
   const int doubled = countRepeatedPushes();
   std::printf("\npushes served %d, streams served %d, of these late (over a second) %d\n", seen.pushes, seen.streams,
               seen.late);
-  std::printf("refused with a time to come back %d, failed tries %d\n", seen.refusals, seen.failures);
+  std::printf("attempts refused with 429 or 503: %d, failed attempts %d\n", seen.refusals, seen.failures);
   std::printf("lost %d, wrong %d, run twice %d\n", seen.lost, seen.wrong, doubled);
-  std::printf("\nfurther: docs/design.md, docs/operators\n");
+  std::printf("\nsee also: docs/design.md, docs/operators\n");
   return seen.lost + seen.wrong + doubled == 0 && seen.pushes > 0 && seen.streams > 0;
 }
 bool Trial::reportOperators() const {
@@ -172,7 +173,7 @@
 }  // namespace
 
 int trial(const std::string& binary, int seconds) {
-  // The loop outlives everything on it: sockets end on the loop that they were made on.
+  // The loop is static so that it outlives the trial's sockets, which must be closed before their loop is destroyed.
   static runtime::EventLoop loop;
   Trial runningTrial(binary, seconds);
   int exitCode = 1;
--- a/libs/simulation/src/trial_clients.cpp
+++ b/libs/simulation/src/trial_clients.cpp
@@ -5,10 +5,10 @@
 
 namespace zinccleat::simulation {
 namespace {
-constexpr auto kTotalRequestTimeout = 5s;  // for a request with all its attempts
+constexpr auto kTotalRequestTimeout = 5s;  // for all attempts of one request together
 constexpr auto kAttemptTimeout = 3s;
 constexpr auto kLateThreshold = 1s;
-constexpr Duration kRetryInterval{50};  // where the answer names none
+constexpr Duration kRetryInterval{50};  // used if the response has no Retry-After
 constexpr Duration kMinRetryInterval{20};
 constexpr auto kRequestInterval = 20ms;
 constexpr int kOk = 200;
--- a/libs/simulation/src/trial_clients.hpp
+++ b/libs/simulation/src/trial_clients.hpp
@@ -1,27 +1,27 @@
-/// The clients of a trial: each sends pushes and streams in turn through the proxy and retries until it has the right
-/// answer or its patience ends.
+/// The simulated clients of a trial. Each client alternately sends push and stream requests through the proxy and
+/// retries each request until it receives the expected response or a total time limit of 5 s has passed.
 #pragma once
 #include "fleet.hpp"
 namespace zinccleat::simulation {
-/// What the clients saw. Requests are counted once, attempts each time.
+/// Results of all clients. `pushes` to `lost` count requests; `refusals` to `wrong` count single attempts.
 struct ClientStatistics {
-  int pushes = 0, streams = 0;  ///< requests with the right answer
-  int late = 0;                 ///< of these, those that took over a second
-  int lost = 0;                 ///< requests without a right answer within the client's patience
-  int refusals = 0;             ///< attempts answered with a time to come back
-  int failures = 0;             ///< attempts without an answer, or with another status
-  int wrong = 0;                ///< attempts answered with 200 and another body
+  int pushes = 0, streams = 0;  ///< requests that received the expected response
+  int late = 0;                 ///< requests among `pushes` and `streams` that took more than 1 s
+  int lost = 0;                 ///< requests without the expected response within the time limit
+  int refusals = 0;             ///< attempts answered with status 429 or 503
+  int failures = 0;             ///< attempts without a complete response or with any other status but 200
+  int wrong = 0;                ///< attempts answered with status 200 and an unexpected body
 };
 
 class TrialClients {
  public:
-  /// `fleet` must outlive the event loop's last turn.
+  /// `fleet` must stay valid until the event loop has stopped.
   explicit TrialClients(const LocalFleet& fleet) : fleet_(fleet) {}
-  /// Starts a fiber for each of so many clients.
+  /// Starts `clients` clients, each on a fiber of its own.
   void start(int clients);
-  /// Each client ends after its request under way.
+  /// Makes each client end after its current request.
   void stop() { stopped_ = true; }
-  /// Clients that have not ended yet.
+  /// Number of clients that have not ended yet.
   int running() const { return running_; }
   const ClientStatistics& statistics() const { return statistics_; }
 
@@ -30,7 +30,7 @@
   enum class AttemptEnd { served, refused, failed, wrong };
   struct AttemptResult {
     AttemptEnd end = AttemptEnd::failed;
-    Duration retryAfter{};  // refused only
+    Duration retryAfter{};  // set only for `refused`
   };
   struct Response;
   void run(int client);
--- a/libs/simulation/src/trial_operators.hpp
+++ b/libs/simulation/src/trial_operators.hpp
@@ -1,27 +1,30 @@
-/// The operators of a trial: each reads the configuration at some controller, builds a change on it and sends that to
-/// any controller until the answer is clear. Some answers are dropped as if lost on their way. Every call is recorded,
-/// so that the history can be checked for linearizability afterwards.
+/// The simulated operators of a trial. Each operator reads the configuration from a random controller, derives a change
+/// from it and sends the change to random controllers until a response determines the outcome or six attempts have been
+/// made. A fraction of the responses is discarded to simulate lost responses. Every call is recorded, so that the
+/// history can be checked for linearizability afterwards.
 #pragma once
 #include <random>
 
 #include "fleet.hpp"
 #include "simulation/linearizability.hpp"
 namespace zinccleat::simulation {
-/// The configuration of a trial. @param subscriber an extra subscriber, whom nobody uses, that marks one change.
+/// The configuration of a trial as JSON.
+/// @param subscriber label of an additional subscriber that no client uses; makes the change identifiable.
 std::string trialConfiguration(std::int64_t version, const std::string& subscriber);
 
 class TrialOperators {
  public:
-  /// All references must outlive the event loop's last turn.
+  /// The referenced objects must stay valid until the event loop has stopped.
   TrialOperators(const LocalFleet& fleet, std::mt19937_64& random) : fleet_(fleet), random_(random) {}
-  /// Sends the first configuration to each controller in turn until one has answered clearly.
-  /// @return false if none has after 100 attempts. Runs on a fiber.
+  /// Sends the first configuration to the controllers in turn until a response determines the outcome. Must run on a
+  /// fiber.
+  /// @return false if 100 attempts received no such response.
   bool installInitialConfiguration();
-  /// Starts a fiber for each of so many operators.
+  /// Starts `operators` operators, each on a fiber of its own.
   void start(int operators);
-  /// Each operator ends after its call under way.
+  /// Makes each operator end after its current call.
   void stop() { stopped_ = true; }
-  /// Operators that have not ended yet.
+  /// Number of operators that have not ended yet.
   int running() const { return running_; }
   const std::vector<OperatorCall>& history() const { return recorder_.calls(); }
 
@@ -31,9 +34,10 @@
     std::string configuration;
   };
   void run(const std::string& name);
-  /// @return true if the answer was clear, and not lost on its way.
+  /// @return true if a response with status 200, 400 or 412 was received and not discarded.
   bool sendChange(const std::string& name, std::size_t controller, const Change& change);
   std::optional<std::int64_t> readVersion(const std::string& name, std::size_t controller);
+  /// Decides at random whether to discard a response.
   bool answerIsLost();
 
   const LocalFleet& fleet_;
--- a/libs/simulation/src/trial_rollout.cpp
+++ b/libs/simulation/src/trial_rollout.cpp
@@ -51,10 +51,11 @@
   int streams = 0;
   for (const auto& runner : runners_)
     streams += runner->streams();
-  std::printf("rollout of a revision that fails half of its streams: %s after %s ms (%s); it got %d streams\n",
-              operations::fieldOf(report_, "state").value_or("unknown").c_str(),
-              operations::fieldOf(report_, "elapsedMs").value_or("?").c_str(),
-              operations::fieldOf(report_, "reason").value_or("").c_str(), streams);
+  std::printf(
+      "rollout of a revision that fails half of its streams: %s after %s ms (%s); its runners received %d streams\n",
+      operations::fieldOf(report_, "state").value_or("unknown").c_str(),
+      operations::fieldOf(report_, "elapsedMs").value_or("?").c_str(),
+      operations::fieldOf(report_, "reason").value_or("").c_str(), streams);
 }
 void TrialRollout::stopHeartbeats() {
   for (auto& runner : runners_)
--- a/libs/simulation/src/trial_rollout.hpp
+++ b/libs/simulation/src/trial_rollout.hpp
@@ -1,31 +1,35 @@
-/// The rollout of a trial: new runners whose revision fails half of its streams are started beside the others, and the
-/// fleet has to revert it.
+/// The rollout of a trial. Runners of a new revision that fails half of its streams are started in addition to the
+/// existing runners. The fleet is expected to revert the rollout.
 #pragma once
 #include "trial_runner.hpp"
 namespace zinccleat::simulation {
 class TrialRollout {
  public:
-  /// All references must outlive the event loop's last turn.
+  /// The referenced objects must stay valid until the event loop has stopped.
   TrialRollout(const LocalFleet& fleet, ExecutionCounts& executions, std::mt19937_64& random)
       : fleet_(fleet), executions_(executions), random_(random) {}
-  /// Gives the order to each controller in turn until one has acknowledged it, and starts the runners. Runs on a fiber.
-  /// @return false if none acknowledged it
+  /// Sends Rollouts.Begin to the controllers in turn until one acknowledges the request, then starts the new runners.
+  /// Must run on a fiber.
+  /// @param term the planned duration of the rollout
+  /// @return false if 60 attempts were not acknowledged
   bool begin(Duration term);
-  /// Waits until it is over. Runs on a fiber.
-  /// @return whether it was reverted
+  /// Waits until the rollout is completed or reverted. Must run on a fiber.
+  /// @return whether the rollout was reverted within the time limit
   bool awaitReversal(Duration timeout);
-  /// Prints what became of it.
+  /// Prints the last known state of the rollout and the number of streams that the new runners received.
   void report() const;
+  /// Stops the heartbeats of the new runners.
   void stopHeartbeats();
 
  private:
-  /// Asks a controller for the state. @return empty if it does not say
+  /// Requests the rollout from a random controller.
+  /// @return the rollout's state; empty if there was no response with status 200 or the response has no state
   std::string retrieve();
 
   const LocalFleet& fleet_;
   ExecutionCounts& executions_;
   std::mt19937_64& random_;
   std::vector<std::shared_ptr<TrialRunner>> runners_;
-  std::string report_;  ///< the newest answer
+  std::string report_;  ///< body of the newest response with status 200
 };
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/trial_runner.cpp
+++ b/libs/simulation/src/trial_runner.cpp
@@ -87,7 +87,8 @@
   const auto headers = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
   send(responseHead(attemptId, "200 OK", headers) + body, connection, ec);
 }
-// A stream that was cut resumes behind the last event that its client has.
+// Sends the events after `lastEvent`, which is 0 for a new stream; an interrupted stream is resumed after the last
+// event that the client has received.
 void TrialRunner::answerStream(const std::string& attemptId, int lastEvent, runtime::Connection& connection,
                                runtime::SocketError& ec) {
   if (++streams_ % 2 == 0 && version_.failsEverySecondStream)
@@ -111,7 +112,7 @@
 
 void TrialRunner::sendHeartbeats() {
   for (int sequence = 1; running_ && sendsHeartbeats_; ++sequence) {
-    // One that is not acknowledged is not repeated: the next one follows soon.
+    // An unacknowledged heartbeat is not retried, because the next heartbeat follows after kHeartbeatInterval.
     (void)operations::callOne(fleet_.control(random_()), heartbeatCall(id_, heartbeat(sequence)), kHeartbeatTimeout);
     runtime::EventLoop::get().sleepFor(kHeartbeatInterval);
   }
--- a/libs/simulation/src/trial_runner.hpp
+++ b/libs/simulation/src/trial_runner.hpp
@@ -1,4 +1,5 @@
-/// A runner of a trial: a server on loopback that answers pushes and streams and sends heartbeats.
+/// A simulated runner of a trial: a server on a loopback address that serves push and stream requests and sends
+/// heartbeats to the controllers.
 #pragma once
 #include <map>
 #include <random>
@@ -6,31 +7,32 @@
 #include "fleet.hpp"
 #include "proxy/http.hpp"
 namespace zinccleat::simulation {
-/// Events of each stream of a trial, and one of them as text.
+/// Number of events in each stream of a trial.
 constexpr int kEventsPerStream = 8;
+/// One server-sent event of a stream. @param number from 1 to `kEventsPerStream`; also the event's id.
 std::string streamEvent(int number);
-/// How often each attempt ran at a runner, by attempt id. A push may run once.
+/// Number of executions of each push attempt, by attempt id. More than one execution is a fault.
 using ExecutionCounts = std::map<std::string, int>;
 
-/// The software of a runner.
+/// The software version of a runner.
 struct TrialVersion {
   std::string revision = "v1";
-  bool failsEverySecondStream = false;  ///< every other stream is answered with an error
+  bool failsEverySecondStream = false;  ///< every second stream is answered with status 500
 };
 
 class TrialRunner : public std::enable_shared_from_this<TrialRunner> {
  public:
-  /// Listens at a port that the kernel chooses. All references must outlive the event loop's last turn.
+  /// Listens on a port chosen by the kernel. The referenced objects must stay valid until the event loop has stopped.
   TrialRunner(const LocalFleet& fleet, std::string id, std::string service, ExecutionCounts& executions,
               std::mt19937_64& random, TrialVersion version = {});
   /// Accepts connections and sends heartbeats until `stop`.
   void start();
-  /// Ends at once, as a process that is killed: connections break, nothing is said to the controllers.
+  /// Stops immediately, like a killed process: closes all connections and does not detach from the controllers.
   void stop();
-  /// Sends no more heartbeats.
+  /// Stops the heartbeats; requests are still served.
   void stopHeartbeats() { sendsHeartbeats_ = false; }
   const std::string& id() const { return id_; }
-  /// Streams that it was sent.
+  /// Number of stream requests that the runner has received.
   int streams() const { return streams_; }
 
  private:
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -1,4 +1,5 @@
-/// The processes of a trial or a soak run end with the one that started them, and no two runs share addresses.
+/// Tests that child processes of a trial or soak run are killed when their parent ends, and that concurrent fleets
+/// never share addresses.
 #include "child_process.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +28,7 @@
 std::vector<std::string> endless() {
   return {std::begin(kEndless), std::end(kEndless)};
 }
-// A program that takes any arguments and runs until it is killed, in a folder of its own.
+// A shell script in a temporary folder that ignores its arguments and runs until it is killed.
 class EndlessProgram {
  public:
   EndlessProgram() {
@@ -43,13 +44,14 @@
  private:
   std::string folder_;
 };
-// Whether every process that had the other end of the pipe open has ended.
+// Waits up to kMaxWaitMs until no process has the write end of the pipe open. Returns false if the time limit passes.
 bool awaitEnd(int readEnd) {
   pollfd waited{readEnd, POLLIN, 0};
   char byte = 0;
   return ::poll(&waited, 1, kMaxWaitMs) == 1 && ::read(readEnd, &byte, 1) == 0;
 }
-// Waits for a child, or for an orphan reparented to this process, and kills it if it does not end by itself.
+// Waits up to kMaxWaitMs for a child, or for an orphan that was reparented to this process, and reaps it. Returns false
+// if the process did not end by itself and had to be killed.
 bool endsByItself(pid_t process) {
   const int handle = static_cast<int>(::syscall(SYS_pidfd_open, process, 0));
   pollfd waited{handle, POLLIN, 0};
@@ -60,7 +62,7 @@
   ::close(handle);
   return ended;
 }
-// The errno of another process that binds the address by which a fleet reserves its network; 0 if it can.
+// The errno of binding a second socket to the address with which a fleet reserves its network; 0 if binding succeeds.
 int errorOfReserving(const std::string& ip) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io);
@@ -74,7 +76,7 @@
 }
 }  // namespace
 
-// Regression: the processes of a crashed trial ran on, and after nine such trials the next one could not serve.
+// Regression: child processes of a crashed trial kept running. After nine such trials the next trial could not serve.
 TEST(ChildProcess, EndsWhenItsParentIsKilled) {
   int alive[2];
   ASSERT_EQ(::pipe(alive), 0);
@@ -148,7 +150,8 @@
   };
   int reports[2];
   ASSERT_EQ(::pipe(reports), 0);
-  // Once the fleet's process is killed, its children are reparented to this one, which can then wait for them.
+  // Makes the kernel reparent the fleet's processes to this process when their parent is killed, so that the test can
+  // wait for them.
   ASSERT_EQ(::prctl(PR_SET_CHILD_SUBREAPER, 1), 0);
   const pid_t parent = ::fork();
   if (parent == 0) {
@@ -158,7 +161,8 @@
       ::_exit(1);
     report.child = fleet.processes()[0].pid;
     reservedIp(fleet).copy(report.ip, sizeof report.ip - 1);
-    // Closes the parent's own socket, which is what happens first when a process ends.
+    // Closes the parent's reservation socket, as the kernel does when a process ends, before the parent is killed. From
+    // then on only the child holds the socket.
     ::close_range(STDERR_FILENO + 1, static_cast<unsigned>(reports[1]) - 1, 0);
     ::close_range(static_cast<unsigned>(reports[1]) + 1, ~0U, 0);
     (void)!::write(reports[1], &report, sizeof report);
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -1,5 +1,6 @@
-/// Operator calls are linearizable: the checker by itself, and over histories recorded on seeded clusters, in which
-/// several operators change and read the configuration at any node, answers are lost and requests are retried.
+/// Tests of the linearizability checker with fixed and generated histories, and checks of histories recorded on
+/// simulated clusters with fixed seeds, in which several operators change and read the configuration at any node while
+/// answers are lost and requests are retried.
 #include "simulation/linearizability.hpp"
 
 #include <gtest/gtest.h>
@@ -38,65 +39,73 @@
 
 TEST(Linearizability, ExamplesAreClassified) {
   const std::vector<Example> examples = {
-      {"nothing", true, {}},
-      {"one after the other",
+      {"empty history", true, {}},
+      {"sequential calls",
        true,
        {replace(1, 2, 0, 1, "A", kAcknowledged), retrieve(3, 4, 1, "A"), replace(5, 6, 1, 4, "B", kAcknowledged),
         retrieve(7, 8, 4, "B")}},
-      {"a read beside a change may see either", true, {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 0, "")}},
-      {"or the new one",
+      {"a read during a change may return the old configuration",
+       true,
+       {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 0, "")}},
+      {"a read during a change may return the new configuration",
        true,
        {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 1, "A"), retrieve(4, 5, 1, "A")}},
-      {"but none goes back",
+      {"a read returns the old configuration after another read has returned the new one",
        false,
        {replace(1, 9, 0, 1, "A", kAcknowledged), retrieve(2, 3, 1, "A"), retrieve(4, 5, 0, "")}},
       {"a stale read",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kAcknowledged), retrieve(5, 6, 1, "A")}},
-      {"two accepted on one version",
+      {"two changes accepted on one base version",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 9, 1, 2, "B", kAcknowledged),
         replace(4, 8, 1, 3, "C", kAcknowledged)}},
-      {"two under one number",
+      {"two changes accepted with one version number",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 9, 1, 2, "B", kAcknowledged),
         replace(4, 8, 1, 2, "C", kAcknowledged)}},
-      {"one of the two rejected",
+      {"of two changes with one version number one is rejected",
        true,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 9, 1, 2, "B", kAcknowledged),
         replace(4, 8, 1, 2, "C", kOtherVersion)}},
-      {"rejected though nothing else was accepted",
+      {"a change rejected although no other was accepted",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kOtherVersion)}},
-      {"acknowledged and lost", false, {replace(1, 2, 0, 1, "A", kAcknowledged), retrieve(3, 4, 0, "")}},
+      {"an acknowledged change is not visible",
+       false,
+       {replace(1, 2, 0, 1, "A", kAcknowledged), retrieve(3, 4, 0, "")}},
       {"a lost answer, accepted", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 1, "A")}},
       {"a lost answer, never accepted", true, {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 0, "")}},
       {"a lost answer, accepted late",
        true,
        {lostReplace(1, 0, 1, "A"), retrieve(3, 4, 0, ""), retrieve(5, 6, 1, "A")}},
-      {"but not before it was sent", false, {retrieve(1, 2, 1, "A"), lostReplace(3, 0, 1, "A")}},
-      {"retried and acknowledged", true, {lostReplace(1, 0, 1, "A"), replace(3, 4, 0, 1, "A", kAcknowledged)}},
-      {"retried and rejected though it was accepted",
+      {"a change is visible before it was sent", false, {retrieve(1, 2, 1, "A"), lostReplace(3, 0, 1, "A")}},
+      {"a retry after a lost answer is acknowledged",
+       true,
+       {lostReplace(1, 0, 1, "A"), replace(3, 4, 0, 1, "A", kAcknowledged)}},
+      {"a retry of an accepted change is rejected",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 0, 1, "A", kOtherVersion)}},
-      {"retried after others",
+      {"a retry is acknowledged after a later change",
        true,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kAcknowledged),
         replace(5, 6, 0, 1, "A", kAcknowledged), retrieve(7, 8, 2, "B")}},
-      {"retried and in force again",
+      {"a retry after a later change takes effect again",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), replace(3, 4, 1, 2, "B", kAcknowledged),
         replace(5, 6, 0, 1, "A", kAcknowledged), retrieve(7, 8, 1, "A")}},
-      {"rejected by a change whose answer was lost",
+      {"a change is rejected because of a change whose answer was lost",
        true,
        {replace(1, 2, 0, 1, "A", kAcknowledged), lostReplace(3, 1, 2, "B"), replace(4, 5, 1, 3, "C", kOtherVersion),
         retrieve(6, 7, 2, "B")}},
-      {"rejected by a change that then never was",
+      {"a change is rejected because of a change that never takes effect",
        false,
        {replace(1, 2, 0, 1, "A", kAcknowledged), lostReplace(3, 1, 2, "B"), replace(4, 5, 1, 3, "C", kOtherVersion),
         retrieve(6, 7, 1, "A")}},
-      {"invalid", true, {replace(1, 2, 0, 3, "A", kAcknowledged), replace(3, 4, 3, 2, "B", kInvalid)}},
-      {"called invalid though it is not",
+      {"a change with a version below its base is invalid",
+       true,
+       {replace(1, 2, 0, 3, "A", kAcknowledged), replace(3, 4, 3, 2, "B", kInvalid)}},
+      {"a valid change is rejected as invalid",
        false,
        {replace(1, 2, 0, 3, "A", kAcknowledged), replace(3, 4, 3, 4, "B", kInvalid)}},
   };
@@ -108,7 +117,7 @@
 }
 
 namespace {
-// Runs the check where the trial runs it: on a fiber, whose stack is small.
+// Runs the checker on a fiber, as the trial does. A fiber's stack is small.
 LinearizabilityResult checkOnFiber(const std::vector<OperatorCall>& history) {
   LinearizabilityResult result;
   auto& loop = EventLoop::get();
@@ -119,7 +128,7 @@
   loop.run();
   return result;
 }
-// One change after the other, each read back.
+// A sequential history of changes, each followed by a Retrieve that returns the change.
 std::vector<OperatorCall> longHistory(std::int64_t changes) {
   std::vector<OperatorCall> history;
   std::int64_t now = 0;
@@ -133,14 +142,15 @@
 }
 }  // namespace
 
-// Found by the trial at its default length: a search that called itself once a change overran a fiber's stack.
+// Regression: a recursive search with one stack frame for each change overflowed the fiber's stack in a trial of
+// default length.
 TEST(Linearizability, AHistoryOfThousandsOfChangesIsCheckedOnAFiber) {
   constexpr std::int64_t kChanges = 2000;
   auto history = longHistory(kChanges);
   const auto result = checkOnFiber(history);
   EXPECT_TRUE(result.linearizable) << result.explanation;
   EXPECT_GE(result.statesVisited, static_cast<std::size_t>(kChanges));
-  // A stale read at the very end: the search goes all the way back before it says no.
+  // With a stale read at the end of the history, the search has to backtrack through all levels before it fails.
   const auto end = history.back().ended;
   history.push_back(retrieve(end + 1, end + 2, 1, "body 1"));
   const auto stale = checkOnFiber(history);
@@ -149,7 +159,7 @@
 }
 
 namespace {
-// Histories of a register that is one: each call takes effect at a moment between its sending and its answer.
+// Generates linearizable histories: each call takes effect at `moment`, which lies between the call's start and end.
 struct LinearizableRegister {
   std::mt19937_64 random;
   ReplicatedState replica;
@@ -174,7 +184,7 @@
     history.push_back(::retrieve(moment - drawHalfDuration(), moment + drawHalfDuration(), replica.state().version,
                                  replica.state().configuration));
   }
-  // So that some eight calls overlap.
+  // 1 to 40. With one call every 10 units of time, about eight calls overlap at any moment.
   std::int64_t drawHalfDuration() { return 1 + static_cast<std::int64_t>(random() % 40); }
   void run(int calls) {
     std::vector<std::tuple<std::int64_t, std::int64_t, std::string>> sent;
@@ -229,7 +239,8 @@
 const std::vector<std::string> kFounders = {"10.1.0.1", "10.2.0.1", "10.3.0.1"};
 enum class InjectedFault { nothing, staleRead, earlyAcknowledgement };
 
-// Operators of a seeded cluster. Every call to its machines goes through the few functions below.
+// Simulated operators of a simulated cluster. They read and change the configuration through random machines and record
+// every call. `InjectedFault` selects an incorrect behavior of the machines.
 class Operators {
  public:
   Operators(SimulatedCluster& cluster, InjectedFault fault)
@@ -259,7 +270,8 @@
   bool drawLostAnswer() { return random_() % 4 == 0; }
   void schedule(Duration wait, std::function<void()> next) { cluster_.schedule(wait, std::move(next)); }
 
-  // An operator reads what is in force, builds on it, and sends that until it has a clear answer.
+  // Reads the configuration at a random machine and then sends a change that is based on the version read. Repeats the
+  // read if no answer is received.
   void read(const std::string& who) {
     if (cluster_.now >= until_)
       return;
@@ -270,12 +282,13 @@
         return schedule(Duration(200), [this, who] { read(who); });
       const auto& state = machine(ip).replica.state();
       recorder_.retrieveAnswered(call, nowMs(), state.version, state.configuration);
-      // Two operators may well pick one version number.
+      // Two operators may choose the same version number.
       const ReplaceRequest request{state.version, state.version + 1 + static_cast<std::int64_t>(random_() % 2),
                                    "by " + who + " at " + std::to_string(nowMs())};
       schedule(Duration(random_() % 400), [this, who, request] { send(who, request, kAttempts); });
     });
   }
+  // Sends a change to random machines until a status is received or no attempts are left, then reads again.
   void send(const std::string& who, const ReplaceRequest& request, int attemptsLeft) {
     if (attemptsLeft == 0 || cluster_.now >= until_)
       return read(who);
@@ -291,7 +304,7 @@
       schedule(Duration(150), [this, who, request, attemptsLeft] { send(who, request, attemptsLeft - 1); });
     });
   }
-  // The same request once more, long after: a copy that was delayed in the network.
+  // Sends the same request again after 2 to 10 s, like a duplicate that was delayed in the network.
   void retryLate(const std::string& who, const ReplaceRequest& request) {
     schedule(Duration(2000 + random_() % 8000), [this, who, request] {
       const auto call = recorder_.replaceSent(who + ", late", nowMs(), request.base, request.version, request.body);
@@ -300,9 +313,9 @@
     });
   }
 
-  // A verdict is the status of its answer.
+  // The numeric value of a verdict is the HTTP status of the answer.
   static int statusOf(ReplicatedState::Verdict verdict) { return static_cast<int>(verdict); }
-  // What a machine does with a Replace; the status is 0 without a clear answer.
+  // Simulates how a machine handles a Replace. Passes the HTTP status to `answer`, or 0 if the outcome is unknown.
   void sendReplace(const std::string& ip, const ReplaceRequest& request, const std::function<void(int)>& answer) {
     auto& node = machine(ip);
     if (!node.up || node.paused)
@@ -318,6 +331,8 @@
       return schedule(Duration(5), [answer] { answer(statusOf(ReplicatedState::Verdict::acknowledged)); });
     awaitOutcome(ip, node.incarnation, entry.operationId, cluster_.now + kWriteTimeout, answer);
   }
+  // Polls the replica until it has applied the operation; passes 0 to `answer` if the machine restarts or time runs
+  // out.
   void awaitOutcome(const std::string& ip, int incarnation, const std::string& operation, TimePoint until,
                     const std::function<void(int)>& answer) {
     if (!isRunning(ip, incarnation) || cluster_.now >= until)
@@ -326,7 +341,8 @@
       return answer(statusOf(*outcome));
     schedule(kPollInterval, [=, this] { awaitOutcome(ip, incarnation, operation, until, answer); });
   }
-  // What a machine does before it answers a Retrieve: it leads under a lease, or asks the leader for its read index.
+  // Simulates what a machine does before it answers a Retrieve: a leader with a lease answers immediately; any other
+  // machine requests the read index from the leader and waits until it has applied that index.
   void awaitReadIndex(const std::string& ip, int incarnation, TimePoint until,
                       const std::function<void(bool)>& answer) {
     if (!isRunning(ip, incarnation) || machine(ip).paused || cluster_.now >= until)
@@ -346,6 +362,7 @@
       schedule(Duration(2), [=, this] { awaitIndex(ip, incarnation, readIndex, until, answer); });
     });
   }
+  // Polls the replica until it has applied the entries up to `readIndex`.
   void awaitIndex(const std::string& ip, int incarnation, std::int64_t readIndex, TimePoint until,
                   const std::function<void(bool)>& answer) {
     if (!isRunning(ip, incarnation) || cluster_.now >= until)
@@ -362,7 +379,8 @@
   OperatorRecorder recorder_;
   int writes_ = 0;
 };
-// One machine in trouble at a time: killed and back, cut off, frozen, or with a slow disk.
+// Applies one fault to a random machine and lifts the fault after 0.5 to 4.5 s: crash and restart, network isolation,
+// pause, or slow disk.
 void injectFaults(SimulatedCluster& cluster) {
   const auto& ip = kFounders[cluster.draw(kFounders.size())];
   const Duration lasting(500 + cluster.draw(4000));
@@ -386,6 +404,7 @@
   }
   cluster.runFor(lasting + Duration(cluster.draw(3000)));
 }
+// Runs four operators for 40 s of simulated time while faults are injected, and returns the recorded calls.
 std::vector<OperatorCall> recordedHistory(std::uint64_t seed, InjectedFault fault) {
   SimulatedCluster cluster(seed);
   cluster.lossRate = seed % 2 ? 0.03 : 0.0;
@@ -400,11 +419,13 @@
   EXPECT_TRUE(cluster.violations.empty()) << "seed " << seed << ": " << cluster.violations.front();
   return operators.history();
 }
+// Number of acknowledged Replace calls.
 std::ptrdiff_t acknowledged(const std::vector<OperatorCall>& history) {
   return std::count_if(history.begin(), history.end(),
                        [](auto& call) { return call.kind == Kind::replace && call.answer == kAcknowledged; });
 }
 constexpr std::uint64_t kWorlds = 30;
+// Number of seeds whose recorded history is linearizable.
 int countLinearizableWorlds(InjectedFault fault) {
   int explained = 0;
   for (std::uint64_t seed = 1; seed <= kWorlds; ++seed)
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,4 +1,4 @@
-// Runbooks: parsed completely before the first call, run step by step, stopped by an observation that is not met.
+// Tests of runbooks (parsing, execution, dry run), JSON paths and observations, and of the replication of zone drains.
 #include <gtest/gtest.h>
 
 #include "config/control_requests.hpp"
@@ -13,7 +13,8 @@
     "title T\nparam core x\nparam who someone\nstep look\nget /v1/Status\nexpect any node == {who}\nstep change\npost "
     "/v1/Set {\"a\":\"{who}\"}\nexpect any status == 200\n";
 
-// Controllers that always give the same answer, a clock that only sleeping advances, and what was printed and called.
+// A fake runbook environment. Controllers always return the same response, only sleepFor advances the clock, and calls
+// and printed lines are recorded.
 struct FakeEnvironment {
   std::vector<std::string> printed;
   std::vector<std::string> calls;
