--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -132,14 +132,14 @@
 int rollout(const Arguments& arguments) {
   constexpr std::size_t kVerbAndService = 2;
   constexpr std::size_t kBeginArguments = 4;
-  const bool begins = !arguments.empty() && arguments.front() == "begin";
-  const auto needed = begins ? kBeginArguments : kVerbAndService;
+  const bool isBegin = !arguments.empty() && arguments.front() == "begin";
+  const auto needed = isBegin ? kBeginArguments : kVerbAndService;
   if (arguments.size() < needed)
     return usageError("rollout", "wants begin SERVICE REVISION SECONDS, or status, watch or revert SERVICE");
   operations::RolloutCommand command;
   command.verb = arguments[0];
   command.service = arguments[1];
-  if (begins) {
+  if (isBegin) {
     command.revision = arguments[2];
     command.seconds = arguments[3];
   }
--- a/libs/operations/src/check_command.cpp
+++ b/libs/operations/src/check_command.cpp
@@ -36,7 +36,7 @@
                                               {"rollout", checkRollout},
                                               {"runbook", checkRunbook}}};
 
-int invalid(const std::string& file, const std::string& problem) {
+int reportInvalid(const std::string& file, const std::string& problem) {
   std::fprintf(stderr, "zinccleat check: %s: %s\n", file.c_str(), problem.c_str());
   return 1;
 }
@@ -45,7 +45,7 @@
 int checkCommand(const std::string& kind, const std::string& file) {
   const auto text = config::readFile(file);
   if (!text)
-    return invalid(file, text.error().message);
+    return reportInvalid(file, text.error().message);
   const auto found = std::find_if(kFileKinds.begin(), kFileKinds.end(),
                                   [&](const FileKind& candidate) { return candidate.name == kind; });
   if (found == kFileKinds.end()) {
@@ -53,7 +53,7 @@
     return 2;
   }
   if (const auto problem = found->check(*text); !problem.empty())
-    return invalid(file, problem);
+    return reportInvalid(file, problem);
   std::printf("%s: fine\n", file.c_str());
   return 0;
 }
--- a/libs/operations/src/coordination_command.cpp
+++ b/libs/operations/src/coordination_command.cpp
@@ -215,13 +215,13 @@
   const auto addresses = argumentsFrom(arguments, kGroupAndRevision);
   return runOnEventLoop([&] {
     auto revision = arguments[1];
-    for (int silent = 0; silent < kMaxUnansweredWatches; ++silent) {
+    for (int unansweredCount = 0; unansweredCount < kMaxUnansweredWatches; ++unansweredCount) {
       const auto path = "/v1/watch/" + arguments[0] + "?after=" + revision + "&waitMs=" + std::to_string(kWatchWaitMs);
       const auto response = callAny(addresses, {"GET", path, "", {}}, kWatchTimeout);
       if (response && (response->status == kGone || response->status / 100 == 4))
         return report(response);
       if (response && response->status == kOk) {
-        silent = -1;
+        unansweredCount = -1;
         const auto reached = fieldOf(response->body, "revision").value_or(revision);
         if (std::exchange(revision, reached) != reached)
           (void)report(response);
--- a/libs/operations/src/json_path.cpp
+++ b/libs/operations/src/json_path.cpp
@@ -40,7 +40,7 @@
   return path.size();
 }
 // Removes the first segment and the dot after it from the path. Returns the segment.
-std::string_view takeSegment(std::string_view& path) {
+std::string_view popSegment(std::string_view& path) {
   const auto length = segmentLength(path);
   const auto segment = path.substr(0, length);
   path.remove_prefix(std::min(path.size(), length + 1));
@@ -95,7 +95,7 @@
   if (document.parse(position))
     return std::nullopt;
   while (!path.empty()) {
-    const auto segment = parseSegment(takeSegment(path));
+    const auto segment = parseSegment(popSegment(path));
     JsonObject object;
     if (!segment || position.get(object) || object.at_key(segment->name).get(position))
       return std::nullopt;
--- a/libs/operations/src/rollout_command.cpp
+++ b/libs/operations/src/rollout_command.cpp
@@ -77,10 +77,10 @@
 }
 int watch(const RolloutCommand& command) {
   std::string printed;
-  for (int silent = 0; silent < kMaxUnansweredPolls; ++silent) {
+  for (int unansweredCount = 0; unansweredCount < kMaxUnansweredPolls; ++unansweredCount) {
     const auto response = retrieve(command);
     if (response && response->status == kOk) {
-      silent = 0;
+      unansweredCount = 0;
       const auto step = field(response->body, "phase") + field(response->body, "percent");
       if (std::exchange(printed, step) != step)
         print(response->body, command.asJson);
--- a/libs/operations/src/runbook_parser.cpp
+++ b/libs/operations/src/runbook_parser.cpp
@@ -41,20 +41,20 @@
 }
 // Replaces each {name} by its value. Returns an error with the line number for a parameter without a value.
 Result<std::string> substitute(const std::string& text, const ParameterValues& values, int line) {
-  std::string filled;
+  std::string substituted;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const auto name = parameterAt(text, i);
     if (name.empty()) {
-      filled += text[i];
+      substituted += text[i];
       continue;
     }
     const auto value = values.find(name);
     if (value == values.end())
       return errorAt(line, "no value for '" + name + "': use --set " + name + "=...");
-    filled += value->second;
+    substituted += value->second;
     i += name.size() + 1;
   }
-  return filled;
+  return substituted;
 }
 
 Result<Step> parseText(Step step, const std::string& text) {
@@ -170,9 +170,9 @@
 }
 
 Result<Step> RunbookParser::parseStep(const std::string& keyword, const std::string& text) {
-  const auto filled = substitute(text, values_, line_);
-  if (!filled)
-    return tl::unexpected(filled.error());
+  const auto substituted = substitute(text, values_, line_);
+  if (!substituted)
+    return tl::unexpected(substituted.error());
   const auto form = std::find_if(kStepForms.begin(), kStepForms.end(),
                                  [&](const StepForm& candidate) { return candidate.keyword == keyword; });
   if (form == kStepForms.end())
@@ -182,7 +182,7 @@
   Step step;
   step.kind = form->kind;
   step.line = line_;
-  return form->parse(std::move(step), *filled);
+  return form->parse(std::move(step), *substituted);
 }
 }  // namespace
 
--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -11,7 +11,7 @@
 using Kind = OperatorCall::Kind;
 using Answer = OperatorCall::Answer;
 constexpr std::size_t kMaxStates = 2'000'000;  // limit at which the search is aborted and reported as not linearizable
-constexpr std::size_t kMaxNamedCalls = 8;      // calls listed in an explanation
+constexpr std::size_t kMaxListedCalls = 8;     // calls listed in an explanation
 
 // The configuration in a Replace request. Two requests with equal version and body are the same change.
 struct SentConfiguration {
@@ -106,18 +106,18 @@
   }
   // Appends to the order all answered calls that the state permits without a change, and returns them. Appending such
   // calls as early as possible excludes no order of the other calls.
-  std::vector<std::size_t> linearizeAllThatFit(const Register& state) {
-    std::vector<std::size_t> fitting;
+  std::vector<std::size_t> linearizeAllPermitted(const Register& state) {
+    std::vector<std::size_t> appendedCalls;
     for (bool found = true; found;) {
       found = false;
       for (auto i : nextCalls())
         if (isAnswered(calls_[i]) && state.allowsResult(calls_[i])) {
           linearize(i);
-          fitting.push_back(i);
+          appendedCalls.push_back(i);
           found = true;
         }
     }
-    return fitting;
+    return appendedCalls;
   }
   // The Replace calls that may come next and would be accepted. Of equal unanswered calls only one is included, because
   // all of them lead to the same state.
@@ -137,11 +137,11 @@
   // One level of the search. The levels are kept in a vector instead of on the call stack, because a history may
   // contain thousands of changes and a fiber's stack is small.
   struct Step {
-    std::vector<std::size_t> fitting;     // calls that were appended to the order without a change of the state
-    std::vector<std::size_t> candidates;  // changes that have not been tried yet; the next one to try is last
-    std::optional<std::size_t> change;    // the change that is currently applied at this level
-    std::int64_t version = 0;             // version of the register before `change`
-    std::string body;                     // body of the register before `change`
+    std::vector<std::size_t> appendedCalls;  // calls that were appended to the order without a change of the state
+    std::vector<std::size_t> candidates;     // changes that have not been tried yet; the next one to try is last
+    std::optional<std::size_t> change;       // the change that is currently applied at this level
+    std::int64_t version = 0;                // version of the register before `change`
+    std::string body;                        // body of the register before `change`
   };
   // Depth-first search over the orders of the changes. Returns true if an order contains every answered call.
   bool linearizeAllAnswered() {
@@ -158,7 +158,7 @@
   // Adds a level for the current state of the register, with the changes to try from there.
   void enterState() {
     auto& step = steps_.emplace_back();
-    step.fitting = linearizeAllThatFit(register_);
+    step.appendedCalls = linearizeAllPermitted(register_);
     if (unlinearizedAnswered_ == 0 || !markVisited(register_))
       return;
     recordDeepest(register_);
@@ -167,7 +167,7 @@
   }
   // Removes the last level and takes its calls out of the order.
   void leaveState() {
-    for (auto call : steps_.back().fitting)
+    for (auto call : steps_.back().appendedCalls)
       unlinearize(call);
     steps_.pop_back();
   }
@@ -206,9 +206,9 @@
       return;
     fewestUnlinearizedAnswered_ = unlinearizedAnswered_;
     deepestFailure_ = "in version " + std::to_string(state.version) + " no order of the calls permits:";
-    std::size_t named = 0;
+    std::size_t listedCount = 0;
     for (auto i : nextCalls())
-      if (isAnswered(calls_[i]) && ++named <= kMaxNamedCalls)
+      if (isAnswered(calls_[i]) && ++listedCount <= kMaxListedCalls)
         deepestFailure_ += "\n  " + describe(calls_[i]);
   }
   static std::string describe(const OperatorCall& call) {
@@ -230,13 +230,13 @@
   std::string deepestFailure_;
 };
 // A Retrieve without an answer neither changes the configuration nor restricts the order.
-bool isUninformative(const OperatorCall& call) {
+bool hasNoConstraint(const OperatorCall& call) {
   return call.kind == Kind::retrieve && call.answer == Answer::unknown;
 }
 }  // namespace
 
 LinearizabilityResult checkLinearizable(std::vector<OperatorCall> history) {
-  std::erase_if(history, isUninformative);
+  std::erase_if(history, hasNoConstraint);
   std::stable_sort(history.begin(), history.end(), [](auto& a, auto& b) { return a.began < b.began; });
   return Search(std::move(history)).run();
 }
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -22,7 +22,7 @@
 constexpr int kMaxLeaderPolls = 100;
 constexpr int kMaxShutdownPolls = 120;
 constexpr auto kStabilizationTime = 1000ms;  // allows the proxy to get its lease and the runners to register
-constexpr auto kLeaderDownTime = 300ms;
+constexpr auto kLeaderRestartDelay = 300ms;
 constexpr Duration kLoadAfterRollout{2000};  // between the planned end of the rollout and the end of the load
 constexpr Duration kMinRolloutDuration{1000};
 constexpr Duration kReversalTimeout{5000};  // time limit for the reversal after the last phase
@@ -116,7 +116,7 @@
     return;
   printLine("killing the leader, " + fleet_.processes()[*leader].name + ", with SIGKILL");
   fleet_.kill(*leader);
-  runtime::EventLoop::get().sleepFor(kLeaderDownTime);
+  runtime::EventLoop::get().sleepFor(kLeaderRestartDelay);
   fleet_.restartProcess(*leader);
 }
 void Trial::killRunner() {
--- a/libs/simulation/src/trial_operators.cpp
+++ b/libs/simulation/src/trial_operators.cpp
@@ -66,7 +66,7 @@
   const auto call = recorder_.replaceSent(name, nowMicroseconds(), change.base, change.version, change.configuration);
   const auto answer =
       operations::callOne(fleet_.control(controller), replaceCall(change.configuration, change.base), kReplaceTimeout);
-  if (!answer || answerIsLost())
+  if (!answer || shouldDropAnswer())
     return false;
   recorder_.replaceAnswered(call, nowMicroseconds(), answer->status);
   return isConclusive(*answer);
@@ -74,7 +74,7 @@
 std::optional<std::int64_t> TrialOperators::readVersion(const std::string& name, std::size_t controller) {
   const auto call = recorder_.retrieveSent(name, nowMicroseconds());
   const auto answer = operations::callOne(fleet_.control(controller), retrieveCall(), kRetrieveTimeout);
-  if (!isAcknowledged(answer) || answerIsLost())
+  if (!isAcknowledged(answer) || shouldDropAnswer())
     return std::nullopt;
   const auto configuration = config::parseConfiguration(answer->body);
   if (!configuration)
@@ -83,7 +83,7 @@
   recorder_.retrieveAnswered(call, nowMicroseconds(), version, answer->body);
   return version;
 }
-bool TrialOperators::answerIsLost() {
+bool TrialOperators::shouldDropAnswer() {
   return random_() % kLostAnswerDivisor == 0;
 }
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/trial_operators.hpp
+++ b/libs/simulation/src/trial_operators.hpp
@@ -38,7 +38,7 @@
   bool sendChange(const std::string& name, std::size_t controller, const Change& change);
   std::optional<std::int64_t> readVersion(const std::string& name, std::size_t controller);
   /// Decides at random whether to discard a response.
-  bool answerIsLost();
+  bool shouldDropAnswer();
 
   const LocalFleet& fleet_;
   std::mt19937_64& random_;
--- a/libs/simulation/src/trial_rollout.cpp
+++ b/libs/simulation/src/trial_rollout.cpp
@@ -16,8 +16,8 @@
 constexpr auto kCallTimeout = 1000ms;
 }  // namespace
 
-bool TrialRollout::begin(Duration term) {
-  const auto call = beginRolloutCall(kService, kRevision, term);
+bool TrialRollout::begin(Duration plannedDuration) {
+  const auto call = beginRolloutCall(kService, kRevision, plannedDuration);
   bool acknowledged = false;
   for (std::size_t attempt = 0; attempt < kAttempts && !acknowledged; ++attempt) {
     acknowledged = isAcknowledged(operations::callOne(fleet_.control(attempt), call, kCallTimeout));
--- a/libs/simulation/src/trial_rollout.hpp
+++ b/libs/simulation/src/trial_rollout.hpp
@@ -10,9 +10,9 @@
       : fleet_(fleet), executions_(executions), random_(random) {}
   /// Sends Rollouts.Begin to the controllers in turn until one acknowledges the request, then starts the new runners.
   /// Must run on a fiber.
-  /// @param term the planned duration of the rollout
+  /// @param plannedDuration the planned duration of the rollout
   /// @return false if 60 attempts were not acknowledged
-  bool begin(Duration term);
+  bool begin(Duration plannedDuration);
   /// Waits until the rollout is completed or reverted. Must run on a fiber.
   /// @return whether the rollout was reverted within the time limit
   bool awaitReversal(Duration timeout);
--- a/tests/child_process_test.cpp
+++ b/tests/child_process_test.cpp
@@ -45,7 +45,7 @@
   std::string folder_;
 };
 // Waits up to kMaxWaitMs until no process has the write end of the pipe open. Returns false if the time limit passes.
-bool awaitEnd(int readEnd) {
+bool awaitPipeClosed(int readEnd) {
   pollfd waited{readEnd, POLLIN, 0};
   char byte = 0;
   return ::poll(&waited, 1, kMaxWaitMs) == 1 && ::read(readEnd, &byte, 1) == 0;
@@ -63,7 +63,7 @@
   return ended;
 }
 // The errno of binding a second socket to the address with which a fleet reserves its network; 0 if binding succeeds.
-int errorOfReserving(const std::string& ip) {
+int errnoOfBindingReservation(const std::string& ip) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor acceptor(io);
   boost::system::error_code ec;
@@ -90,7 +90,7 @@
   int status = 0;
   ASSERT_EQ(::waitpid(parent, &status, 0), parent);
   EXPECT_TRUE(WIFSIGNALED(status)) << "the child could not be started";
-  EXPECT_TRUE(awaitEnd(alive[0]));
+  EXPECT_TRUE(awaitPipeClosed(alive[0]));
   ::close(alive[0]);
 }
 TEST(ChildProcess, RunsOnWhileItsParentDoes) {
@@ -104,7 +104,7 @@
   EXPECT_EQ(::waitpid(child, nullptr, WNOHANG), 0);
   ::kill(child, SIGKILL);
   EXPECT_EQ(::waitpid(child, nullptr, 0), child);
-  EXPECT_TRUE(awaitEnd(alive[0]));
+  EXPECT_TRUE(awaitPipeClosed(alive[0]));
   ::close(alive[0]);
 }
 TEST(ChildProcess, AMissingProgramIsReportedWithErrno) {
@@ -122,7 +122,7 @@
   ASSERT_GT(child, 0);
   ::close(inherited[1]);
   ::close(notInherited[1]);
-  EXPECT_TRUE(awaitEnd(notInherited[0]));
+  EXPECT_TRUE(awaitPipeClosed(notInherited[0]));
   pollfd waited{inherited[0], POLLIN, 0};
   EXPECT_EQ(::poll(&waited, 1, 0), 0);
   ::kill(child, SIGKILL);
@@ -139,7 +139,7 @@
     fleets.push_back(std::make_unique<LocalFleet>("/nowhere/program", 1));
     EXPECT_TRUE(reserved.insert(reservedIp(*fleets.back())).second);
     EXPECT_TRUE(ports.insert(fleets.back()->internalPort()).second);
-    EXPECT_EQ(errorOfReserving(reservedIp(*fleets.back())), EADDRINUSE);
+    EXPECT_EQ(errnoOfBindingReservation(reservedIp(*fleets.back())), EADDRINUSE);
   }
 }
 TEST(LocalFleet, NetworkStaysReservedUntilItsLastProcessEnds) {
@@ -172,11 +172,11 @@
   ::close(reports[1]);
   Report report;
   ASSERT_EQ(::read(reports[0], &report, sizeof report), static_cast<ssize_t>(sizeof report));
-  EXPECT_EQ(errorOfReserving(report.ip), EADDRINUSE);
+  EXPECT_EQ(errnoOfBindingReservation(report.ip), EADDRINUSE);
   ::kill(parent, SIGKILL);
   EXPECT_EQ(::waitpid(parent, nullptr, 0), parent);
   EXPECT_TRUE(endsByItself(report.child));
-  EXPECT_EQ(errorOfReserving(report.ip), 0);
+  EXPECT_EQ(errnoOfBindingReservation(report.ip), 0);
   ::prctl(PR_SET_CHILD_SUBREAPER, 0);
   ::close(reports[0]);
 }
--- a/tests/linearizability_test.cpp
+++ b/tests/linearizability_test.cpp
@@ -298,14 +298,14 @@
       if (status != 0 && !drawLostAnswer()) {
         recorder_.replaceAnswered(call, nowMs(), status);
         if (random_() % 5 == 0)
-          retryLate(who, request);
+          sendDelayedDuplicate(who, request);
         return schedule(Duration(100), [this, who] { read(who); });
       }
       schedule(Duration(150), [this, who, request, attemptsLeft] { send(who, request, attemptsLeft - 1); });
     });
   }
   // Sends the same request again after 2 to 10 s, like a duplicate that was delayed in the network.
-  void retryLate(const std::string& who, const ReplaceRequest& request) {
+  void sendDelayedDuplicate(const std::string& who, const ReplaceRequest& request) {
     schedule(Duration(2000 + random_() % 8000), [this, who, request] {
       const auto call = recorder_.replaceSent(who + ", late", nowMs(), request.base, request.version, request.body);
       sendReplace(drawMachine(), request,
