--- a/libs/operations/src/coordination_command.cpp
+++ b/libs/operations/src/coordination_command.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kWatchRetryInterval{500};
 constexpr int kWatchWaitMs = 10'000;
 constexpr Duration kWatchTimeout{12'000};
-constexpr int kMaxUnansweredWatches = 10;  // consecutive polls without a response before a watch fails
+constexpr int kMaxUnansweredWatches = 10;  // consecutive polls without status 200 or 4xx before a watch fails
 
 using Arguments = std::vector<std::string>;
 
--- a/libs/operations/src/rollout_command.cpp
+++ b/libs/operations/src/rollout_command.cpp
@@ -14,7 +14,7 @@
 constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 constexpr Duration kWatchInterval{500};
-constexpr int kMaxUnansweredPolls = 60;  // consecutive polls without a response before a watch fails
+constexpr int kMaxUnansweredPolls = 60;  // consecutive polls without status 200 or 4xx before a watch fails
 
 int usageError(const std::string& problem) {
   std::fprintf(stderr, "zinccleat rollout: %s\n", problem.c_str());
