--- a/libs/simulation/src/trial_clients.cpp
+++ b/libs/simulation/src/trial_clients.cpp
@@ -8,8 +8,8 @@
 constexpr auto kTotalRequestTimeout = 5s;  // for all attempts of one request together
 constexpr auto kAttemptTimeout = 3s;
 constexpr auto kLateThreshold = 1s;
-constexpr Duration kRetryInterval{50};  // used if the response has no Retry-After
-constexpr Duration kMinRetryInterval{20};
+constexpr Duration kRetryInterval{50};     // after an attempt that failed or returned a wrong body
+constexpr Duration kMinRetryInterval{20};  // lower limit if a refused attempt has a shorter or no Retry-After
 constexpr auto kRequestInterval = 20ms;
 constexpr int kOk = 200;
 constexpr int kTooManyRequests = 429;
