--- a/libs/operations/src/rollout_command.cpp
+++ b/libs/operations/src/rollout_command.cpp
@@ -11,22 +11,22 @@
 namespace {
 constexpr int kOk = 200;
 constexpr int kExitOk = 0;
-constexpr int kExitOtherwise = 1;
+constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 constexpr Duration kWatchInterval{500};
-constexpr int kMaxSilentPolls = 60;  // in a row, before a watch gives up
+constexpr int kMaxUnansweredPolls = 60;  // consecutive polls without status 200 or 4xx before a watch fails
 
 int usageError(const std::string& problem) {
   std::fprintf(stderr, "zinccleat rollout: %s\n", problem.c_str());
   return kExitUsage;
 }
-// Prints why a call went otherwise.
+// Prints the error, or the status and error message of the response, to stderr.
 int failure(const Result<CallResponse>& response) {
   const auto reason = response ? "status " + std::to_string(response->status) + ": " +
                                      fieldOf(response->body, "error").value_or(response->body)
                                : response.error().message;
   std::fprintf(stderr, "zinccleat rollout: %s\n", reason.c_str());
-  return kExitOtherwise;
+  return kExitFailure;
 }
 int report(const Result<CallResponse>& response) {
   if (!response || response->status != kOk)
@@ -77,16 +77,16 @@
 }
 int watch(const RolloutCommand& command) {
   std::string printed;
-  for (int silent = 0; silent < kMaxSilentPolls; ++silent) {
+  for (int unansweredCount = 0; unansweredCount < kMaxUnansweredPolls; ++unansweredCount) {
     const auto response = retrieve(command);
     if (response && response->status == kOk) {
-      silent = 0;
+      unansweredCount = 0;
       const auto step = field(response->body, "phase") + field(response->body, "percent");
       if (std::exchange(printed, step) != step)
         print(response->body, command.asJson);
       const auto state = field(response->body, "state");
       if (state != "in_progress")
-        return state == "completed" ? kExitOk : kExitOtherwise;
+        return state == "completed" ? kExitOk : kExitFailure;
     } else if (response && response->status / 100 == 4) {
       return failure(response);
     }
--- a/libs/operations/src/runbook_executor.cpp
+++ b/libs/operations/src/runbook_executor.cpp
@@ -1,4 +1,4 @@
-// Running runbooks: one function for each kind of step.
+// Runs runbooks. There is one member function for each kind of step.
 #include "config/settings.hpp"
 #include "operations/runbook.hpp"
 #include "text.hpp"
@@ -6,14 +6,14 @@
 namespace zinccleat::operations {
 namespace {
 constexpr Duration kRetryInterval{300};
-constexpr std::size_t kMostPrintedBody = 100;
-constexpr std::size_t kMostPrintedAnswer = 300;
+constexpr std::size_t kMaxPrintedBodyBytes = 100;
+constexpr std::size_t kMaxPrintedAnswerBytes = 300;
 constexpr const char* kIndent = "     ";
 
 class RunbookExecutor {
  public:
   RunbookExecutor(const RunbookEnvironment& environment, bool dryRun) : environment_(environment), dryRun_(dryRun) {}
-  // Returns false if a step stopped the runbook.
+  // Runs the steps in order. Returns false if a step stopped the runbook.
   bool run(const Runbook& runbook);
 
  private:
@@ -24,7 +24,7 @@
   bool call(const Step& step);
   bool observe(const Step& step);
 
-  // Makes the last call (again) and keeps what it gave.
+  // Sends the request `call_`, for the first time or again, and replaces `bodies_` and `statuses_` by the results.
   void repeatCall();
   void record(const Result<CallResponse>& response);
   const std::vector<std::string>& answersFor(const Step& step) const;
@@ -34,12 +34,12 @@
 
   const RunbookEnvironment& environment_;
   bool dryRun_;
-  int headings_ = 0;
-  std::vector<HttpHeader> headers_;  // for the next call
-  Call call_;                        // the last call
-  bool toAll_ = false;               // it went to all controllers
-  std::vector<std::string> bodies_;  // its answers; "{}" for none
-  std::vector<std::string> statuses_;
+  int headingCount_ = 0;
+  std::vector<HttpHeader> headers_;    // header fields for the next call
+  Call call_;                          // the most recent call
+  bool sentToAll_ = false;             // whether `call_` is sent to all controllers instead of any one
+  std::vector<std::string> bodies_;    // response bodies of the most recent call; "{}" where there was no response
+  std::vector<std::string> statuses_;  // {"status":N} for each element of `bodies_`; N is 0 if there was no response
 };
 
 bool RunbookExecutor::run(const Runbook& runbook) {
@@ -77,7 +77,7 @@
 }
 
 void RunbookExecutor::printHeading(const Step& step) {
-  environment_.print(std::to_string(++headings_) + ". " + step.text);
+  environment_.print(std::to_string(++headingCount_) + ". " + step.text);
 }
 void RunbookExecutor::addHeader(const Step& step) {
   auto [name, value, hasValue] = splitFirstWord(step.text);
@@ -91,9 +91,9 @@
 bool RunbookExecutor::call(const Step& step) {
   call_ = Call{step.kind == StepKind::post ? "POST" : "GET", step.path, step.body, std::move(headers_)};
   headers_.clear();
-  toAll_ = step.kind == StepKind::getFromAll;
+  sentToAll_ = step.kind == StepKind::getFromAll;
   printIndented(call_.method + " " + call_.path +
-                (call_.body.empty() ? "" : " " + call_.body.substr(0, kMostPrintedBody)));
+                (call_.body.empty() ? "" : " " + call_.body.substr(0, kMaxPrintedBodyBytes)));
   if (dryRun_)
     return true;
   if (call_.body.starts_with('@')) {
@@ -111,7 +111,7 @@
 void RunbookExecutor::repeatCall() {
   bodies_.clear();
   statuses_.clear();
-  if (!toAll_)
+  if (!sentToAll_)
     return record(environment_.callAny(call_));
   for (const auto& response : environment_.callAll(call_))
     record(response);
@@ -135,7 +135,7 @@
   }
   printStop(step, "wanted " + condition + ", saw " + observedValues(step.observation, answersFor(step)));
   for (const auto& body : bodies_)
-    printIndented("answer: " + body.substr(0, kMostPrintedAnswer));
+    printIndented("answer: " + body.substr(0, kMaxPrintedAnswerBytes));
   return false;
 }
 const std::vector<std::string>& RunbookExecutor::answersFor(const Step& step) const {
--- a/libs/operations/src/runbook_parser.cpp
+++ b/libs/operations/src/runbook_parser.cpp
@@ -1,4 +1,4 @@
-// Parsing runbooks: a table of keywords, one function for each form of step.
+// Parses runbooks. `kStepForms` maps each keyword to the function that parses the step's text.
 #include <array>
 #include <charconv>
 #include <sstream>
@@ -12,7 +12,7 @@
   return makeError(ErrorCode::invalidArgument, "line " + std::to_string(line) + ": " + problem);
 }
 
-// The integer that a text begins with; 0 if it begins with none.
+// The integer at the beginning of a text, with an optional sign; 0 if there is none.
 int leadingInteger(std::string_view text) {
   int value = 0;
   if (text.starts_with('+'))
@@ -20,15 +20,16 @@
   std::from_chars(text.data(), text.data() + text.size(), value);
   return value;
 }
-Duration secondsOf(std::string_view text) {
+Duration parseSeconds(std::string_view text) {
   return std::chrono::seconds(leadingInteger(text));
 }
 
-// Only lower-case letters and hyphens: the braces of JSON bodies stay.
+// Parameter names consist of lower-case letters and hyphens only, so that braces in JSON bodies are not taken for
+// parameters.
 bool isParameterName(std::string_view name) {
   return !name.empty() && name.find_first_not_of("abcdefghijklmnopqrstuvwxyz-") == std::string_view::npos;
 }
-// The name in braces at a position of a text; empty if there is none.
+// The parameter name in braces that begins at `position`; empty if there is none.
 std::string parameterAt(const std::string& text, std::size_t position) {
   if (text[position] != '{')
     return {};
@@ -38,22 +39,22 @@
   auto name = text.substr(position + 1, end - position - 1);
   return isParameterName(name) ? name : std::string();
 }
-// Replaces each {name} by its value.
+// Replaces each {name} by its value. Returns an error with the line number for a parameter without a value.
 Result<std::string> substitute(const std::string& text, const ParameterValues& values, int line) {
-  std::string filled;
+  std::string substituted;
   for (std::size_t i = 0; i < text.size(); ++i) {
     const auto name = parameterAt(text, i);
     if (name.empty()) {
-      filled += text[i];
+      substituted += text[i];
       continue;
     }
     const auto value = values.find(name);
     if (value == values.end())
-      return errorAt(line, "no value for '" + name + "': say --set " + name + "=...");
-    filled += value->second;
+      return errorAt(line, "no value for '" + name + "': use --set " + name + "=...");
+    substituted += value->second;
     i += name.size() + 1;
   }
-  return filled;
+  return substituted;
 }
 
 Result<Step> parseText(Step step, const std::string& text) {
@@ -63,13 +64,13 @@
 Result<Step> parseCall(Step step, const std::string& text) {
   auto [path, body, hasBody] = splitFirstWord(text);
   if (!path.starts_with('/'))
-    return errorAt(step.line, "a call needs a path");
+    return errorAt(step.line, "a call needs a path that begins with '/'");
   step.path = std::move(path);
   step.body = std::move(body);
   return step;
 }
 Result<Step> parsePause(Step step, const std::string& text) {
-  step.timeout = secondsOf(text);
+  step.timeout = parseSeconds(text);
   return step;
 }
 Result<Step> parseExpect(Step step, const std::string& text) {
@@ -82,9 +83,9 @@
 }
 Result<Step> parseAwait(Step step, const std::string& text) {
   const auto [seconds, observation, hasObservation] = splitFirstWord(text);
-  step.timeout = secondsOf(seconds);
+  step.timeout = parseSeconds(seconds);
   if (step.timeout <= Duration(0) || !hasObservation)
-    return errorAt(step.line, "await needs seconds");
+    return errorAt(step.line, "await needs a positive number of seconds and an observation");
   return parseExpect(std::move(step), observation);
 }
 
@@ -123,7 +124,7 @@
   ParameterValues values_;
   Runbook runbook_;
   int line_ = 0;
-  bool called_ = false;  // there is a call whose answers can be observed
+  bool hasCall_ = false;  // whether a call precedes the current line, so that an observation is allowed
 };
 
 Result<Runbook> RunbookParser::parse(const std::string& text) {
@@ -154,7 +155,7 @@
   auto step = parseStep(keyword, rest);
   if (!step)
     return tl::unexpected(step.error());
-  called_ = called_ || isCall(step->kind);
+  hasCall_ = hasCall_ || isCall(step->kind);
   runbook_.steps.push_back(std::move(*step));
   return {};
 }
@@ -169,19 +170,19 @@
 }
 
 Result<Step> RunbookParser::parseStep(const std::string& keyword, const std::string& text) {
-  const auto filled = substitute(text, values_, line_);
-  if (!filled)
-    return tl::unexpected(filled.error());
+  const auto substituted = substitute(text, values_, line_);
+  if (!substituted)
+    return tl::unexpected(substituted.error());
   const auto form = std::find_if(kStepForms.begin(), kStepForms.end(),
                                  [&](const StepForm& candidate) { return candidate.keyword == keyword; });
   if (form == kStepForms.end())
-    return errorAt(line_, "unknown word '" + keyword + "'");
-  if (isObservation(form->kind) && !called_)
-    return errorAt(line_, "nothing was called that could be observed");
+    return errorAt(line_, "unknown keyword '" + keyword + "'");
+  if (isObservation(form->kind) && !hasCall_)
+    return errorAt(line_, "an observation needs a preceding call");
   Step step;
   step.kind = form->kind;
   step.line = line_;
-  return form->parse(std::move(step), *filled);
+  return form->parse(std::move(step), *substituted);
 }
 }  // namespace
 
--- a/libs/simulation/src/child_process.cpp
+++ b/libs/simulation/src/child_process.cpp
@@ -13,27 +13,30 @@
 constexpr int kInheritedDescriptor = 3;
 constexpr int kFirstClosedDescriptor = kInheritedDescriptor + 1;
 constexpr int kLogMode = 0644;
-constexpr int kExitCannotStart = 127;  // as of a shell
+constexpr int kExitCannotStart = 127;  // the status with which shells report a command that cannot be executed
 
-// What the child needs between fork() and exec(), where nothing may be allocated.
+// Data that the child uses between fork() and exec(). It is prepared before fork(), as the child must not allocate
+// memory before exec().
 struct Launch {
   char* const* arguments;
   const char* logPath;
   int inherited;
-  int errorPipe;  // closed by exec(); carries errno if something fails before
+  int errorPipe;  // the child writes errno to it if a step before or in exec() fails; exec() closes it
   pid_t parent;
 };
-// Checks the parent too: one that ended before prctl() was called sends no signal.
-bool dieWithParent(pid_t parent) {
+// Makes the kernel kill this process when its parent ends. Returns false if that fails or the parent has already ended:
+// a parent that ended before the call of prctl() causes no signal.
+bool killOnParentExit(pid_t parent) {
   return ::prctl(PR_SET_PDEATHSIG, SIGKILL) == 0 && ::getppid() == parent;
 }
-bool redirect(const Launch& launch) {
+bool redirectOutputToLog(const Launch& launch) {
   const int log = ::open(launch.logPath, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
   return log >= 0 && ::dup2(log, STDOUT_FILENO) >= 0 && ::dup2(log, STDERR_FILENO) >= 0;
 }
-// The rest is closed: a child that kept our sockets open would keep connections alive that we have closed.
-bool keepOnlyInherited(const Launch& launch) {
-  // dup2() of a descriptor onto itself would leave close-on-exec as it is.
+// Copies the inherited descriptor to descriptor 3 and marks all higher descriptors close-on-exec. A child with copies
+// of the parent's sockets would keep connections open that the parent has closed.
+bool closeAllButInherited(const Launch& launch) {
+  // dup2() of a descriptor onto itself does not clear its close-on-exec flag, so that fcntl() has to clear it.
   if (launch.inherited == kInheritedDescriptor) {
     if (::fcntl(kInheritedDescriptor, F_SETFD, 0) != 0)
       return false;
@@ -42,17 +45,19 @@
   }
   return ::close_range(kFirstClosedDescriptor, ~0U, CLOSE_RANGE_CLOEXEC) == 0;
 }
-[[noreturn]] void becomeChild(Launch launch) {
-  // Out of the way of descriptor 3.
+[[noreturn]] void execInChild(Launch launch) {
+  // Moves the pipe above descriptor 3, which closeAllButInherited overwrites.
   launch.errorPipe = ::fcntl(launch.errorPipe, F_DUPFD_CLOEXEC, kFirstClosedDescriptor);
-  if (launch.errorPipe >= 0 && dieWithParent(launch.parent) && redirect(launch) && keepOnlyInherited(launch))
+  if (launch.errorPipe >= 0 && killOnParentExit(launch.parent) && redirectOutputToLog(launch) &&
+      closeAllButInherited(launch))
     ::execv(launch.arguments[0], launch.arguments);
   const int error = errno;
   if (launch.errorPipe >= 0)
     (void)!::write(launch.errorPipe, &error, sizeof error);
   ::_exit(kExitCannotStart);
 }
-// The errno that the child reports, or 0 once its exec() has closed the pipe.
+// Waits until the child has executed the program or failed. Returns the errno that the child wrote to the pipe, or 0 if
+// exec() succeeded and thereby closed the pipe.
 int awaitExec(int errorPipe) {
   int error = 0;
   ssize_t received = 0;
@@ -75,7 +80,7 @@
   const Launch launch{pointers.data(), logPath.c_str(), inherited, errorPipe[1], ::getpid()};
   const pid_t child = ::fork();
   if (child == 0)
-    becomeChild(launch);
+    execInChild(launch);
   ::close(errorPipe[1]);
   const int error = child < 0 ? errno : awaitExec(errorPipe[0]);
   ::close(errorPipe[0]);
--- a/libs/simulation/src/fleet.cpp
+++ b/libs/simulation/src/fleet.cpp
@@ -13,7 +13,8 @@
 namespace {
 constexpr int kFirstNetwork = 16;
 constexpr int kNetworks = 224;
-// Internal ports: so many for each network, all below those that the kernel gives out itself (from 32768 by default).
+// Each network has `kInternalPorts` ports of its own. All are below the kernel's ephemeral port range, which begins at
+// 32768 by default.
 constexpr int kFirstInternalPort = 20'000;
 constexpr int kInternalPorts = 16;
 static_assert(kFirstInternalPort + kNetworks * kInternalPorts < 32'768);
@@ -35,8 +36,8 @@
     network_ = kFirstNetwork + (::getpid() + attempt) % kNetworks;
     boost::system::error_code ec;
     reservation_.open(tcp::v4(), ec);
-    // Without address reuse: the kernel gives the address to one socket at a time. The children inherit the socket
-    // (see spawn), so the network is free again once the last process of the fleet has ended.
+    // SO_REUSEADDR is not set, so that the kernel lets only one socket at a time bind the address. The child processes
+    // inherit the socket (see spawn), so that the network stays reserved until the fleet's last process has ended.
     reservation_.bind({boost::asio::ip::make_address_v4(ip(255, 254)), kControlPort}, ec);
     if (!ec)
       return;
@@ -110,7 +111,7 @@
 std::string LocalFleet::readiness(int machine) const {
   return accessIp(machine) + ":" + std::to_string(kReadinessPort);
 }
-bool LocalFleet::startPair() {
+bool LocalFleet::startAccessMachine() {
   const int machine = accessMachines_++;
   const auto number = std::to_string(machine + 1);
   const auto name = "access-" + number;
@@ -128,7 +129,7 @@
   const auto pid = processes_[process].pid;
   return pid > 0 && ::kill(pid, number) == 0;
 }
-std::optional<int> LocalFleet::takeExit(std::size_t process) {
+std::optional<int> LocalFleet::pollExitStatus(std::size_t process) {
   auto& pid = processes_[process].pid;
   int status = 0;
   if (pid <= 0 || ::waitpid(pid, &status, WNOHANG) != pid)
@@ -149,7 +150,7 @@
   pid = 0;
   return true;
 }
-bool LocalFleet::startAgain(std::size_t process) {
+bool LocalFleet::restartProcess(std::size_t process) {
   return processes_[process].pid == 0 && spawn(processes_[process]);
 }
 }  // namespace zinccleat::simulation
--- a/libs/simulation/src/linearizability.cpp
+++ b/libs/simulation/src/linearizability.cpp
@@ -10,10 +10,10 @@
 namespace {
 using Kind = OperatorCall::Kind;
 using Answer = OperatorCall::Answer;
-constexpr std::size_t kMaxStates = 2'000'000;  // beyond this the search gives up, which counts as not linearizable
-constexpr std::size_t kMaxNamedCalls = 8;      // calls named in an explanation
+constexpr std::size_t kMaxStates = 2'000'000;  // limit at which the search is aborted and reported as not linearizable
+constexpr std::size_t kMaxListedCalls = 8;     // calls listed in an explanation
 
-// A configuration as it was sent.
+// The configuration in a Replace request. Two requests with equal version and body are the same change.
 struct SentConfiguration {
   std::int64_t version = 0;
   std::string body;
@@ -21,7 +21,7 @@
     return std::tie(version, body) < std::tie(other.version, other.body);
   }
 };
-SentConfiguration sentIn(const OperatorCall& call) {
+SentConfiguration sentConfigurationOf(const OperatorCall& call) {
   return {call.version, call.body};
 }
 // The sequential specification: one configuration that all operators change and read.
@@ -30,23 +30,23 @@
   std::string body;
   std::set<SentConfiguration> accepted;
 
-  bool wasAccepted(const OperatorCall& call) const { return accepted.contains(sentIn(call)); }
+  bool wasAccepted(const OperatorCall& call) const { return accepted.contains(sentConfigurationOf(call)); }
   bool wouldAccept(const OperatorCall& call) const {
     return !wasAccepted(call) && call.base == version && call.version > version;
   }
   void accept(const OperatorCall& call) {
     version = call.version;
     body = call.body;
-    accepted.insert(sentIn(call));
+    accepted.insert(sentConfigurationOf(call));
   }
-  // Undoes accept() of a change that was not accepted before.
+  // Reverts accept() of a call that had not been accepted before; restores the version and body from before accept().
   void undo(const OperatorCall& call, std::int64_t versionBefore, std::string bodyBefore) {
-    accepted.erase(sentIn(call));
+    accepted.erase(sentConfigurationOf(call));
     version = versionBefore;
     body = std::move(bodyBefore);
   }
-  // Whether the call, answered as it was, fits here without changing anything.
-  bool explains(const OperatorCall& call) const {
+  // Whether the specification permits the call's recorded answer in the current state without a change of the state.
+  bool allowsResult(const OperatorCall& call) const {
     if (call.kind == Kind::retrieve)
       return call.version == version && call.body == body;
     if (wasAccepted(call))
@@ -64,20 +64,22 @@
   explicit Search(std::vector<OperatorCall> history)
       : calls_(std::move(history)),
         linearized_(calls_.size(), false),
-        unexplained_(std::count_if(calls_.begin(), calls_.end(), isAnswered)) {}
+        unlinearizedAnswered_(std::count_if(calls_.begin(), calls_.end(), isAnswered)) {}
   LinearizabilityResult run() {
     LinearizabilityResult result;
-    result.linearizable = explainAll();
+    result.linearizable = linearizeAllAnswered();
     result.statesVisited = visited_.size();
     if (!result.linearizable)
-      result.explanation = visited_.size() >= kMaxStates ? "the search gave up" : deepestFailure_;
+      result.explanation =
+          visited_.size() >= kMaxStates ? "the search was aborted at the limit of states" : deepestFailure_;
     return result;
   }
 
  private:
   static bool isAnswered(const OperatorCall& call) { return call.answer != Answer::unknown; }
 
-  // A call may come next if no other that is not yet in the order ended before it began.
+  // The earliest end of the answered calls that are not yet in the order; kNever if there is none. Only calls that
+  // began by this time may come next in the order.
   std::int64_t earliestEnd() const {
     auto earliest = OperatorCall::kNever;
     for (std::size_t i = 0; i < calls_.size(); ++i)
@@ -85,6 +87,7 @@
         earliest = std::min(earliest, calls_[i].ended);
     return earliest;
   }
+  // The calls that may come next in the order.
   std::vector<std::size_t> nextCalls() const {
     const auto until = earliestEnd();
     std::vector<std::size_t> result;
@@ -95,27 +98,29 @@
   }
   void linearize(std::size_t call) {
     linearized_[call] = true;
-    unexplained_ -= isAnswered(calls_[call]);
+    unlinearizedAnswered_ -= isAnswered(calls_[call]);
   }
   void unlinearize(std::size_t call) {
     linearized_[call] = false;
-    unexplained_ += isAnswered(calls_[call]);
+    unlinearizedAnswered_ += isAnswered(calls_[call]);
   }
-  // Calls that change nothing are put into the order as soon as they fit: that excludes no order of the others.
-  std::vector<std::size_t> linearizeAllThatFit(const Register& state) {
-    std::vector<std::size_t> fitting;
+  // Appends to the order all answered calls that the state permits without a change, and returns them. Appending such
+  // calls as early as possible excludes no order of the other calls.
+  std::vector<std::size_t> linearizeAllPermitted(const Register& state) {
+    std::vector<std::size_t> appendedCalls;
     for (bool found = true; found;) {
       found = false;
       for (auto i : nextCalls())
-        if (isAnswered(calls_[i]) && state.explains(calls_[i])) {
+        if (isAnswered(calls_[i]) && state.allowsResult(calls_[i])) {
           linearize(i);
-          fitting.push_back(i);
+          appendedCalls.push_back(i);
           found = true;
         }
     }
-    return fitting;
+    return appendedCalls;
   }
-  // Changes that may come next; of equal ones without an answer only one has to be tried.
+  // The Replace calls that may come next and would be accepted. Of equal unanswered calls only one is included, because
+  // all of them lead to the same state.
   std::vector<std::size_t> changes(const Register& state) const {
     std::vector<std::size_t> result;
     std::set<SentConfiguration> seenUnanswered;
@@ -123,43 +128,46 @@
       const auto& call = calls_[i];
       if (call.kind != Kind::replace || !state.wouldAccept(call))
         continue;
-      if (call.answer == Answer::acknowledged || (!isAnswered(call) && seenUnanswered.insert(sentIn(call)).second))
+      if (call.answer == Answer::acknowledged ||
+          (!isAnswered(call) && seenUnanswered.insert(sentConfigurationOf(call)).second))
         result.push_back(i);
     }
     return result;
   }
-  // One level of the search, kept in a vector rather than on the call stack: a history may hold thousands of changes,
-  // and a fiber's stack is small.
+  // One level of the search. The levels are kept in a vector instead of on the call stack, because a history may
+  // contain thousands of changes and a fiber's stack is small.
   struct Step {
-    std::vector<std::size_t> fitting;     // calls that fit without a change
-    std::vector<std::size_t> candidates;  // changes still to try, the next one last
-    std::optional<std::size_t> change;    // the change accepted last from here
-    std::int64_t version = 0;             // of the register before it
-    std::string body;
+    std::vector<std::size_t> appendedCalls;  // calls that were appended to the order without a change of the state
+    std::vector<std::size_t> candidates;     // changes that have not been tried yet; the next one to try is last
+    std::optional<std::size_t> change;       // the change that is currently applied at this level
+    std::int64_t version = 0;                // version of the register before `change`
+    std::string body;                        // body of the register before `change`
   };
-  // Depth first over the orders of the changes. True: every answered call is in the order.
-  bool explainAll() {
-    enter();
-    while (unexplained_ != 0 && !steps_.empty()) {
+  // Depth-first search over the orders of the changes. Returns true if an order contains every answered call.
+  bool linearizeAllAnswered() {
+    enterState();
+    while (unlinearizedAnswered_ != 0 && !steps_.empty()) {
       undoChange();
       if (steps_.back().candidates.empty())
-        leave();
+        leaveState();
       else
         applyNextChange();
     }
-    return unexplained_ == 0;
+    return unlinearizedAnswered_ == 0;
   }
-  void enter() {
+  // Adds a level for the current state of the register, with the changes to try from there.
+  void enterState() {
     auto& step = steps_.emplace_back();
-    step.fitting = linearizeAllThatFit(register_);
-    if (unexplained_ == 0 || !isNew(register_))
+    step.appendedCalls = linearizeAllPermitted(register_);
+    if (unlinearizedAnswered_ == 0 || !markVisited(register_))
       return;
     recordDeepest(register_);
     step.candidates = changes(register_);
     std::reverse(step.candidates.begin(), step.candidates.end());
   }
-  void leave() {
-    for (auto call : steps_.back().fitting)
+  // Removes the last level and takes its calls out of the order.
+  void leaveState() {
+    for (auto call : steps_.back().appendedCalls)
       unlinearize(call);
     steps_.pop_back();
   }
@@ -172,7 +180,7 @@
     step.body = register_.body;
     register_.accept(calls_[call]);
     linearize(call);
-    enter();
+    enterState();
   }
   void undoChange() {
     auto& step = steps_.back();
@@ -182,8 +190,9 @@
     unlinearize(*step.change);
     step.change.reset();
   }
-  // Whether the state was not visited before: which calls are in the order, and the configuration.
-  bool isNew(const Register& state) {
+  // Records the search state, which consists of the set of calls in the order and the configuration. Returns false if
+  // the state was visited before or the limit of states is reached.
+  bool markVisited(const Register& state) {
     if (visited_.size() >= kMaxStates)
       return false;
     std::string key = std::to_string(state.version) + " " + state.body + " ";
@@ -191,14 +200,15 @@
       key.push_back(done ? '1' : '0');
     return visited_.insert(digestOf(key)).second;
   }
+  // Writes the explanation for the state with the fewest answered calls outside the order so far.
   void recordDeepest(const Register& state) {
-    if (!deepestFailure_.empty() && unexplained_ >= fewestUnexplained_)
+    if (!deepestFailure_.empty() && unlinearizedAnswered_ >= fewestUnlinearizedAnswered_)
       return;
-    fewestUnexplained_ = unexplained_;
-    deepestFailure_ = "in version " + std::to_string(state.version) + " nothing explains:";
-    std::size_t named = 0;
+    fewestUnlinearizedAnswered_ = unlinearizedAnswered_;
+    deepestFailure_ = "in version " + std::to_string(state.version) + " no order of the calls permits:";
+    std::size_t listedCount = 0;
     for (auto i : nextCalls())
-      if (isAnswered(calls_[i]) && ++named <= kMaxNamedCalls)
+      if (isAnswered(calls_[i]) && ++listedCount <= kMaxListedCalls)
         deepestFailure_ += "\n  " + describe(calls_[i]);
   }
   static std::string describe(const OperatorCall& call) {
@@ -214,18 +224,19 @@
   std::vector<bool> linearized_;
   Register register_;
   std::vector<Step> steps_;
-  std::ptrdiff_t unexplained_ = 0, fewestUnexplained_ = 0;  // answered calls that are not in the order
+  // Number of answered calls that are not in the order: now, and the minimum reached during the search.
+  std::ptrdiff_t unlinearizedAnswered_ = 0, fewestUnlinearizedAnswered_ = 0;
   std::unordered_set<std::string> visited_;
   std::string deepestFailure_;
 };
-// A read without an answer constrains nothing.
-bool isUninformative(const OperatorCall& call) {
+// A Retrieve without an answer neither changes the configuration nor restricts the order.
+bool hasNoConstraint(const OperatorCall& call) {
   return call.kind == Kind::retrieve && call.answer == Answer::unknown;
 }
 }  // namespace
 
 LinearizabilityResult checkLinearizable(std::vector<OperatorCall> history) {
-  std::erase_if(history, isUninformative);
+  std::erase_if(history, hasNoConstraint);
   std::stable_sort(history.begin(), history.end(), [](auto& a, auto& b) { return a.began < b.began; });
   return Search(std::move(history)).run();
 }
--- a/libs/simulation/src/trial.cpp
+++ b/libs/simulation/src/trial.cpp
@@ -16,42 +16,43 @@
 constexpr int kRunners = 4;
 constexpr int kClients = 6;
 constexpr int kOperators = 2;
-constexpr int kPhases = 3;  // before the leader is lost, before a runner is lost, after both
+constexpr int kPhases = 3;  // before the leader is killed, between that and the stop of a runner, and after both
 constexpr std::uint64_t kSeed = 7;
-constexpr auto kPoll = 50ms;
-constexpr int kLeaderPolls = 100;
-constexpr int kEndPolls = 120;
-constexpr auto kStabilizationTime = 1000ms;  // until the proxy has its lease and the runners are known
-constexpr auto kLeaderDownTime = 300ms;
-constexpr Duration kAfterRollout{2000};  // between its term and the end of the load
-constexpr Duration kMinRolloutTerm{1000};
-constexpr Duration kReversalTimeout{5000};  // when the load has ended
+constexpr auto kPollInterval = 50ms;
+constexpr int kMaxLeaderPolls = 100;
+constexpr int kMaxShutdownPolls = 120;
+constexpr auto kStabilizationTime = 1000ms;  // allows the proxy to get its lease and the runners to register
+constexpr auto kLeaderRestartDelay = 300ms;
+constexpr Duration kLoadAfterRollout{2000};  // between the planned end of the rollout and the end of the load
+constexpr Duration kMinRolloutDuration{1000};
+constexpr Duration kReversalTimeout{5000};  // time limit for the reversal after the last phase
 
 void printLine(const std::string& line) {
   std::printf("%s\n", line.c_str());
   std::fflush(stdout);
 }
 
-/// One trial, phase by phase. Its parts are used by fibers that never run again once the loop has stopped.
+/// Runs one trial in consecutive phases. Fibers hold references to the members; the event loop is stopped before the
+/// members are destroyed, and no fiber runs afterwards.
 class Trial {
  public:
   Trial(std::string binary, int seconds)
       : fleet_(std::move(binary), kControllers), phaseLength_(seconds * 1000 / kPhases) {}
-  /// @return whether nothing was lost, wrong or run twice.
+  /// @return whether all criteria of `simulation::trial` are met; an error if the trial could not be set up.
   Result<bool> run();
 
  private:
   Result<void> startFleet();
   void startRunners();
   void awaitReadiness();
-  void announce() const;
+  void printFleetDescription() const;
   void killLeader();
   void killRunner();
   void stopLoad();
   bool report() const;
   bool reportClients() const;
   bool reportOperators() const;
-  int doubledPushes() const;
+  int countRepeatedPushes() const;
 
   LocalFleet fleet_;
   Duration phaseLength_;
@@ -70,11 +71,11 @@
     return tl::unexpected(started.error());
   startRunners();
   awaitReadiness();
-  announce();
-  printLine("rolls out a revision of two runners that fails half of its streams");
+  printFleetDescription();
+  printLine("rolling out a revision with two runners that fail half of their streams");
   clients_.start(kClients);
   operators_.start(kOperators);
-  if (!rollout_.begin(std::max(kMinRolloutTerm, kPhases * phaseLength_ - kAfterRollout)))
+  if (!rollout_.begin(std::max(kMinRolloutDuration, kPhases * phaseLength_ - kLoadAfterRollout)))
     return makeError(ErrorCode::unavailable, "no controller acknowledged the rollout");
   loop.sleepFor(phaseLength_);
   killLeader();
@@ -86,10 +87,10 @@
   return report();
 }
 Result<void> Trial::startFleet() {
-  if (!fleet_.startCore() || !fleet_.startPair())
+  if (!fleet_.startCore() || !fleet_.startAccessMachine())
     return makeError(ErrorCode::ioError, "cannot start " + fleet_.binary());
-  if (!operators_.installFirst())
-    return makeError(ErrorCode::unavailable, "the core took no configuration in 10 s");
+  if (!operators_.installInitialConfiguration())
+    return makeError(ErrorCode::unavailable, "the core accepted no configuration within 10 s");
   return {};
 }
 void Trial::startRunners() {
@@ -100,11 +101,11 @@
   }
 }
 void Trial::awaitReadiness() {
-  for (int i = 0; i < kLeaderPolls && !findLeader(fleet_); ++i)
-    runtime::EventLoop::get().sleepFor(kPoll);
+  for (int i = 0; i < kMaxLeaderPolls && !findLeader(fleet_); ++i)
+    runtime::EventLoop::get().sleepFor(kPollInterval);
   runtime::EventLoop::get().sleepFor(kStabilizationTime);
 }
-void Trial::announce() const {
+void Trial::printFleetDescription() const {
   printLine("a core of three, an agent and a proxy, " + std::to_string(kRunners) + " runners, " +
             std::to_string(kClients) + " clients; folder " + fleet_.folder());
   printLine("while it runs: zinccleat status " + fleet_.control(0) + " " + fleet_.control(1) + " " + fleet_.control(2));
@@ -113,13 +114,13 @@
   const auto leader = findLeader(fleet_);
   if (!leader)
     return;
-  printLine("kills the leader, " + fleet_.processes()[*leader].name + ", without a word");
+  printLine("killing the leader, " + fleet_.processes()[*leader].name + ", with SIGKILL");
   fleet_.kill(*leader);
-  runtime::EventLoop::get().sleepFor(kLeaderDownTime);
-  fleet_.startAgain(*leader);
+  runtime::EventLoop::get().sleepFor(kLeaderRestartDelay);
+  fleet_.restartProcess(*leader);
 }
 void Trial::killRunner() {
-  printLine("kills " + runners_[0]->id() + ", without a word");
+  printLine("stopping " + runners_[0]->id() + " without detaching it");
   runners_[0]->stop();
 }
 void Trial::stopLoad() {
@@ -128,10 +129,10 @@
   rollout_.stopHeartbeats();
   clients_.stop();
   operators_.stop();
-  for (int i = 0; i < kEndPolls && clients_.running() + operators_.running() > 0; ++i)
-    runtime::EventLoop::get().sleepFor(kPoll);
+  for (int i = 0; i < kMaxShutdownPolls && clients_.running() + operators_.running() > 0; ++i)
+    runtime::EventLoop::get().sleepFor(kPollInterval);
 }
-int Trial::doubledPushes() const {
+int Trial::countRepeatedPushes() const {
   return static_cast<int>(std::count_if(executions_.begin(), executions_.end(),
                                         [](const auto& execution) { return execution.second > 1; }));
 }
@@ -143,12 +144,12 @@
 }
 bool Trial::reportClients() const {
   const auto& seen = clients_.statistics();
-  const int doubled = doubledPushes();
+  const int doubled = countRepeatedPushes();
   std::printf("\npushes served %d, streams served %d, of these late (over a second) %d\n", seen.pushes, seen.streams,
               seen.late);
-  std::printf("refused with a time to come back %d, failed tries %d\n", seen.refusals, seen.failures);
+  std::printf("attempts refused with 429 or 503: %d, failed attempts %d\n", seen.refusals, seen.failures);
   std::printf("lost %d, wrong %d, run twice %d\n", seen.lost, seen.wrong, doubled);
-  std::printf("\nfurther: docs/design.md, docs/operators\n");
+  std::printf("\nsee also: docs/design.md, docs/operators\n");
   return seen.lost + seen.wrong + doubled == 0 && seen.pushes > 0 && seen.streams > 0;
 }
 bool Trial::reportOperators() const {
@@ -172,12 +173,12 @@
 }  // namespace
 
 int trial(const std::string& binary, int seconds) {
-  // The loop outlives everything on it: sockets end on the loop that they were made on.
+  // The loop is static so that it outlives the trial's sockets, which must be closed before their loop is destroyed.
   static runtime::EventLoop loop;
-  Trial theTrial(binary, seconds);
+  Trial runningTrial(binary, seconds);
   int exitCode = 1;
   loop.spawn([&] {
-    exitCode = runAndReport(theTrial);
+    exitCode = runAndReport(runningTrial);
     loop.stop();
   });
   loop.run();
--- a/libs/simulation/src/trial_rollout.cpp
+++ b/libs/simulation/src/trial_rollout.cpp
@@ -16,8 +16,8 @@
 constexpr auto kCallTimeout = 1000ms;
 }  // namespace
 
-bool TrialRollout::begin(Duration term) {
-  const auto call = beginRolloutCall(kService, kRevision, term);
+bool TrialRollout::begin(Duration plannedDuration) {
+  const auto call = beginRolloutCall(kService, kRevision, plannedDuration);
   bool acknowledged = false;
   for (std::size_t attempt = 0; attempt < kAttempts && !acknowledged; ++attempt) {
     acknowledged = isAcknowledged(operations::callOne(fleet_.control(attempt), call, kCallTimeout));
@@ -51,10 +51,11 @@
   int streams = 0;
   for (const auto& runner : runners_)
     streams += runner->streams();
-  std::printf("rollout of a revision that fails half of its streams: %s after %s ms (%s); it got %d streams\n",
-              operations::fieldOf(report_, "state").value_or("unknown").c_str(),
-              operations::fieldOf(report_, "elapsedMs").value_or("?").c_str(),
-              operations::fieldOf(report_, "reason").value_or("").c_str(), streams);
+  std::printf(
+      "rollout of a revision that fails half of its streams: %s after %s ms (%s); its runners received %d streams\n",
+      operations::fieldOf(report_, "state").value_or("unknown").c_str(),
+      operations::fieldOf(report_, "elapsedMs").value_or("?").c_str(),
+      operations::fieldOf(report_, "reason").value_or("").c_str(), streams);
 }
 void TrialRollout::stopHeartbeats() {
   for (auto& runner : runners_)
