--- a/libs/config/include/config/control_requests.hpp
+++ b/libs/config/include/config/control_requests.hpp
@@ -1,22 +1,22 @@
 /// Bodies of the requests that runners and operators send to the controller, as described in api/control.yaml.
 ///
-/// Each parser checks types and bounds and ignores unknown fields. An error is `ErrorCode::invalidArgument` with a
-/// message for the sender; nothing is returned in part.
+/// Each parser checks types and bounds, and ignores unknown fields. An invalid body gives
+/// `ErrorCode::invalidArgument` with a message for the sender of the request.
 #pragma once
 #include "config/quote_json.hpp"
 #include "runtime/common.hpp"
 namespace zinccleat::config {
-/// What a runner reports about itself.
+/// The state that a runner reports about itself in a heartbeat.
 struct RunnerHeartbeat {
   std::string id;             ///< the instance's id, from the request's path
-  std::string service;        ///< label of the service that it serves (`targetService`)
-  std::string address;        ///< "IP:port" for requests
-  std::string zone;           ///< failure domain; empty if not known
-  std::int64_t capacity = 0;  ///< requests at once
-  std::int64_t sequence = 0;  ///< rises with each heartbeat of one process
-  std::string revision;       ///< of its software (`configVersion`); empty if not known
-  Duration warmupLeft{0};     ///< how much longer it stays slow after its start
-  bool draining = false;      ///< it takes no new requests and will detach
+  std::string service;        ///< label of the service that the runner belongs to (`targetService`)
+  std::string address;        ///< "IP:port" on which the runner accepts requests
+  std::string zone;           ///< failure domain; empty: unknown
+  std::int64_t capacity = 0;  ///< requests that the runner processes concurrently
+  std::int64_t sequence = 0;  ///< increases with each heartbeat of one runner process
+  std::string revision;       ///< revision of the runner's software (`configVersion`); empty: unknown
+  Duration warmupLeft{0};     ///< remaining time of reduced performance after the runner's start
+  bool draining = false;      ///< the runner accepts no new requests and is about to detach
 };
 /// Parses the body of a heartbeat.
 /// @param id the instance's id, which must not be empty
@@ -26,21 +26,22 @@
 struct ZoneDrainRequest {
   std::string zone;               ///< a zone, or a region for all of its zones (`place`)
   std::string note;               ///< shown to users while the drain lasts
-  std::int32_t drainPercent = 0;  ///< percent of new work kept away from its runners, 0 to 100 (`share`)
-  bool notAccepting = false;      ///< its proxies refuse new connections and move streams away (`doorsShut`)
-  bool open = false;              ///< ends the drain
-  bool force = false;             ///< goes on although the fleet is busier than `calmBelowPerS`
-  double calmBelowPerS = 0;       ///< requests a second above which the drain must not advance; 0: no bound
+  std::int32_t drainPercent = 0;  ///< percent of new requests diverted from the zone's runners, 0 to 100 (`share`)
+  bool notAccepting = false;  ///< the zone's proxies refuse new connections and move streams elsewhere (`doorsShut`)
+  bool open = false;          ///< ends the drain
+  bool force = false;         ///< advances the drain even if the fleet's load exceeds `calmBelowPerS`
+  double calmBelowPerS = 0;   ///< load in requests a second above which the drain must not advance; 0: no limit
 };
 Result<ZoneDrainRequest> parseZoneDrainRequest(std::string_view body);
 
 /// Moves the traffic of a service to runners of another revision.
 struct RolloutRequest {
   std::string service;   ///< label (`targetService`)
-  std::string revision;  ///< of the runners' software (`targetRevision`), 128 bytes at most
-  Duration duration{0};  ///< by then it is to be over (`durationS`, fractions allowed); 1 s to 1 day
+  std::string revision;  ///< target revision of the runners' software (`targetRevision`), 128 bytes at most
+  Duration duration{0};  ///< time limit of the rollout (`durationS`, fractions allowed); 1 s to 1 day
 };
 Result<RolloutRequest> parseRolloutRequest(std::string_view body);
-/// The service (`targetService`) whose rollout an operator takes back.
+/// Parses the request by which an operator reverts a rollout.
+/// @return the label of the service (`targetService`)
 Result<std::string> parseRolloutRevertRequest(std::string_view body);
 }  // namespace zinccleat::config
--- a/libs/config/include/config/coordination_requests.hpp
+++ b/libs/config/include/config/coordination_requests.hpp
@@ -1,26 +1,27 @@
 /// @file
-/// The bodies and queries of applications' calls for coordination, read and checked; api/control.yaml comes first.
+/// Parsers for the bodies and queries of coordination requests (locks, cells and watches) from applications. The
+/// authoritative description of these requests is api/control.yaml.
 ///
-/// Errors: `ErrorCode::invalidArgument` with the first problem, in one line.
+/// An invalid request gives `ErrorCode::invalidArgument` with a one-line message about the first problem.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::config {
-/// Bytes that a lock, number, cell, group or holder may be named by; 1 at least.
+/// Maximum length of the name of a lock, number, cell, group or lock holder. Names must not be empty.
 constexpr std::size_t kMaxNameBytes = 256;
-/// Bytes of a cell's value.
+/// Maximum length of a cell's value.
 constexpr std::size_t kMaxValueBytes = 4096;
-/// How long a lock may be kept by one call, in ms; 1 at least.
+/// Maximum time in ms for which one request acquires or extends a lock. The minimum is 1 ms.
 constexpr std::int64_t kMaxHoldMs = 3'600'000;
-/// How long a watch may wait, in ms.
+/// Maximum time in ms that a watch waits for a change.
 constexpr std::int64_t kMaxWaitMs = 60'000;
 
 /// The body of Locks.Begin, Locks.Heartbeat and Locks.Release.
 struct LockRequest {
   std::string holder;
-  std::int64_t fence = 0;   ///< Heartbeat, Release
-  std::int64_t holdMs = 0;  ///< Begin, Heartbeat
+  std::int64_t fence = 0;   ///< fencing number of the lock; Heartbeat and Release only
+  std::int64_t holdMs = 0;  ///< requested hold time; Begin and Heartbeat only
 };
-/// Which fields a lock's call must have beside its holder.
+/// Which fields a lock request must have in addition to `holder`.
 struct LockFields {
   bool fence = false;
   bool hold = false;
@@ -30,7 +31,7 @@
 /// The body of Cells.Replace.
 struct PutRequest {
   std::string value;
-  std::optional<std::int64_t> appliesTo;  ///< the revision that the cell must have, 0: it must not exist; none: any
+  std::optional<std::int64_t> appliesTo;  ///< expected revision of the cell; 0: the cell must not exist; none: any
 };
 Result<PutRequest> parsePutRequest(std::string_view body);
 
@@ -39,9 +40,10 @@
   std::int64_t after = 0;
   std::int64_t waitMs = 0;
 };
-/// @param query what stands behind the question mark.
+/// Parses the query of a watch. Unknown parameters are ignored.
+/// @param query the part of the request target after the question mark
 Result<WatchRequest> parseWatchRequest(std::string_view query);
 
-/// Checks the name of a lock, number, cell or group.
+/// Checks that the name of a lock, number, cell or group has 1 to `kMaxNameBytes` bytes.
 Result<void> checkName(std::string_view name);
 }  // namespace zinccleat::config
--- a/libs/config/src/configuration_parser.cpp
+++ b/libs/config/src/configuration_parser.cpp
@@ -1,4 +1,4 @@
-// Parsing the operators' configuration: one reader a section.
+// Parses the configuration that operators install, with one function per section.
 #include <algorithm>
 #include <set>
 
@@ -61,7 +61,7 @@
   reader.fail("unknown routeType", name);
   return RouteType::unsafe;
 }
-// What a route's requests are known by.
+// Reads the fields that select the requests of a route: host and path prefix.
 void readRouteMatch(JsonReader& reader, const JsonObject& object, Route& route) {
   reader.text(object, "label", route.label);
   reader.text(object, "authority", route.authority, Presence::required);
@@ -70,11 +70,11 @@
   if (!route.pathPrefix.starts_with('/') || !route.pathPrefix.ends_with('/'))
     reader.fail("no prefix between slashes in", "pathPrefix");
 }
-// How a route's requests are served.
+// Reads the fields that define how the requests of a route are served.
 void readRoutePolicy(JsonReader& reader, const JsonObject& object, Route& route) {
   route.type = readRouteType(reader, object);
   reader.milliseconds(object, "expiryMs", route.expiry);
-  // Required to be above 0, which a missing one is not: a request without a time-out could stay for ever.
+  // `expiryMs` must be present and above 0, because a request without a timeout could stay open indefinitely.
   if (route.expiry <= Duration{0})
     reader.fail("no time in", "expiryMs");
   reader.milliseconds(object, "targetLatencyMs", route.latencyTarget);
@@ -87,14 +87,13 @@
   reader.boolean(object, "streamResume", route.streamResume);
 }
 
-// Reads the parts of a configuration that refer to each other.
+// Reads services, routes and subscribers, and resolves the references of routes to services.
 class ConfigurationParser {
  public:
   Result<std::shared_ptr<const Configuration>> parse(const JsonObject& root);
 
  private:
-  // Calls visit(object) for each element of a table. An element that is no object ends the parsing at once.
-  // Returns false in that case.
+  // Calls visit(object) for each element of a table. Stops and returns false at an element that is not an object.
   template <class Visit>
   bool forEachObject(const JsonObject& root, std::string_view table, Presence presence, Visit visit);
   bool readServices(const JsonObject& root);
@@ -108,7 +107,7 @@
   void sortByPrefixLength();
 
   JsonReader reader_;
-  std::string_view malformedTable_;  // the table with an element that is no object
+  std::string_view malformedTable_;  // the table in which an element is not an object
   std::map<std::string, int> serviceByLabel_;
   std::shared_ptr<Configuration> configuration_ = std::make_shared<Configuration>();
 };
--- a/libs/config/src/json.cpp
+++ b/libs/config/src/json.cpp
@@ -2,7 +2,7 @@
 
 namespace zinccleat::config {
 namespace {
-// Up to here each integer has a double of its own (2^53 is a little above).
+// A double represents every integer up to 2^53 (about 9.007e15) exactly; this bound is slightly below.
 constexpr double kLargestExactInteger = 9e15;
 
 std::optional<std::int64_t> exactInteger(double value) {
@@ -41,7 +41,7 @@
     fail("missing field", key);
   return false;
 }
-// Returns false if `out` was not set: the field is left out, or not of this type, which is an error.
+// Returns false if `out` was not set: the field is absent, or has another type, in which case an error is recorded.
 template <class Value>
 bool JsonReader::read(const JsonObject& object, std::string_view key, Value& out, std::string_view problem,
                       Presence presence) {
--- a/libs/config/src/lower_case.hpp
+++ b/libs/config/src/lower_case.hpp
@@ -1,8 +1,8 @@
-/// Host names compare without regard to case.
+/// Conversion to lower case, for the case-insensitive comparison of host names.
 #pragma once
 #include <string>
 #include <string_view>
 namespace zinccleat::config {
-/// A copy with the ASCII letters A to Z in lower case.
+/// Returns a copy of the text with the ASCII letters A to Z in lower case.
 std::string lowerCase(std::string_view text);
 }  // namespace zinccleat::config
--- a/libs/config/src/settings.cpp
+++ b/libs/config/src/settings.cpp
@@ -26,7 +26,7 @@
   reader.boolean(root, "quorumMember", settings.quorumMember);
   reader.milliseconds(root, "heartbeatMs", settings.heartbeat);
 }
-// A zone whose region is no text is left out.
+// Skips zones whose region is not a string.
 void readZones(JsonReader& reader, const JsonObject& root, Settings& settings) {
   JsonObject zones;
   if (!reader.object(root, "zones", zones))
@@ -158,7 +158,7 @@
   reader.seconds(object, "usageDelayS", timers.usageDelay);
   reader.number(object, "usageError", timers.usageError);
 }
-// Functions that are not known here are left to others. Calls need an address.
+// Ignores unknown functions. If a known function is listed, the address must be valid, because calls need it.
 void readPlatformApi(JsonReader& reader, const JsonObject& root, Settings& settings) {
   JsonObject object;
   if (!reader.object(root, "platformApi", object))
@@ -208,7 +208,7 @@
     return tl::unexpected(root.error());
   JsonReader reader;
   Settings settings;
-  // Only the first error is reported: the order of the sections decides which.
+  // The reader reports only the first error, so the order of these calls determines which one.
   readIdentity(reader, *root, settings);
   readZones(reader, *root, settings);
   readBindAddresses(reader, *root, settings);
--- a/libs/runtime/include/runtime/asio.hpp
+++ b/libs/runtime/include/runtime/asio.hpp
@@ -1,4 +1,4 @@
-/// Short names for what this project uses of Boost.Asio.
+/// Short aliases for the parts of Boost.Asio that this project uses.
 #pragma once
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -8,6 +8,6 @@
 using tcp = asio::ip::tcp;
 }  // namespace zinccleat
 namespace zinccleat::runtime {
-/// What a socket operation reports; false if it succeeded.
+/// The error code of a socket operation; converts to false on success.
 using SocketError = boost::system::error_code;
 }  // namespace zinccleat::runtime
--- a/libs/runtime/include/runtime/common.hpp
+++ b/libs/runtime/include/runtime/common.hpp
@@ -1,4 +1,4 @@
-/// Vocabulary types that every library shares: time, errors as values, invariants and hashes.
+/// Basic types and functions that all libraries share: time, errors as values, invariants and hashes.
 #pragma once
 #include <algorithm>
 #include <chrono>
@@ -17,31 +17,31 @@
 
 namespace zinccleat {
 using namespace std::chrono_literals;
-/// The steady clock. Pure code never reads it: the present time is passed in.
+/// The steady clock. Pure code does not read the clock; callers pass the current time as an argument.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = std::chrono::milliseconds;
 
-/// What kind of error an `Error` is. Callers branch on this, never on the message.
+/// The kind of an `Error`. Callers branch on the code, never on the message.
 enum class ErrorCode {
-  invalidArgument,     ///< input that breaks its format or a stated bound
-  permissionDenied,    ///< the caller may not do this
-  notFound,            ///< the thing named does not exist
-  unavailable,         ///< cannot be answered now; nothing was done
-  outcomeUnknown,      ///< it may or may not have taken effect
-  limitReached,        ///< a stated limit leaves no room for it; nothing was done
-  corruption,          ///< stored or received bytes that are not what was written
-  incompatibleFormat,  ///< bytes in a format of another version of this program
-  outOfOrder,          ///< a call that breaks the order which its interface requires
-  locked,              ///< a resource that another process uses
-  ioError,             ///< the operating system refused; `Error::subcode` is its `errno`
+  invalidArgument,     ///< the input violates its format or a documented bound
+  permissionDenied,    ///< the caller lacks the permission for the operation
+  notFound,            ///< the named object does not exist
+  unavailable,         ///< the operation is temporarily not possible; it had no effect
+  outcomeUnknown,      ///< the operation may or may not have taken effect
+  limitReached,        ///< the operation would exceed a documented limit; it had no effect
+  corruption,          ///< stored or received bytes differ from what was written
+  incompatibleFormat,  ///< the bytes have the format of another version of this program
+  outOfOrder,          ///< the call violates the call order that the interface requires
+  locked,              ///< another process uses the resource
+  ioError,             ///< a system call failed; `Error::subcode` is the `errno`
 };
 
 /// An error as a value.
 struct Error {
   ErrorCode code = ErrorCode::invalidArgument;
   std::string message;  ///< one line for an operator, without a full stop
-  int subcode = 0;      ///< `errno` where the operating system refused, else 0
+  int subcode = 0;      ///< `errno` of the failed system call, else 0
 };
 
 /// A value or an `Error`.
@@ -58,18 +58,18 @@
   return std::chrono::duration_cast<Duration>(duration);
 }
 
-/// Logs what was broken, writes the log's ring buffer out and aborts.
+/// Logs the violated invariant, writes the log's ring buffer to standard error and aborts the process.
 [[noreturn]] void abortOnBrokenInvariant(const char* what);
-/// Aborts unless an invariant of our own code holds. Every other error is a value.
+/// Aborts the process if an invariant of the program itself is violated. All other errors are returned as values.
 inline void checkInvariant(bool holds, const char* what) {
   if (!holds)
     abortOnBrokenInvariant(what);
 }
 
-/// A fast 64-bit hash (XXH3), the same on every node. Not for secrets.
+/// A fast 64-bit hash (XXH3) that gives the same value on every node. Not cryptographic.
 std::uint64_t hash64(std::string_view text, std::uint64_t seed = 0);
-/// A 128-bit digest (XXH3) as 32 hex digits, the same on every node. Not for secrets.
+/// A 128-bit digest (XXH3) as 32 hex digits that is the same on every node. Not cryptographic.
 std::string digestOf(std::string_view text);
-/// A seed from the operating system's entropy.
+/// A random seed from the operating system's entropy source.
 std::uint64_t randomSeed();
 }  // namespace zinccleat
--- a/libs/runtime/include/runtime/log_ring.hpp
+++ b/libs/runtime/include/runtime/log_ring.hpp
@@ -2,8 +2,8 @@
 ///
 ///     1234.567 core-1 event=leader_followed member=core-2 term=7
 ///
-/// Lines stay in a ring buffer in memory, which is written to standard error when something goes wrong. The events and
-/// what each means to an operator: docs/on-call.md and docs/events.
+/// Debug lines are collected in a ring buffer in memory, which is written to standard error when an error is logged.
+/// docs/on-call.md and docs/events explain the events to operators.
 #pragma once
 #include <concepts>
 #include <initializer_list>
@@ -21,23 +21,23 @@
   Field(std::string_view fieldKey, bool flag) : key(fieldKey), value(flag ? "true" : "false") {}
   template <std::integral T>
   Field(std::string_view fieldKey, T number) : key(fieldKey), value(std::to_string(number)) {}
-  /// Whole milliseconds, the unit of every duration in the log; its key ends in `_ms`.
+  /// A duration in whole milliseconds, the unit of every duration in the log. The key must end in `_ms`.
   Field(std::string_view fieldKey, Duration duration) : key(fieldKey), value(std::to_string(duration.count())) {}
 };
 using Fields = std::initializer_list<Field>;
 
-/// Sets the name that each line bears after its time.
+/// Sets the node name that follows the timestamp in each line.
 void setNodeName(std::string node);
-/// Keeps a line in the ring buffer only.
+/// Adds a line to the ring buffer without writing it to standard error.
 /// @param event a fixed name in lower_snake_case.
 void debug(std::string_view event, Fields fields = {});
-/// Writes a line at once, past the ring buffer: start, stop and the like.
+/// Writes a line to standard error immediately, bypassing the ring buffer. For rare events such as start and stop.
 void info(std::string_view event, Fields fields = {});
-/// Keeps a line with `level=error` and writes the ring buffer out, at most once every five seconds.
+/// Adds a line with `level=error` to the ring buffer, and dumps the buffer at most once every five seconds.
 void error(std::string_view event, Fields fields = {});
-/// Writes out all lines of the ring buffer that have not been written yet.
+/// Writes all lines of the ring buffer that were not written before to standard error.
 void dump();
-/// Whether `debug` lines are written at once too.
+/// Sets whether `debug` lines are also written to standard error immediately.
 void setVerbose(bool on);
 /// The lines in the ring buffer, oldest first.
 std::vector<std::string> lines();
--- a/libs/runtime/include/runtime/waiter.hpp
+++ b/libs/runtime/include/runtime/waiter.hpp
@@ -1,16 +1,16 @@
-/// Suspends one fiber until a handler of the event loop wakes it.
+/// Lets a handler of the event loop wake a suspended fiber.
 #pragma once
 #include <boost/fiber/context.hpp>
 namespace zinccleat::runtime {
-/// A one-shot event between one handler and one fiber, both on the event loop's thread. Usable again after `wait`
-/// has returned.
+/// A one-shot event between one handler and one fiber, both on the event loop's thread. The waiter can be reused after
+/// `wait` has returned.
 class Waiter {
  public:
-  /// Suspends the calling fiber until `wake` is called; returns at once if it was called already.
+  /// Suspends the calling fiber until `wake` is called. Returns immediately if `wake` was called before.
   void wait();
   /// Makes the waiting fiber runnable. Further calls before `wait` returns have no effect.
   void wake();
-  /// Whether `wake` was called and `wait` has not returned since.
+  /// Whether `wake` was called and `wait` has not returned since that call.
   bool woken() const { return woken_; }
 
  private:
--- a/libs/runtime/src/connection.cpp
+++ b/libs/runtime/src/connection.cpp
@@ -11,7 +11,7 @@
 
 namespace zinccleat::runtime {
 namespace {
-constexpr unsigned kUserTimeoutMs = 4000;  // after which unacknowledged data closes a connection
+constexpr unsigned kUserTimeoutMs = 4000;  // a connection with data unacknowledged for this time is closed
 }  // namespace
 
 Connection::Connection() : socket_(EventLoop::get().io()) {}
@@ -39,7 +39,8 @@
   return received;
 }
 std::size_t Connection::write(asio::const_buffer buffer, SocketError& ec) {
-  // First without waiting: most writes fit the socket's buffer, and suspending a fiber costs a turn of the loop.
+  // Tries a non-blocking send first: most writes fit into the socket's buffer, and suspending the fiber would cost an
+  // iteration of the event loop.
   if (!nonBlocking_) {
     socket_.non_blocking(true, ec);
     nonBlocking_ = true;
@@ -101,7 +102,7 @@
 }
 
 namespace {
-/// Decimal digits only; leading zeros are allowed. Empty if the text is no port between 1 and 65535.
+/// Parses a port in decimal digits; leading zeros are allowed. Returns nothing unless the port is 1 to 65535.
 std::optional<std::uint16_t> parsePort(std::string_view text) {
   std::uint16_t port = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), port);
--- a/libs/runtime/src/event_loop.cpp
+++ b/libs/runtime/src/event_loop.cpp
@@ -13,12 +13,12 @@
 constexpr auto kDeadlineCheckInterval = 20ms;
 EventLoop* currentLoop = nullptr;
 
-/// A first-in, first-out scheduler that counts the runnable fibers other than the library's dispatcher. The library's
-/// own scheduler does not expose it; without the count the event loop could not know whether to run fibers or to wait
-/// for input and output.
+/// A first-in, first-out scheduler that counts the runnable fibers, without Boost.Fiber's dispatcher fiber. The event
+/// loop needs the count to decide whether to run fibers or to wait for input and output; Boost.Fiber's own scheduler
+/// does not expose it.
 class FifoScheduler final : public boost::fibers::algo::algorithm {
  public:
-  /// @param runnable where the count is kept.
+  /// @param runnable the counter of runnable fibers, which the scheduler updates.
   explicit FifoScheduler(int* runnable) : runnable_(runnable) {}
   void awakened(boost::fibers::context* fiber) noexcept override {
     if (!isDispatcher(*fiber))
@@ -49,7 +49,7 @@
 
 struct EventLoop::Impl {
   asio::io_context io{1};
-  int runnable = 0;  // fibers
+  int runnable = 0;  // number of runnable fibers
   bool stopped = false;
   FiberStackAllocator stacks{std::make_shared<FiberStackPool>()};
   boost::intrusive::list<Connection, boost::intrusive::constant_time_size<false>> withDeadline;
@@ -71,7 +71,7 @@
   void checkDeadlines() {
     const auto now = Clock::now();
     for (auto it = withDeadline.begin(); it != withDeadline.end();) {
-      auto& connection = *it++;  // advanced first: the connection may unlink itself
+      auto& connection = *it++;  // advanced before use, because the connection may unlink itself from the list
       if (connection.deadline() <= now)
         connection.onDeadline();
     }
@@ -126,7 +126,7 @@
   waiter.wait();
   if (timedOut)
     return false;
-  // The handler refers to this stack frame, so it must run before the frame goes.
+  // The timer's handler refers to local variables of this function, so it must run before the function returns.
   timer.cancel();
   while (!handlerRan)
     waiter.wait();
@@ -140,10 +140,10 @@
 }
 
 namespace {
-/// A function called at an interval. Owned by its pending timer.
+/// A function that is called periodically. The handler of the pending timer owns this object.
 class RepeatedCall : public std::enable_shared_from_this<RepeatedCall> {
  public:
-  /// @param stopped whether the event loop was stopped; no further call is scheduled then.
+  /// @param stopped set when the event loop was stopped; no further calls are scheduled then.
   RepeatedCall(asio::io_context& io, const bool& stopped, Duration interval, std::function<void()> function)
       : timer_(io), stopped_(stopped), interval_(interval), function_(std::move(function)) {}
   void schedule() {
--- a/libs/runtime/src/fiber_stacks.cpp
+++ b/libs/runtime/src/fiber_stacks.cpp
@@ -12,7 +12,7 @@
   static const auto page = static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
   return (bytes + page - 1) / page * page;
 }
-// Stacks grow downwards: the fiber library wants the address behind the highest byte.
+// Stacks grow downwards, so Boost.Context expects the address just above the highest byte of the stack.
 boost::context::stack_context stackAt(void* lowest, std::size_t bytes) {
   boost::context::stack_context stack;
   stack.size = bytes;
@@ -27,7 +27,7 @@
 FiberStackPool::FiberStackPool(FiberStackSizes sizes) : sizes_(sizes) {
   sizes_.stackBytes = roundUpToPages(sizes_.stackBytes);
   sizes_.guardBytes = roundUpToPages(sizes_.guardBytes);
-  kept_.reserve(sizes_.mostKept);  // deallocate() must not throw
+  kept_.reserve(sizes_.mostKept);  // deallocate() is noexcept, so push_back there must not allocate
 }
 FiberStackPool::~FiberStackPool() {
   for (void* lowest : kept_)
@@ -73,7 +73,7 @@
   }
   return lowest;
 }
-// The sizes of the two kinds differ by the guard area.
+// Only guarded stacks include the guard area in their size.
 bool FiberStackPool::isGuarded(const boost::context::stack_context& stack) const {
   return stack.size == mappingBytes();
 }
--- a/libs/runtime/src/fiber_stacks.hpp
+++ b/libs/runtime/src/fiber_stacks.hpp
@@ -1,5 +1,5 @@
-/// Stacks for fibers. Each lies above a guard area that may not be touched, so that a fiber which needs more than its
-/// stack ends the process at once (SIGSEGV) instead of writing over other memory.
+/// Stacks for fibers. An inaccessible guard area lies below each stack, so that a stack overflow kills the process
+/// immediately (SIGSEGV) instead of overwriting other memory.
 #pragma once
 #include <boost/context/stack_context.hpp>
 #include <cstddef>
@@ -7,33 +7,33 @@
 #include <vector>
 
 namespace zinccleat::runtime {
-/// How large the stacks of a pool are and how many it holds.
+/// The size of the stacks in a pool, and limits on their number.
 struct FiberStackSizes {
   std::size_t stackBytes = std::size_t{64} * 1024;
   std::size_t guardBytes = std::size_t{16} * 1024;
-  /// Unused stacks kept for the next fiber: to map and unmap one costs three system calls.
+  /// Maximum number of unused stacks kept for reuse. Reuse saves the three system calls for mapping and unmapping.
   std::size_t mostKept = 2048;
-  /// A guarded stack takes two of the kernel's mappings (vm.max_map_count, 65530 by default). Beyond this many in
-  /// existence fibers get stacks without a guard area from the heap rather than none.
+  /// Maximum number of guarded stacks. Each takes two memory mappings, whose number the kernel limits
+  /// (vm.max_map_count, 65530 by default). Beyond this number, fibers get heap-allocated stacks without a guard area.
   std::size_t mostGuarded = 24'000;
 };
 
-/// Makes stacks and keeps those that are free for reuse, the one used last first. Not thread-safe.
+/// Allocates stacks and keeps freed ones for reuse in LIFO order. Not thread-safe.
 class FiberStackPool {
  public:
   explicit FiberStackPool(FiberStackSizes sizes = {});
   ~FiberStackPool();
   FiberStackPool(const FiberStackPool&) = delete;
   FiberStackPool& operator=(const FiberStackPool&) = delete;
-  /// Throws std::bad_alloc when there is no memory.
+  /// Returns a stack. Throws std::bad_alloc if no memory is available.
   boost::context::stack_context allocate();
   void deallocate(boost::context::stack_context& stack) noexcept;
-  /// Guarded stacks in existence, in use or kept.
+  /// Number of guarded stacks, both in use and kept for reuse.
   std::size_t guarded() const { return guarded_; }
   std::size_t kept() const { return kept_.size(); }
 
  private:
-  /// The lowest address of a guarded stack's mapping, or null when it cannot be made.
+  /// Maps a guarded stack. Returns the lowest address of the mapping, or null on failure.
   void* mapGuarded() const;
   bool isGuarded(const boost::context::stack_context& stack) const;
   std::size_t mappingBytes() const { return sizes_.guardBytes + sizes_.stackBytes; }
@@ -43,7 +43,7 @@
   std::vector<void*> kept_;
 };
 
-/// What the fiber library takes as its stack allocator: a handle that keeps the pool alive as long as a fiber lives.
+/// A stack allocator for Boost.Fiber. Shares ownership of the pool, so that the pool outlives all fibers that use it.
 class FiberStackAllocator {
  public:
   explicit FiberStackAllocator(std::shared_ptr<FiberStackPool> pool) : pool_(std::move(pool)) {}
--- a/libs/runtime/src/lifecycle.cpp
+++ b/libs/runtime/src/lifecycle.cpp
@@ -32,7 +32,7 @@
       return LifecycleEvent::terminate;
   }
 }
-/// Differs after a change of the file, by its modification time and size; 0 if there is none.
+/// A value that changes with the modification time or the size of a file; 0 if the file does not exist.
 std::int64_t fingerprintOf(const std::string& path) {
   struct stat status {};
   if (::stat(path.c_str(), &status) != 0)
@@ -41,7 +41,7 @@
   return modifiedNs + status.st_size;
 }
 
-/// Owned by its pending wait for a signal and by the repeated check of the file.
+/// Watches signals and the settings file. Owned by the pending wait for a signal and by the periodic file check.
 class LifecycleWatcher : public std::enable_shared_from_this<LifecycleWatcher> {
  public:
   LifecycleWatcher(std::string settingsPath, LifecycleHandlers handlers)
--- a/libs/runtime/src/log_ring.cpp
+++ b/libs/runtime/src/log_ring.cpp
@@ -16,7 +16,7 @@
 struct RingBuffer {
   std::string node = "zinccleat";
   std::deque<std::string> lines;
-  std::size_t unwritten = 0;  // of the newest lines
+  std::size_t unwritten = 0;  // number of newest lines that were not written to standard error yet
   TimePoint lastDump{};
   bool verbose = false;
   log4cxx::LoggerPtr sink;
@@ -26,7 +26,7 @@
   return instance;
 }
 
-// Made when the first line is written, because setting up the logging library would slow down every start.
+// Called when the first line is written, because initializing log4cxx at the start would delay every process start.
 log4cxx::LoggerPtr makeSink() {
   auto layout = std::make_shared<log4cxx::PatternLayout>(LOG4CXX_STR("%m%n"));
   auto appender = std::make_shared<log4cxx::ConsoleAppender>(layout, LOG4CXX_STR("System.err"));
--- a/libs/transport/include/transport/access_messages.hpp
+++ b/libs/transport/include/transport/access_messages.hpp
@@ -1,12 +1,13 @@
-/// The messages between core machines and access machines, and those between core machines that are not part of the
-/// consensus protocol.
+/// The messages between core machines and access machines, and the messages between core machines that are not part of
+/// the consensus protocol.
 ///
-/// Requests and responses. A request that awaits an answer carries a `requestId`, and its response brings the same one
-/// back. Its sender draws the numbers from a counter of its own for each type of request and never uses one twice in
-/// its incarnation, so that a late response is recognised and dropped. `RequestResponse` checks each pair. The field is
-/// declared in each message rather than inherited: messages are aggregates, built with designated initializers.
+/// A request that expects a response carries a `requestId`, which the response repeats. The sender takes the ids from a
+/// counter for each type of request and uses no id twice in one incarnation, so that it recognises and drops a late
+/// response. `RequestResponse` checks each pair of messages at compile time. Each message declares the field itself
+/// instead of inheriting it, because messages are aggregates that are built with designated initializers.
 ///
-/// Units: fields whose names end in `Ms` are milliseconds. An index is that of a log entry; 0 stands before the first.
+/// Fields whose names end in `Ms` are in milliseconds. An index is the index of a log entry; 0 is the position before
+/// the first entry.
 #pragma once
 #include <concepts>
 
@@ -22,13 +23,13 @@
 concept CarriesRequestId = requires(T message) {
   { message.requestId } -> std::same_as<std::int64_t&>;
 };
-/// A request and the response to it.
+/// A request type and its response type.
 template <class Request, class Response>
 concept RequestResponse = CarriesRequestId<Request> && CarriesRequestId<Response> && Request::kType != Response::kType;
 
 // --- between core machines ---
 
-/// A write forwarded to the leader. Forwarding it again is harmless: its operation id makes it the same write.
+/// A write forwarded to the leader. Forwarding a write repeatedly is harmless, because the operation id identifies it.
 struct SubmitEntry {
   static constexpr auto kType = MessageType::submitEntry;
   LogEntry entry;
@@ -37,8 +38,8 @@
     v("entry", entry);
   }
 };
-/// Whether the leader has appended the write. It has not if it does not lead, or lacks the entry's body. The sender
-/// learns whether the write was committed from its own replica.
+/// Whether the receiver of a `SubmitEntry` has appended the write to its log. A member rejects the write if it is not
+/// the leader or lacks the entry's body. The sender learns from its own replica whether the write was committed.
 struct SubmitEntryResponse {
   static constexpr auto kType = MessageType::submitEntryResponse;
   bool accepted = false;
@@ -47,8 +48,8 @@
     v("accepted", accepted);
   }
 };
-/// Asks the leader for its commit index. A replica that has applied the log up to it may answer a linearizable read
-/// (ReadIndex, Ongaro's dissertation, section 6.4).
+/// Asks the leader for its commit index. A replica that has applied the log up to this index may serve a linearizable
+/// read (ReadIndex, Ongaro's dissertation, section 6.4).
 struct ReadIndexRequest {
   static constexpr auto kType = MessageType::readIndexRequest;
   std::int64_t requestId = 0;
@@ -61,8 +62,8 @@
 struct ReadIndexResponse {
   static constexpr auto kType = MessageType::readIndexResponse;
   std::int64_t requestId = 0;
-  bool underLease = false;       ///< the sender leads and its lease is valid; else the index means nothing
-  std::int64_t commitIndex = 0;  ///< at the time of the request or later
+  bool underLease = false;  ///< the sender is the leader with a valid lease; otherwise `commitIndex` is meaningless
+  std::int64_t commitIndex = 0;  ///< the commit index at the time of the request or later
   template <class V>
   void fields(V& v) {
     v("requestId", requestId);
@@ -72,7 +73,7 @@
 };
 static_assert(RequestResponse<ReadIndexRequest, ReadIndexResponse>);
 
-/// The zone in which a core machine stands.
+/// The zone of a core machine.
 struct MemberZone {
   std::string address;  ///< the machine's IP address
   std::string zone;
@@ -83,29 +84,29 @@
   }
   bool operator==(const MemberZone&) const = default;
 };
-/// When a runner was last heard from.
+/// The time since a runner's last heartbeat.
 struct RunnerAge {
   std::string id;
-  std::int64_t ageMs = 0;  ///< since its newest heartbeat
+  std::int64_t ageMs = 0;  ///< time since the runner's newest heartbeat
   template <class V>
   void fields(V& v) {
     v("id", id);
     v("ageMs", ageMs);
   }
 };
-/// Heartbeats of runners that a core machine which does not lead has received. Sent again until acknowledged; sent
-/// without any now and then, so that the leader knows the sender's zone.
+/// Runner heartbeats that a core machine other than the leader has received. The sender repeats a batch until it is
+/// acknowledged, and occasionally sends an empty batch so that the leader knows the sender's zone.
 struct HeartbeatBatch {
   static constexpr auto kType = MessageType::heartbeatBatch;
   struct Extension {
-    std::string zone;  ///< of the sender
+    std::string zone;  ///< zone of the sender
     bool empty() const { return zone.empty(); }
     template <class V>
     void fields(V& v) {
       v("zone", zone);
     }
   };
-  std::int64_t number = 0;  ///< of the sender's batch
+  std::int64_t number = 0;  ///< sequence number of the batch
   std::vector<RunnerAge> runners;
   Extension extension{};
   template <class V>
@@ -114,18 +115,18 @@
     v("runners", runners);
   }
 };
-/// Acknowledges a batch. Only a leader with a valid lease sends it.
+/// Acknowledges a `HeartbeatBatch`. Sent only by a leader with a valid lease.
 struct HeartbeatBatchResponse {
   static constexpr auto kType = MessageType::heartbeatBatchResponse;
   struct Extension {
-    std::vector<MemberZone> members;  ///< the core machines that the leader has heard lately
+    std::vector<MemberZone> members;  ///< the core machines that the leader has recently heard from
     bool empty() const { return members.empty(); }
     template <class V>
     void fields(V& v) {
       v("members", members);
     }
   };
-  std::int64_t number = 0;  ///< of the batch acknowledged
+  std::int64_t number = 0;  ///< sequence number of the acknowledged batch
   Extension extension{};
   template <class V>
   void fields(V& v) {
@@ -135,7 +136,7 @@
 
 // --- cluster status and the replicated log ---
 
-/// An agent's progress: sent every second, and after a number of entries received.
+/// The progress of an agent, sent every second and after a certain number of received entries.
 struct AgentState {
   static constexpr auto kType = MessageType::agentState;
   std::int64_t lastApplied = 0;
@@ -146,12 +147,12 @@
     v("view", view);
   }
 };
-/// Who leads, as far as the sender knows: answers an `AgentState`, and goes to all agents when it changes.
+/// The current leader as known to the sender. Sent in response to an `AgentState`, and to all agents after a change.
 struct ClusterStatus {
   static constexpr auto kType = MessageType::clusterStatus;
   struct Extension {
-    /// The core machines that the sender knows to be up, each of which feeds the agents of its zone. Sent with the
-    /// voters.
+    /// The core machines that the sender knows to be up. Each of them streams the log to the agents in its zone. Sent
+    /// together with `voters`.
     std::vector<MemberZone> members;
     bool empty() const { return members.empty(); }
     template <class V>
@@ -161,7 +162,7 @@
   };
   std::int64_t term = 0;
   std::string leader;               ///< empty: unknown
-  std::vector<std::string> voters;  ///< empty: as sent before on this link
+  std::vector<std::string> voters;  ///< empty: unchanged since the last message on this link
   std::int64_t commitIndex = 0;
   std::vector<std::string> view;  ///< a sample of the sender's `PartialView`
   Extension extension{};
@@ -174,12 +175,12 @@
     v("view", view);
   }
 };
-/// Subscribes to the committed log entries behind an index.
+/// Subscribes to the committed log entries after an index.
 struct FollowLog {
   static constexpr auto kType = MessageType::followLog;
   struct Extension {
-    std::string zone;          ///< of the sender; a core machine of the same zone feeds it, whether or not it leads
-    bool unsubscribe = false;  ///< ends the subscription instead
+    std::string zone;          ///< zone of the sender; any core machine of this zone may serve the subscription
+    bool unsubscribe = false;  ///< true: the message ends the subscription
     bool empty() const { return zone.empty() && !unsubscribe; }
     template <class V>
     void fields(V& v) {
@@ -187,9 +188,9 @@
       v("unsubscribe", unsubscribe);
     }
   };
-  std::int64_t lastApplied = 0;  ///< 0: the sender has no state and needs all of it
-  std::string cachedDigest;      ///< of the configuration that the sender has, which need not be sent again
-  bool refetch = false;          ///< the sender lacks something it should have: nothing may be left out
+  std::int64_t lastApplied = 0;  ///< 0: the sender has no state and needs the complete state
+  std::string cachedDigest;      ///< digest of the configuration that the sender has cached and does not need again
+  bool refetch = false;          ///< the sender's state is incomplete: the response must omit nothing
   Extension extension{};
   template <class V>
   void fields(V& v) {
@@ -211,7 +212,7 @@
     v("entries", entries);
   }
 };
-/// The state for a subscriber that is too far behind for log entries.
+/// A state snapshot for a subscriber that lags too far behind to catch up from log entries.
 struct FeedSnapshot {
   static constexpr auto kType = MessageType::feedSnapshot;
   std::int64_t term = 0;
@@ -224,7 +225,7 @@
     v("state", state);
   }
 };
-/// The body of a large write, sent before its log entry is committed; the entry then holds the digest only.
+/// The body of a large write, sent before its log entry is committed. The log entry then carries only the digest.
 struct BodyAhead {
   static constexpr auto kType = MessageType::bodyAhead;
   std::string digest;
@@ -238,21 +239,21 @@
 
 // --- leases, quotas and prefix hints ---
 
-/// A proxy asks for its lease, and tells what the leader is to know of its machine.
+/// A proxy's request for a lease, with the proxy's reports on quotas, load and runners for the leader.
 struct LeaseRequest {
   static constexpr auto kType = MessageType::leaseRequest;
   struct Extension {
-    /// Sent while runners are warming up, and with what stands behind it.
+    /// Sent while runners are warming up, and whenever the nested extension is sent.
     struct WarmupExtension {
-      std::string warmupZone;      ///< the sender's zone: it asks for `WarmupGrant`s
-      PlatformReport extension{};  ///< sent where the fleet has functions at its platform
+      std::string warmupZone;      ///< the sender's zone, for which the sender requests `WarmupGrant`s
+      PlatformReport extension{};  ///< sent if the fleet uses functions of its platform
       bool empty() const { return warmupZone.empty() && extension.empty(); }
       template <class V>
       void fields(V& v) {
         v("warmupZone", warmupZone);
       }
     };
-    std::vector<RolloutReport> rollouts;  ///< of the services that are being rolled out
+    std::vector<RolloutReport> rollouts;  ///< reports on rollouts in progress
     WarmupExtension extension{};
     bool empty() const { return rollouts.empty() && extension.empty(); }
     template <class V>
@@ -264,7 +265,7 @@
   std::vector<QuotaDemand> demand;
   std::vector<QuotaHolding> holds;
   std::vector<ZoneLoad> load;
-  std::vector<RunnerAttempts> attempts;  // since the last request
+  std::vector<RunnerAttempts> attempts;  // attempts since the last request
   std::int64_t outliersVersion = 0;
   Extension extension{};
   template <class V>
@@ -276,10 +277,10 @@
 struct LeaseResponse {
   static constexpr auto kType = MessageType::leaseResponse;
   struct Extension {
-    /// Sent while runners are warming up, and with what stands behind it.
+    /// Sent while runners are warming up, and whenever the nested extension is sent.
     struct WarmupExtension {
       std::vector<WarmupGrant> warmups;
-      PlatformReportAnswer extension{};  ///< answers a `PlatformReport`
+      PlatformReportAnswer extension{};  ///< response to a `PlatformReport`
       bool empty() const { return warmups.empty() && extension.empty(); }
       template <class V>
       void fields(V& v) {
@@ -295,12 +296,12 @@
     }
   };
   std::int64_t requestId = 0;
-  bool granted = false;  // else nothing below counts
+  bool granted = false;  // if false, all fields below are meaningless
   std::int64_t commitIndex = 0;
-  std::int64_t accessMachines = 0;  // that were heard lately
+  std::int64_t accessMachines = 0;  // number of access machines that the leader has recently heard from
   std::vector<QuotaGrant> grants;
   std::int64_t outliersVersion = 0;
-  std::vector<RunnerEjection> outliers;  // empty where the sender of the request has this version
+  std::vector<RunnerEjection> outliers;  // empty if the request already had this `outliersVersion`
   Extension extension{};
   template <class V>
   void fields(V& v) {
@@ -309,7 +310,7 @@
     v("outliers", outliers);
   }
 };
-/// Tokens for requests that wait right now.
+/// Requests quota tokens for client requests that are currently waiting.
 struct QuotaTokenRequest {
   static constexpr auto kType = MessageType::quotaTokenRequest;
   std::int64_t requestId = 0;
@@ -342,11 +343,11 @@
     v("tenantDigest", tenantDigest);
   }
 };
-/// Where the partner site takes requests.
+/// The addresses at which the partner site accepts requests.
 struct PrefixLookupResponse {
   static constexpr auto kType = MessageType::prefixLookupResponse;
   std::int64_t requestId = 0;
-  std::vector<std::string> access;  ///< addresses of the partner's access nodes; empty: send the prompt here
+  std::vector<std::string> access;  ///< addresses of the partner's access nodes; empty: keep the prompt at this site
   template <class V>
   void fields(V& v) {
     v("requestId", requestId);
--- a/libs/transport/include/transport/avro.hpp
+++ b/libs/transport/include/transport/avro.hpp
@@ -1,18 +1,21 @@
-/// Avro's binary encoding (https://avro.apache.org/docs/1.12.0/specification/) for any struct that lists its fields:
+/// Avro's binary encoding (https://avro.apache.org/docs/1.12.0/specification/) for any struct that lists its fields in
+/// a function template:
 ///
 ///     template <class V> void fields(V& v) { v("term", term), v("leader", leader); }
 ///
-/// The schema, the encoder and the decoder follow this one list. Supported are `bool`, `std::int32_t`, `std::int64_t`,
-/// `double`, `std::string` (as Avro `bytes`), `std::vector` of these, and structs that list fields themselves.
+/// The schema, the encoder and the decoder are all derived from this list. Supported types are `bool`, `std::int32_t`,
+/// `std::int64_t`, `double`, `std::string` (as Avro `bytes`), `std::vector` of these, and structs that list fields
+/// themselves.
 ///
-/// Names are not encoded, only values in the order of the list: renaming a field changes no byte, reordering fields or
-/// changing a type does.
+/// Only values are encoded, in the order of the list, and not the names: renaming a field does not change the encoding,
+/// but reordering fields or changing a type does.
 ///
-/// Limits. Schema, encoder and decoder recurse along the types, never along the data: a message nests as deeply as its
-/// struct does, whatever bytes arrive, and a type cannot contain itself. The length of a string or vector is limited by
-/// the input alone: the caller bounds it (see `decodeFrames`). Bytes after the last field are ignored.
+/// Limits: the schema builder, the encoder and the decoder recurse over types and not over data, so the nesting depth
+/// is that of the struct for any input; a type cannot contain itself. The length of strings and vectors is limited only
+/// by the size of the input, which the caller must bound (see `decodeFrames`). Bytes after the last field are ignored.
 ///
-/// Each thread may encode and decode, but one type only on one thread at a time: the values are cached per type.
+/// Thread safety: different types may be encoded and decoded concurrently. A single type must be used by one thread at
+/// a time, because the Avro value is cached per type.
 #pragma once
 #include <avro.h>
 
@@ -38,8 +41,8 @@
 struct IsVector<std::vector<T>> : std::true_type {
   using Element = T;
 };
-/// A record name that was not used before: a schema may not define one name twice, and a type may occur in it several
-/// times. Threads may reach this together.
+/// Returns a new record name at each call, because a type may occur several times in a schema, which must not define a
+/// name twice. Thread-safe.
 inline std::string uniqueRecordName() {
   static std::atomic<int> names{0};
   return "R" + std::to_string(++names);
@@ -80,7 +83,7 @@
   static void put(avro_value_t* field, std::int64_t value) { avro_value_set_long(field, value); }
   static void put(avro_value_t* field, double value) { avro_value_set_double(field, value); }
   static void put(avro_value_t* field, const std::string& value) {
-    // The library copies the bytes; its parameter only lacks the const.
+    // The const_cast is safe: Avro C copies the bytes, although its parameter is not const.
     avro_value_set_bytes(field, const_cast<char*>(value.data()), value.size());
   }
   template <class T>
@@ -145,7 +148,8 @@
   }
 };
 
-/// The one Avro value of a type, used for every message of it: making a value costs far more than resetting it.
+/// The Avro value of a type, reused for all messages of this type, because resetting a value is far cheaper than
+/// creating one.
 template <class T>
 class CachedValue {
  public:
@@ -153,7 +157,7 @@
     static CachedValue cached;
     return cached;
   }
-  /// The value for the caller's use, empty.
+  /// Clears the value and returns it.
   avro_value_t* reset() {
     avro_value_reset(&value_);
     return &value_;
@@ -187,8 +191,9 @@
   cached.reset();
   return bytes;
 }
-/// Decodes a struct; `ErrorCode::corruption` if the bytes are not one.
-/// @param consumed if given, receives the number of bytes that the record takes at the front of `bytes`.
+/// Decodes a struct.
+/// @param consumed if not null, receives the length of the record at the front of `bytes`.
+/// @return `ErrorCode::corruption` if the bytes are not a valid encoding of the struct.
 template <class T>
 Result<T> decode(std::string_view bytes, std::size_t* consumed = nullptr) {
   auto& cached = CachedValue<T>::instance();
--- a/libs/transport/include/transport/envelope.hpp
+++ b/libs/transport/include/transport/envelope.hpp
@@ -1,13 +1,13 @@
-/// What one frame carries: a message's type, its sender and its encoded fields. Each message is a struct with a `kType`
-/// and a list of fields (see avro.hpp); `pack` and `unpack` convert between struct and envelope.
+/// The content of a frame: the type of a message, its sender and its encoded fields. Each message is a struct with a
+/// `kType` and a list of fields (see avro.hpp); `pack` and `unpack` convert between struct and envelope.
 #pragma once
 #include <concepts>
 
 #include "transport/avro.hpp"
 namespace zinccleat::transport {
-/// The types of message. The numbers are part of the wire format: new ones are appended.
+/// The message types. The values are part of the wire format: new types are appended at the end.
 enum class MessageType : std::uint8_t {
-  consensus = 1,  ///< the payload is that of `consensus::encodeMessage`
+  consensus = 1,  ///< the payload is encoded by `consensus::encodeMessage`
   // Between core machines.
   submitEntry,
   submitEntryResponse,
@@ -42,21 +42,21 @@
 /// The type with the highest number.
 constexpr MessageType kLastMessageType = MessageType::counterTransfer;
 
-/// A message as it travels.
+/// An encoded message with its type and sender.
 struct Envelope {
   MessageType type{};
-  std::string sender;   ///< identity of a member or an agent; empty where the receiver does not need it
+  std::string sender;   ///< identity of a member or an agent; empty if the receiver does not need it
   std::string payload;  ///< the message's fields, encoded
 };
-/// A message that later versions have given further fields, in a struct of their own called `Extension`. They are
-/// encoded as a second record behind the first, which receivers of earlier versions ignore; a message whose extension
-/// is empty has the same bytes as before. An extension may itself have one.
+/// A message to which a later version added fields, in a nested struct called `Extension`. The extension is encoded as
+/// a second record after the message's own record, and receivers of earlier versions ignore it. A message with an empty
+/// extension has the same encoding as in earlier versions. An extension may itself have an extension.
 template <class T>
 concept Extensible = requires(const T message) {
   { message.extension.empty() } -> std::same_as<bool>;
 };
 
-/// Encodes a record and the extensions that it has.
+/// Encodes a record and its non-empty extensions.
 template <class T>
 std::string encodeExtended(const T& record) {
   auto payload = avro::encode(record);
@@ -65,8 +65,8 @@
       payload += encodeExtended(record.extension);
   return payload;
 }
-/// Decodes a record and the extensions that the bytes hold.
-/// @return `ErrorCode::corruption` if the record or one of them does not parse.
+/// Decodes a record and the extensions that follow it.
+/// @return `ErrorCode::corruption` if the record or an extension is malformed.
 template <class T>
 Result<T> decodeExtended(std::string_view payload) {
   std::size_t consumed = 0;
@@ -88,7 +88,7 @@
   return {T::kType, std::move(sender), encodeExtended(message)};
 }
 /// Decodes a message.
-/// @return `ErrorCode::corruption` if the envelope holds another type of message, or fields that do not parse.
+/// @return `ErrorCode::corruption` if the envelope holds another type of message or malformed fields.
 template <class T>
 Result<T> unpack(const Envelope& envelope) {
   if (envelope.type != T::kType)
--- a/libs/transport/include/transport/listener.hpp
+++ b/libs/transport/include/transport/listener.hpp
@@ -2,15 +2,15 @@
 #pragma once
 #include "runtime/event_loop.hpp"
 namespace zinccleat::transport {
-/// An endpoint on which connections are accepted until it is closed or the event loop ends; destroying the handle does
-/// not close it.
+/// A handle to a listening endpoint, which accepts connections until `close` is called or the event loop ends.
+/// Destroying the handle does not close the endpoint.
 class Listener {
  public:
   class Acceptor;
   explicit Listener(std::shared_ptr<Acceptor> acceptor);
-  /// Accepts no more: new connections are refused. Those accepted before are not touched.
+  /// Stops accepting: new connections are refused. Connections accepted before stay open.
   void close();
-  /// The bound address, with the port that the operating system chose for port 0.
+  /// The bound address. If the requested port was 0, it contains the port that the operating system chose.
   tcp::endpoint endpoint() const;
 
  private:
--- a/libs/transport/include/transport/peer_link.hpp
+++ b/libs/transport/include/transport/peer_link.hpp
@@ -1,48 +1,50 @@
-/// One connection to another process of the fleet, carrying messages both ways. Used on the event loop's thread only.
+/// A bidirectional message connection to another process of the fleet. Used only on the event loop's thread.
 #pragma once
 #include "runtime/event_loop.hpp"
 #include "transport/frame_codec.hpp"
 namespace zinccleat::transport {
-/// A connection in use. Messages leave in the order of `send`; those of `sendBulk` are overtaken by all others. A
-/// message is delivered at most once, and is lost if the connection closes before it has left.
+/// An established connection. Messages are sent in the order of the calls to `send`, and before pending `sendBulk`
+/// messages. A message is delivered at most once, and is lost if the connection closes before it was transmitted.
 ///
-/// The link keeps itself alive from `start` until the connection is closed.
+/// The link owns itself from `start` until the connection is closed.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
  public:
   /// Called for each message received, on the link's own fiber.
   using OnMessage = std::function<void(const std::shared_ptr<PeerLink>&, const Envelope&)>;
-  /// Called once, after the connection was closed by either end.
+  /// Called once, after either side has closed the connection.
   using OnClosed = std::function<void(const std::shared_ptr<PeerLink>&)>;
   /// @param socket a connected socket.
   PeerLink(tcp::socket socket, OnMessage onMessage, OnClosed onClosed);
   ~PeerLink();
-  /// Starts receiving. Call once, after the link is owned by a shared pointer.
+  /// Starts receiving. Must be called once, when a shared pointer owns the link.
   void start();
-  /// Encodes a message and queues it. Nothing happens on a closed link.
+  /// Encodes a message and queues it. Does nothing on a closed link.
   void send(const Envelope& envelope);
-  /// Queues a frame that `encodeFrame` made: for one message to many links.
+  /// Queues a frame that `encodeFrame` returned, so that a message for many links is encoded once.
   void sendFrame(std::string_view frame);
-  /// Queues a frame that may be large and is not urgent; a large one leaves in fragments while nothing else is queued.
-  /// Bulk frames arrive in the order of these calls. Shared, so that a frame for hundreds of links is in memory once.
+  /// Queues a frame that is not urgent and may be large. A large frame is sent in fragments while no other frames are
+  /// queued. Bulk frames arrive in the order of these calls. The frame is shared, so that a frame for hundreds of links
+  /// is in memory once.
   void sendBulk(std::shared_ptr<const std::string> frame);
-  /// The same for a frame for one link.
+  /// Queues a bulk frame that is sent to this link only.
   void sendBulk(std::string frame) { sendBulk(std::make_shared<const std::string>(std::move(frame))); }
-  /// Says in which zone the other end stands: what is sent from now on is counted for it (`trafficByZone`).
+  /// Sets the zone of the peer, for which subsequent messages are counted (`trafficByZone`).
   void setPeerZone(const std::string& zone);
-  /// Bytes queued that the operating system has not accepted yet. A sender of much data looks at it first, so that a
-  /// peer that does not read costs a bounded amount of memory. A link whose backlog exceeds 48 MiB is closed.
+  /// Number of queued bytes that the operating system has not accepted yet. Senders of large amounts of data check the
+  /// backlog before sending, to bound the memory used for a peer that does not read. A link whose backlog exceeds 48
+  /// MiB is closed.
   std::size_t backlog() const;
-  /// Closes the connection; what is queued is dropped.
+  /// Closes the connection and drops queued messages.
   void close();
-  /// Closes the connection over a message that cannot be accepted; logs the reason and counts it.
+  /// Closes the connection because of an invalid message, logs the reason and counts the event.
   void decline(const std::string& reason);
   /// Whether the connection is open.
   bool open() const;
-  /// When bytes last arrived; the link's construction before that.
+  /// When bytes were last received; initially the time of the link's construction.
   TimePoint lastReceivedAt() const;
-  /// When the oldest message was queued since which nothing has been received; `TimePoint::max()` if there is none.
+  /// When the first message after the last receipt of bytes was queued; `TimePoint::max()` if none was queued since.
   TimePoint unansweredSince() const;
-  /// The IP address of the other end; empty if the socket was not connected.
+  /// The IP address of the peer; empty if the socket was not connected.
   std::string remoteIp() const;
 
  private:
@@ -55,7 +57,8 @@
 };
 using PeerLinkPtr = std::shared_ptr<PeerLink>;
 
-/// Calls the handler with the message if the envelope holds one of type T. Fields that do not parse close the link.
+/// Calls the handler with the decoded message if the envelope holds a message of type T. Malformed fields close the
+/// link.
 template <class T, class Handler>
 void receive(const PeerLinkPtr& link, const Envelope& envelope, Handler&& handler) {
   if (envelope.type != T::kType)
--- a/libs/transport/include/transport/platform_records.hpp
+++ b/libs/transport/include/transport/platform_records.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// The records that lease messages carry for the functions that the fleet has at its platform: what proxies count for
-/// usage reports, and the load that runners are ordered by. Sent only where the settings name such functions.
+/// The records in lease messages for the platform functions that the fleet uses: request counts for usage reports, and
+/// load reports from which the number of runners to order is computed. Sent only if the settings list such functions.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::transport {
-/// Requests of one tenant that runners began in one window of usage.
+/// The number of requests of one tenant that runners began to process in one usage window.
 struct UsageCount {
-  std::int64_t window = 0;  ///< see `platform::windowOf`
+  std::int64_t window = 0;  ///< number of the window, see `platform::windowOf`
   std::string tenant;
   std::int64_t requests = 0;
   /// Lists the fields in wire order.
@@ -16,10 +16,11 @@
   }
   bool operator==(const UsageCount&) const = default;
 };
-/// What one proxy has counted between two of its reports. Sent again until the leader has it.
+/// The usage that one proxy counted between two reports. The proxy repeats a batch until the leader has received it.
 struct UsageBatch {
-  std::int64_t number = 0;           ///< counted from 1 in each life of the proxy
-  std::int64_t completeThrough = 0;  ///< the batches up to this one hold all of the windows up to here
+  std::int64_t number = 0;  ///< consecutive number, starting at 1 when the proxy process starts
+  std::int64_t completeThrough =
+      0;  ///< all usage of windows up to this one is contained in the batches up to this batch
   std::vector<UsageCount> counts;
   /// Lists the fields in wire order.
   template <class Visitor>
@@ -27,13 +28,13 @@
     v("number", number), v("completeThrough", completeThrough), v("counts", counts);
   }
 };
-/// One proxy's load at the runners of one service in one zone.
+/// The load of the runners of one service in one zone that one proxy causes.
 struct RunnerLoadReport {
   std::string service;
   std::string zone;
-  std::int32_t inFlight = 0;    ///< attempts that have not ended
-  std::int32_t prefilling = 0;  ///< of those, the ones whose runner has not begun to respond
-  std::int32_t turnedAway = 0;  ///< requests for the service that found no runner since the last report; zone is empty
+  std::int32_t inFlight = 0;    ///< attempts in progress
+  std::int32_t prefilling = 0;  ///< attempts in progress for which the runner has not begun to respond
+  std::int32_t turnedAway = 0;  ///< requests since the last report for which no runner was available; `zone` is empty
   /// Lists the fields in wire order.
   template <class Visitor>
   void fields(Visitor& v) {
@@ -41,11 +42,11 @@
     v("turnedAway", turnedAway);
   }
 };
-/// What a proxy tells the leader for the platform's functions.
+/// A proxy's usage and load reports to the leader, for the platform's functions.
 struct PlatformReport {
-  std::int64_t incarnation = 0;  ///< drawn at each start of the proxy; 0: the proxy has nothing to tell
-  std::int64_t timeOfDayMs = 0;  ///< the proxy's own, since 1970
-  std::int64_t firstBatch = 0;   ///< the oldest batch that it keeps; earlier ones will not come
+  std::int64_t incarnation = 0;  ///< chosen at each start of the proxy; 0: the report is empty
+  std::int64_t timeOfDayMs = 0;  ///< the proxy's wall-clock time since 1970
+  std::int64_t firstBatch = 0;   ///< the oldest batch that the proxy retains; earlier batches will not be sent
   std::vector<UsageBatch> batches;
   std::vector<RunnerLoadReport> loads;  ///< empty in most messages
   bool empty() const { return incarnation == 0; }
@@ -56,10 +57,10 @@
     v("batches", batches), v("loads", loads);
   }
 };
-/// The leader's answer to a `PlatformReport`.
+/// The leader's response to a `PlatformReport`.
 struct PlatformReportAnswer {
-  std::int64_t fleetTimeMs = 0;      ///< true time since 1970 as the majority has it; 0: not known yet
-  std::int64_t receivedBatch = 0;    ///< all batches of the proxy up to this one are here
+  std::int64_t fleetTimeMs = 0;      ///< wall-clock time since 1970 according to the majority; 0: unknown
+  std::int64_t receivedBatch = 0;    ///< the leader has received all batches of the proxy up to this one
   std::int64_t reportedThrough = 0;  ///< the reports of all windows up to this one are committed
   bool empty() const { return fleetTimeMs == 0 && receivedBatch == 0 && reportedThrough == 0; }
   /// Lists the fields in wire order.
--- a/libs/transport/include/transport/rollout_records.hpp
+++ b/libs/transport/include/transport/rollout_records.hpp
@@ -1,19 +1,19 @@
 /// @file
-/// The records about rollouts that lease messages carry between access machines and the leader.
+/// The records about rollouts in the lease messages between access machines and the leader.
 ///
-/// A rollout moves the traffic of a service from the revision that its runners have, the baseline, to a new one, the
-/// candidate.
+/// A rollout moves the traffic of a service from the current revision of its runners, the baseline, to a new revision,
+/// the candidate.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::transport {
-/// Answers of runners on one route, as one proxy counted them since its last report.
+/// Responses of runners on one route, as counted by one proxy since its last report.
 struct RevisionAnswers {
-  std::string route;       ///< label, marked where the runner was busy (see `rollout::stratumOf`)
-  std::string runner;      ///< of the candidate; empty: all runners of the baseline together
-  double answered = 0;     ///< attempts that were answered, with success or not
-  double failed = 0;       ///< of those, the ones answered with an error of the runner's own
-  double interrupted = 0;  ///< attempts that were sent and whose answer broke off or never came
-  double slow = 0;         ///< answers far slower than the baseline's are on this proxy
+  std::string route;       ///< label, with a mark if the runner was busy (see `rollout::stratumOf`)
+  std::string runner;      ///< a runner of the candidate; empty: all runners of the baseline together
+  double answered = 0;     ///< attempts with a response, successful or not
+  double failed = 0;       ///< of the answered attempts, those with an error caused by the runner
+  double interrupted = 0;  ///< sent attempts whose response was interrupted or missing
+  double slow = 0;         ///< responses far slower than the baseline's responses at this proxy
   /// Lists the fields in wire order.
   template <class Visitor>
   void fields(Visitor& v) {
@@ -21,12 +21,12 @@
     v("interrupted", interrupted), v("slow", slow);
   }
 };
-/// What one proxy knows of one rollout since its last report.
+/// One proxy's measurements of one rollout since the proxy's last report.
 struct RolloutReport {
   std::string service;
-  std::string revision;               ///< the candidate
-  std::int32_t percent = 0;           ///< of the traffic that this proxy sends to the candidate by itself
-  double requests = 0;                ///< requests for the service
+  std::string revision;      ///< the candidate
+  std::int32_t percent = 0;  ///< percentage of traffic that this proxy sends to the candidate on its own decision
+  double requests = 0;       ///< number of requests for the service
   std::int64_t baselineInFlight = 0;  ///< this proxy's attempts in flight at runners of the baseline
   std::vector<RevisionAnswers> answers;
   /// Lists the fields in wire order.
@@ -36,11 +36,11 @@
     v("baselineInFlight", baselineInFlight), v("answers", answers);
   }
 };
-/// Requests that a proxy may send to a candidate that is not proven yet. They expire if no grant follows.
+/// Permission to send requests to a candidate that is not proven yet. The tokens expire if no further grant follows.
 struct ExposureGrant {
   std::string service;
   std::string revision;  ///< the candidate
-  double tokens = 0;     ///< one for each request; fractions add up
+  double tokens = 0;     ///< one token per request; fractions are accumulated
   /// Lists the fields in wire order.
   template <class Visitor>
   void fields(Visitor& v) {
--- a/libs/transport/include/transport/warmup_records.hpp
+++ b/libs/transport/include/transport/warmup_records.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The record about runners in their slow start that lease messages carry from the leader to proxies.
+/// The record in lease messages by which the leader limits requests from proxies to runners that are warming up.
 #pragma once
 #include "runtime/common.hpp"
 namespace zinccleat::transport {
-/// Requests that a proxy may send to a runner that is warming up, within `kWarmupGrantLifetime` of its own request for
-/// the grant.
+/// The number of requests that a proxy may send to a runner that is warming up, within `kWarmupGrantLifetime` after the
+/// proxy's request for the grant.
 struct WarmupGrant {
   std::string runner;
   std::int32_t requests = 0;
@@ -14,6 +14,6 @@
     v("runner", runner), v("requests", requests);
   }
 };
-/// How long a `WarmupGrant` holds, counted from when the proxy asked for it.
+/// How long a `WarmupGrant` is valid, from the time at which the proxy requested the grant.
 constexpr Duration kWarmupGrantLifetime{700};
 }  // namespace zinccleat::transport
--- a/libs/transport/src/dialer.cpp
+++ b/libs/transport/src/dialer.cpp
@@ -6,11 +6,11 @@
 namespace {
 constexpr auto kUnansweredTimeout = 900ms;
 constexpr auto kUnansweredCheckInterval = 100ms;
-// Short, because the first packet to a machine that is not up yet is lost, and TCP repeats it only after a second.
+// Short, because a SYN sent to a machine that is not up yet is lost, and TCP retransmits it only after one second.
 constexpr auto kConnectTimeout = 300ms;
 constexpr auto kFirstRetryDelay = 30ms;
 constexpr auto kRetryDelay = 150ms;
-constexpr int kFirstRetries = 8;  // failures in a row before the longer delay
+constexpr int kFirstRetries = 8;  // consecutive failures before the longer delay
 constexpr int kFailuresPerLogLine = 200;
 }  // namespace
 
@@ -20,7 +20,7 @@
   OnConnected onConnected;
   PeerLinkPtr link;
   bool released = false;
-  int failures = 0;  // since the last connection
+  int failures = 0;  // since the last established connection
 
   void start() {
     runtime::EventLoop::get().spawn([self = shared_from_this()] { self->keepConnected(); });
@@ -36,7 +36,7 @@
         runtime::EventLoop::get().sleepFor(failures < kFirstRetries ? kFirstRetryDelay : kRetryDelay);
     }
   }
-  /// One connection attempt. Null if it failed, or if the dialer was released meanwhile.
+  /// Makes one connection attempt. Returns null if the attempt failed or the dialer was released in the meantime.
   PeerLinkPtr connect() {
     runtime::Connection connection;
     connection.setDeadline(Clock::now() + kConnectTimeout);
--- a/libs/transport/src/frame_codec.cpp
+++ b/libs/transport/src/frame_codec.cpp
@@ -5,8 +5,8 @@
 constexpr char kFrameFormat = 4;
 constexpr char kFragmentFormat = 3;
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kHeadBytes = kLengthBytes + 1;  // with the format
-constexpr std::size_t kMaxSenderBytes = 255;          // its length is one byte
+constexpr std::size_t kHeadBytes = kLengthBytes + 1;  // length and format
+constexpr std::size_t kMaxSenderBytes = 255;          // the length of the sender is encoded in one byte
 constexpr std::size_t kMaxFrameBytes = std::size_t{32} << 20;
 
 Traffic processTraffic;
@@ -52,7 +52,7 @@
   envelopes.push_back(std::move(*envelope));
   return {};
 }
-/// Gathers one fragment, and decodes the frame if this was its last.
+/// Appends a fragment to the accumulated fragments, and decodes the frame if this fragment is its last.
 Result<void> decodeFragment(std::string_view body, std::string& fragments, std::vector<Envelope>& envelopes) {
   fragments += body.substr(1);
   if (fragments.size() > kMaxFrameBytes)
--- a/libs/transport/src/listener.cpp
+++ b/libs/transport/src/listener.cpp
@@ -2,13 +2,13 @@
 
 namespace zinccleat::transport {
 namespace {
-constexpr int kAcceptBacklog = 512;  // connections that the operating system keeps until they are accepted
-// Out of descriptors, accepting would fail again at once and take the whole processor.
+constexpr int kAcceptBacklog = 512;  // maximum number of connections that wait in the operating system to be accepted
+// Without a pause, accept would fail again immediately while no file descriptors are free, and use a full CPU core.
 constexpr auto kPauseAfterError = 20ms;
 
 }  // namespace
 
-/// Owned by its pending operation, and by the handle.
+/// The listening socket. Owned by its pending asynchronous operation and by the `Listener` handle.
 class Listener::Acceptor : public std::enable_shared_from_this<Listener::Acceptor> {
  public:
   explicit Acceptor(std::function<void(tcp::socket)> onAccept)
--- a/libs/transport/src/peer_link.cpp
+++ b/libs/transport/src/peer_link.cpp
@@ -16,17 +16,17 @@
   runtime::Connection connection;
   OnMessage onMessage;
   OnClosed onClosed;
-  std::string queued;                                   // complete frames, concatenated
-  std::string writeBuffer;                              // what the operating system is being handed
-  std::deque<std::shared_ptr<const std::string>> bulk;  // frames that leave in fragments
-  std::size_t bulkOffset = 0;                           // bytes of the first bulk frame that have left
-  std::size_t bulkBytes = 0;                            // of all bulk frames, without what has left
+  std::string queued;                                   // complete frames to send, concatenated
+  std::string writeBuffer;                              // bytes of the write in progress
+  std::deque<std::shared_ptr<const std::string>> bulk;  // frames to send in fragments
+  std::size_t bulkOffset = 0;                           // number of bytes of the first bulk frame that were sent
+  std::size_t bulkBytes = 0;                            // number of unsent bytes of all bulk frames
   bool writing = false;
   bool open = true;
   TimePoint lastReceivedAt = Clock::now();
   TimePoint unansweredSince = TimePoint::max();
   std::string remoteIp;
-  TrafficByType* traffic = &trafficTo({});  // to the peer's zone
+  TrafficByType* traffic = &trafficTo({});  // counters for the peer's zone
 
   void count(std::string_view frame) const {
     const auto type = static_cast<std::size_t>(typeOf(frame));
@@ -86,7 +86,7 @@
     self->close();
     auto& link = *self->impl_;
     link.onClosed(self);
-    // The callbacks may own this link: without this the two would keep each other alive.
+    // The callbacks may own this link. Resetting them breaks the reference cycle.
     link.onMessage = nullptr;
     link.onClosed = nullptr;
   });
@@ -133,7 +133,7 @@
   auto& link = *impl_;
   if (!link.open)
     return;
-  // Behind a large one it waits its turn, however small: bulk frames build upon each other.
+  // If other bulk frames are queued, a small frame is queued after them: later bulk frames depend on earlier ones.
   if (frame->size() <= kFragmentBytes && link.bulk.empty())
     return sendFrame(*frame);
   link.count(*frame);
@@ -152,7 +152,7 @@
   if (link.writing)
     return;
   link.writing = true;
-  // Posted, so that everything sent in one turn of the event loop leaves in one write.
+  // Posted, so that all messages sent in one iteration of the event loop are combined into one write.
   asio::post(runtime::EventLoop::get().io(), [self = shared_from_this()] { self->writeNext(); });
 }
 void PeerLink::writeNext() {
@@ -171,7 +171,7 @@
                       self->close();
                     });
 }
-// Takes all complete frames that are queued, or else one fragment of the first bulk frame.
+// Fills the write buffer with all queued complete frames or, if there are none, one fragment of the first bulk frame.
 void PeerLink::fillWriteBuffer() {
   auto& link = *impl_;
   link.writeBuffer.clear();
--- a/libs/transport/src/zone_traffic.cpp
+++ b/libs/transport/src/zone_traffic.cpp
@@ -2,7 +2,7 @@
 
 namespace zinccleat::transport {
 namespace {
-// A peer names its zone itself: beyond so many, further ones count as not known.
+// Peers report their own zone, so the number of zones must be bounded: further zones are counted as unknown.
 constexpr std::size_t kMaxZones = 64;
 std::map<std::string, TrafficByType> traffic;
 
