--- a/libs/runtime/include/runtime/log_ring.hpp
+++ b/libs/runtime/include/runtime/log_ring.hpp
@@ -2,7 +2,8 @@
 ///
 ///     1234.567 core-1 event=leader_followed member=core-2 term=7
 ///
-/// Debug lines are collected in a ring buffer in memory, which is written to standard error when an error is logged.
+/// Debug lines are collected in a ring buffer in memory, which is written to standard error when an error is logged, an
+/// invariant is violated or SIGUSR1 arrives.
 /// docs/on-call.md and docs/events explain the events to operators.
 #pragma once
 #include <concepts>
--- a/libs/transport/include/transport/avro.hpp
+++ b/libs/transport/include/transport/avro.hpp
@@ -167,9 +167,10 @@
   CachedValue() {
     const auto text = schemaOf<T>();
     avro_schema_t schema = nullptr;
-    checkInvariant(avro_schema_from_json_length(text.data(), text.size(), &schema) == 0, "own Avro schema");
+    checkInvariant(avro_schema_from_json_length(text.data(), text.size(), &schema) == 0,
+                   "the generated Avro schema is valid");
     avro_value_iface_t* valueClass = avro_generic_class_from_schema(schema);
-    checkInvariant(valueClass != nullptr, "own Avro class");
+    checkInvariant(valueClass != nullptr, "the Avro class of the schema can be created");
     avro_generic_value_new(valueClass, &value_);
   }
   avro_value_t value_{};
@@ -186,7 +187,7 @@
   avro_value_sizeof(value, &size);
   std::string bytes(size, '\0');
   auto* writer = avro_writer_memory(bytes.data(), static_cast<std::int64_t>(size));
-  checkInvariant(avro_value_write(writer, value) == 0, "Avro writing");
+  checkInvariant(avro_value_write(writer, value) == 0, "the Avro value can be encoded");
   avro_writer_free(writer);
   cached.reset();
   return bytes;
--- a/libs/transport/include/transport/zone_traffic.hpp
+++ b/libs/transport/include/transport/zone_traffic.hpp
@@ -14,7 +14,7 @@
 using TrafficByType = std::array<TrafficCount, static_cast<std::size_t>(kLastMessageType) + 1>;
 
 /// The counters for peers in one zone, created at the first use and valid until the process ends.
-/// @param zone the zone; empty for peers of unknown zones and of zones beyond the limit on their number.
+/// @param zone the zone; empty for peers of unknown zones and of zones beyond the first 63.
 TrafficByType& trafficTo(const std::string& zone);
 /// The counters of all zones, by zone.
 const std::map<std::string, TrafficByType>& trafficByZone();
--- a/libs/transport/src/frame_codec.cpp
+++ b/libs/transport/src/frame_codec.cpp
@@ -31,15 +31,14 @@
 }
 Result<Envelope> decodeEnvelope(std::string_view body) {
   if (body.size() < 2)
-    return makeError(ErrorCode::corruption, "a frame without its head");
+    return makeError(ErrorCode::corruption, "frame header is truncated");
   const std::size_t senderBytes = static_cast<unsigned char>(body[1]);
   if (body.size() < 2 + senderBytes)
-    return makeError(ErrorCode::corruption, "a frame shorter than its sender");
+    return makeError(ErrorCode::corruption, "sender extends beyond the end of the frame");
   Envelope envelope;
   envelope.type = static_cast<MessageType>(body[0]);
   if (envelope.type < MessageType::consensus || envelope.type > kLastMessageType)
-    return makeError(ErrorCode::corruption,
-                     "a message of the unknown type " + std::to_string(static_cast<int>(envelope.type)));
+    return makeError(ErrorCode::corruption, "unknown message type " + std::to_string(static_cast<int>(envelope.type)));
   envelope.sender = body.substr(2, senderBytes);
   envelope.payload = body.substr(2 + senderBytes);
   return envelope;
@@ -56,7 +55,7 @@
 Result<void> decodeFragment(std::string_view body, std::string& fragments, std::vector<Envelope>& envelopes) {
   fragments += body.substr(1);
   if (fragments.size() > kMaxFrameBytes)
-    return makeError(ErrorCode::corruption, "fragments of an impossible length");
+    return makeError(ErrorCode::corruption, "fragmented frame exceeds the maximum length");
   const bool last = body.front() != 0;
   if (!last)
     return {};
@@ -65,7 +64,7 @@
   if (!completed)
     return tl::unexpected(std::move(completed.error()));
   if (!frame.empty())
-    return makeError(ErrorCode::corruption, "fragments that do not make a complete frame");
+    return makeError(ErrorCode::corruption, "fragments do not form a complete frame");
   for (auto& envelope : *completed)
     envelopes.push_back(std::move(envelope));
   return {};
@@ -73,7 +72,7 @@
 }  // namespace
 
 std::string encodeFrame(const Envelope& envelope) {
-  checkInvariant(envelope.sender.size() <= kMaxSenderBytes, "a sender's identity fits its length byte");
+  checkInvariant(envelope.sender.size() <= kMaxSenderBytes, "a sender's identity has at most 255 bytes");
   const auto bodyBytes = 2 + envelope.sender.size() + envelope.payload.size();
   std::string frame;
   frame.reserve(kHeadBytes + bodyBytes);
@@ -103,14 +102,14 @@
     const auto rest = std::string_view(received).substr(consumed);
     const auto length = readLength(rest);
     if (length < 1 || length > kMaxFrameBytes)
-      return makeError(ErrorCode::corruption, "frame of an impossible length");
+      return makeError(ErrorCode::corruption, "frame length is out of range");
     const char format = rest[kLengthBytes];
     const bool isFragment = format == kFragmentFormat && fragments;
     if (isFragment && length < 2)
-      return makeError(ErrorCode::corruption, "an empty fragment");
+      return makeError(ErrorCode::corruption, "fragment is empty");
     if (!isFragment && format != kFrameFormat) {
       ++processTraffic.framesOfOtherFormats;
-      return makeError(ErrorCode::incompatibleFormat, "frame of another format version: " + std::to_string(format));
+      return makeError(ErrorCode::incompatibleFormat, "unsupported frame format version: " + std::to_string(format));
     }
     if (rest.size() < kLengthBytes + length)
       break;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// Parsing of settings, configurations and control requests: what is read, and what is rejected.
+// Parsing and validation of settings, configurations and control requests.
 #include <gtest/gtest.h>
 
 #include "config/configuration.hpp"
@@ -17,7 +17,7 @@
  "limits":{"maxHeaderBytes":16384,"maxBodyBytes":4194304,"headerTimerMs":3000,"idleTimerMs":15000},
  "subscribers":[{"label":"t1","accessKeys":["k1","k2"],"precedence":1,"ratePerS":38,"burstSize":38},{"label":"t2","accessKeys":["k3"]}]})";
 
-// The valid configuration with one part replaced.
+// Returns the valid configuration with one part replaced.
 std::string with(const std::string& part, const std::string& replacement) {
   auto text = kValidConfiguration;
   const auto position = text.find(part);
--- a/tests/fiber_stack_test.cpp
+++ b/tests/fiber_stack_test.cpp
@@ -1,5 +1,5 @@
-// A fiber that needs more than its stack must stop the process at once: found when a trial's check wrote beyond a stack
-// of 64 KB and ended in "double free" much later.
+// A fiber that overflows its stack must kill the process immediately. Without guard areas, an overflow of a 64 KB stack
+// corrupted the heap and was noticed only much later, as a "double free" abort.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -12,7 +12,7 @@
 namespace {
 constexpr FiberStackSizes kSizes;
 
-// Goes down the stack by at least so many bytes, writing to each page, and returns from there.
+// Uses at least the given number of stack bytes by recursion, and writes to each page.
 [[gnu::noinline]] std::size_t descend(std::size_t bytes) {
   constexpr std::size_t kFrame = 1024;
   volatile char frame[kFrame];
@@ -20,7 +20,8 @@
   const auto below = bytes > kFrame ? descend(bytes - kFrame) : 0;
   return below + static_cast<std::size_t>(frame[0] == static_cast<char>(bytes));
 }
-// On an event loop of its own, as death tests run in a child that shares the descriptors of the parent's loop.
+// Uses a separate event loop, because a death test runs in a child process that shares the file descriptors of the
+// parent's loop.
 void descendOnFiber(std::size_t bytes) {
   EventLoop loop;
   loop.spawn([&loop, bytes] {
@@ -72,11 +73,12 @@
   EXPECT_EQ(pool.kept(), 2);
   EXPECT_EQ(pool.guarded(), 2);
   auto again = pool.allocate();
-  EXPECT_EQ(again.sp, stacks[1].sp) << "the one used last first";
+  EXPECT_EQ(again.sp, stacks[1].sp) << "the most recently freed stack is reused first";
   EXPECT_EQ(pool.kept(), 1);
   pool.deallocate(again);
 }
-// The kernel bounds a process's mappings; a fiber without a guard area is better than a connection refused.
+// The kernel limits the number of memory mappings of a process. Beyond the limit, a fiber without a guard area is
+// better than refusing a connection.
 TEST(FiberStack, BeyondTheMostGuardedOnesStacksComeFromTheHeap) {
   FiberStackSizes sizes;
   sizes.mostGuarded = 1;
@@ -93,7 +95,7 @@
   pool.deallocate(guarded);
   EXPECT_EQ(pool.kept(), 1);
 }
-// Both mappings of each guarded stack, and what else a process maps, fit the kernel's default.
+// The two mappings of each guarded stack and the other mappings of a process must fit the kernel's default limit.
 TEST(FiberStack, TheMostGuardedStacksFitTheKernelsBound) {
   constexpr std::size_t kDefaultMaxMapCount = 65530;
   constexpr std::size_t kLeftForOthers = 8192;
--- a/tests/frame_codec_test.cpp
+++ b/tests/frame_codec_test.cpp
@@ -1,4 +1,4 @@
-/// The frames of the fleet's own connections, encoded and decoded without a socket.
+/// Encoding and decoding of the frames on connections within the fleet, without a socket.
 #include "transport/frame_codec.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 Envelope smallMessage() {
   return pack(HeartbeatBatchResponse{.number = 42}, kSender);
 }
-/// A message whose frame takes three fragments.
+/// A message whose frame is split into three fragments.
 Envelope largeMessage() {
   return pack(FeedSnapshot{.lastIncludedIndex = 9, .state = std::string(2 * kFragmentBytes + 100, 'q')}, kSender);
 }
@@ -26,7 +26,7 @@
     offset = appendFragment(fragments.emplace_back(), frame, offset);
   return fragments;
 }
-/// A frame or fragment with any body.
+/// Builds a frame or fragment with an arbitrary body.
 std::string rawFrame(char format, const std::string& body) {
   const auto length = static_cast<std::uint32_t>(body.size() + 1);
   std::string frame;
@@ -34,13 +34,13 @@
     frame += static_cast<char>(length >> shift);
   return frame + format + body;
 }
-/// The error that bytes are refused with; none if they are accepted.
+/// The error code with which `decodeFrames` rejects the bytes; none if it accepts them.
 std::optional<ErrorCode> errorOf(std::string received) {
   std::string fragments;
   const auto envelopes = decodeFrames(received, &fragments);
   return envelopes ? std::nullopt : std::optional(envelopes.error().code);
 }
-/// Decodes what arrives in two reads; all of it must be consumed.
+/// Decodes bytes that arrive in two reads, and expects that all of them are consumed.
 std::vector<Envelope> decodeInTwoReads(const std::string& bytes, std::size_t split) {
   std::string received = bytes.substr(0, split);
   auto envelopes = decodeFrames(received).value();
@@ -157,7 +157,7 @@
   frame[kFormatOffset] = 9;
 
   EXPECT_EQ(errorOf(frame), ErrorCode::incompatibleFormat);
-  EXPECT_EQ(errorOf("GET / HTTP/1.1\r\n\r\n"), ErrorCode::corruption) << "its length is impossible";
+  EXPECT_EQ(errorOf("GET / HTTP/1.1\r\n\r\n"), ErrorCode::corruption) << "the length is out of range";
   EXPECT_EQ(trafficCounters().framesOfOtherFormats, before + 1);
 }
 
--- a/tests/frames_test.cpp
+++ b/tests/frames_test.cpp
@@ -1,4 +1,4 @@
-// Frames on a connection: messages, invalid bytes, and large frames that are sent in chunks.
+// Frames on a connection: round trips of messages, invalid bytes, and large frames that are sent in fragments.
 #include <gtest/gtest.h>
 
 #include "transport/access_messages.hpp"
@@ -25,7 +25,7 @@
   frame[offset] = static_cast<char>(byte);
   return frame;
 }
-/// A chunk of a large frame, as on the connection.
+/// Encodes a fragment of a large frame in wire format.
 std::string chunk(const std::string& bytes, bool last) {
   std::string out;
   const auto length = static_cast<std::uint32_t>(bytes.size() + 2);
@@ -57,7 +57,7 @@
   ASSERT_TRUE(decodedLease);
   EXPECT_DOUBLE_EQ(decodedLease->grants[0].secondsUntilMore, 2.5);
   EXPECT_FALSE(unpack<LeaseRequest>((*messages)[1])) << "a message of another type";
-  EXPECT_EQ(buffer.size(), 2U) << "an incomplete frame stays";
+  EXPECT_EQ(buffer.size(), 2U) << "an incomplete frame stays in the buffer";
 }
 TEST(Frames, InvalidBytesAreRejected) {
   auto otherVersion = frameWith(4, 9);
@@ -84,7 +84,7 @@
   const auto bytes =
       chunk(frame.substr(0, 20000), false) + encodeFrame(pack(LeaseResponse{})) + chunk(frame.substr(20000), true);
 
-  // Byte by byte, as the network may deliver it.
+  // Decodes after every single byte, because the network may deliver the bytes in any portions.
   std::string partial;
   std::string received;
   std::vector<Envelope> messages;
@@ -107,7 +107,7 @@
 TEST(Frames, InvalidChunksAreRejected) {
   std::string partial;
   auto alone = chunk("x", true);
-  EXPECT_FALSE(decodeFrames(alone)) << "where no chunks are expected";
+  EXPECT_FALSE(decodeFrames(alone)) << "where no fragments are expected";
   auto nonsense = chunk("no frame", true);
   EXPECT_FALSE(decodeFrames(nonsense, &partial));
 }
--- a/tests/golden_files.cpp
+++ b/tests/golden_files.cpp
@@ -9,7 +9,7 @@
 
 namespace zinccleat::golden {
 namespace {
-const std::filesystem::path kFolder = "tests/golden";  // tests run in the root of the source tree
+const std::filesystem::path kFolder = "tests/golden";  // relative to the root of the source tree, where the tests run
 constexpr std::size_t kBytesPerLine = 32;
 constexpr const char* kWriteVariable = "ZINCCLEAT_WRITE_GOLDEN";
 
@@ -42,7 +42,7 @@
     bytes += static_cast<char>(std::stoi(digits.substr(i, 2), nullptr, 16));
   return bytes;
 }
-/// How a golden file spells these bytes, without the line feed at its end.
+/// The text of a golden file that represents these bytes, without the line feed at the end of the file.
 std::string spelled(const std::string& file, const std::string& bytes) {
   return isBinary(file) ? hexOf(bytes) : bytes;
 }
--- a/tests/golden_files.hpp
+++ b/tests/golden_files.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Stored bytes of messages, disk records and answers (tests/golden/README.md): reading them, comparing with them, and
-/// writing those that do not exist yet.
+/// Golden files (tests/golden/README.md), which hold the encoded bytes of messages, disk records and responses:
+/// functions to read them, compare with them, and write missing ones.
 #pragma once
 #include <ostream>
 #include <set>
@@ -8,28 +8,30 @@
 #include "runtime/common.hpp"
 
 namespace zinccleat::golden {
-/// A value whose encoding is stored. `decodeAndEncode` reads the stored bytes with the product's code and encodes what
-/// it has read again.
+/// A value whose encoding is stored in a golden file. `decodeAndEncode` decodes the stored bytes with the production
+/// code and encodes the result again.
 struct Case {
   std::string file;  ///< in tests/golden; `.hex` for bytes, `.txt` or `.json` for text
   std::function<std::string()> encode;
   std::function<Result<std::string>(std::string)> decodeAndEncode;
-  std::string weakValue;  ///< why a swapped or dropped field could go unseen in this value; empty: it can't
+  std::string weakValue;  ///< why the test could miss a swapped or dropped field of this value; empty if it cannot
 
   std::string name() const { return file.substr(0, file.rfind('.')); }
   friend std::ostream& operator<<(std::ostream& out, const Case& golden) { return out << golden.name(); }
 };
-/// The content of a golden file as the bytes that it stands for.
+/// The bytes that a golden file represents.
 Result<std::string> stored(const std::string& file);
-/// Expects that the file exists and holds exactly these bytes. With ZINCCLEAT_WRITE_GOLDEN=1 in the environment a file
-/// that does not exist is written first; one that exists is never changed.
+/// Expects that the golden file exists and represents exactly these bytes. If ZINCCLEAT_WRITE_GOLDEN=1 is set in the
+/// environment, a missing file is written first. An existing file is never changed.
 void expectStored(const std::string& file, const std::string& bytes);
-/// Encoding gives the stored bytes, and so does encoding what was decoded from them.
+/// Expects that encoding the value gives the stored bytes, and that decoding and encoding the stored bytes again
+/// reproduces them.
 void check(const Case& golden);
 /// The names of all golden files.
 std::set<std::string> files();
 
-/// Visits the fields of a value: each must differ from its default and from all other fields of its type.
+/// Checks that each field of a value differs from its default and from all other fields of the same type, so that a
+/// swapped or dropped field changes the encoding.
 class FieldCheck {
  public:
   template <class T>
@@ -68,7 +70,7 @@
       seen_;
   std::string weakness_;
 };
-/// Why a swapped or dropped field of this value could go unseen; empty: it can't.
+/// Why a test could miss a swapped or dropped field of this value; empty if it cannot.
 template <class T>
 std::string weaknessOf(T value) {
   FieldCheck fields;
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -1,4 +1,4 @@
-// What goes over the wire and onto the disk, byte for byte as it is stored in tests/golden (see the README there).
+// Compares the wire and disk formats byte by byte with the golden files in tests/golden (see the README there).
 #include <gtest/gtest.h>
 
 #include "consensus/messages.hpp"
@@ -23,9 +23,9 @@
 namespace {
 const std::string kSender = "10.0.0.4#77";
 
-// --- how each kind of value is encoded and decoded ---
+// --- encoding and decoding of each kind of value ---
 
-/// A record without anything around it.
+/// A test case for an Avro record without a frame.
 template <class T>
 Case recordCase(const std::string& file, const T& value) {
   const auto again = [](const std::string& bytes) -> Result<std::string> {
@@ -36,7 +36,7 @@
   };
   return {file, [value] { return avro::encode(value); }, again, golden::weaknessOf(value)};
 }
-/// The consensus's own messages, without their frame.
+/// A test case for a message of the consensus protocol, without a frame.
 template <class T>
 Case consensusCase(const std::string& file, const T& message) {
   const auto again = [](const std::string& bytes) -> Result<std::string> {
@@ -55,10 +55,10 @@
   if (!envelopes)
     return tl::unexpected(envelopes.error());
   if (envelopes->size() != 1 || !frames.empty() || !pieces.empty())
-    return makeError(ErrorCode::ioError, "not one whole frame");
+    return makeError(ErrorCode::ioError, "not exactly one complete frame");
   return std::move(envelopes->front());
 }
-/// A whole frame: head, type, sender, fields.
+/// A test case for a complete frame: header, type, sender and fields.
 template <class T>
 Case frameCase(const std::string& file, const T& message) {
   const auto again = [](const std::string& bytes) -> Result<std::string> {
@@ -85,7 +85,7 @@
   const auto again = [](const std::string& text) -> Result<std::string> { return encodeConfig(decodeConfig(text)); };
   return {file, [config] { return encodeConfig(config); }, again, ""};
 }
-/// A snapshot that `content` restores; `encodeContent` then writes it again.
+/// A test case for a snapshot that is restored into a copy of `content` and encoded again by `encodeContent`.
 Case snapshotCase(const std::string& file, std::function<std::string()> encode, const ReplicatedState& content,
                   const std::function<std::string(const ReplicatedState&)>& encodeContent) {
   const auto again = [content, encodeContent](const std::string& bytes) -> Result<std::string> {
@@ -97,7 +97,7 @@
   return {file, std::move(encode), again, ""};
 }
 
-// --- values: no field at its default, no two of one type alike ---
+// --- test values: no field has its default value, and no two fields of the same type are equal ---
 
 LogEntry entryNumbered(std::int64_t serial) {
   const auto text = std::to_string(serial);
@@ -111,7 +111,7 @@
           .omitted = true};
 }
 const std::vector<LogEntry> kEntries{entryNumbered(1), entryNumbered(2)};
-/// Two records of a lease or quota message: each is a name and two numbers.
+/// Two records of a lease or quota message, each with a name and two numbers.
 template <class Record>
 std::vector<Record> recordsOf(const std::string& label, double from) {
   return {Record{label + "-1", from + 0.25, from + 0.5}, Record{label + "-2", from + 1.25, from + 1.5}};
@@ -160,7 +160,7 @@
   };
 }
 
-/// The frame around a consensus message.
+/// A test case for the frame of a consensus message.
 Case consensusFrameCase() {
   const auto frame = [] {
     return encodeFrame({MessageType::consensus, kSender, encodeMessage(VoteResponse{.term = 301, .preVote = true})});
@@ -173,7 +173,7 @@
   };
   return {"frame_consensus.hex", frame, again, ""};
 }
-/// A command without a default and without two values alike.
+/// A command in which no field has its default value and all values differ.
 coordination::Command commandNumbered(std::int32_t number) {
   const auto text = std::to_string(number);
   return {.kind = number,
@@ -219,7 +219,7 @@
                                                             .view = {"10.0.0.9/core"}}),
       frameCase("frame_follow_log.hex",
                 FollowLog{.lastApplied = 5000000007, .cachedDigest = "digest-held", .refetch = true}),
-      // The same with the fields that were added later, behind those of the first version.
+      // Messages of the types above with the extension fields that later versions added after the original fields.
       frameCase("frame_heartbeat_batch_zone.hex",
                 HeartbeatBatch{.number = 43,
                                .runners = {{.id = "i-3", .ageMs = 350}, {.id = "i-4", .ageMs = 45}},
@@ -354,7 +354,7 @@
   };
 }
 
-// --- the coordination service: its log and its snapshots ---
+// --- log and snapshots of the coordination service ---
 
 coordination::Command commandOf(coordination::CommandKind kind, const std::string& name) {
   coordination::Command command;
@@ -362,7 +362,7 @@
   command.name = name;
   return command;
 }
-/// A shard with a lock, a number, and a group of two cells.
+/// A shard that contains a lock, a number, and a group of two cells.
 coordination::ShardState shardWithAllKinds() {
   coordination::CommandBatch batch{.elapsedMs = 1234, .historyMs = 40000, .commands = {}};
   auto lock = commandOf(coordination::CommandKind::acquireLock, "l1f");
@@ -396,7 +396,7 @@
           {"coordination_snapshot.hex", [] { return shardWithAllKinds().snapshot(); }, again, ""}};
 }
 
-// --- replicated counters: what a disk record holds ---
+// --- disk records of the replicated counters ---
 
 std::vector<Case> counterCases() {
   return {recordCase("counter_batch.hex", incrementBatch())};
@@ -428,7 +428,7 @@
 std::vector<Case> diskCases() {
   return {
       diskCase("disk_record_full.hex", fullRecord(), golden::weaknessOf(fullRecord())),
-      // Its defaults are what makes it incremental.
+      // No weakness check: an incremental record leaves the fields of a full record at their defaults.
       diskCase("disk_record_incremental.hex", incrementalRecord(), ""),
       diskCase("disk_record_without_entries.hex", {.seq = 903, .term = 303, .self = "10.0.0.4#79"}, ""),
       configCase("cluster_config.txt", {.voters = {"10.0.0.4#77", "10.0.0.5#0", "10.0.0.6#123"}}),
@@ -577,7 +577,7 @@
   };
 }
 
-// --- format 1 of the snapshot, which is read and never written ---
+// --- format 1 of the snapshot, which can be read but is no longer written ---
 
 struct TakenFormat1 {
   std::int64_t version = 0;
@@ -631,7 +631,7 @@
   snapshot.difference = computeDelta(kFirstText, digestOf(kFirstText), kSecondText, digestOf(kSecondText));
   return snapshot;
 }
-/// What a copy that holds the first configuration holds after a snapshot, in today's format.
+/// Restores a snapshot into a replica that has the first configuration, and encodes the result in the current format.
 Result<std::string> inTodaysFormat(const std::string& snapshot) {
   auto copy = firstState();
   if (auto restored = copy.restore(snapshot); !restored)
@@ -702,7 +702,7 @@
        [] { return avro::encode(rolloutProgressEntry(rolloutInProgress(), "leader/9")); },
        {},
        ""},
-      // Entries as the calls make them: `weakValue` does not apply, most of their fields are filled in later.
+      // Entries as request handlers create them. No weakness check, because most of their fields are filled in later.
       {"write_configuration.hex", [] { return avro::encode(firstWrite()); }, {}, ""},
       {"write_difference.hex",
        [on] { return avro::encode(configurationChangeEntry(3, 5, kSecondText, "operator/2", on.state())); },
@@ -728,7 +728,7 @@
 HintKey hintKey() {
   return *HintKey::parse("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f");
 }
-/// What a site tells first (everything) and then (what has changed).
+/// The first two updates of a site: one with all hints, and one with the changes since the first.
 std::vector<std::string> announcedInTurn() {
   constexpr TimePoint now{1000s};
   constexpr std::int64_t epoch = 2937;
@@ -763,15 +763,15 @@
       {"hint_digest.txt", [] { return std::to_string(hintKey().digest(42, 2937)); }, {}, ""},
       {"hint_seal.txt", [] { return hintKey().sign("sealed text"); },
        [](const std::string& seal) -> Result<std::string> {
-         return hintKey().verify("sealed text", seal) ? seal : "does not fit";
+         return hintKey().verify("sealed text", seal) ? seal : "signature does not match";
        },
        ""},
   };
 }
 
-// --- a frame in pieces ---
+// --- a frame in fragments ---
 
-/// Pieces as a link sends a large frame: a head, one byte that tells whether it is the last, a part of the frame.
+/// Encodes a frame as fragments: each has a header, a flag byte that marks the last fragment, and a part of the frame.
 std::string inPieces(const std::string& frame, std::size_t pieceSize) {
   std::string pieces;
   for (std::size_t at = 0; at < frame.size(); at += pieceSize) {
@@ -827,7 +827,7 @@
       framed.insert(envelope->type);
   EXPECT_EQ(framed.size(), static_cast<std::size_t>(kLastMessageType));
 }
-// During an update the two versions talk to each other: the first knows nothing of what stands behind its fields.
+// During an upgrade, an earlier version receives messages of a later one, and must ignore the extensions.
 TEST(GoldenFiles, AnExtensionIsIgnoredByTheVersionBefore) {
   const FollowLog extended{.lastApplied = 7, .cachedDigest = "d", .refetch = true, .extension = {.zone = "z"}};
   const auto withExtension = pack(extended);
@@ -838,7 +838,7 @@
   EXPECT_EQ(unpack<FollowLog>(withExtension)->extension.zone, "z");
 
   const FollowLog plain{.lastApplied = 7, .cachedDigest = "d", .refetch = true};
-  EXPECT_EQ(pack(plain).payload, avro::encode(plain)) << "an empty extension takes no bytes";
+  EXPECT_EQ(pack(plain).payload, avro::encode(plain)) << "an empty extension is not encoded";
 }
 TEST(GoldenFiles, ABrokenExtensionIsRefused) {
   auto envelope = pack(FollowLog{.lastApplied = 7, .extension = {.zone = "a longer zone"}});
--- a/tests/nested_json_test.cpp
+++ b/tests/nested_json_test.cpp
@@ -1,4 +1,5 @@
-// A body of 100,000 brackets at each place that reads JSON, on a fiber with its small stack: one clear refusal.
+// Guards against stack overflow by deeply nested JSON: each parser must reject 100,000 nested brackets with a one-line
+// error, also on the small stack of a fiber.
 #include <gtest/gtest.h>
 
 #include "config/configuration.hpp"
@@ -41,7 +42,8 @@
   });
   loop.run();
 }
-// `read` returns the text of the refusal, or nothing if it took the body.
+// Expects that `read` rejects every nested body with a one-line message that contains `word`. `read` returns the error
+// message, or nothing if it accepted the body.
 void expectRefusals(const std::string& word,
                     const std::function<std::optional<std::string>(const std::string&)>& read) {
   onFiber([&] {
@@ -84,7 +86,7 @@
       EXPECT_FALSE(fieldOf(body.text, "configVersion")) << body.what;
   });
 }
-// Its bodies are passed on as they are, and its own syntax does not nest.
+// The runbook parser passes request bodies on without parsing them, and the runbook syntax itself has no nesting.
 TEST(NestedJson, ARunbookPassesABodyOn) {
   onFiber([] {
     const auto body = repeated("[") + repeated("]");
--- a/tests/partial_view_test.cpp
+++ b/tests/partial_view_test.cpp
@@ -1,4 +1,5 @@
-// The partial view of the fleet that nodes gossip.
+// The partial views of the membership that nodes exchange by gossip: they stay within their capacity, and nodes become
+// known throughout the fleet.
 #include "transport/partial_view.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -1,4 +1,4 @@
-/// The event loop's fibers, and the parsing of endpoints.
+/// Fibers, timers and connections of the event loop, lifecycle signals, and parsing of endpoints.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -9,7 +9,7 @@
 using namespace zinccleat;
 using namespace zinccleat::runtime;
 namespace {
-/// Runs a test's body on a fiber of the process's event loop.
+/// Runs a function on a fiber of the event loop, and stops the loop afterwards.
 void onFiber(const std::function<void()>& body) {
   bool finished = false;
   EventLoop::get().spawn([&] {
@@ -28,7 +28,7 @@
     waiter.wake();
     EXPECT_TRUE(waiter.woken());
     waiter.wait();
-    EXPECT_FALSE(waiter.woken()) << "usable again";
+    EXPECT_FALSE(waiter.woken()) << "the waiter can be reused";
   });
 }
 TEST(EventLoop, WaitForTellsWhetherTheWaiterWasWokenInTime) {
@@ -55,7 +55,7 @@
   EXPECT_EQ(calls, 3);
 
   onFiber([] { EventLoop::get().sleepFor(20ms); });
-  EXPECT_EQ(calls, 3) << "stopped for good";
+  EXPECT_EQ(calls, 3) << "a stopped loop makes no further calls";
 }
 TEST(Connection, ADeadlineEndsTheOperationUnderWay) {
   onFiber([] {
@@ -74,7 +74,7 @@
   });
 }
 
-// Regression: SIGHUP ended a process that had not installed its handlers yet, or had left its event loop.
+// Regression: SIGHUP killed a process that had not installed its signal handlers yet or had left its event loop.
 TEST(Lifecycle, ASignalThatComesWhileTheProcessStartsIsHandledOnceItRuns) {
   static int reloads = 0;
   holdLifecycleSignals();
@@ -86,7 +86,7 @@
   });
   EXPECT_EQ(reloads, 1);
   holdLifecycleSignals();
-  ASSERT_EQ(::raise(SIGHUP), 0) << "as behind the event loop";
+  ASSERT_EQ(::raise(SIGHUP), 0) << "like a signal after the end of the event loop";
 }
 TEST(ParseEndpoint, ReadsAddressAndPort) {
   const auto endpoint = parseEndpoint("127.0.0.1:8405");
