--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -183,7 +183,7 @@
   return simulation::trial(kThisProgram, seconds);
 }
 int loadSettingsAndRun(const std::string& name, int (*run)(const config::Settings&)) {
-  runtime::holdLifecycleSignals();
+  runtime::blockLifecycleSignals();
   const auto path = absl::GetFlag(FLAGS_settings);
   const auto settings = config::loadSettings(path.empty() ? config::settingsPath() : path);
   if (!settings)
@@ -257,7 +257,7 @@
 int main(int argc, char** argv) {
   // At once: a SIGTERM that comes before is not lost but ends a daemon in order, as one that comes later.
   if (argc > 1 && isDaemon(argv[1]))
-    runtime::holdLifecycleSignals();
+    runtime::blockLifecycleSignals();
   const std::vector<std::string_view> given(argv + std::min(argc, 1), argv + argc);
   if (const auto text = helpText(given); !text.empty()) {
     std::printf("%s\n", text.c_str());
--- a/libs/config/src/run_daemon.cpp
+++ b/libs/config/src/run_daemon.cpp
@@ -21,7 +21,7 @@
   runtime::watchLifecycle(settings.path,
                           {.onTerminate = daemon.shutDown, .onReloadSettings = [&] { reload(settings.path, daemon); }});
   loop.run();
-  runtime::holdLifecycleSignals();  // a further signal must not kill the process during its cleanup
+  runtime::blockLifecycleSignals();  // a further signal must not kill the process during its cleanup
   return 0;
 }
 }  // namespace zinccleat::config
--- a/libs/runtime/include/runtime/lifecycle.hpp
+++ b/libs/runtime/include/runtime/lifecycle.hpp
@@ -16,7 +16,7 @@
 /// Blocks the signals of `LifecycleEvent` in the calling thread, and in threads that the calling thread starts later.
 /// Blocked signals stay pending until `watchLifecycle` unblocks them. Without blocking, such a signal would kill a
 /// process that is still starting or has left its event loop. Must be called before the first other thread starts.
-void holdLifecycleSignals();
+void blockLifecycleSignals();
 /// Unblocks the signals and calls the handlers on the event loop's thread until the loop stops. A handler may be called
 /// more than once.
 /// @param settingsPath the file that is checked for changes every two seconds; the file need not exist.
--- a/libs/runtime/src/lifecycle.cpp
+++ b/libs/runtime/src/lifecycle.cpp
@@ -90,7 +90,7 @@
 };
 }  // namespace
 
-void holdLifecycleSignals() {
+void blockLifecycleSignals() {
   changeSignalMask(SIG_BLOCK);
 }
 void watchLifecycle(const std::string& settingsPath, LifecycleHandlers handlers) {
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -77,7 +77,7 @@
 // Regression: SIGHUP killed a process that had not installed its signal handlers yet or had left its event loop.
 TEST(Lifecycle, ASignalThatComesWhileTheProcessStartsIsHandledOnceItRuns) {
   static int reloads = 0;
-  holdLifecycleSignals();
+  blockLifecycleSignals();
   ASSERT_EQ(::raise(SIGHUP), 0);
   onFiber([] {
     watchLifecycle("", {.onTerminate = [] {}, .onReloadSettings = [] { ++reloads; }});
@@ -85,7 +85,7 @@
       EventLoop::get().sleepFor(1ms);
   });
   EXPECT_EQ(reloads, 1);
-  holdLifecycleSignals();
+  blockLifecycleSignals();
   ASSERT_EQ(::raise(SIGHUP), 0) << "like a signal after the end of the event loop";
 }
 TEST(ParseEndpoint, ReadsAddressAndPort) {
