--- a/libs/controller/src/control_server.cpp
+++ b/libs/controller/src/control_server.cpp
@@ -56,7 +56,7 @@
 }
 void ControlServer::serve(tcp::socket socket) {
   runtime::Connection connection(std::move(socket));
-  runtime::tune(connection.socket());
+  runtime::setConnectionOptions(connection.socket());
   proxy::Buffer buffer;
   proxy::ReadLimits limits;
   limits.body = kMaxBodyBytes;
--- a/libs/proxy/src/client_connection.cpp
+++ b/libs/proxy/src/client_connection.cpp
@@ -71,7 +71,7 @@
 
 void serveClient(ProxyContext& context, tcp::socket socket) {
   runtime::Connection client(std::move(socket));
-  runtime::tune(client.socket());
+  runtime::setConnectionOptions(client.socket());
   Buffer buffer;
   for (;;) {
     const auto limits = limitsOf(context);
--- a/libs/runtime/include/runtime/connection.hpp
+++ b/libs/runtime/include/runtime/connection.hpp
@@ -57,7 +57,7 @@
 };
 /// Sets the options that every connection has: small writes are sent without delay (TCP_NODELAY), and a connection
 /// whose peer acknowledges no data for four seconds is closed (TCP_USER_TIMEOUT).
-void tune(tcp::socket& socket);
+void setConnectionOptions(tcp::socket& socket);
 /// Parses "IP:PORT". A host name instead of an IP address, or port 0, gives `ErrorCode::invalidArgument`.
 Result<tcp::endpoint> parseEndpoint(std::string_view text);
 }  // namespace zinccleat::runtime
--- a/libs/runtime/src/connection.cpp
+++ b/libs/runtime/src/connection.cpp
@@ -66,7 +66,7 @@
   socket_.open(endpoint.protocol(), ec);
   if (ec)
     return;
-  tune(socket_);
+  setConnectionOptions(socket_);
   Waiter waiter;
   socket_.async_connect(endpoint, [&](SocketError error) {
     ec = error;
@@ -95,7 +95,7 @@
     socket_.cancel(ec);
 }
 
-void tune(tcp::socket& socket) {
+void setConnectionOptions(tcp::socket& socket) {
   SocketError ec;
   socket.set_option(tcp::no_delay(true), ec);
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof kUserTimeoutMs);
--- a/libs/simulation/src/trial_clients.cpp
+++ b/libs/simulation/src/trial_clients.cpp
@@ -75,7 +75,7 @@
   connection.connect(*runtime::parseEndpoint(fleet_.access()), ec);
   if (ec)
     return std::nullopt;
-  runtime::tune(connection.socket());
+  runtime::setConnectionOptions(connection.socket());
   connection.write(asio::buffer(request), ec);
   proxy::Buffer buffer;
   http::response_parser<http::string_body> parser;
--- a/libs/simulation/src/trial_runner.cpp
+++ b/libs/simulation/src/trial_runner.cpp
@@ -55,7 +55,7 @@
     if (ec || !self->running_)
       return;
     auto connection = std::make_shared<runtime::Connection>(std::move(socket));
-    runtime::tune(connection->socket());
+    runtime::setConnectionOptions(connection->socket());
     self->connections_.push_back(connection);
     runtime::EventLoop::get().spawn([self, connection] { self->serve(*connection); });
     self->acceptNext();
--- a/libs/transport/src/peer_link.cpp
+++ b/libs/transport/src/peer_link.cpp
@@ -40,7 +40,7 @@
     const auto remote = connection.socket().remote_endpoint(ec);
     if (!ec)
       remoteIp = remote.address().to_string();
-    runtime::tune(connection.socket());
+    runtime::setConnectionOptions(connection.socket());
   }
 };
 
--- a/tests/resend_test.cpp
+++ b/tests/resend_test.cpp
@@ -159,7 +159,7 @@
       EventLoop::get().spawn([this, listener, accepted] {
         {
           Connection connection(std::move(*accepted));
-          tune(connection.socket());
+          setConnectionOptions(connection.socket());
           while (serve(*listener, connection)) {
           }
         }
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -156,7 +156,7 @@
   connection->clearDeadline();
   if (ec)
     return nullptr;
-  runtime::tune(connection->socket());
+  runtime::setConnectionOptions(connection->socket());
   return connection;
 }
 void startPlatform(SoakRun& run) {
--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -44,7 +44,7 @@
     if (ec)
       return;
     auto connection = std::make_shared<runtime::Connection>(std::move(socket));
-    runtime::tune(connection->socket());
+    runtime::setConnectionOptions(connection->socket());
     runtime::EventLoop::get().spawn([self, connection] { self->serve(*connection); });
     self->acceptNext();
   });
--- a/tests/standins.hpp
+++ b/tests/standins.hpp
@@ -56,7 +56,7 @@
       auto accepted = std::make_shared<tcp::socket>(std::move(socket));
       EventLoop::get().spawn([runner, accepted] {
         Connection connection(std::move(*accepted));
-        tune(connection.socket());
+        setConnectionOptions(connection.socket());
         Buffer buffer;
         for (;;) {
           RequestParser parser;
