--- a/libs/runtime/src/fiber_stacks.cpp
+++ b/libs/runtime/src/fiber_stacks.cpp
@@ -27,19 +27,19 @@
 FiberStackPool::FiberStackPool(FiberStackSizes sizes) : sizes_(sizes) {
   sizes_.stackBytes = roundUpToPages(sizes_.stackBytes);
   sizes_.guardBytes = roundUpToPages(sizes_.guardBytes);
-  kept_.reserve(sizes_.mostKept);  // deallocate() is noexcept, so push_back there must not allocate
+  cached_.reserve(sizes_.maxCached);  // deallocate() is noexcept, so push_back there must not allocate
 }
 FiberStackPool::~FiberStackPool() {
-  for (void* lowest : kept_)
+  for (void* lowest : cached_)
     ::munmap(lowest, mappingBytes());
 }
 boost::context::stack_context FiberStackPool::allocate() {
-  if (!kept_.empty()) {
-    void* lowest = kept_.back();
-    kept_.pop_back();
+  if (!cached_.empty()) {
+    void* lowest = cached_.back();
+    cached_.pop_back();
     return stackAt(lowest, mappingBytes());
   }
-  if (guarded_ < sizes_.mostGuarded) {
+  if (guarded_ < sizes_.maxGuarded) {
     if (void* lowest = mapGuarded()) {
       ++guarded_;
       return stackAt(lowest, mappingBytes());
@@ -56,8 +56,8 @@
     std::free(lowest);
     return;
   }
-  if (kept_.size() < sizes_.mostKept) {
-    kept_.push_back(lowest);
+  if (cached_.size() < sizes_.maxCached) {
+    cached_.push_back(lowest);
     return;
   }
   ::munmap(lowest, mappingBytes());
--- a/libs/runtime/src/fiber_stacks.hpp
+++ b/libs/runtime/src/fiber_stacks.hpp
@@ -11,11 +11,11 @@
 struct FiberStackSizes {
   std::size_t stackBytes = std::size_t{64} * 1024;
   std::size_t guardBytes = std::size_t{16} * 1024;
-  /// Maximum number of unused stacks kept for reuse. Reuse saves the three system calls for mapping and unmapping.
-  std::size_t mostKept = 2048;
+  /// Maximum number of unused stacks cached for reuse. Reuse saves the three system calls for mapping and unmapping.
+  std::size_t maxCached = 2048;
   /// Maximum number of guarded stacks. Each takes two memory mappings, whose number the kernel limits
   /// (vm.max_map_count, 65530 by default). Beyond this number, fibers get heap-allocated stacks without a guard area.
-  std::size_t mostGuarded = 24'000;
+  std::size_t maxGuarded = 24'000;
 };
 
 /// Allocates stacks and keeps freed ones for reuse in LIFO order. Not thread-safe.
@@ -28,9 +28,9 @@
   /// Returns a stack. Throws std::bad_alloc if no memory is available.
   boost::context::stack_context allocate();
   void deallocate(boost::context::stack_context& stack) noexcept;
-  /// Number of guarded stacks, both in use and kept for reuse.
+  /// Number of guarded stacks, both in use and cached for reuse.
   std::size_t guarded() const { return guarded_; }
-  std::size_t kept() const { return kept_.size(); }
+  std::size_t cached() const { return cached_.size(); }
 
  private:
   /// Maps a guarded stack. Returns the lowest address of the mapping, or null on failure.
@@ -40,7 +40,7 @@
 
   FiberStackSizes sizes_;
   std::size_t guarded_ = 0;
-  std::vector<void*> kept_;
+  std::vector<void*> cached_;
 };
 
 /// A stack allocator for Boost.Fiber. Shares ownership of the pool, so that the pool outlives all fibers that use it.
--- a/tests/fiber_stack_test.cpp
+++ b/tests/fiber_stack_test.cpp
@@ -61,7 +61,7 @@
 TEST(FiberStack, FreeStacksAreUsedAgainAndNoMoreAreKeptThanAllowed) {
   FiberStackSizes sizes;
   constexpr std::size_t kStacks = 5;
-  sizes.mostKept = 2;
+  sizes.maxCached = 2;
   FiberStackPool pool(sizes);
   std::vector<boost::context::stack_context> stacks;
   stacks.reserve(kStacks);
@@ -70,18 +70,18 @@
   EXPECT_EQ(pool.guarded(), kStacks);
   for (auto& stack : stacks)
     pool.deallocate(stack);
-  EXPECT_EQ(pool.kept(), 2);
+  EXPECT_EQ(pool.cached(), 2);
   EXPECT_EQ(pool.guarded(), 2);
   auto again = pool.allocate();
   EXPECT_EQ(again.sp, stacks[1].sp) << "the most recently freed stack is reused first";
-  EXPECT_EQ(pool.kept(), 1);
+  EXPECT_EQ(pool.cached(), 1);
   pool.deallocate(again);
 }
 // The kernel limits the number of memory mappings of a process. Beyond the limit, a fiber without a guard area is
 // better than refusing a connection.
 TEST(FiberStack, BeyondTheMostGuardedOnesStacksComeFromTheHeap) {
   FiberStackSizes sizes;
-  sizes.mostGuarded = 1;
+  sizes.maxGuarded = 1;
   FiberStackPool pool(sizes);
   auto guarded = pool.allocate();
   auto plain = pool.allocate();
@@ -91,13 +91,13 @@
   writeTo(lowestUsable(plain));
   writeTo(static_cast<char*>(plain.sp) - 1);
   pool.deallocate(plain);
-  EXPECT_EQ(pool.kept(), 0);
+  EXPECT_EQ(pool.cached(), 0);
   pool.deallocate(guarded);
-  EXPECT_EQ(pool.kept(), 1);
+  EXPECT_EQ(pool.cached(), 1);
 }
 // The two mappings of each guarded stack and the other mappings of a process must fit the kernel's default limit.
 TEST(FiberStack, TheMostGuardedStacksFitTheKernelsBound) {
   constexpr std::size_t kDefaultMaxMapCount = 65530;
   constexpr std::size_t kLeftForOthers = 8192;
-  EXPECT_LE(2 * kSizes.mostGuarded, kDefaultMaxMapCount - kLeftForOthers);
+  EXPECT_LE(2 * kSizes.maxGuarded, kDefaultMaxMapCount - kLeftForOthers);
 }
