--- a/libs/config/src/configuration_parser.cpp
+++ b/libs/config/src/configuration_parser.cpp
@@ -8,7 +8,7 @@
 
 namespace zinccleat::config {
 namespace {
-constexpr std::int64_t kLargestWeight = 1'000'000'000;
+constexpr std::int64_t kMaxTargetWeight = 1'000'000'000;
 constexpr const char* kDefaultHealthPath = "/health";
 
 void readLimits(JsonReader& reader, const JsonObject& root, Limits& limits) {
@@ -200,7 +200,7 @@
   const auto found = serviceByLabel_.find(service);
   if (found == serviceByLabel_.end())
     return reader_.fail("unknown service", service);
-  if (weight < 0 || weight > kLargestWeight)
+  if (weight < 0 || weight > kMaxTargetWeight)
     return reader_.fail("no share in", "weightedTargets");
   route.targets.push_back({found->second, static_cast<std::uint32_t>(weight)});
   route.totalWeight += static_cast<std::uint64_t>(weight);
--- a/libs/config/src/json.cpp
+++ b/libs/config/src/json.cpp
@@ -3,10 +3,10 @@
 namespace zinccleat::config {
 namespace {
 // A double represents every integer up to 2^53 (about 9.007e15) exactly; this bound is slightly below.
-constexpr double kLargestExactInteger = 9e15;
+constexpr double kMaxExactInteger = 9e15;
 
 std::optional<std::int64_t> exactInteger(double value) {
-  if (value < -kLargestExactInteger || value > kLargestExactInteger)
+  if (value < -kMaxExactInteger || value > kMaxExactInteger)
     return std::nullopt;
   const auto integer = static_cast<std::int64_t>(value);
   if (static_cast<double>(integer) != value)
--- a/libs/config/src/settings.cpp
+++ b/libs/config/src/settings.cpp
@@ -10,8 +10,8 @@
 
 namespace zinccleat::config {
 namespace {
-constexpr std::int64_t kLargestPort = 65535;
-constexpr int kMostToleratedFailures = 100;
+constexpr std::int64_t kMaxPort = 65535;
+constexpr int kMaxToleratedFailures = 100;
 constexpr std::size_t kSecretHexDigits = 64;
 
 void readIdentity(JsonReader& reader, const JsonObject& root, Settings& settings) {
@@ -59,7 +59,7 @@
       ++count;
   }
   const auto [first, last] = ports;
-  if (count < ports.size() || first <= 0 || last > kLargestPort || last <= first)
+  if (count < ports.size() || first <= 0 || last > kMaxPort || last <= first)
     reader.fail("no range of ports in", kKey);
   settings.firstPort = static_cast<std::uint16_t>(first);
   settings.lastPort = static_cast<std::uint16_t>(last);
@@ -91,7 +91,7 @@
     return;
   auto& machines = settings.toleratedMachineFailures;
   reader.integer(tolerance, "machines", machines);
-  if (machines < 0 || machines > kMostToleratedFailures)
+  if (machines < 0 || machines > kMaxToleratedFailures)
     reader.fail("no count of machines in", "faultTolerance");
 }
 std::vector<std::string> readPartnerAddresses(JsonReader& reader, const JsonObject& partner, std::string_view key) {
