--- a/libs/transport/src/frame_codec.cpp
+++ b/libs/transport/src/frame_codec.cpp
@@ -5,8 +5,8 @@
 constexpr char kFrameFormat = 4;
 constexpr char kFragmentFormat = 3;
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kHeadBytes = kLengthBytes + 1;  // length and format
-constexpr std::size_t kMaxSenderBytes = 255;          // the length of the sender is encoded in one byte
+constexpr std::size_t kHeaderBytes = kLengthBytes + 1;  // length and format
+constexpr std::size_t kMaxSenderBytes = 255;            // the length of the sender is encoded in one byte
 constexpr std::size_t kMaxFrameBytes = std::size_t{32} << 20;
 
 Traffic processTraffic;
@@ -17,16 +17,16 @@
   ++counted.messages;
   counted.bytes += bytes;
 }
-void appendHead(std::string& out, std::size_t bodyBytes, char format) {
+void appendHeader(std::string& out, std::size_t bodyBytes, char format) {
   const auto length = static_cast<std::uint32_t>(bodyBytes + 1);
   for (int shift = 24; shift >= 0; shift -= 8)
     out += static_cast<char>(length >> shift);
   out += format;
 }
-std::uint32_t readLength(std::string_view head) {
+std::uint32_t readLength(std::string_view header) {
   std::uint32_t length = 0;
   for (std::size_t i = 0; i < kLengthBytes; ++i)
-    length = length << 8 | static_cast<unsigned char>(head[i]);
+    length = length << 8 | static_cast<unsigned char>(header[i]);
   return length;
 }
 Result<Envelope> decodeEnvelope(std::string_view body) {
@@ -47,7 +47,7 @@
   auto envelope = decodeEnvelope(body);
   if (!envelope)
     return tl::unexpected(std::move(envelope.error()));
-  count(processTraffic.received, envelope->type, kHeadBytes + body.size());
+  count(processTraffic.received, envelope->type, kHeaderBytes + body.size());
   envelopes.push_back(std::move(*envelope));
   return {};
 }
@@ -75,8 +75,8 @@
   checkInvariant(envelope.sender.size() <= kMaxSenderBytes, "a sender's identity has at most 255 bytes");
   const auto bodyBytes = 2 + envelope.sender.size() + envelope.payload.size();
   std::string frame;
-  frame.reserve(kHeadBytes + bodyBytes);
-  appendHead(frame, bodyBytes, kFrameFormat);
+  frame.reserve(kHeaderBytes + bodyBytes);
+  appendHeader(frame, bodyBytes, kFrameFormat);
   frame += static_cast<char>(envelope.type);
   frame += static_cast<char>(envelope.sender.size());
   frame += envelope.sender;
@@ -85,12 +85,12 @@
   return frame;
 }
 MessageType typeOf(std::string_view frame) {
-  return frame.size() > kHeadBytes ? static_cast<MessageType>(frame[kHeadBytes]) : MessageType{};
+  return frame.size() > kHeaderBytes ? static_cast<MessageType>(frame[kHeaderBytes]) : MessageType{};
 }
 std::size_t appendFragment(std::string& out, std::string_view frame, std::size_t offset) {
   const auto part = frame.substr(offset, kFragmentBytes);
   const bool last = offset + part.size() == frame.size();
-  appendHead(out, 1 + part.size(), kFragmentFormat);
+  appendHeader(out, 1 + part.size(), kFragmentFormat);
   out += last ? '\1' : '\0';
   out += part;
   return offset + part.size();
@@ -98,7 +98,7 @@
 Result<std::vector<Envelope>> decodeFrames(std::string& received, std::string* fragments) {
   std::vector<Envelope> envelopes;
   std::size_t consumed = 0;
-  while (received.size() - consumed >= kHeadBytes) {
+  while (received.size() - consumed >= kHeaderBytes) {
     const auto rest = std::string_view(received).substr(consumed);
     const auto length = readLength(rest);
     if (length < 1 || length > kMaxFrameBytes)
@@ -113,7 +113,7 @@
     }
     if (rest.size() < kLengthBytes + length)
       break;
-    const auto body = rest.substr(kHeadBytes, length - 1);
+    const auto body = rest.substr(kHeaderBytes, length - 1);
     const auto decoded = isFragment ? decodeFragment(body, *fragments, envelopes) : decodeFrame(body, envelopes);
     if (!decoded)
       return tl::unexpected(decoded.error());
