--- a/libs/transport/src/dialer.cpp
+++ b/libs/transport/src/dialer.cpp
@@ -8,9 +8,9 @@
 constexpr auto kUnansweredCheckInterval = 100ms;
 // Short, because a SYN sent to a machine that is not up yet is lost, and TCP retransmits it only after one second.
 constexpr auto kConnectTimeout = 300ms;
-constexpr auto kFirstRetryDelay = 30ms;
-constexpr auto kRetryDelay = 150ms;
-constexpr int kFirstRetries = 8;  // consecutive failures before the longer delay
+constexpr auto kFastRetryDelay = 30ms;
+constexpr auto kSlowRetryDelay = 150ms;
+constexpr int kMaxFastRetries = 8;  // consecutive failures before the longer delay
 constexpr int kFailuresPerLogLine = 200;
 }  // namespace
 
@@ -33,7 +33,7 @@
         link.reset();
       }
       if (!released)
-        runtime::EventLoop::get().sleepFor(failures < kFirstRetries ? kFirstRetryDelay : kRetryDelay);
+        runtime::EventLoop::get().sleepFor(failures < kMaxFastRetries ? kFastRetryDelay : kSlowRetryDelay);
     }
   }
   /// Makes one connection attempt. Returns null if the attempt failed or the dialer was released in the meantime.
