--- a/libs/transport/src/partial_view.cpp
+++ b/libs/transport/src/partial_view.cpp
@@ -3,14 +3,14 @@
 namespace zinccleat::transport {
 namespace {
 constexpr std::size_t kSampleNodes = 4;
-constexpr int kAgeWhenHeardDirectly = 0;
-constexpr int kAgeWhenHeardOf = 1;
+constexpr int kAgeOfDirectContact = 0;
+constexpr int kAgeOfGossipedNode = 1;
 }  // namespace
 
 void PartialView::add(const std::string& node) {
   if (node.empty() || node == self_)
     return;
-  ages_[node] = kAgeWhenHeardDirectly;
+  ages_[node] = kAgeOfDirectContact;
   evictOldest();
 }
 std::vector<std::string> PartialView::sample() {
@@ -26,7 +26,7 @@
 void PartialView::merge(const std::vector<std::string>& nodes) {
   for (const auto& node : nodes)
     if (!node.empty() && node != self_)
-      ages_.try_emplace(node, kAgeWhenHeardOf);
+      ages_.try_emplace(node, kAgeOfGossipedNode);
   evictOldest();
 }
 std::vector<std::string> PartialView::all() const {
