--- a/tests/golden_files.cpp
+++ b/tests/golden_files.cpp
@@ -16,7 +16,7 @@
 bool isBinary(const std::string& file) {
   return file.ends_with(".hex");
 }
-bool writesMissing() {
+bool shouldWriteMissing() {
   const char* value = std::getenv(kWriteVariable);
   return value != nullptr && std::string_view(value) == "1";
 }
@@ -43,10 +43,10 @@
   return bytes;
 }
 /// The text of a golden file that represents these bytes, without the line feed at the end of the file.
-std::string spelled(const std::string& file, const std::string& bytes) {
+std::string toGoldenText(const std::string& file, const std::string& bytes) {
   return isBinary(file) ? hexOf(bytes) : bytes;
 }
-Result<std::string> textOf(const std::string& file) {
+Result<std::string> readGoldenText(const std::string& file) {
   std::ifstream in(kFolder / file, std::ios::binary);
   if (!in)
     return makeError(ErrorCode::ioError, "no golden file " + file + "; see tests/golden/README.md");
@@ -61,32 +61,32 @@
 void writeIfMissing(const std::string& file, const std::string& bytes) {
   const auto path = kFolder / file;
   if (!std::filesystem::exists(path))
-    std::ofstream(path, std::ios::binary) << spelled(file, bytes) << '\n';
+    std::ofstream(path, std::ios::binary) << toGoldenText(file, bytes) << '\n';
 }
 }  // namespace
 
 Result<std::string> stored(const std::string& file) {
-  auto text = textOf(file);
+  auto text = readGoldenText(file);
   if (!text || !isBinary(file))
     return text;
   return bytesOf(*text);
 }
 void expectStored(const std::string& file, const std::string& bytes) {
-  if (writesMissing())
+  if (shouldWriteMissing())
     writeIfMissing(file, bytes);
-  const auto text = textOf(file);
+  const auto text = readGoldenText(file);
   ASSERT_TRUE(text) << text.error().message;
-  EXPECT_EQ(spelled(file, bytes), *text) << file;
+  EXPECT_EQ(toGoldenText(file, bytes), *text) << file;
 }
 void check(const Case& golden) {
-  EXPECT_EQ(golden.weakValue, "") << golden.file;
+  EXPECT_EQ(golden.valueWeakness, "") << golden.file;
   expectStored(golden.file, golden.encode());
   const auto bytes = stored(golden.file);
   if (!bytes || !golden.decodeAndEncode)
     return;
   const auto again = golden.decodeAndEncode(*bytes);
   ASSERT_TRUE(again) << golden.file << ": " << again.error().message;
-  EXPECT_EQ(spelled(golden.file, *again), spelled(golden.file, *bytes)) << golden.file << ", decoded";
+  EXPECT_EQ(toGoldenText(golden.file, *again), toGoldenText(golden.file, *bytes)) << golden.file << ", decoded";
 }
 std::set<std::string> files() {
   std::set<std::string> names;
--- a/tests/golden_files.hpp
+++ b/tests/golden_files.hpp
@@ -14,7 +14,7 @@
   std::string file;  ///< in tests/golden; `.hex` for bytes, `.txt` or `.json` for text
   std::function<std::string()> encode;
   std::function<Result<std::string>(std::string)> decodeAndEncode;
-  std::string weakValue;  ///< why the test could miss a swapped or dropped field of this value; empty if it cannot
+  std::string valueWeakness;  ///< why the test could miss a swapped or dropped field of this value; empty if it cannot
 
   std::string name() const { return file.substr(0, file.rfind('.')); }
   friend std::ostream& operator<<(std::ostream& out, const Case& golden) { return out << golden.name(); }
--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -72,14 +72,14 @@
   };
   return {file, [message] { return encodeFrame(pack(message, kSender)); }, again, golden::weaknessOf(message)};
 }
-Case diskCase(const std::string& file, const DiskRecord& record, std::string weakValue) {
+Case diskCase(const std::string& file, const DiskRecord& record, std::string valueWeakness) {
   const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto decoded = decodeRecord(bytes);
     if (!decoded)
       return tl::unexpected(decoded.error());
     return encodeRecord(*decoded);
   };
-  return {file, [record] { return encodeRecord(record); }, again, std::move(weakValue)};
+  return {file, [record] { return encodeRecord(record); }, again, std::move(valueWeakness)};
 }
 Case configCase(const std::string& file, const ClusterConfig& config) {
   const auto again = [](const std::string& text) -> Result<std::string> { return encodeConfig(decodeConfig(text)); };
