--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -544,23 +544,23 @@
   return copy.snapshotFor(content.empty() ? content : digestOf(content));
 }
 std::vector<Case> snapshotCases() {
-  const auto completeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
+  const auto snapshotOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
   const auto forNobody = [](const ReplicatedState& copy) { return snapshotFor(copy, ""); };
   const auto forFirst = [](const ReplicatedState& copy) { return snapshotFor(copy, kFirstText); };
   const auto forSecond = [](const ReplicatedState& copy) { return snapshotFor(copy, kSecondText); };
   return {
       snapshotCase(
-          "snapshot_of_nothing.hex", [] { return ReplicatedState{}.snapshot(); }, {}, completeOf),
+          "snapshot_of_nothing.hex", [] { return ReplicatedState{}.snapshot(); }, {}, snapshotOf),
       snapshotCase(
-          "snapshot_whole.hex", [] { return laterState().snapshot(); }, {}, completeOf),
+          "snapshot_whole.hex", [] { return laterState().snapshot(); }, {}, snapshotOf),
       snapshotCase(
-          "snapshot_with_rollout.hex", [] { return stateWithRollout().snapshot(); }, {}, completeOf),
+          "snapshot_with_rollout.hex", [] { return stateWithRollout().snapshot(); }, {}, snapshotOf),
       snapshotCase(
-          "snapshot_with_shards.hex", [] { return stateWithShards().snapshot(); }, {}, completeOf),
+          "snapshot_with_shards.hex", [] { return stateWithShards().snapshot(); }, {}, snapshotOf),
       snapshotCase(
-          "snapshot_with_evacuations.hex", [] { return stateWithEvacuations().snapshot(); }, {}, completeOf),
+          "snapshot_with_evacuations.hex", [] { return stateWithEvacuations().snapshot(); }, {}, snapshotOf),
       snapshotCase(
-          "snapshot_with_usage.hex", [] { return stateWithUsage().snapshot(); }, {}, completeOf),
+          "snapshot_with_usage.hex", [] { return stateWithUsage().snapshot(); }, {}, snapshotOf),
       snapshotCase(
           "snapshot_access_with_evacuations.hex", [] { return snapshotFor(stateWithEvacuations(), ""); }, {},
           forNobody),
@@ -632,7 +632,7 @@
   return snapshot;
 }
 /// Restores a snapshot into a replica that has the first configuration, and encodes the result in the current format.
-Result<std::string> inTodaysFormat(const std::string& snapshot) {
+Result<std::string> restoredInCurrentFormat(const std::string& snapshot) {
   auto copy = firstState();
   if (auto restored = copy.restore(snapshot); !restored)
     return tl::unexpected(restored.error());
@@ -642,18 +642,18 @@
   const auto written = [] { return avro::encode(snapshotFormat1()); };
   const auto partial = [] { return avro::encode(partialSnapshotFormat1()); };
   const auto read = [](const std::string& snapshot) {
-    return inTodaysFormat(snapshot).value_or("could not be restored");
+    return restoredInCurrentFormat(snapshot).value_or("could not be restored");
   };
-  const auto completeOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
+  const auto snapshotOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
   return {
       {"snapshot_format1.hex", written, {}, ""},
       {"snapshot_format1_partial.hex", partial, {}, ""},
       snapshotCase(
           "snapshot_format1_restored.hex",
-          [=] { return read(golden::stored("snapshot_format1.hex").value_or(written())); }, {}, completeOf),
+          [=] { return read(golden::stored("snapshot_format1.hex").value_or(written())); }, {}, snapshotOf),
       snapshotCase(
           "snapshot_format1_partial_restored.hex",
-          [=] { return read(golden::stored("snapshot_format1_partial.hex").value_or(partial())); }, {}, completeOf),
+          [=] { return read(golden::stored("snapshot_format1_partial.hex").value_or(partial())); }, {}, snapshotOf),
   };
 }
 
@@ -729,7 +729,7 @@
   return *HintKey::parse("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f");
 }
 /// The first two updates of a site: one with all hints, and one with the changes since the first.
-std::vector<std::string> announcedInTurn() {
+std::vector<std::string> successiveUpdates() {
   constexpr TimePoint now{1000s};
   constexpr std::int64_t epoch = 2937;
   HintTable table(hintKey(), {.maxAnnounced = 8, .padding = 4}, 7);
@@ -744,7 +744,7 @@
   announced.push_back(avro::encode(table.nextUpdate(now, epoch)));
   return announced;
 }
-Result<std::string> againAsHints(const std::string& bytes) {
+Result<std::string> reencodeHintUpdate(const std::string& bytes) {
   const auto update = avro::decode<HintUpdate>(bytes);
   if (!update)
     return tl::unexpected(update.error());
@@ -758,8 +758,8 @@
                                              .version = 73,
                                              .added = {-6148914691236517206, 1311768467463790320},
                                              .removed = {-5, 6}}),
-      {"hint_news_whole.hex", [] { return announcedInTurn().at(0); }, againAsHints, ""},
-      {"hint_news_changes.hex", [] { return announcedInTurn().at(1); }, againAsHints, ""},
+      {"hint_news_whole.hex", [] { return successiveUpdates().at(0); }, reencodeHintUpdate, ""},
+      {"hint_news_changes.hex", [] { return successiveUpdates().at(1); }, reencodeHintUpdate, ""},
       {"hint_digest.txt", [] { return std::to_string(hintKey().digest(42, 2937)); }, {}, ""},
       {"hint_seal.txt", [] { return hintKey().sign("sealed text"); },
        [](const std::string& seal) -> Result<std::string> {
@@ -772,32 +772,32 @@
 // --- a frame in fragments ---
 
 /// Encodes a frame as fragments: each has a header, a flag byte that marks the last fragment, and a part of the frame.
-std::string inPieces(const std::string& frame, std::size_t pieceSize) {
+std::string toFragments(const std::string& frame, std::size_t fragmentSize) {
   std::string pieces;
-  for (std::size_t at = 0; at < frame.size(); at += pieceSize) {
-    const auto part = frame.substr(at, pieceSize);
+  for (std::size_t at = 0; at < frame.size(); at += fragmentSize) {
+    const auto part = frame.substr(at, fragmentSize);
     pieces += std::string(3, '\0') + static_cast<char>(part.size() + 2) + '\x03';
-    pieces += at + pieceSize < frame.size() ? '\0' : '\x01';
+    pieces += at + fragmentSize < frame.size() ? '\0' : '\x01';
     pieces += part;
   }
   return pieces;
 }
-std::vector<Case> pieceCases() {
+std::vector<Case> fragmentCases() {
   const auto pieces = [] {
-    return inPieces(encodeFrame(pack(BodyAhead{.digest = "digest-4", .body = "in several pieces"}, kSender)), 20);
+    return toFragments(encodeFrame(pack(BodyAhead{.digest = "digest-4", .body = "in several pieces"}, kSender)), 20);
   };
   const auto again = [](const std::string& bytes) -> Result<std::string> {
     const auto envelope = onlyEnvelopeIn(bytes);
     if (!envelope)
       return tl::unexpected(envelope.error());
-    return inPieces(encodeFrame(*envelope), 20);
+    return toFragments(encodeFrame(*envelope), 20);
   };
   return {{"pieces_body_ahead.hex", pieces, again, ""}};
 }
 
 std::vector<Case> allCases() {
   std::vector<Case> all;
-  for (const auto& part : {consensusCases(), frameCases(), pieceCases(), diskCases(), snapshotCases(),
+  for (const auto& part : {consensusCases(), frameCases(), fragmentCases(), diskCases(), snapshotCases(),
                            snapshotFormat1Cases(), writeCases(), hintCases(), coordinationCases(), counterCases()})
     all.insert(all.end(), part.begin(), part.end());
   return all;
