--- a/tests/nested_json_test.cpp
+++ b/tests/nested_json_test.cpp
@@ -44,21 +44,21 @@
 }
 // Expects that `read` rejects every nested body with a one-line message that contains `word`. `read` returns the error
 // message, or nothing if it accepted the body.
-void expectRefusals(const std::string& word,
+void expectRejected(const std::string& word,
                     const std::function<std::optional<std::string>(const std::string&)>& read) {
   onFiber([&] {
     for (const auto& body : nestedBodies()) {
-      const auto refusal = read(body.text);
-      ASSERT_TRUE(refusal) << body.what;
-      EXPECT_NE(refusal->find(word), std::string::npos) << body.what << ": " << *refusal;
+      const auto errorMessage = read(body.text);
+      ASSERT_TRUE(errorMessage) << body.what;
+      EXPECT_NE(errorMessage->find(word), std::string::npos) << body.what << ": " << *errorMessage;
       constexpr std::size_t kOneLine = 200;
-      EXPECT_LT(refusal->size(), kOneLine) << body.what;
-      EXPECT_EQ(refusal->find('\n'), std::string::npos) << body.what;
+      EXPECT_LT(errorMessage->size(), kOneLine) << body.what;
+      EXPECT_EQ(errorMessage->find('\n'), std::string::npos) << body.what;
     }
   });
 }
 template <class T>
-std::optional<std::string> refusalOf(const Result<T>& outcome) {
+std::optional<std::string> errorMessageOf(const Result<T>& outcome) {
   if (outcome)
     return std::nullopt;
   return outcome.error().message;
@@ -66,19 +66,19 @@
 }  // namespace
 
 TEST(NestedJson, AConfigurationIsRefused) {
-  expectRefusals("configuration is no JSON: ",
-                 [](const std::string& body) { return refusalOf(parseConfiguration(body)); });
+  expectRejected("configuration is no JSON: ",
+                 [](const std::string& body) { return errorMessageOf(parseConfiguration(body)); });
 }
 TEST(NestedJson, SettingsAreRefused) {
-  expectRefusals("settings are no JSON: ", [](const std::string& body) { return refusalOf(parseSettings(body)); });
+  expectRejected("settings are no JSON: ", [](const std::string& body) { return errorMessageOf(parseSettings(body)); });
 }
 TEST(NestedJson, AHeartbeatIsRefused) {
-  expectRefusals("heartbeat is no JSON object",
-                 [](const std::string& body) { return refusalOf(parseRunnerHeartbeat("i1", body)); });
+  expectRejected("heartbeat is no JSON object",
+                 [](const std::string& body) { return errorMessageOf(parseRunnerHeartbeat("i1", body)); });
 }
 TEST(NestedJson, AZoneDrainIsRefused) {
-  expectRefusals("closure is no JSON object",
-                 [](const std::string& body) { return refusalOf(parseZoneDrainRequest(body)); });
+  expectRejected("closure is no JSON object",
+                 [](const std::string& body) { return errorMessageOf(parseZoneDrainRequest(body)); });
 }
 TEST(NestedJson, AnAnswerThatARunbookObservesHasNoSuchField) {
   onFiber([] {
