--- a/tests/fiber_stack_test.cpp
+++ b/tests/fiber_stack_test.cpp
@@ -13,19 +13,19 @@
 constexpr FiberStackSizes kSizes;
 
 // Uses at least the given number of stack bytes by recursion, and writes to each page.
-[[gnu::noinline]] std::size_t descend(std::size_t bytes) {
+[[gnu::noinline]] std::size_t useStack(std::size_t bytes) {
   constexpr std::size_t kFrame = 1024;
   volatile char frame[kFrame];
   frame[0] = static_cast<char>(bytes);
-  const auto below = bytes > kFrame ? descend(bytes - kFrame) : 0;
+  const auto below = bytes > kFrame ? useStack(bytes - kFrame) : 0;
   return below + static_cast<std::size_t>(frame[0] == static_cast<char>(bytes));
 }
 // Uses a separate event loop, because a death test runs in a child process that shares the file descriptors of the
 // parent's loop.
-void descendOnFiber(std::size_t bytes) {
+void useStackOnFiber(std::size_t bytes) {
   EventLoop loop;
   loop.spawn([&loop, bytes] {
-    (void)descend(bytes);
+    (void)useStack(bytes);
     loop.stop();
   });
   loop.run();
@@ -40,11 +40,11 @@
 }  // namespace
 
 TEST(FiberStackDeathTest, AFiberBeyondItsStackEndsTheProcessAtOnce) {
-  EXPECT_EXIT(descendOnFiber(kSizes.stackBytes + kSizes.guardBytes / 2), testing::KilledBySignal(SIGSEGV), "");
+  EXPECT_EXIT(useStackOnFiber(kSizes.stackBytes + kSizes.guardBytes / 2), testing::KilledBySignal(SIGSEGV), "");
 }
 TEST(FiberStackDeathTest, AFiberWithinItsStackEndsWell) {
-  constexpr std::size_t kOfTheLibraryAndTheLoop = std::size_t{8} * 1024;
-  EXPECT_EXIT(descendOnFiber(kSizes.stackBytes - kOfTheLibraryAndTheLoop), testing::ExitedWithCode(0), "");
+  constexpr std::size_t kLibraryAndLoopBytes = std::size_t{8} * 1024;
+  EXPECT_EXIT(useStackOnFiber(kSizes.stackBytes - kLibraryAndLoopBytes), testing::ExitedWithCode(0), "");
 }
 TEST(FiberStackDeathTest, TheGuardAreaLiesBelowTheLowestByteAlsoOfAReusedStack) {
   FiberStackPool pool;
@@ -98,6 +98,6 @@
 // The two mappings of each guarded stack and the other mappings of a process must fit the kernel's default limit.
 TEST(FiberStack, TheMostGuardedStacksFitTheKernelsBound) {
   constexpr std::size_t kDefaultMaxMapCount = 65530;
-  constexpr std::size_t kLeftForOthers = 8192;
-  EXPECT_LE(2 * kSizes.maxGuarded, kDefaultMaxMapCount - kLeftForOthers);
+  constexpr std::size_t kMappingsForOtherUses = 8192;
+  EXPECT_LE(2 * kSizes.maxGuarded, kDefaultMaxMapCount - kMappingsForOtherUses);
 }
