--- a/libs/config/include/config/configuration.hpp
+++ b/libs/config/include/config/configuration.hpp
@@ -22,7 +22,7 @@
   std::string authority;   ///< host in lower case, without a port
   std::string pathPrefix;  ///< begins and ends with a slash
   RouteType type = RouteType::unsafe;
-  Duration expiry{0};             ///< time limit for the whole response; always above 0
+  Duration expiry{0};             ///< time limit for answering a request; always above 0
   Duration latencyTarget{0};      ///< latency target (SLO) of the first byte; 0: none
   Duration gapTarget{0};          ///< parsed and type-checked, but not used
   int precedence = 5;             ///< priority class: 0 is served first
--- a/libs/config/include/config/settings.hpp
+++ b/libs/config/include/config/settings.hpp
@@ -9,12 +9,11 @@
 /// Time limits and other bounds that operators set (`timers`). The JSON key of a duration is the member's name with the
 /// suffix `Ms` or, for seconds, `S`.
 struct Timers {
-  Duration contact{3000};  ///< parsed and type-checked, but not used
-  Duration ack{4000};      ///< parsed and type-checked, but not used
-  Duration drain{2000};    ///< every connected machine applies a drain within this time of its acknowledgement
-  Duration configApply{
-      2000};              ///< every connected machine applies a configuration within this time of its acknowledgement
-  Duration revoke{5000};  ///< a node without contact stops using a revoked configuration within this time
+  Duration contact{3000};       ///< parsed and type-checked, but not used
+  Duration ack{4000};           ///< parsed and type-checked, but not used
+  Duration drain{2000};         ///< every connected machine applies a drain within this time of its acknowledgement
+  Duration configApply{2000};   ///< the same limit as `drain`, for applying an acknowledged configuration
+  Duration revoke{5000};        ///< a node without contact stops using a revoked configuration within this time
   Duration revertSlack{250};    ///< parsed and type-checked, but not used
   Duration lossSlack{200};      ///< parsed and type-checked, but not used
   Duration grace{8000};         ///< a process exits within this time of a request to stop
--- a/libs/transport/include/transport/access_messages.hpp
+++ b/libs/transport/include/transport/access_messages.hpp
@@ -62,7 +62,7 @@
 struct ReadIndexResponse {
   static constexpr auto kType = MessageType::readIndexResponse;
   std::int64_t requestId = 0;
-  bool underLease = false;  ///< the sender is the leader with a valid lease; otherwise `commitIndex` is meaningless
+  bool underLease = false;       ///< the sender leads with a valid lease; otherwise `commitIndex` is meaningless
   std::int64_t commitIndex = 0;  ///< the commit index at the time of the request or later
   template <class V>
   void fields(V& v) {
@@ -179,7 +179,7 @@
 struct FollowLog {
   static constexpr auto kType = MessageType::followLog;
   struct Extension {
-    std::string zone;          ///< zone of the sender; any core machine of this zone may serve the subscription
+    std::string zone;          ///< zone of the sender; a core machine of this zone serves the sender, leader or not
     bool unsubscribe = false;  ///< true: the message ends the subscription
     bool empty() const { return zone.empty() && !unsubscribe; }
     template <class V>
--- a/libs/transport/include/transport/platform_records.hpp
+++ b/libs/transport/include/transport/platform_records.hpp
@@ -18,9 +18,8 @@
 };
 /// The usage that one proxy counted between two reports. The proxy repeats a batch until the leader has received it.
 struct UsageBatch {
-  std::int64_t number = 0;  ///< consecutive number, starting at 1 when the proxy process starts
-  std::int64_t completeThrough =
-      0;  ///< all usage of windows up to this one is contained in the batches up to this batch
+  std::int64_t number = 0;           ///< consecutive number, starting at 1 when the proxy process starts
+  std::int64_t completeThrough = 0;  ///< batches up to this one contain all usage of the windows up to this number
   std::vector<UsageCount> counts;
   /// Lists the fields in wire order.
   template <class Visitor>
