--- a/libs/config/src/json.cpp
+++ b/libs/config/src/json.cpp
@@ -85,8 +85,8 @@
   return std::nullopt;
 }
 void JsonReader::duration(const JsonObject& object, std::string_view key, Duration& out, Duration unit) {
-  constexpr double kLeftOut = -1;
-  double count = kLeftOut;
+  constexpr double kAbsent = -1;
+  double count = kAbsent;
   number(object, key, count);
   if (count >= 0)
     out = Duration(static_cast<std::int64_t>(count * static_cast<double>(unit.count())));
