--- a/libs/transport/src/dialer.cpp
+++ b/libs/transport/src/dialer.cpp
@@ -29,7 +29,7 @@
     while (!released) {
       if (auto connected = connect()) {
         link = std::move(connected);
-        useUntilClosed();
+        monitorUntilClosed();
         link.reset();
       }
       if (!released)
@@ -55,7 +55,7 @@
     failures = 0;
     return std::make_shared<PeerLink>(std::move(connection.socket()), onMessage, [](const PeerLinkPtr&) {});
   }
-  void useUntilClosed() const {
+  void monitorUntilClosed() const {
     const auto current = link;
     current->start();
     onConnected(current);
