--- a/tests/golden_test.cpp
+++ b/tests/golden_test.cpp
@@ -545,7 +545,7 @@
 }
 std::vector<Case> snapshotCases() {
   const auto snapshotOf = [](const ReplicatedState& copy) { return copy.snapshot(); };
-  const auto forNobody = [](const ReplicatedState& copy) { return snapshotFor(copy, ""); };
+  const auto forReceiverWithoutCache = [](const ReplicatedState& copy) { return snapshotFor(copy, ""); };
   const auto forFirst = [](const ReplicatedState& copy) { return snapshotFor(copy, kFirstText); };
   const auto forSecond = [](const ReplicatedState& copy) { return snapshotFor(copy, kSecondText); };
   return {
@@ -563,11 +563,12 @@
           "snapshot_with_usage.hex", [] { return stateWithUsage().snapshot(); }, {}, snapshotOf),
       snapshotCase(
           "snapshot_access_with_evacuations.hex", [] { return snapshotFor(stateWithEvacuations(), ""); }, {},
-          forNobody),
+          forReceiverWithoutCache),
       snapshotCase(
-          "snapshot_access_with_rollout.hex", [] { return snapshotFor(stateWithRollout(), ""); }, {}, forNobody),
+          "snapshot_access_with_rollout.hex", [] { return snapshotFor(stateWithRollout(), ""); }, {},
+          forReceiverWithoutCache),
       snapshotCase(
-          "snapshot_access_whole.hex", [] { return snapshotFor(laterState(), ""); }, {}, forNobody),
+          "snapshot_access_whole.hex", [] { return snapshotFor(laterState(), ""); }, {}, forReceiverWithoutCache),
       snapshotCase(
           "snapshot_access_same_configuration.hex", [] { return snapshotFor(laterState(), kSecondText); },
           stateAfter({configurationEntry(0, 5, kSecondText, "operator/2")}), forSecond),
