--- a/libs/transport/include/transport/dialer.hpp
+++ b/libs/transport/include/transport/dialer.hpp
@@ -4,8 +4,8 @@
 #include "transport/peer_link.hpp"
 namespace zinccleat::transport {
 /// Connects to an endpoint and reconnects whenever the connection is lost, until `release`. A connection is also closed
-/// if nothing is received for 900 ms after a message was sent: after a network partition, the connection would otherwise
-/// stay silent long after the end of the partition.
+/// if nothing is received for 900 ms after a message was sent: after a network partition, the connection would
+/// otherwise stay silent long after the end of the partition.
 ///
 /// A connection attempt times out after 300 ms. The next attempt follows after 30 ms or, after 8 consecutive failures,
 /// after 150 ms.
