--- a/apps/zinccleat/main.cpp
+++ b/apps/zinccleat/main.cpp
@@ -187,7 +187,7 @@
   return simulation::trial(kThisProgram, seconds);
 }
 int loadSettingsAndRun(const std::string& name, int (*run)(const config::Settings&)) {
-  runtime::holdLifecycleSignals();
+  runtime::blockLifecycleSignals();
   const auto path = absl::GetFlag(FLAGS_settings);
   const auto settings = config::loadSettings(path.empty() ? config::settingsPath() : path);
   if (!settings)
@@ -262,7 +262,7 @@
   // Blocks the lifecycle signals first, so that a SIGTERM during startup stays pending and causes a graceful shutdown
   // like any later SIGTERM.
   if (argc > 1 && isDaemon(argv[1]))
-    runtime::holdLifecycleSignals();
+    runtime::blockLifecycleSignals();
   const std::vector<std::string_view> given(argv + std::min(argc, 1), argv + argc);
   if (const auto text = helpText(given); !text.empty()) {
     std::printf("%s\n", text.c_str());
--- a/libs/config/src/json.cpp
+++ b/libs/config/src/json.cpp
@@ -2,11 +2,11 @@
 
 namespace zinccleat::config {
 namespace {
-// Up to here each integer has a double of its own (2^53 is a little above).
-constexpr double kLargestExactInteger = 9e15;
+// A double represents every integer up to 2^53 (about 9.007e15) exactly; this bound is slightly below.
+constexpr double kMaxExactInteger = 9e15;
 
 std::optional<std::int64_t> exactInteger(double value) {
-  if (value < -kLargestExactInteger || value > kLargestExactInteger)
+  if (value < -kMaxExactInteger || value > kMaxExactInteger)
     return std::nullopt;
   const auto integer = static_cast<std::int64_t>(value);
   if (static_cast<double>(integer) != value)
@@ -41,7 +41,7 @@
     fail("missing field", key);
   return false;
 }
-// Returns false if `out` was not set: the field is left out, or not of this type, which is an error.
+// Returns false if `out` was not set: the field is absent, or has another type, in which case an error is recorded.
 template <class Value>
 bool JsonReader::read(const JsonObject& object, std::string_view key, Value& out, std::string_view problem,
                       Presence presence) {
@@ -85,8 +85,8 @@
   return std::nullopt;
 }
 void JsonReader::duration(const JsonObject& object, std::string_view key, Duration& out, Duration unit) {
-  constexpr double kLeftOut = -1;
-  double count = kLeftOut;
+  constexpr double kAbsent = -1;
+  double count = kAbsent;
   number(object, key, count);
   if (count >= 0)
     out = Duration(static_cast<std::int64_t>(count * static_cast<double>(unit.count())));
--- a/libs/transport/src/dialer.cpp
+++ b/libs/transport/src/dialer.cpp
@@ -6,11 +6,11 @@
 namespace {
 constexpr auto kUnansweredTimeout = 900ms;
 constexpr auto kUnansweredCheckInterval = 100ms;
-// Short, because the first packet to a machine that is not up yet is lost, and TCP repeats it only after a second.
+// Short, because a SYN sent to a machine that is not up yet is lost, and TCP retransmits it only after one second.
 constexpr auto kConnectTimeout = 300ms;
-constexpr auto kFirstRetryDelay = 30ms;
-constexpr auto kRetryDelay = 150ms;
-constexpr int kFirstRetries = 8;  // failures in a row before the longer delay
+constexpr auto kFastRetryDelay = 30ms;
+constexpr auto kSlowRetryDelay = 150ms;
+constexpr int kMaxFastRetries = 8;  // consecutive failures before the longer delay
 constexpr int kFailuresPerLogLine = 200;
 }  // namespace
 
@@ -20,7 +20,7 @@
   OnConnected onConnected;
   PeerLinkPtr link;
   bool released = false;
-  int failures = 0;  // since the last connection
+  int failures = 0;  // since the last established connection
 
   void start() {
     runtime::EventLoop::get().spawn([self = shared_from_this()] { self->keepConnected(); });
@@ -29,14 +29,14 @@
     while (!released) {
       if (auto connected = connect()) {
         link = std::move(connected);
-        useUntilClosed();
+        monitorUntilClosed();
         link.reset();
       }
       if (!released)
-        runtime::EventLoop::get().sleepFor(failures < kFirstRetries ? kFirstRetryDelay : kRetryDelay);
+        runtime::EventLoop::get().sleepFor(failures < kMaxFastRetries ? kFastRetryDelay : kSlowRetryDelay);
     }
   }
-  /// One connection attempt. Null if it failed, or if the dialer was released meanwhile.
+  /// Makes one connection attempt. Returns null if the attempt failed or the dialer was released in the meantime.
   PeerLinkPtr connect() {
     runtime::Connection connection;
     connection.setDeadline(Clock::now() + kConnectTimeout);
@@ -55,7 +55,7 @@
     failures = 0;
     return std::make_shared<PeerLink>(std::move(connection.socket()), onMessage, [](const PeerLinkPtr&) {});
   }
-  void useUntilClosed() const {
+  void monitorUntilClosed() const {
     const auto current = link;
     current->start();
     onConnected(current);
--- a/tests/fiber_stack_test.cpp
+++ b/tests/fiber_stack_test.cpp
@@ -1,5 +1,5 @@
-// A fiber that needs more than its stack must stop the process at once: found when a trial's check wrote beyond a stack
-// of 64 KB and ended in "double free" much later.
+// A fiber that overflows its stack must kill the process immediately. Without guard areas, an overflow of a 64 KB stack
+// corrupted the heap and was noticed only much later, as a "double free" abort.
 #include <gtest/gtest.h>
 
 #include <csignal>
@@ -12,19 +12,20 @@
 namespace {
 constexpr FiberStackSizes kSizes;
 
-// Goes down the stack by at least so many bytes, writing to each page, and returns from there.
-[[gnu::noinline]] std::size_t descend(std::size_t bytes) {
+// Uses at least the given number of stack bytes by recursion, and writes to each page.
+[[gnu::noinline]] std::size_t useStack(std::size_t bytes) {
   constexpr std::size_t kFrame = 1024;
   volatile char frame[kFrame];
   frame[0] = static_cast<char>(bytes);
-  const auto below = bytes > kFrame ? descend(bytes - kFrame) : 0;
+  const auto below = bytes > kFrame ? useStack(bytes - kFrame) : 0;
   return below + static_cast<std::size_t>(frame[0] == static_cast<char>(bytes));
 }
-// On an event loop of its own, as death tests run in a child that shares the descriptors of the parent's loop.
-void descendOnFiber(std::size_t bytes) {
+// Uses a separate event loop, because a death test runs in a child process that shares the file descriptors of the
+// parent's loop.
+void useStackOnFiber(std::size_t bytes) {
   EventLoop loop;
   loop.spawn([&loop, bytes] {
-    (void)descend(bytes);
+    (void)useStack(bytes);
     loop.stop();
   });
   loop.run();
@@ -39,11 +40,11 @@
 }  // namespace
 
 TEST(FiberStackDeathTest, AFiberBeyondItsStackEndsTheProcessAtOnce) {
-  EXPECT_EXIT(descendOnFiber(kSizes.stackBytes + kSizes.guardBytes / 2), testing::KilledBySignal(SIGSEGV), "");
+  EXPECT_EXIT(useStackOnFiber(kSizes.stackBytes + kSizes.guardBytes / 2), testing::KilledBySignal(SIGSEGV), "");
 }
 TEST(FiberStackDeathTest, AFiberWithinItsStackEndsWell) {
-  constexpr std::size_t kOfTheLibraryAndTheLoop = std::size_t{8} * 1024;
-  EXPECT_EXIT(descendOnFiber(kSizes.stackBytes - kOfTheLibraryAndTheLoop), testing::ExitedWithCode(0), "");
+  constexpr std::size_t kLibraryAndLoopBytes = std::size_t{8} * 1024;
+  EXPECT_EXIT(useStackOnFiber(kSizes.stackBytes - kLibraryAndLoopBytes), testing::ExitedWithCode(0), "");
 }
 TEST(FiberStackDeathTest, TheGuardAreaLiesBelowTheLowestByteAlsoOfAReusedStack) {
   FiberStackPool pool;
@@ -60,7 +61,7 @@
 TEST(FiberStack, FreeStacksAreUsedAgainAndNoMoreAreKeptThanAllowed) {
   FiberStackSizes sizes;
   constexpr std::size_t kStacks = 5;
-  sizes.mostKept = 2;
+  sizes.maxCached = 2;
   FiberStackPool pool(sizes);
   std::vector<boost::context::stack_context> stacks;
   stacks.reserve(kStacks);
@@ -69,17 +70,18 @@
   EXPECT_EQ(pool.guarded(), kStacks);
   for (auto& stack : stacks)
     pool.deallocate(stack);
-  EXPECT_EQ(pool.kept(), 2);
+  EXPECT_EQ(pool.cached(), 2);
   EXPECT_EQ(pool.guarded(), 2);
   auto again = pool.allocate();
-  EXPECT_EQ(again.sp, stacks[1].sp) << "the one used last first";
-  EXPECT_EQ(pool.kept(), 1);
+  EXPECT_EQ(again.sp, stacks[1].sp) << "the most recently freed stack is reused first";
+  EXPECT_EQ(pool.cached(), 1);
   pool.deallocate(again);
 }
-// The kernel bounds a process's mappings; a fiber without a guard area is better than a connection refused.
+// The kernel limits the number of memory mappings of a process. Beyond the limit, a fiber without a guard area is
+// better than refusing a connection.
 TEST(FiberStack, BeyondTheMostGuardedOnesStacksComeFromTheHeap) {
   FiberStackSizes sizes;
-  sizes.mostGuarded = 1;
+  sizes.maxGuarded = 1;
   FiberStackPool pool(sizes);
   auto guarded = pool.allocate();
   auto plain = pool.allocate();
@@ -89,13 +91,13 @@
   writeTo(lowestUsable(plain));
   writeTo(static_cast<char*>(plain.sp) - 1);
   pool.deallocate(plain);
-  EXPECT_EQ(pool.kept(), 0);
+  EXPECT_EQ(pool.cached(), 0);
   pool.deallocate(guarded);
-  EXPECT_EQ(pool.kept(), 1);
+  EXPECT_EQ(pool.cached(), 1);
 }
-// Both mappings of each guarded stack, and what else a process maps, fit the kernel's default.
+// The two mappings of each guarded stack and the other mappings of a process must fit the kernel's default limit.
 TEST(FiberStack, TheMostGuardedStacksFitTheKernelsBound) {
   constexpr std::size_t kDefaultMaxMapCount = 65530;
-  constexpr std::size_t kLeftForOthers = 8192;
-  EXPECT_LE(2 * kSizes.mostGuarded, kDefaultMaxMapCount - kLeftForOthers);
+  constexpr std::size_t kMappingsForOtherUses = 8192;
+  EXPECT_LE(2 * kSizes.maxGuarded, kDefaultMaxMapCount - kMappingsForOtherUses);
 }
