--- a/tests/check_docs_test.sh
+++ b/tests/check_docs_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# What the check of the pages finds and what it lets pass, in a small tree of its own. Usage: check_docs_test.sh
+# Runs tools/check_docs.sh on a small temporary source tree: valid references in a page pass, and each kind of broken
+# reference is reported. Usage: check_docs_test.sh
 set -uo pipefail
 cd "$(dirname "$0")/.."
 tree=$(mktemp -d)
@@ -13,14 +14,14 @@
 touch "$tree"/{tools/lint.sh,runbooks/drain.run,target/CMakeCache.txt,target/built.cpp}
 echo 'Names `gone.cpp`.' > "$tree/journal/old.md"
 bad=0
-want() {  # the wanted output without its last line, the text of docs/page.md
+want() {  # expected output without the summary line, text of docs/page.md
   local said got=0 wanted=0
   printf '%s\n' "$2" > "$tree/docs/page.md"
   said=$(tools/check_docs.sh "$tree" 2>&1) || got=$?
   said=$(grep -v '^check_docs: ' <<< "$said")
   [ -z "$1" ] || wanted=1
   if [ $got -ne $wanted ] || [ "$said" != "$1" ]; then
-    echo "for '$2': status $got and '$said', wanted $wanted and '$1'"
+    echo "page '$2': got status $got and output '$said', expected status $wanted and output '$1'"
     bad=1
   fi
 }
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,17 +1,18 @@
 #!/usr/bin/env bash
-# Mistyped command lines: one clear line, and the same exit status for the same kind of error.
+# Checks that invalid command lines print one line that names the error, and that errors of the same kind give the same
+# exit status.
 # Usage: command_line.sh PROGRAM
 set -uo pipefail
 program=$1
 failed=0
-expect() {  # status, a part of the output, arguments
+expect() {  # expected exit status, text that the output must contain, arguments of the program
   local expected_status=$1 expected_part=$2
   shift 2
   local output status
   output=$("$program" "$@" 2>&1)
   status=$?
   if [ $status -ne "$expected_status" ] || [[ "$output" != *"$expected_part"* ]]; then
-    echo "zinccleat $*: status $status, expected $expected_status with '$expected_part'; output: $output"
+    echo "zinccleat $*: exit status $status, expected $expected_status and '$expected_part' in the output; output: $output"
     failed=1
   fi
 }
@@ -64,10 +65,10 @@
 expect 1 "settings" check settings /dev/null
 expect 1 "configuration" check configuration /dev/null
 expect 1 "no step in it" check runbook /dev/null
-# An address that nobody can call is reported as valid JSON, whatever stands in it.
+# `status --json` escapes the text of an unusable address, so that the report stays valid JSON.
 report=$("$program" status --json 'a"b:1')
 if [[ "$report" != *'"node":"a\"b:1"'* ]]; then
-  echo "status --json: a quote is not escaped: $report"
+  echo "status --json does not escape a quotation mark in an address: $report"
   failed=1
 fi
 exit $failed
--- a/tests/coordination.sh
+++ b/tests/coordination.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Locks, numbers, cells, watches and replicated counters on a core of three, as real processes on loopback, by the command line: what was
-# acknowledged outlives the leaseholder, a kill of all three, and a lost disk. Usage: coordination.sh PROGRAM
+# Runs three controllers as real processes on loopback and uses locks, numbers, cells, watches and replicated counters
+# through the command line. Acknowledged operations must survive a stop of the leaseholder, SIGKILL of all three
+# controllers and the loss of one disk. Usage: coordination.sh PROGRAM
 set -euo pipefail
 program=$1
 dir=$(mktemp -d)
 declare -A pids
 finish() { kill -9 "${pids[@]}" 2>/dev/null || true; rm -rf "$dir"; }
 trap finish EXIT
-network=127.$((16 + $$ % 224)).9  # of its own, so that runs beside each other don't meet
+network=127.$((16 + $$ % 224)).9  # chosen by process id, so that parallel runs use different addresses
 nodes=("$network.1:8447" "$network.2:8447" "$network.3:8447")
 seeds="\"${nodes[0]}\",\"${nodes[1]}\",\"${nodes[2]}\""
 bad=0
@@ -28,17 +29,17 @@
   for number in "$@"; do kill "-$signal" "${pids[$number]}" 2> /dev/null || true; done
   for number in "$@"; do wait "${pids[$number]}" 2> /dev/null || true; done
 }
-# The first answer within some seconds.
+# Repeats a command until it succeeds, for at most 20 s, and prints its output.
 answer() {
   local end=$((SECONDS + 20)) output
   until output=$("$program" "$@" "${nodes[@]}" 2> "$dir/error"); do
-    [ $SECONDS -lt $end ] || { echo "no answer: $*: $(cat "$dir/error")"; cat "$dir"/*.log; exit 1; }
+    [ $SECONDS -lt $end ] || { echo "timeout; the command did not succeed: $*: $(cat "$dir/error")"; cat "$dir"/*.log; exit 1; }
   done
   echo "$output"
 }
-# Within some seconds, as an answer: a node that is starting, or a shard between two leaseholders, refuses nothing yet. What is done
-# in place of a refusal is wrong at once.
-refused() {  # status, arguments
+# Expects that a command is rejected with an HTTP status. The command is repeated for up to 20 s, because a node that is
+# starting, or a shard without a leaseholder, cannot reject it yet. A command that succeeds is an error at once.
+refused() {  # HTTP status, arguments of the program
   local status=$1 end=$((SECONDS + 20))
   shift
   until "$program" "$@" "${nodes[@]}" > "$dir/output" 2>&1 || grep -q "status $status" "$dir/output"; do
@@ -52,12 +53,12 @@
 fence=$(answer lock begin l1 a 600000 | number)
 refused 409 lock begin l1 b 1000
 first=$(answer number n1 | number)
-[ "$(answer cells put g1.a v1 any)" = '{"revision":1}' ] || wrong "the first put has not revision 1"
-[ "$(answer cells put g1.b v2 0)" = '{"revision":2}' ] || wrong "the second put has not revision 2"
+[ "$(answer cells put g1.a v1 any)" = '{"revision":1}' ] || wrong "the first put does not have revision 1"
+[ "$(answer cells put g1.b v2 0)" = '{"revision":2}' ] || wrong "the second put does not have revision 2"
 refused 412 cells put g1.b v3 7
 refused 404 cells get g1.none
 timeout 3 "$program" watch g1. 1 "${nodes[@]}" > "$dir/watch" || true
-grep -q '"label":"g1.b"' "$dir/watch" || wrong "the watch has not shown the second put: $(cat "$dir/watch")"
+grep -q '"label":"g1.b"' "$dir/watch" || wrong "the watch did not report the second put: $(cat "$dir/watch")"
 "$program" shards "${nodes[@]}" | grep -q 'leader' || wrong "no leaseholder in the table of shards"
 
 [ "$(answer tally add t1 5c0e7a21d94b36f8 4)" = '{}' ] || wrong "an increment is not acknowledged"
@@ -66,9 +67,9 @@
 refused 400 evacuation begin nowhere
 [ "$(answer evacuation begin z)" = '{}' ] || wrong "an evacuation is not acknowledged"
 [ "$(answer evacuation release z)" = '{}' ] || wrong "the end of an evacuation is not acknowledged"
-"$program" tally sides "${nodes[@]}" | grep -q 'true' || wrong "nobody reachable in the table of sides"
+"$program" tally sides "${nodes[@]}" | grep -q 'true' || wrong "no reachable node in the output of tally sides"
 
-# The total at one node within some seconds.
+# Expects that one node reads this total of counter t1 within 10 s.
 expect_total() {  # node total
   local end=$((SECONDS + 10)) output=
   until output=$("$program" tally get t1 "$1" 2> "$dir/error") && [ "$output" = "{\"total\":$2}" ]; do
@@ -76,35 +77,35 @@
   done
 }
 
-# What was acknowledged is there.
+# Expects that each operation acknowledged so far is still in effect. The argument describes the preceding fault.
 check() {
   refused 409 lock begin l1 b 1000
-  [ "$(answer lock renew l1 a "$fence" 600000)" = '{}' ] || wrong "$1: the lock's holder lost it"
+  [ "$(answer lock renew l1 a "$fence" 600000)" = '{}' ] || wrong "$1: the lock holder lost the lock"
   local next
   next=$(answer number n1 | number)
   [ "$next" -gt "$first" ] || wrong "$1: number $next after $first"
   first=$next
   [ "$(answer cells put g1.a v1 any)" = '{"revision":1}' ] || wrong "$1: a repeated put has another revision"
-  [ "$(answer cells get g1.b)" = '{"value":"v2","revision":2}' ] || wrong "$1: a cell is not as it was put"
+  [ "$(answer cells get g1.b)" = '{"value":"v2","revision":2}' ] || wrong "$1: a cell does not have the value of the last put"
   for node in "${nodes[@]}"; do expect_total "$node" "$total"; done
 }
 total=4
 stop TERM 1
 start 1 false
-check "a controller stopped in order"
+check "one controller stopped by SIGTERM"
 stop KILL 1 2 3
 for i in 1 2 3; do start $i false; done
-check "all controllers killed"
+check "all controllers stopped by SIGKILL"
 stop KILL 2
 rm -rf "$dir/core2"
 start 2 false
-check "a disk lost"
-# Alone, without a majority: increments are taken and read, everything that needs a majority is not.
+check "one controller lost its disk"
+# One node without a majority accepts and reads counter increments, and rejects operations that need a majority.
 stop KILL 2 3
-[ "$(answer tally add t1 91bd3f06e4402b7d 5)" = '{}' ] || wrong "a node alone takes no increment"
+[ "$(answer tally add t1 91bd3f06e4402b7d 5)" = '{}' ] || wrong "a node without a majority does not accept an increment"
 expect_total "${nodes[0]}" 9
 if "$program" cells put g1.b v9 any "${nodes[0]}" > "$dir/output" 2>&1; then
-  wrong "a node alone takes a put: $(cat "$dir/output")"
+  wrong "a node without a majority accepts a put: $(cat "$dir/output")"
 fi
 start 2 false
 start 3 false
@@ -113,5 +114,5 @@
 answer lock release l1 a "$fence" > /dev/null
 second=$(answer lock begin l1 b 1000 | number)
 [ "$second" -gt "$fence" ] || wrong "fence $second after $fence"
-[ $bad -ne 0 ] || echo "acknowledged locks, numbers, cells and increments outlived a stop, a kill of all, a lost disk and a time without majority"
+[ $bad -ne 0 ] || echo "acknowledged locks, numbers, cells and increments survived a stop, a kill of all controllers, a lost disk and a loss of the majority"
 exit $bad
--- a/tests/drain.sh
+++ b/tests/drain.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# An access machine with a core of one, as real processes on loopback: SIGHUP ends nothing; from SIGTERM on its proxy is
-# not ready, still answers what comes at first, and ends within graceS. Usage: drain.sh PROGRAM
+# Runs one controller and one access machine (agent and proxy) as real processes on loopback. SIGHUP must not stop a
+# process. After SIGTERM the proxy reports that it is not ready, still answers new requests at first, and exits within
+# graceS. Usage: drain.sh PROGRAM
 
 set -euo pipefail
 program=$1
@@ -8,7 +9,7 @@
 pids=()
 finish() { kill -9 "${pids[@]}" 2>/dev/null || true; rm -rf "$dir"; }
 trap finish EXIT
-network=127.$((16 + $$ % 224)).7  # of its own, so that runs beside each other don't meet
+network=127.$((16 + $$ % 224)).7  # chosen by process id, so that parallel runs use different addresses
 grace=5
 bad=0
 wrong() { echo "$*"; bad=1; }
@@ -23,18 +24,18 @@
   "$program" "$1" --settings="$dir/$2.json" >> "$dir/$2.log" 2>&1 &
   pids+=($!)
 }
-# The status of one request on a connection of its own; empty if there is no answer. Host, port, request line, heads, body.
-ask() {
+# Prints the HTTP status of one request on a new connection, or nothing if there is no response.
+ask() {  # host port request-line headers body
   (exec 3<>"/dev/tcp/$1/$2" && printf '%s HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n%bContent-Length: %d\r\n\r\n%s' \
     "$3" "${4:-}" "${#5}" "$5" >&3 && read -r -t 2 _ status _ <&3 && echo "$status") 2> /dev/null || true
 }
 ready() { ask "$1" 8446 'GET /v1/readiness' '' ''; }
 request() { ask "$1" 8445 'POST /nowhere/x' 'X-Attempt-Id: a1\r\n' ''; }
-until_is() {  # wanted, seconds, command...
+until_is() {  # expected output, timeout in seconds, command...
   local wanted=$1 end=$((SECONDS + $2))
   shift 2
   while [ "$("$@")" != "$wanted" ]; do
-    [ $SECONDS -lt $end ] || { cat "$dir"/*.log; echo "never $wanted: $*"; exit 1; }
+    [ $SECONDS -lt $end ] || { cat "$dir"/*.log; echo "timeout; the command did not print $wanted: $*"; exit 1; }
   done
 }
 
@@ -52,21 +53,21 @@
 until_is 404 5 request $ip
 
 kill -HUP "${pids[@]}"
-[ "$(request $ip)" = 404 ] || wrong "no answer after SIGHUP"
+[ "$(request $ip)" = 404 ] || wrong "no response after SIGHUP"
 [ "$(ready $ip)" = 200 ] || wrong "not ready after SIGHUP"
-! grep -q settings_unreadable "$dir"/*.log || wrong "the settings of --settings were not read again"
+! grep -q settings_unreadable "$dir"/*.log || wrong "the file named by --settings was not read again after SIGHUP"
 
 from=$SECONDS
 kill -TERM "${access[@]}"
 until_is 503 1 ready $ip
-[ "$(request $ip)" = 404 ] || wrong "no answer right after SIGTERM"
+[ "$(request $ip)" = 404 ] || wrong "no response right after SIGTERM"
 while kill -0 "${access[1]}" 2> /dev/null; do
-  [ "$(ready $ip)" != 200 ] || wrong "ready again while it leaves"
-  [ $((SECONDS - from)) -le $((grace + 1)) ] || { wrong "still running after graceS"; break; }
+  [ "$(ready $ip)" != 200 ] || wrong "the proxy reports ready again during its shutdown"
+  [ $((SECONDS - from)) -le $((grace + 1)) ] || { wrong "the proxy is still running after graceS"; break; }
 done
 for pid in "${access[@]}"; do
-  wait "$pid" || wrong "a process ended with status $?"
+  wait "$pid" || wrong "a process exited with status $?"
 done
-[ $((SECONDS - from)) -le $((grace + 1)) ] || wrong "ended $((SECONDS - from)) s after SIGTERM"
-[ $bad -ne 0 ] || echo "not ready from SIGTERM on, answered meanwhile, ended in time"
+[ $((SECONDS - from)) -le $((grace + 1)) ] || wrong "the last process exited $((SECONDS - from)) s after SIGTERM"
+[ $bad -ne 0 ] || echo "after SIGTERM the proxy was not ready, still answered, and exited within graceS"
 exit $bad
--- a/tests/fuzz/configurations_fuzzer.cpp
+++ b/tests/fuzz/configurations_fuzzer.cpp
@@ -1,4 +1,5 @@
-// What operators and runners send as JSON: configurations, heartbeats, zone drains, rollouts.
+// Fuzzes the parsers of the JSON bodies that operators and runners send: configurations, heartbeats, zone drains and
+// rollouts.
 #include "config/configuration.hpp"
 #include "config/control_requests.hpp"
 #include "fuzz_target.hpp"
--- a/tests/fuzz/coordination_fuzzer.cpp
+++ b/tests/fuzz/coordination_fuzzer.cpp
@@ -1,4 +1,5 @@
-// Calls for coordination, log entries and snapshots of a shard, as anybody may send them or a disk may return them.
+// Fuzzes coordination requests, log entries and shard snapshots with any bytes that a client may send or a disk may
+// return.
 #include "config/coordination_requests.hpp"
 #include "coordination/messages.hpp"
 #include "fuzz_target.hpp"
@@ -16,7 +17,7 @@
   if (const auto watch = config::parseWatchRequest(input))
     fuzz::require(watch->after >= 0 && watch->waitMs >= 0 && watch->waitMs <= config::kMaxWaitMs);
 }
-// Whatever an entry holds, the state stays one that its own snapshot restores to the same bytes.
+// After an entry with any body is applied, a snapshot of the state restores to a state with the same snapshot.
 void applyEntry(std::string_view input) {
   ShardState shard;
   transport::LogEntry entry;
@@ -29,7 +30,7 @@
   fuzz::require(restored.restore(snapshot).has_value());
   fuzz::require(restored.snapshot() == snapshot);
 }
-// A state that was restored goes on like any other.
+// Applies a further entry to a shard that was restored from a snapshot; must not crash.
 void applyPut(ShardState& shard) {
   Command put;
   put.kind = static_cast<std::int32_t>(CommandKind::putCell);
--- a/tests/fuzz/counters_fuzzer.cpp
+++ b/tests/fuzz/counters_fuzzer.cpp
@@ -1,4 +1,5 @@
-// Calls, messages and disk records of replicated counters, as anybody may send them or a disk may return them.
+// Fuzzes requests, messages and disk records of replicated counters with any bytes that a client may send or a disk may
+// return.
 #include "config/counter_requests.hpp"
 #include "fuzz_target.hpp"
 #include "replicated_counters/counter_replica.hpp"
@@ -17,7 +18,7 @@
   fuzz::require(!request->instanceId.empty() && request->instanceId.size() <= config::kMaxInstanceIdBytes);
   fuzz::require(request->amount <= config::kMaxIncrementAmount && request->amount >= -config::kMaxIncrementAmount);
 }
-// Whatever a batch holds: merging it twice is merging it once, and a snapshot holds the same.
+// For any well-formed batch, merging is idempotent and a snapshot of the state has the same progress as the state.
 void mergeBatch(std::string_view input) {
   const auto batch = avro::decode<IncrementBatch>(input);
   if (!batch || !isWellFormed(*batch))
--- a/tests/fuzz/frames_fuzzer.cpp
+++ b/tests/fuzz/frames_fuzzer.cpp
@@ -1,5 +1,5 @@
-/// Fuzz target: the frames of the fleet's own connections as the network may bring them: complete, split between reads,
-/// in fragments, or bytes that are no frames.
+/// Fuzzes the decoder of the frames that the machines of the fleet exchange. A frame may arrive complete, split between
+/// reads or in fragments; the input may also be no frame at all.
 #include "fuzz_target.hpp"
 #include "transport/access_messages.hpp"
 #include "transport/frame_codec.hpp"
@@ -7,7 +7,7 @@
 namespace {
 using namespace zinccleat;
 using namespace zinccleat::transport;
-/// What was decoded must come back from its own encoding.
+/// Encoding a decoded envelope and decoding the result must yield the same envelope.
 void requireSameWhenEncodedAgain(const Envelope& envelope) {
   const auto frame = encodeFrame(envelope);
   auto received = frame;
@@ -15,7 +15,7 @@
   fuzz::require(decoded && decoded->size() == 1 && received.empty());
   fuzz::require(encodeFrame(decoded->front()) == frame);
 }
-/// Decodes the input as a stream that arrives in reads; its first byte gives their size.
+/// Decodes the input as a byte stream that arrives in several reads. The first byte of the input selects the read size.
 void decodeInReads(std::string_view input) {
   if (input.empty())
     return;
@@ -34,7 +34,7 @@
       requireSameWhenEncodedAgain(envelope);
   }
 }
-/// The frame in fragments of a few bytes, far smaller than those that are sent.
+/// Splits a frame into fragments of 40 bytes, far smaller than the fragments that the fleet sends.
 std::string smallFragmentsOf(const std::string& frame) {
   constexpr std::size_t kPartBytes = 40;
   std::string fragments;
--- a/tests/fuzz/fuzz_target.hpp
+++ b/tests/fuzz/fuzz_target.hpp
@@ -1,7 +1,7 @@
-/// The frame of the fuzz targets. Each file tests/fuzz/NAME_fuzzer.cpp defines one: a function that takes any bytes,
-/// and must neither crash, hang, allocate without bound nor violate what it checks itself. Built with
-/// ZINCCLEAT_LIBFUZZER the file is a program of clang's libFuzzer; otherwise it registers itself in a table, which
-/// tests/fuzz_test.cpp runs with seeded mutations of the corpus.
+/// Registration of the fuzz targets. Each file tests/fuzz/NAME_fuzzer.cpp defines one target: a function that accepts
+/// any bytes and must not crash, hang, allocate without bound or violate one of its own checks. If ZINCCLEAT_LIBFUZZER
+/// is defined, the file becomes a libFuzzer program; otherwise the target is added to a table, and tests/fuzz_test.cpp
+/// runs each target of this table on the corpus and on seeded mutations of it.
 #pragma once
 #include <cstdint>
 #include <cstdlib>
@@ -12,20 +12,20 @@
 namespace zinccleat::fuzz {
 /// A fuzz target.
 struct Target {
-  const char* name;                        ///< of its folder under tests/fuzz/corpus
+  const char* name;                        ///< name of the target's folder under tests/fuzz/corpus
   void (*run)(std::string_view input);     ///< aborts if a check fails
-  std::vector<std::string> (*examples)();  ///< valid inputs that the mutations start from
+  std::vector<std::string> (*examples)();  ///< valid inputs, used as a starting point of mutations
 };
 /// All targets linked into this program.
 inline std::vector<Target>& targets() {
   static std::vector<Target> all;
   return all;
 }
-/// Adds a target to the table.
+/// Adds a target to `targets()` when the program starts.
 struct Registration {
   explicit Registration(Target target) { targets().push_back(target); }
 };
-/// Aborts unless a property that must hold for any input does.
+/// Aborts if a property that must hold for any input is violated.
 inline void require(bool holds) {
   if (!holds)
     std::abort();
@@ -34,7 +34,8 @@
 
 #ifdef ZINCCLEAT_LIBFUZZER
 #include <cstdio>
-// Before libFuzzer reads the corpus, the examples are written to the folder that ZINCCLEAT_FUZZ_EXAMPLES names.
+// Before libFuzzer reads the corpus, the program writes the target's examples to the folder that the environment
+// variable ZINCCLEAT_FUZZ_EXAMPLES names.
 #define ZINCCLEAT_FUZZ_TARGET(NAME, RUN, EXAMPLES)                                                                 \
   extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {                              \
     RUN(std::string_view(reinterpret_cast<const char*>(data), size));                                              \
--- a/tests/fuzz/records_fuzzer.cpp
+++ b/tests/fuzz/records_fuzzer.cpp
@@ -1,4 +1,4 @@
-// Fuzzes the decoder of disk records with any content of a record's file.
+// Fuzzes the decoder of disk records with arbitrary file contents.
 #include "fuzz_target.hpp"
 #include "storage/storage.hpp"
 
@@ -8,7 +8,9 @@
 using namespace zinccleat::storage;
 using namespace zinccleat::transport;
 constexpr std::size_t kDigestLength = 32;
-/// The length of the magic before a record's checksum, found in an encoded record: magic, checksum, checked bytes.
+/// Returns the length of the magic number of a record. An encoded record consists of the magic number, a checksum and
+/// the bytes that the checksum covers; the length is found by searching for a valid checksum in an encoded empty
+/// record.
 std::size_t magicLength() {
   const auto record = encodeRecord(DiskRecord{});
   for (std::size_t length = 1; length + kDigestLength < record.size(); ++length)
@@ -16,7 +18,8 @@
       return length;
   std::abort();
 }
-/// The first byte of the input selects whether the checksum is corrected, so that the code behind it is reached too.
+/// Decodes any bytes. The first byte of the input selects whether the checksum is corrected, so that the fuzzer also
+/// reaches the code that runs after the checksum was verified.
 void decodeAnyRecord(std::string_view input) {
   if (input.empty())
     return;
--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -1,5 +1,5 @@
-// HTTP as clients and runners may send it: heads and bodies parsed as the proxy parses them, in reads of any length,
-// heads copied to the other side, event streams scanned.
+// Fuzzes the HTTP code of the proxy with any bytes that clients and runners may send: parsing of headers and bodies in
+// reads of any length, forwarding of headers, and scanning of event streams.
 #include "event_scanner.hpp"
 #include "fuzz_target.hpp"
 #include "headers.hpp"
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kHeaderLimit = 2048;
 constexpr std::size_t kBodyLimit = 4096;
 
-// Feeds a parser as `readIntoParser` does. True: the complete message was read.
+// Feeds a parser as `proxy::readIntoParser` does. Returns true if the complete message was read.
 template <class Parser>
 bool parseInReads(Parser& parser, std::string_view input, std::size_t readLength) {
   parser.header_limit(kHeaderLimit);
@@ -44,7 +44,8 @@
     ++found;
   return found;
 }
-// A head as it goes on: it must end once, hold no bare line ends, and parse as what it was, with its own framing.
+// Checks the header that the proxy forwards for a request: it contains exactly one empty line, at its end, every line
+// ends with CR LF, and parsing it yields the same method, target and body, framed by Content-Length.
 void checkOutboundHead(const RequestParser::value_type& request) {
   ForwardingOptions options;
   options.expectedInstance = "i-1";
@@ -87,9 +88,9 @@
   fuzz::require(count(head, "\r\n\r\n") <= 1);
   fuzz::require(count(head, "\n") == count(head, "\r\n"));
 }
-// Returned and buffered bytes together are the input; after an empty line all of it is returned, and the last id is
-// the same however the stream was cut. (An empty line more than needed may come with the event before it or the one
-// after.)
+// The bytes that the scanner returned and the bytes that it buffers must together be the input. After an empty line the
+// whole input must be returned, and the last event id must not depend on how the stream was split into reads. (A
+// redundant empty line may be returned with the event before or the event after it.)
 void scanEvents(std::string_view input, std::size_t readLength) {
   constexpr std::string_view kEmptyLine = "\n\n";
   EventScanner scan;
@@ -106,7 +107,7 @@
   fuzz::require(atOnce.feed(std::string(input) + std::string(kEmptyLine)) == out);
   fuzz::require(atOnce.lastEventId() == scan.lastEventId());
 }
-// The first byte says how long each read is.
+// The first byte of the input selects the length of the reads.
 void readAnything(std::string_view input) {
   if (input.empty())
     return;
--- a/tests/fuzz/snapshots_fuzzer.cpp
+++ b/tests/fuzz/snapshots_fuzzer.cpp
@@ -1,4 +1,4 @@
-// Fuzzes the restoring of snapshots, of formats 1 and 2, on a replica with some state.
+// Fuzzes the restoration of snapshots, in formats 1 and 2, on a replica that already has a state.
 #include "fuzz_target.hpp"
 #include "state_machine/replicated_state.hpp"
 
@@ -40,7 +40,7 @@
   ReplicatedState again;
   fuzz::require(again.restore(replica.snapshot()).has_value());
   fuzz::require(again.snapshot() == replica.snapshot());
-  // The next entry can be applied.
+  // A further entry can be applied to the restored replica.
   auto entry = configurationEntry(replica.state().version, replica.state().version + 1, "{}", "the next");
   entry.index = replica.state().index + 1;
   (void)replica.apply(entry);
--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,5 +1,6 @@
-// The fuzz targets without clang: every input kept under tests/fuzz/corpus is replayed, then a seeded mutation of these
-// and of the targets' own examples is tried, as many as take a second or so. tools/fuzz.sh goes further, by coverage.
+// Runs the fuzz targets without libFuzzer: first on every input under tests/fuzz/corpus and on the examples of each
+// target, then on seeded random mutations of these inputs. The number of mutations is chosen so that a target takes
+// about a second. tools/fuzz.sh runs the same targets with libFuzzer, which is guided by coverage.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -28,8 +29,8 @@
   }
   return inputs;
 }
-// One change of the kinds that find most: a bit, a byte, a boundary number, a run of bytes left out, doubled or taken
-// from another input.
+// Applies one random mutation of a kind that finds most faults: flips a bit, replaces a byte by a random or a boundary
+// value, or removes, duplicates or copies in from another input a run of bytes.
 void mutate(std::string& input, const std::string& other, std::mt19937_64& random) {
   static constexpr unsigned char kBoundaries[] = {0x00, 0x01, 0x7f, 0x80, 0xfe, 0xff, '\r', '\n', '"', '}'};
   const auto position = input.empty() ? 0 : random() % input.size();
@@ -84,7 +85,8 @@
     target().run(input);
   }
 }
-// Why by number: the targets enter their table while the program starts, in no certain order.
+// The parameter is an index, because the targets are added to the table during static initialization, in an unspecified
+// order.
 INSTANTIATE_TEST_SUITE_P(All, FuzzTargets, testing::Range<std::size_t>(0, 7), nameOfTarget);
 TEST(FuzzTargetTable, HoldsAllTargets) {
   EXPECT_EQ(zinccleat::fuzz::targets().size(), 8U);
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -9,7 +9,7 @@
   testing::InitGoogleTest(&argc, argv);
   zinccleat::runtime::EventLoop loop;
   const int rc = RUN_ALL_TESTS();
-  // Fibers parked on stand-ins' connections would hold an ordinary exit up.
+  // Skips destructors: an ordinary exit would wait for fibers that are still blocked on connections of fake runners.
   std::fflush(nullptr);
   ::_exit(rc);
 }
--- a/tests/preload/fault_library.cpp
+++ b/tests/preload/fault_library.cpp
@@ -1,9 +1,11 @@
-// A library that is preloaded into the programs of a soak run and plays the faults of `soak/fault_table.hpp`: it takes
-// the place of the C library's calls for sockets, files and the clock. Without the table's file it changes nothing.
+// A library that is preloaded into the programs of a soak run and injects the faults of `soak/fault_table.hpp`. The
+// library replaces functions of the C library for sockets, files and the clock. If the file of the fault table is not
+// set, the library changes nothing.
 //
-// Links. Only the machine that has opened a connection acts on it, for both directions; so each connection has one
-// owner. While packets are lost, what would be sent is not taken and what arrives is not shown, as if the network did
-// not move; a new connection hangs, as without an answer to its first packet. Afterwards both go on, late.
+// Network faults: only the process that opened a connection applies faults to it, for both directions, so that exactly
+// one process is responsible for each connection. While packets are lost, calls that send or receive fail with EAGAIN,
+// as on a network that transmits nothing, and a new connection hangs as if its SYN packet had no reply. When the fault
+// ends, the delayed data is sent and received.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -40,20 +42,20 @@
 constexpr useconds_t kPollMicroseconds = 5'000;
 constexpr useconds_t kMicrosecondsPerMillisecond = 1'000;
 
-/// The C library's own function of a name.
+/// Returns the C library's function with this name, which the function of this library replaces.
 template <class Function>
 Function* realFunction(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-/// What is known of one descriptor.
+/// State of one file descriptor.
 struct Descriptor {
-  std::atomic<int> peer{kNoMachine};  // of a connection that this process has opened
-  std::atomic<bool> isFile{false};    // a file that is open for writing
-  std::atomic<int> epoll{-1};         // where it is registered
+  std::atomic<int> peer{kNoMachine};  // index of the remote machine, for a connection that this process opened
+  std::atomic<bool> isFile{false};    // a file opened with O_CREAT for writing, not for appending
+  std::atomic<int> epoll{-1};         // epoll descriptor at which the descriptor is registered; -1: none
   epoll_event event{};
   bool wasCut = false;
-  int resets = 0;  // that it has lived through
+  int resets = 0;  // value of the table's reset counter for this link when it was last read
 };
 
 class Faults {
@@ -81,7 +83,8 @@
     const int peer = known ? known->peer.load() : kNoMachine;
     return peer != kNoMachine && isCut(peer, self_);
   }
-  /// The machine at an address; `kNoMachine`: none of the table, or this one.
+  /// Returns the index of the machine with this address, or `kNoMachine` if the table has no such machine or the
+  /// address is the own one.
   int machineAt(const sockaddr* address) const {
     if (address->sa_family != AF_INET)
       return kNoMachine;
@@ -113,7 +116,7 @@
       known->event = *event;
     }
   }
-  /// An address at which no connection is ever accepted or refused.
+  /// Returns an address at which a connection attempt is neither accepted nor refused, so that it hangs.
   sockaddr_in blackHole() const { return blackHole_; }
 
  private:
@@ -134,7 +137,7 @@
     digBlackHole();
     startWatch();
   }
-  /// By the settings file on the command line.
+  /// Finds the own machine in the table by the name of the settings file on the command line.
   int ownMachine() const {
     std::string line(4096, '\0');
     std::FILE* file = std::fopen("/proc/self/cmdline", "r");
@@ -149,7 +152,7 @@
     }
     return kNoMachine;
   }
-  // A listener whose queue is full: the kernel drops what else asks for a connection.
+  // Opens a listening socket and fills its queue of pending connections; the kernel then drops further SYN packets.
   void digBlackHole() {
     const auto realConnect = realFunction<int(int, const sockaddr*, socklen_t)>("connect");
     blackHole_.sin_family = AF_INET;
@@ -163,7 +166,8 @@
     for (int i = 0; i < 3; ++i)
       (void)realConnect(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0), address, size);
   }
-  // Its thread takes no signals: they are the program's.
+  // Starts the thread that polls the fault table. The thread blocks all signals, so that the kernel delivers them to
+  // the threads of the program.
   void startWatch() {
     sigset_t all;
     sigset_t before;
@@ -175,8 +179,9 @@
     }).detach();
     ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
   }
-  // What became possible while a link was cut is announced again, since the program waits for a change; resets come
-  // here.
+  // Checks every open connection for changes in the fault table. When packets are no longer lost, the descriptor is
+  // registered at epoll again: the event loop uses edge-triggered events and would otherwise miss data that arrived
+  // during the fault. When the reset counter has changed, the connection is shut down.
   void watch() {
     static const auto realControl = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
     const std::lock_guard lock(mutex_);
@@ -201,7 +206,7 @@
   sockaddr_in blackHole_{};
 };
 
-/// Takes one of a number of faults that are still to come.
+/// Consumes one of the remaining faults of a counter. Returns false if none remains.
 bool takeOne(std::atomic<std::int32_t>& left) {
   if (left.load() <= 0)
     return false;
@@ -213,7 +218,7 @@
 }
 }  // namespace
 
-// The C library names its parameters with two underscores, which are its own.
+// The C library declares the parameters with names that start with two underscores; such names are reserved.
 // NOLINTBEGIN(readability-inconsistent-declaration-parameter-name)
 extern "C" {
 __attribute__((constructor)) void zinccleatSoakFaultsBegin() {
@@ -303,9 +308,10 @@
   return real(number);
 }
 
-// --- the clock ---
+// --- clock ---
 
-// While it runs slowly it shows less than has passed; it never goes back, and what it lost stays lost.
+// While the clock is slowed down, it advances by the real elapsed time divided by `clockDivisor`. The clock never goes
+// backwards, and it does not catch up when the slowdown ends.
 int clock_gettime(clockid_t clock, timespec* time) {
   static const auto real = realFunction<int(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, time);
--- a/tests/rollout.sh
+++ b/tests/rollout.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# The command line of rollouts against a core of one, as a real process on loopback: orders, conflicts, watching,
-# reverting by hand, and a restart without warning in between. Usage: rollout.sh PROGRAM
+# Runs one controller as a real process on loopback and uses `zinccleat rollout`: begin, a conflicting begin, status,
+# watch and revert, with SIGKILL and a restart of the controller in between. Usage: rollout.sh PROGRAM
 set -euo pipefail
 program=$1
 dir=$(mktemp -d)
 core=
 finish() { kill -9 "$core" 2>/dev/null || true; rm -rf "$dir"; }
 trap finish EXIT
-address=127.$((16 + $$ % 224)).9.1  # of its own, so that runs beside each other don't meet
+address=127.$((16 + $$ % 224)).9.1  # chosen by process id, so that parallel runs use different addresses
 control=$address:8457
 bad=0
 wrong() { echo "$*"; bad=1; }
@@ -18,25 +18,25 @@
  "quorumMember":true,"dataDir":"$dir/data","heartbeatMs":1200,"faultTolerance":{"machines":0},"timers":{"graceS":5}}
 J
 start() { "$program" controller --settings="$dir/core.json" >> "$dir/core.log" 2>&1 & core=$!; }
-# The status of one request; empty if there is no answer.
+# Sends the configuration and prints the HTTP status, or nothing if there is no response.
 configure() {
   local body='{"configVersion":1,"routeTable":[],"serviceTable":[{"label":"models"}]}'
   (exec 3<>"/dev/tcp/$address/8457" && printf 'POST /v1/Configuration.Replace HTTP/1.1\r\nHost: h\r\nX-Base-Version: 0\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s' \
     "${#body}" "$body" >&3 && read -r -t 2 _ status _ <&3 && echo "$status") 2> /dev/null || true
 }
-until_true() {  # seconds, command...
+until_true() {  # timeout in seconds, command...
   local end=$((SECONDS + $1))
   shift
   until "$@"; do
-    [ $SECONDS -lt $end ] || { cat "$dir/core.log"; echo "never: $*"; exit 1; }
+    [ $SECONDS -lt $end ] || { cat "$dir/core.log"; echo "timeout; the command did not succeed: $*"; exit 1; }
   done
 }
-expect() {  # status, a part of the output, arguments of rollout
+expect() {  # expected exit status, text that the output must contain, arguments of rollout
   local expected_status=$1 expected_part=$2 output status
   shift 2
   output=$("$program" rollout "$@" 2>&1) && status=0 || status=$?
   if [ "$status" -ne "$expected_status" ] || [[ "$output" != *"$expected_part"* ]]; then
-    wrong "rollout $*: status $status, expected $expected_status with '$expected_part'; output: $output"
+    wrong "rollout $*: exit status $status, expected $expected_status and '$expected_part' in the output; output: $output"
   fi
 }
 configured() { [ "$(configure)" = 200 ]; }
@@ -58,12 +58,12 @@
 expect 0 "in_progress" status models "$control"
 "$program" rollout watch models "$control" > "$dir/watch.txt" 2>&1 & watch=$!
 expect 0 "acknowledged" revert models "$control"
-wait "$watch" && wrong "watch ended with 0 though the rollout was reverted"
-grep -q "an operator took it back" "$dir/watch.txt" || wrong "watch did not say why: $(cat "$dir/watch.txt")"
+wait "$watch" && wrong "watch exited with status 0 although the rollout was reverted"
+grep -q "an operator took it back" "$dir/watch.txt" || wrong "watch did not print the reason of the revert: $(cat "$dir/watch.txt")"
 expect 0 "reverted" status models "$control"
 
-# Without a runner of the new revision nothing is proven: reverted before the term.
+# A rollout without a runner of the new revision collects no evidence and is reverted before its duration is over.
 expect 0 "acknowledged" begin models v3 1 "$control"
 expect 1 "too few runners" watch models "$control"
-[ $bad -ne 0 ] || echo "ordered, kept over a restart, reverted by hand and for want of runners"
+[ $bad -ne 0 ] || echo "the rollout was begun, survived a restart, was reverted by an operator, and was reverted without runners"
 exit $bad
--- a/tests/soak.sh
+++ b/tests/soak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Short soak runs with fixed seeds, one after the other: planned work alone, with kills, with faults of disks and links, and a
-# larger fleet. What is played and
-# checked: tests/soak/soak_run.hpp, tests/soak/observations.hpp. Usage: soak.sh SOAK_PROGRAM PROGRAM
+# Runs short soak tests with fixed seeds, one after the other: planned operations only, with killed processes, with disk
+# and network faults, and with a larger fleet. tests/soak/soak_run.hpp describes the load and the faults of a run,
+# tests/soak/observations.hpp the rules that are checked. Usage: soak.sh SOAK_PROGRAM PROGRAM
 set -uo pipefail
 soak=$1
 program=$2
