--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -1,5 +1,6 @@
-// Applications that use locks, numbers, cells and watches: each keeps one connection to a controller and uses it until
-// the other end closes it, also while that process shuts down; then it goes on at another one.
+// Applications that use locks, numbers, cells and watches. Each application keeps one connection to a controller and
+// uses the connection until the controller closes it, also while the controller shuts down. The application then
+// connects to another controller.
 #include <boost/asio/buffer.hpp>
 
 #include "config/json.hpp"
@@ -93,7 +94,7 @@
   return std::string(body.empty() ? "GET " : "POST ") + pathOf(call) +
          " HTTP/1.1\r\nHost: control\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-/// Fills in what a 200 or 412 says.
+/// Fills in the result fields of a call from the body of a 200 or 412 response.
 void readAnswer(Call& call, const std::string& body) {
   config::JsonDocument document(body);
   config::JsonObject root;
@@ -120,11 +121,11 @@
   }
 }
 
-/// Sends calls over one kept connection, and records each in the run.
+/// Sends calls over one persistent connection, and records each call in `SoakRun::applicationCalls`.
 class ControllerConnection {
  public:
   explicit ControllerConnection(SoakRun& run) : run_(run) {}
-  /// One call at the controller in use, or at another one where there is none.
+  /// Sends one call over the open connection; if none is open, connects to a random controller first.
   Call send(Call call) {
     const bool connected = connection_ || connect();
     call.sentAt = nowInMicroseconds();
@@ -232,7 +233,8 @@
   }
   std::int64_t drawHold() { return run_.drawDuration(100ms, 2500ms).count(); }
   void read(const std::string& cell) { revisions_[cell] = connection_.send(callOf(CallKind::read, cell)).number; }
-  // Without a clear answer it is sent again as it was; one that was refused is given up half of the time.
+  // Sends a put. Without a definite response the same put is sent again, up to `kPutCopies` times in all. After a 5xx
+  // response the put is abandoned half of the time.
   void put(const std::string& cell) {
     auto call = callOf(CallKind::put, cell);
     call.value = name_ + "-" + std::to_string(++puts_);
@@ -257,12 +259,12 @@
   SoakRun& run_;
   std::string name_;
   ControllerConnection connection_;
-  std::map<std::string, std::int64_t> fences_;     // by lock
-  std::map<std::string, std::int64_t> revisions_;  // by cell
-  std::map<std::string, std::int64_t> watched_;    // by group
+  std::map<std::string, std::int64_t> fences_;     // by lock name
+  std::map<std::string, std::int64_t> revisions_;  // by cell name
+  std::map<std::string, std::int64_t> watched_;    // last revision seen, by group
   int puts_ = 0;
 };
-/// Asks for one thing at any controller until it is answered or the time is up.
+/// Repeats one call at random controllers until a response is 200 or 404, for at most `kReadBackTime`.
 void readBackOne(SoakRun& run, const Call& call) {
   ControllerConnection connection(run);
   for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end;
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -1,4 +1,5 @@
-// Clients: each keeps one connection and uses it until the other end closes it, also while the machine shuts down.
+// Clients of the access machines. Each client keeps one connection and uses the connection until the proxy closes it,
+// also while the access machine shuts down.
 #include "proxy/http.hpp"
 #include "soak_run.hpp"
 
@@ -8,9 +9,9 @@
 constexpr Duration kPollTimeout{900};
 constexpr Duration kConnectTimeout{900};
 constexpr int kMissesUntilOut = 2;
-constexpr Duration kDeadline{4000};            // what clients tell the fleet
-constexpr Duration kPatience{5500};            // what they wait
-constexpr std::uint64_t kLongPauseOneIn = 12;  // pauses of seconds on an open connection
+constexpr Duration kDeadline{4000};            // value of X-Deadline-Ms
+constexpr Duration kPatience{5500};            // time that a client waits for the response
+constexpr std::uint64_t kLongPauseOneIn = 12;  // one of so many pauses lasts seconds, on an open connection
 constexpr int kOk = 200;
 
 struct Answer {
@@ -81,7 +82,7 @@
     const auto written = connection_->write(asio::buffer(text), ec);
     request.sentAt = Clock::now();
     if (ec || written < text.size()) {
-      connection_.reset();  // not a whole request: nothing was read
+      connection_.reset();  // the request is incomplete, so that the proxy cannot have read it
       return;
     }
     const auto answer = receive(request, ec);
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -1,5 +1,5 @@
-// Applications that add to replicated counters, each increment under an id of its own, again and again until it is
-// acknowledged; and what every controller answers in the end.
+// Applications that increment replicated counters. Each increment has a unique id and is repeated until it is
+// acknowledged. At the end of the run, the totals of all controllers are checked.
 #include "config/json.hpp"
 #include "operations/call.hpp"
 #include "soak_run.hpp"
@@ -41,7 +41,7 @@
     if (answer && answer->status == kOk) {
       if (!std::exchange(acknowledged, true))
         run.acknowledgedIncrements[counter] += amount;
-      // Sometimes once more, as a caller does whose answer was lost.
+      // Sometimes sends an acknowledged increment again, like a caller that did not receive the response.
       if (run.draw(4) != 0)
         return;
     }
@@ -54,7 +54,8 @@
     addOne(run, "application" + std::to_string(number) + "-" + std::to_string(increment));
   }
 }
-/// Asks one controller until its total is the same as the others' or the time is up.
+/// Reads a counter from one controller until the total is between the acknowledged and the sent sum. After
+/// `kReadBackTime` the counter is recorded in `SoakRun::unansweredAtTheEnd`.
 void readBackOne(SoakRun& run, const std::string& address, const std::string& counter) {
   const auto sent = run.sentIncrements[counter];
   const auto acknowledged = run.acknowledgedIncrements[counter];
--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -1,4 +1,5 @@
-// Work on the fleet, in series that overlap: signals, restarts, changes, runners that are replaced, and kills.
+// Operations on the fleet, in overlapping series: signals, restarts, configuration changes, replacement of runners, and
+// kills. Also the supervisor that restarts processes.
 #include <csignal>
 #include <fstream>
 
@@ -12,7 +13,7 @@
 constexpr Duration kMostSeriesPause{1500};
 constexpr int kMaxSeriesLength = 5;
 
-/// What a process blocks and catches, by its status in /proc.
+/// The signals that a process blocks and handles, as /proc/PID/status shows them.
 struct SignalMasks {
   std::uint64_t blocked = 0, caught = 0;
   bool handles(int signal) const { return ((blocked | caught) >> (signal - 1) & 1U) != 0; }
@@ -31,14 +32,15 @@
   return masks;
 }
 
-/// Watches the processes as the platform does: ends that take longer than the grace, starts after each end.
+/// Supervises the processes as the platform does: sends SIGKILL to a process that does not exit within the grace
+/// period, and restarts each process after its exit.
 class Supervisor {
  public:
   explicit Supervisor(SoakRun& run) : run_(run), states_(run.fleet.processes().size()) {}
   void start() {
     runtime::EventLoop::get().callEvery(kSupervisionInterval, [this] { check(); });
   }
-  /// The access machine of a process, or `Disturbance::kCore`.
+  /// Returns the access machine of a process, or `Disturbance::kCore`.
   int machineOf(std::size_t process) const {
     const auto core = run_.fleet.core().size();
     return process < core ? Disturbance::kCore : static_cast<int>((process - core) / 2);
@@ -46,8 +48,8 @@
   void disturb(std::size_t process, bool planned) {
     run_.seen.disturbances.push_back({machineOf(process), Clock::now(), planned});
   }
-  /// Whether a process has begun to hold back or handle SIGTERM. Before that, while the dynamic linker works (10 ms, up
-  /// to 180 ms on a busy machine), the kernel ends it whatever the program does.
+  /// Whether a process already blocks or handles SIGTERM. Before that, while the dynamic linker is active (10 ms, up to
+  /// 180 ms on a busy machine), SIGTERM terminates the process regardless of the program's code.
   bool mayBeSignalled(std::size_t process) const { return masksOf(process).handles(SIGTERM); }
   void terminate(std::size_t process) {
     const auto masks = masksOf(process);
@@ -93,7 +95,8 @@
         state.startedAt = now;
         (void)run_.fleet.startAgain(process);
       }
-      // As the platform: its grace is over. A process that needs this is reported by its exit's status.
+      // The platform sends SIGKILL when the grace period is over. A process that is killed here counts as a violation,
+      // because of its exit status.
       if (state.terminatedAt && now - *state.terminatedAt > run_.seen.bounds.grace)
         (void)run_.fleet.signal(process, SIGKILL);
     }
@@ -108,7 +111,7 @@
   void start() {
     supervisor_.start();
     run_.killForFault = [this](std::size_t process) { supervisor_.kill(process); };
-    // Each kind in a series of its own, so that they overlap.
+    // Each kind of operation has its own series, so that operations overlap.
     repeat([this] { restartAccessMachines(); });
     repeat([this] { restartAccessMachines(); });
     repeat([this] { restartController(); });
@@ -137,7 +140,7 @@
   }
   int drawLength() { return 1 + static_cast<int>(run_.draw(kMaxSeriesLength)); }
   int drawMachine() { return static_cast<int>(run_.draw(static_cast<std::uint64_t>(run_.plan.access))); }
-  // A machine's processes get the signal together, sometimes twice, and SIGHUP may follow it.
+  // Sends SIGTERM to both processes of an access machine, sometimes twice, and sometimes SIGHUP afterwards.
   void restartAccessMachines() {
     for (int i = drawLength(); i > 0 && run_.disturbed; --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
       const auto first = firstProcessOf(drawMachine());
@@ -158,7 +161,7 @@
     std::size_t running = 0;
     for (std::size_t i = 0; i < controllers; ++i)
       running += supervisor_.runs(i);
-    // One at a time: more is not planned work.
+    // At most one controller is down at a time, because a planned restart must leave the other controllers running.
     if (running == controllers)
       supervisor_.terminate(run_.draw(controllers));
     sleepFor(run_.drawDuration(1500ms, 4000ms));
@@ -174,12 +177,13 @@
     for (int i = drawLength(); i > 0; --i, sleepFor(run_.drawDuration(1ms, 150ms)))
       hangUp(run_.draw(run_.fleet.processes().size()));
   }
-  // Pairs of operators change the same version now and then: the second change goes out before the first is answered.
+  // Two of these series run at once, so that two changes are sometimes based on the same version and the second one is
+  // sent before the response to the first.
   void changeInSeries() {
     for (int i = 3 * drawLength(); i > 0 && run_.disturbed; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
       changeConfiguration(run_);
   }
-  // The new ones start first.
+  // Replaces runners: a new runner starts before the old one leaves.
   void replaceRunners() {
     const auto leaving = runnersInService(run_);
     for (int i = drawLength(); i > 0; --i) {
--- a/tests/soak/faults.cpp
+++ b/tests/soak/faults.cpp
@@ -11,9 +11,9 @@
 FaultControl::FaultControl(const std::string& library, const std::string& folder)
     : library_(library), path_(folder + "/faults") {
   const int file = ::open(path_.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  checkInvariant(file >= 0 && ::ftruncate(file, sizeof(FaultTable)) == 0, "a file for the table of faults");
+  checkInvariant(file >= 0 && ::ftruncate(file, sizeof(FaultTable)) == 0, "the file of the fault table can be created");
   void* memory = ::mmap(nullptr, sizeof(FaultTable), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-  checkInvariant(memory != MAP_FAILED, "the table of faults in memory");
+  checkInvariant(memory != MAP_FAILED, "the fault table can be mapped into memory");
   ::close(file);
   table_ = static_cast<FaultTable*>(memory);
 }
@@ -25,7 +25,7 @@
   ::setenv("LD_PRELOAD", library_.c_str(), 1);
 }
 std::size_t FaultControl::addMachine(const std::string& name, const std::string& ip) {
-  checkInvariant(machines_ < kMaxFaultMachines, "room for a machine in the table of faults");
+  checkInvariant(machines_ < kMaxFaultMachines, "the fault table has a free entry for a machine");
   auto& added = table_->machines[machines_];
   std::strncpy(added.name, name.c_str(), kFaultNameBytes - 1);
   std::strncpy(added.ip, ip.c_str(), kFaultNameBytes - 1);
--- a/tests/soak/faults.hpp
+++ b/tests/soak/faults.hpp
@@ -1,30 +1,30 @@
 /// @file
-/// Faults of disks and links on the real processes of a soak run, through the library that they preload.
+/// Controls the disk, network and clock faults of the processes of a soak run, through the preloaded fault library.
 #pragma once
 #include "fault_table.hpp"
 #include "runtime/common.hpp"
 
 namespace zinccleat::soak {
-/// The soak's side of the fault table. Machines are named by their place in the table.
+/// Creates and writes the fault table. Machines are identified by their index in the table.
 class FaultControl {
  public:
   /// @param library the path of the preloaded library.
-  /// @param folder where the table's file goes; it must outlive the processes.
+  /// @param folder the folder for the table's file; the folder must outlive the processes.
   FaultControl(const std::string& library, const std::string& folder);
   ~FaultControl();
   FaultControl(const FaultControl&) = delete;
   FaultControl& operator=(const FaultControl&) = delete;
-  /// Processes that are started from now on preload the library.
+  /// Sets the environment so that processes started from now on preload the library.
   void preload() const;
-  /// Adds a machine before any of its processes starts.
-  /// @return its place.
+  /// Adds a machine. Must be called before a process of this machine starts.
+  /// @return the index of the machine in the table.
   std::size_t addMachine(const std::string& name, const std::string& ip);
   MachineFaults& machine(std::size_t place) { return table_->machines[place]; }
-  /// Loses packets from each of `from` to each of `to`, or ends that.
+  /// Starts or ends (`lost` false) the loss of packets from each machine of `from` to each machine of `to`.
   void cut(const std::vector<std::size_t>& from, const std::vector<std::size_t>& to, bool lost);
-  /// Resets what a machine has open to another.
+  /// Resets the connections that machine `from` has opened to machine `to`.
   void reset(std::size_t from, std::size_t to);
-  /// Ends all faults of disks and links.
+  /// Ends all faults of disks, links and clocks.
   void endAll();
 
  private:
--- a/tests/soak/link_and_disk_faults.cpp
+++ b/tests/soak/link_and_disk_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of disks and links, in series that overlap with the work on the fleet.
+// Disk and network faults, in series that overlap with the operations on the fleet.
 #include <filesystem>
 #include <numeric>
 
@@ -39,7 +39,7 @@
       }
     });
   }
-  /// Waits, and notes all the while that a machine is in trouble.
+  /// Waits for a duration, and records a disturbance of a machine every `kMarkInterval` meanwhile.
   void lastFor(Duration duration, int machine) {
     for (const auto end = Clock::now() + duration; Clock::now() < end; sleepFor(kMarkInterval))
       mark(machine);
@@ -52,13 +52,13 @@
     return all;
   }
   std::size_t drawController() { return run_.draw(run_.fleet.core().size()); }
-  /// The place of an access machine, behind the controllers.
+  /// Returns the index of an access machine in the fault table, where the controllers come first.
   std::size_t placeOf(int access) const { return run_.fleet.core().size() + static_cast<std::size_t>(access); }
   std::size_t runners() const { return placeOf(run_.plan.access); }
 
   // --- disks ---
 
-  // One disk at a time is out of use; all of them may be slow.
+  // Injects one disk fault. Only one disk stalls, is full or fails at a time; all disks may be slow together.
   void harmDisk() {
     auto& disk = faults().machine(drawController());
     switch (run_.draw(6)) {
@@ -95,7 +95,7 @@
 
   // --- links ---
 
-  /// Cuts, and heals again.
+  /// Loses packets from `one` to `other`, or both ways, for a duration, and records disturbances of `marked` meanwhile.
   void cutFor(const Machines& one, const Machines& other, bool bothWays, Duration duration, int marked) {
     faults().cut(one, other, true);
     if (bothWays)
@@ -104,7 +104,7 @@
     faults().cut(one, other, false);
     faults().cut(other, one, false);
   }
-  // From the other controllers, from them one way, or from everybody.
+  // Partitions one controller from the other controllers, or also from the access machines, in one or both directions.
   void cutController() {
     const Machines cut{drawController()};
     auto others = controllers();
@@ -115,11 +115,11 @@
         others.push_back(placeOf(access));
     const bool bothWays = run_.draw(3) != 0;
     const bool inward = run_.draw(2) == 0;
-    // Short ones hold packets up, longer ones make elections.
+    // Short faults only delay packets; longer faults cause elections.
     const auto duration = run_.draw(3) == 0 ? run_.drawDuration(30ms, 300ms) : run_.drawDuration(600ms, 2500ms);
     cutFor(inward ? others : cut, inward ? cut : others, bothWays, duration, Disturbance::kCore);
   }
-  // From the controllers or from the runners.
+  // Partitions one access machine from the controllers or from the runners.
   void cutAccess() {
     const int access = static_cast<int>(run_.draw(static_cast<std::uint64_t>(run_.plan.access)));
     const auto others = run_.draw(2) == 0 ? controllers() : Machines{runners()};
@@ -135,9 +135,10 @@
     mark(marked);
   }
 
-  // --- planted ---
+  // --- faults that the checks must find ---
 
-  // Each controller leads some log now and then.
+  // Slows down the clock of a random controller and partitions it. The controller need not be chosen by role: each
+  // controller leads some replicated log from time to time.
   void slowClock() {
     constexpr int kDivisor = 50;
     const auto slow = drawController();
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,8 +1,9 @@
 // zinccleat_soak PROGRAM [--seed=N] [--seconds=N] [--core=N] [--access=N] [--runners=N] [--clients=N]
-//     [--applications=N] [--kills] [--keep]
+//     [--applications=N] [--kills] [--disks] [--cuts] [--plant=slow-clock|lost-disks] [--keep]
 //
-// One soak run; --keep leaves its folder with the processes' logs where a rule is broken. Prints what was seen and each
-// broken rule; exit status 0: none, 1: some, 2: it could not be played.
+// Performs one soak run, and prints a summary and the violated rules. With --keep, the folder with the logs of the
+// processes is kept after a violation. Exit status: 0 without violations, 1 with violations, 2 if the run failed to
+// start or to end.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -38,7 +39,7 @@
   std::printf("soak: %s\n", what.c_str());
   return 2;
 }
-/// Places of the table: the controllers, the access machines, the runners.
+/// Fills the fault table: first the controllers, then the access machines, then one entry for all runners.
 void prepareFaults(SoakRun& run) {
   auto& faults = run.faults.emplace(run.plan.library, run.fleet.folder());
   for (std::size_t i = 0; i < run.fleet.core().size(); ++i)
@@ -63,7 +64,7 @@
 bool allInService(const SoakRun& run) {
   return std::all_of(run.inService.begin(), run.inService.end(), [](char in) { return in != 0; });
 }
-/// What applications saw.
+/// Adds the violations that the applications observed.
 void addCoordination(const SoakRun& run, std::vector<Violation>& violations) {
   for (const auto& name : run.unansweredAtTheEnd)
     violations.push_back({"LOST", "at the end no answer for " + name});
@@ -101,7 +102,7 @@
   std::fflush(stdout);
   return violations.empty() ? 0 : 1;
 }
-/// Has every process write its log out, and ends this one without removing the folder.
+/// Makes every process write its log to its file, and exits without removing the fleet's folder.
 [[noreturn]] void keepLogs(const SoakRun& run) {
   for (std::size_t process = 0; process < run.fleet.processes().size(); ++process)
     (void)run.fleet.signal(process, SIGUSR1);
@@ -113,12 +114,12 @@
 int play(SoakRun& run) {
   auto& loop = runtime::EventLoop::get();
   if (!start(run))
-    return fail("the fleet does not start");
+    return fail("the fleet did not start");
   for (int i = 0; i < run.plan.runners; ++i)
     startRunner(run, "runner-" + std::to_string(i) + "-" + std::to_string(run.plan.seed));
   startPlatform(run);
   if (!waitUntil(kReadyTimeout, [&run] { return allInService(run); }))
-    return fail("the access machines do not get ready");
+    return fail("the access machines did not become ready in time");
   startClients(run);
   startApplications(run);
   startCounting(run);
@@ -131,18 +132,19 @@
   loop.sleepFor(run.seen.bounds.contact);
   run.loaded = false;
   if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
-    return fail("clients or work on the fleet do not end");
+    return fail("clients or operations on the fleet did not end in time");
   readBack(run);
   readBackApplications(run);
   readBackCounters(run);
   if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
-    return fail("applications do not end");
+    return fail("the final reads of the applications did not end in time");
   const int status = report(run);
   if (status != 0 && run.plan.keepsLogs)
     keepLogs(run);
   return status;
 }
-/// @return whether the argument has this form; the number is set then.
+/// Parses an argument that consists of `name` and a number.
+/// @return false if the argument does not begin with `name`; `number` is then unchanged.
 template <class Number>
 bool parse(const char* argument, const char* name, Number& number) {
   const auto length = std::strlen(name);
@@ -205,7 +207,8 @@
                  "[--plant=slow-clock|lost-disks] [--keep]\n");
     return 2;
   }
-  // In memory where there is such a folder: what the run measures is not to depend on who else uses the disk.
+  // Uses a folder in memory if the system has one, so that other users of the disk don't influence the timing of the
+  // run.
   if (std::filesystem::is_directory(soak::kFolderInMemory))
     ::setenv("TMPDIR", soak::kFolderInMemory, 0);
   runtime::EventLoop loop;
@@ -218,5 +221,5 @@
     });
     loop.run();
   }
-  std::_Exit(status);  // parked fibers would hold an ordinary exit up
+  std::_Exit(status);  // an ordinary exit would wait for fibers that are still blocked
 }
--- a/tests/soak/observations.cpp
+++ b/tests/soak/observations.cpp
@@ -4,7 +4,7 @@
 
 namespace zinccleat::soak {
 namespace {
-constexpr Duration kExitSlack{1000};  // for a busy machine to run the process's last handler
+constexpr Duration kExitSlack{1000};  // a busy machine may delay the last handler of a process
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr std::size_t kMinRequests = 50;
@@ -12,7 +12,7 @@
 bool isSuccess(int status) {
   return status >= 200 && status < 300;
 }
-/// A status that promises that the request has not run and never will.
+/// Whether a response status guarantees that the request was not executed and will not be.
 bool promisesNotRun(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
@@ -96,7 +96,9 @@
     report("DRAIN", nameOf(request) + " reached " + execution.runner + " " +
                         millisecondsText(toDuration(execution.at - left->second)) + " after it had left");
   }
-  /// The configurations that may have been in force while a request was handled by a machine in touch.
+  /// Returns the changes whose configuration a connected machine may have used between `sent` and `ended`: the newest
+  /// one that must be effective by then, and newer ones that were sent and not rejected. Empty if none must be
+  /// effective yet.
   std::vector<const Change*> possibleAt(TimePoint sent, TimePoint ended) const {
     const Change* binding = nullptr;
     for (const auto& change : seen_.changes) {
--- a/tests/soak/observations.hpp
+++ b/tests/soak/observations.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a soak run has seen from outside: requests, executions, signals, changes; and the rules that it must not break.
-/// Pure: all times are passed in.
+/// Records what a soak run observes from outside the fleet (requests, executions, signals, configuration changes), and
+/// checks the rules that the fleet must satisfy. The code reads no clock: all times are passed in.
 #pragma once
 #include <map>
 #include <optional>
@@ -8,90 +8,93 @@
 
 #include "runtime/common.hpp"
 namespace zinccleat::soak {
-/// The bounds of the users' rules, as the fleet's settings have them.
+/// Time limits of the rules, equal to the timers in the fleet's settings.
 struct Bounds {
-  Duration contact{3000};      ///< a machine is in touch so long after the last trouble
-  Duration drain{2000};        ///< a drain binds so long after its acknowledgement
-  Duration configApply{2000};  ///< a configuration binds so long after its acknowledgement
-  Duration lossSlack{200};     ///< a connection that ends sooner after a request's last byte may have crossed it
-  Duration grace{4000};        ///< from SIGTERM to SIGKILL
-  Duration evacuate{2000};     ///< an evacuation binds so long after its acknowledgement
+  Duration contact{3000};      ///< a machine is connected again within this time after a disturbance
+  Duration drain{2000};        ///< a drain must be effective within this time after its acknowledgement
+  Duration configApply{2000};  ///< a configuration must be effective within this time after its acknowledgement
+  Duration lossSlack{200};     ///< a connection closed within this time after a request was sent may have
+                               ///< been closed before the request arrived
+  Duration grace{4000};        ///< time from SIGTERM to SIGKILL
+  Duration evacuate{2000};     ///< an evacuation must be effective within this time after its acknowledgement
 };
 enum class RequestKind : std::uint8_t { safe, unsafe, stream };
 enum class RequestEnd : std::uint8_t { answered, connectionClosed, unanswered };
 
-/// One try of a client, with an id of its own.
+/// One attempt of a client, identified by a unique attempt id.
 struct ClientRequest {
   std::string attemptId;
   RequestKind kind = RequestKind::safe;
-  std::string route;   ///< label of the optional route that it went to; empty: one that is always there
-  int machine = 0;     ///< access machine that took it
-  TimePoint sentAt{};  ///< its last byte
+  std::string route;   ///< label of the requested optional route; empty: a route that every configuration has
+  int machine = 0;     ///< access machine that received the request
+  TimePoint sentAt{};  ///< when the last byte was written
   TimePoint endedAt{};
   RequestEnd end = RequestEnd::unanswered;
   int status = 0;
   bool bodyMatches = false;
 };
-/// A runner has begun work on a request.
+/// A runner started to execute a request.
 struct Execution {
   std::string runner;
   TimePoint at{};
 };
-/// A change of the configuration, as its operator saw it.
+/// A change of the configuration, as observed by the operator who sent it.
 struct Change {
   std::int64_t version = 0;
-  std::set<std::string> routes;  ///< the optional ones that it has
+  std::set<std::string> routes;  ///< labels of the optional routes in the new configuration
   TimePoint sentAt{};
   std::optional<TimePoint> acknowledgedAt;
-  bool refused = false;  ///< by a clear answer: it was never in force
+  bool refused = false;  ///< rejected by a definite response, so that the change never became effective
 };
-/// The runners of a zone are to get nothing.
+/// An evacuation of a zone: runners of the zone must receive no requests.
 struct ZoneEvacuation {
   std::string zone;
   TimePoint acknowledgedAt{};
-  std::optional<TimePoint> releasedAt;  ///< when it was asked to be taken back
+  std::optional<TimePoint> releasedAt;  ///< when the release of the zone was requested
 };
-/// A moment at which something was done to a machine.
+/// A time at which a machine was disturbed, by a signal, a restart or an injected fault.
 struct Disturbance {
   static constexpr int kCore = -1;
-  int machine = kCore;  ///< an access machine; `kCore`: one of the core, which all of them feel
+  int machine = kCore;  ///< an access machine, or `kCore`: a controller, which affects all machines
   TimePoint at{};
-  bool planned = true;  ///< SIGTERM, SIGHUP, a start after them; not: a kill
+  bool planned = true;  ///< true for SIGTERM, SIGHUP and a start of the process; false for SIGKILL and faults
 };
-/// The end of a process.
+/// The exit of a process.
 struct ProcessExit {
   std::string name;
-  int status = 0;                         ///< as of `waitpid`
-  std::optional<TimePoint> terminatedAt;  ///< SIGTERM
-  bool killed = false;                    ///< SIGKILL, by the soak
-  TimePoint startedAt{};                  ///< zero: with the fleet
+  int status = 0;                         ///< status as returned by `waitpid`
+  std::optional<TimePoint> terminatedAt;  ///< when SIGTERM was sent
+  bool killed = false;                    ///< whether the soak run sent SIGKILL
+  TimePoint startedAt{};                  ///< zero: at the start of the fleet
   TimePoint endedAt{};
-  std::string signalMasks;  ///< of the process as it got SIGTERM last, as /proc has them
+  std::string signalMasks;  ///< signal masks from /proc when SIGTERM was last sent
 };
 
-/// All that was seen in one run.
+/// All observations of one run.
 struct Observations {
   Bounds bounds;
   std::vector<ClientRequest> requests;
-  std::map<std::string, std::vector<Execution>> executions;  ///< by attempt id
-  std::map<std::string, TimePoint> departures;               ///< acknowledgement of each runner's drain or detaching
-  std::map<std::string, std::string> runnerZones;            ///< by runner
+  std::map<std::string, std::vector<Execution>> executions;  ///< key: attempt id
+  std::map<std::string, TimePoint> departures;     ///< key: runner; when its drain or detachment was acknowledged
+  std::map<std::string, std::string> runnerZones;  ///< key: runner
   std::vector<ZoneEvacuation> evacuations;
   std::vector<Change> changes;
   std::vector<Disturbance> disturbances;
   std::vector<ProcessExit> exits;
-  std::optional<std::int64_t> finalVersion;  ///< read back at the end
+  std::optional<std::int64_t> finalVersion;  ///< configuration version that was read at the end of the run
 
-  /// Whether a machine was in touch: nothing was done to it or to the core in `Bounds::contact` before `at`.
+  /// Whether a machine must be connected to the core at a time: neither the machine nor the core was disturbed within
+  /// `Bounds::contact` before `at`.
   bool inTouch(int machine, TimePoint at) const;
-  /// Whether nothing unplanned was done to a machine or to the core from `Bounds::contact` before `from` to `to`.
+  /// Whether neither a machine nor the core had an unplanned disturbance between `from` minus `Bounds::contact` and
+  /// `to`.
   bool calm(int machine, TimePoint from, TimePoint to) const;
 };
-/// One broken rule.
+/// One violation of a rule.
 struct Violation {
   std::string rule;
   std::string what;
 };
-/// The rules that the observations break; empty: none.
+/// Returns the violations that the observations show.
 std::vector<Violation> brokenRules(const Observations& seen);
 }  // namespace zinccleat::soak
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -1,4 +1,5 @@
-// The operators: changes of the configuration, repeated until the answer is clear, and the reading back at the end.
+// Operators: they change the configuration and evacuate zones, with retries until the response is definite, and read
+// the configuration at the end of the run.
 #include "control_calls.hpp"
 #include "operations/json_path.hpp"
 #include "soak_run.hpp"
@@ -26,7 +27,8 @@
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[)" + table +
          R"(],"serviceTable":[{"label":"models"}]})";
 }
-/// Sends one change until its answer is clear. @return its status; 0 if there was none.
+/// Sends one change until the response is definite (200 or 412). @return the response status; 0 without such a
+/// response.
 int sendChange(SoakRun& run, std::int64_t base, std::int64_t version, const std::set<std::string>& routes,
                int attempts) {
   const auto call = simulation::replaceCall(configurationJson(version, routes), base);
@@ -75,7 +77,7 @@
   }
 }
 namespace {
-/// Sends an order on a zone until it is acknowledged. @return whether it was.
+/// Sends an evacuation order for a zone until it is acknowledged. @return false if no attempt was acknowledged.
 bool sendZoneOrder(SoakRun& run, const std::string& order, const std::string& zone) {
   for (int attempt = 0; attempt < kZoneOrderAttempts; ++attempt) {
     const auto answer = operations::callOne(run.anyController(),
--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -1,4 +1,4 @@
-// Runners: HTTP servers that record what they run, send heartbeats and leave in order.
+// Runners: HTTP servers that record the requests that they execute, send heartbeats and announce when they leave.
 #include "control_calls.hpp"
 #include "proxy/http.hpp"
 #include "soak_run.hpp"
@@ -9,7 +9,7 @@
 using proxy::RequestParser;
 constexpr Duration kHeartbeatInterval{400};
 constexpr Duration kCallTimeout{1000};
-constexpr Duration kServesOn{700};  // beyond the bound of the drain
+constexpr Duration kServesOn{700};  // added to `Bounds::drain`, before a leaving runner stops
 constexpr Duration kEventInterval{25};
 constexpr int kMaxDetachCalls = 20;
 
@@ -105,7 +105,7 @@
   }
 }
 void SoakRunner::leave() {
-  // Some never say that they drain: they detach at once, and serve on as long.
+  // A quarter of the runners detach at once, without announcing a drain, and then keep serving for the same time.
   const bool saysSo = run.draw(4) != 0;
   leaving = true;
   const auto announce = [&] {
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// One soak run: real processes on loopback, clients that keep using open connections, and work on the fleet that
-/// comes in series and overlaps. All parts share a `SoakRun` and live on the event loop's thread.
+/// One soak run: real processes on loopback, clients that reuse open connections, and overlapping series of operations
+/// on the fleet (restarts, configuration changes, evacuations, faults). All parts of the run share a `SoakRun` and run
+/// on the event loop's thread.
 #pragma once
 #include <random>
 
@@ -10,90 +11,94 @@
 #include "observations.hpp"
 #include "runtime/event_loop.hpp"
 namespace zinccleat::soak {
-/// What is played. The seed decides everything that is drawn, not the order in which the processes get the processor.
+/// Parameters of a run. The seed determines all random choices of the run, but not how the operating system schedules
+/// the processes, so that two runs with one seed can differ.
 struct SoakPlan {
   std::string program;
   std::uint64_t seed = 1;
-  int seconds = 12;  ///< from the start of the load to its end
+  int seconds =
+      12;  ///< from the start of the load to the end of the disturbances; the load then runs on for `Bounds::contact`
   int core = 3;
   int access = 3;
   int runners = 6;
   int clients = 24;
-  int applications = 8;    ///< that use locks, numbers, cells and watches; half as many add to counters
-  bool kills = false;      ///< processes are killed too, beside planned work
-  bool disks = false;      ///< disks are slow, stall, fill up or refuse single operations
-  bool cuts = false;       ///< packets between machines are lost or late, connections are reset
-  std::string planted;     ///< a fault of the service, planted to show that the checks find it; see `startFaults`
-  std::string library;     ///< the path of the library that the programs preload for disks and cuts
-  bool keepsLogs = false;  ///< where a rule is broken
+  int applications = 8;  ///< applications that use locks, numbers, cells and watches; half as many more use counters
+  bool kills = false;    ///< whether processes are also killed with SIGKILL
+  bool disks = false;    ///< whether disks are slow, stall, are full or fail single operations
+  bool cuts = false;     ///< whether packets are lost or delayed and connections are reset
+  std::string planted;   ///< a fault beyond what the fleet tolerates, injected to show that the checks find violations;
+                         ///< see `startFaults`
+  std::string library;   ///< path of the library that the processes preload to inject faults
+  bool keepsLogs = false;  ///< whether the folder with the logs is kept after a violation
 };
 
-/// What the parts of a run share. It outlives the fibers that refer to it: they end with the process.
+/// State shared by the parts of a run. Must outlive the fibers that refer to it, which run until the process exits.
 struct SoakRun {
   explicit SoakRun(const SoakPlan& soakPlan);
   SoakPlan plan;
   std::mt19937_64 random;
   simulation::LocalFleet fleet;
-  std::optional<FaultControl> faults;  ///< none: without disks and cuts
+  std::optional<FaultControl> faults;  ///< empty if the plan has no faults of disks, links or clocks
   Observations seen;
-  std::vector<char> inService;   ///< whether the platform gives an access machine new connections
-  bool loaded = true;            ///< clients send requests
-  bool disturbed = true;         ///< work on the fleet goes on
-  int busy = 0;                  ///< fibers of clients and of work that have not ended
-  std::set<std::string> routes;  ///< optional ones in the newest configuration that was acknowledged
-  std::int64_t version = 0;      ///< of that configuration
+  std::vector<char> inService;   ///< by access machine: whether the platform sends it new connections
+  bool loaded = true;            ///< whether clients send requests
+  bool disturbed = true;         ///< whether operations on the fleet and faults continue
+  int busy = 0;                  ///< number of fibers started by `spawn` that have not ended
+  std::set<std::string> routes;  ///< optional routes of the newest acknowledged configuration
+  std::int64_t version = 0;      ///< version of the newest acknowledged configuration
   std::vector<coordination_history::Call> applicationCalls;
-  std::vector<std::string> unansweredAtTheEnd;                 ///< what applications asked for in vain
-  std::map<std::string, std::int64_t> sentIncrements;          ///< by counter: the sum of what was sent at least once
-  std::map<std::string, std::int64_t> acknowledgedIncrements;  ///< by counter: the sum of what was acknowledged
-  std::function<void(std::size_t)> killForFault;               ///< a process, by its place; it is started again
+  std::vector<std::string> unansweredAtTheEnd;                 ///< names that no controller answered for at the end
+  std::map<std::string, std::int64_t> sentIncrements;          ///< by counter: sum of all increments that were sent
+  std::map<std::string, std::int64_t> acknowledgedIncrements;  ///< by counter: sum of the acknowledged increments
+  std::function<void(std::size_t)> killForFault;  ///< kills a process, by index; the process is then restarted
 
   std::uint64_t draw(std::uint64_t below) { return random() % below; }
   Duration drawDuration(Duration least, Duration most) {
     return least + Duration(static_cast<std::int64_t>(draw(static_cast<std::uint64_t>((most - least).count()) + 1)));
   }
-  /// Runs `body` on a fiber that counts as busy until it ends.
+  /// Runs `body` on a new fiber, which counts in `busy` until `body` returns.
   void spawn(std::function<void()> body);
   std::string anyController() { return fleet.control(draw(fleet.core().size())); }
 };
 
-/// Parks the calling fiber until a connection is open. @return null: nobody listens there, or does not answer in time.
+/// Opens a connection and blocks the calling fiber meanwhile. @return null if the connection was refused or timed out.
 std::unique_ptr<runtime::Connection> openConnection(const std::string& address);
 
-/// Zones of the runners, as of the machines.
+/// Zones of the machines and of the runners.
 inline const std::vector<std::string> kZones = {"a", "b", "c"};
 
-/// Optional routes that the operators add and drop.
+/// Number of optional routes that the operators add and remove.
 constexpr int kOptionalRoutes = 6;
 
-/// Starts a runner that serves until it leaves in order: it says so, serves on and ends.
+/// Starts a runner. After `requestDeparture`, the runner announces that it leaves, keeps serving for a while and stops.
 void startRunner(SoakRun& run, const std::string& id);
-/// Has a runner leave; unknown ids are ignored.
+/// Makes a runner leave the fleet; unknown ids are ignored.
 void requestDeparture(SoakRun& run, const std::string& id);
-/// Ids of runners in service.
+/// Returns the ids of the runners that are not leaving.
 std::vector<std::string> runnersInService(const SoakRun& run);
-/// Asks each access machine every second whether it is ready, as the platform does.
+/// Polls the readiness of each access machine every second, as the platform's load balancer does.
 void startPlatform(SoakRun& run);
 void startClients(SoakRun& run);
 void startApplications(SoakRun& run);
-/// Asks for every lock, number, cell and watch for up to three seconds each, on fibers that count as busy.
+/// Requests every lock, number, cell and watch until a controller answers, for up to three seconds each, on fibers that
+/// count in `SoakRun::busy`.
 void readBackApplications(SoakRun& run);
-/// Adds to replicated counters until the load ends.
+/// Starts applications that increment replicated counters until the load ends.
 void startCounting(SoakRun& run);
-/// Asks every controller for every counter for up to five seconds each, on fibers that count as busy.
+/// Reads every counter from every controller for up to five seconds each, on fibers that count in `SoakRun::busy`.
 void readBackCounters(SoakRun& run);
-/// Sends the first configuration until it is taken. @return false if nobody took it.
+/// Sends the first configuration until it is acknowledged. @return false if no controller acknowledged it.
 bool installFirstConfiguration(SoakRun& run);
-/// One change on top of the newest version that is known here.
+/// Sends one change that is based on the newest acknowledged configuration.
 void changeConfiguration(SoakRun& run);
-/// Evacuates a zone of runners for a while, and takes it back.
+/// Evacuates a random zone of runners, and releases it after a random time.
 void evacuateZone(SoakRun& run);
-/// Reads the configuration back for up to three seconds, at any controller.
+/// Reads the configuration version from any controller, with retries for up to three seconds.
 void readBack(SoakRun& run);
-/// Starts ended processes again, and the series of work on the fleet.
+/// Starts the supervisor, which restarts processes that have exited, and the series of operations on the fleet.
 void startDisturbances(SoakRun& run);
-/// Starts the series of faults of disks and links that the plan has, and what is planted:
-/// - `slow-clock`: a controller is cut off while its clock runs slowly, so that leases that it holds last too long;
-/// - `lost-disks`: all controllers lose their disks at once, more than is to be borne.
+/// Starts the series of disk and network faults that the plan enables, and the fault of `SoakPlan::planted`:
+/// - `slow-clock`: a controller is partitioned while its clock runs slowly, so that its leases last too long;
+/// - `lost-disks`: all controllers lose their disks at once, which is more than the fleet tolerates.
 void startFaults(SoakRun& run);
 }  // namespace zinccleat::soak
--- a/tests/soak_observations_test.cpp
+++ b/tests/soak_observations_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The rules that a soak run is held to: each is broken once here, and what is allowed is not reported.
+/// Tests the rules that soak runs are checked against: a violation of each rule is reported, and allowed behaviour is
+/// not.
 #include <gtest/gtest.h>
 
 #include "soak/observations.hpp"
@@ -13,7 +14,7 @@
 ClientRequest answered(const std::string& id, TimePoint at, int status = 200) {
   return {id, RequestKind::unsafe, "", kMachine, at, at + 20ms, RequestEnd::answered, status, true};
 }
-/// A run in which enough was served and the newest configuration is read back.
+/// Observations of a run without violations: enough requests were served and the newest configuration was read back.
 Observations quietRun() {
   Observations seen;
   for (int i = 0; i < 60; ++i)
@@ -39,14 +40,14 @@
   lost.end = RequestEnd::connectionClosed;
   lost.endedAt = lost.sentAt + 100ms;
   seen.requests.push_back(lost);
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "it crossed the end of the connection";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the connection may have been closed before the request arrived";
   seen.requests.back().endedAt = lost.sentAt + 300ms;
   EXPECT_EQ(rulesBrokenBy(seen), "LOST ");
   seen.requests.back() = lost;
   seen.executions["lost"] = {{"i1", kStart + 9s}};
   EXPECT_EQ(rulesBrokenBy(seen), "LOST ");
   seen.disturbances = {{kMachine, kStart + 8s, true}};
-  EXPECT_EQ(rulesBrokenBy(seen), "LOST ") << "planned work excuses nothing";
+  EXPECT_EQ(rulesBrokenBy(seen), "LOST ") << "a planned disturbance does not permit lost requests";
   seen.disturbances = {{kMachine, kStart + 8s, false}};
   EXPECT_EQ(rulesBrokenBy(seen), "");
 }
@@ -55,11 +56,11 @@
   seen.requests.push_back(answered("late", kStart + 10s));
   seen.executions["late"] = {{"i1", kStart + 10s + 5ms}};
   seen.departures["i1"] = kStart + 8s;
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "sent in time";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the request was sent within the bound of the drain";
   seen.departures["i1"] = kStart + 8s - 1ms;
   EXPECT_EQ(rulesBrokenBy(seen), "DRAIN ");
   seen.disturbances = {{Disturbance::kCore, kStart + 9s, true}};
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "the machine is not in touch";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the access machine may have no connection to the core";
 }
 TEST(SoakObservations, NothingReachesAnEvacuatedZoneAfterItsBound) {
   auto seen = quietRun();
@@ -67,13 +68,13 @@
   seen.executions["late"] = {{"i1", kStart + 10s}};
   seen.runnerZones["i1"] = "a";
   seen.evacuations = {{"a", kStart + 8s, std::nullopt}};
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "within the bound";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the request was executed within the bound of the evacuation";
   seen.evacuations[0].acknowledgedAt = kStart + 8s - 1ms;
   EXPECT_EQ(rulesBrokenBy(seen), "EVAC ");
   seen.evacuations[0].releasedAt = kStart + 9s;
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "it was taken back";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the evacuation was released";
   seen.evacuations[0] = {"b", kStart + 7s, std::nullopt};
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "another zone";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the runner is in another zone";
 }
 TEST(SoakObservations, WhatMayRunOnceRunsOnceAndARefusalIsTrue) {
   auto seen = quietRun();
@@ -95,14 +96,14 @@
   EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ");
   seen.changes.push_back({2, {}, kStart + 4s, kStart + 4s + 50ms, false});
   seen.finalVersion = 2;
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "the change that drops it may be in force";
+  EXPECT_EQ(rulesBrokenBy(seen), "") << "the change that removes the route may be effective";
   seen.changes.back().refused = true;
   seen.changes.back().acknowledgedAt.reset();
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ") << "a refused one never is";
+  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ") << "a rejected change never becomes effective";
   seen.changes.back() = {2, {}, kStart + 2s, kStart + 2s + 50ms, false};
   EXPECT_EQ(rulesBrokenBy(seen), "");
   seen.requests.back().status = 200;
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ") << "it was dropped long before";
+  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ") << "the route was removed long before";
 }
 TEST(SoakObservations, WhatWasAcknowledgedIsReadBack) {
   auto seen = quietRun();
@@ -116,10 +117,10 @@
   seen.exits = {{"proxy", 0, kStart, false, {}, kStart + 3s}, {"agent", 9, std::nullopt, true, {}, kStart}};
   EXPECT_EQ(rulesBrokenBy(seen), "");
   seen.exits[0].endedAt = kStart + 9s;
-  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "long after its grace";
+  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "the process exited long after its grace period";
   seen.exits[0] = {"proxy", 0, std::nullopt, false, {}, kStart};
-  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "nobody asked it to end";
+  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "the process exited without SIGTERM";
   seen.exits.clear();
   seen.requests.resize(10);
-  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "nearly nothing was asked";
+  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "the run has too few requests";
 }
