--- a/tests/fuzz/configurations_fuzzer.cpp
+++ b/tests/fuzz/configurations_fuzzer.cpp
@@ -18,7 +18,7 @@
   for (auto& [key, subscriber] : c.subscriberByAccessKey)
     fuzz::require(c.findSubscriber(key) == subscriber && subscriber < static_cast<int>(c.subscribers.size()));
 }
-void parseAnything(std::string_view input) {
+void fuzzConfigurations(std::string_view input) {
   if (const auto configuration = parseConfiguration(input))
     checkConfiguration(**configuration);
   (void)parseRunnerHeartbeat("i-1", input);
@@ -46,4 +46,4 @@
       R"({"targetService":"s","targetRevision":"v2","durationS":12.5})"};
 }
 }  // namespace
-ZINCCLEAT_FUZZ_TARGET(configurations, parseAnything, configurationExamples)
+ZINCCLEAT_FUZZ_TARGET(configurations, fuzzConfigurations, configurationExamples)
