--- a/tests/fuzz/coordination_fuzzer.cpp
+++ b/tests/fuzz/coordination_fuzzer.cpp
@@ -44,7 +44,7 @@
   (void)shard.apply(entry);
   (void)shard.eventsAfter("g.", 1, 100);
 }
-void takeAnything(std::string_view input) {
+void fuzzCoordination(std::string_view input) {
   parseRequests(input);
   applyEntry(input);
   ShardState shard;
@@ -80,4 +80,4 @@
           shard.snapshot()};
 }
 }  // namespace
-ZINCCLEAT_FUZZ_TARGET(coordination, takeAnything, coordinationExamples)
+ZINCCLEAT_FUZZ_TARGET(coordination, fuzzCoordination, coordinationExamples)
