--- a/tests/fuzz/counters_fuzzer.cpp
+++ b/tests/fuzz/counters_fuzzer.cpp
@@ -8,8 +8,8 @@
 namespace {
 using namespace zinccleat;
 using namespace zinccleat::replicated_counters;
-constexpr OriginId kOwn = 7;
-constexpr OriginId kOther = 9;
+constexpr OriginId kOwnOrigin = 7;
+constexpr OriginId kOtherOrigin = 9;
 
 void parseRequest(std::string_view input) {
   const auto request = config::parseIncrementRequest(input);
@@ -24,7 +24,7 @@
   if (!batch || !isWellFormed(*batch))
     return;
   CounterState state;
-  state.append(kOwn, {"t", "own", 4});
+  state.append(kOwnOrigin, {"t", "own", 4});
   (void)state.merge(*batch);
   const auto total = state.total("t");
   fuzz::require(state.merge(*batch).empty());
@@ -36,8 +36,8 @@
     state.fold(origin, sequence);
   fuzz::require(state.retainedIncrements() == 0);
 }
-void takeMessages(std::string_view input) {
-  CounterReplica replica({kOwn, "z", 1}, TimePoint{});
+void receiveMessages(std::string_view input) {
+  CounterReplica replica({kOwnOrigin, "z", 1}, TimePoint{});
   replica.setPeers({"a", "b"});
   (void)replica.add(TimePoint{}, 1, {"t", "own", 4});
   if (const auto report = avro::decode<ProgressReport>(input); report && isWellFormed(report->progress))
@@ -52,18 +52,19 @@
   (void)replica.takeActions();
   (void)replica.peers(TimePoint{} + std::chrono::hours(1));
 }
-void takeAnything(std::string_view input) {
+void fuzzCounters(std::string_view input) {
   parseRequest(input);
   mergeBatch(input);
-  takeMessages(input);
+  receiveMessages(input);
 }
 std::vector<std::string> counterExamples() {
-  const IncrementBatch batch{{{kOther, 2, {{"t", 5}, {"u", -6}}}},
-                             {"twice"},
-                             {{kOther, 3, {{"t", "twice", 4}, {"u", "once", 1}}}, {kOwn, 1, {{"t", "own", 4}}}}};
+  const IncrementBatch batch{
+      {{kOtherOrigin, 2, {{"t", 5}, {"u", -6}}}},
+      {"twice"},
+      {{kOtherOrigin, 3, {{"t", "twice", 4}, {"u", "once", 1}}}, {kOwnOrigin, 1, {{"t", "own", 4}}}}};
   return {R"({"instanceId":"5c0e7a21d94b36f8","actor":4})", avro::encode(batch),
-          avro::encode(ProgressReport{"z", {{kOther, 4}, {kOwn, 1}}}), avro::encode(TransferRequest{{{kOwn, 0}}}),
-          avro::encode(IncrementTransfer{true, batch})};
+          avro::encode(ProgressReport{"z", {{kOtherOrigin, 4}, {kOwnOrigin, 1}}}),
+          avro::encode(TransferRequest{{{kOwnOrigin, 0}}}), avro::encode(IncrementTransfer{true, batch})};
 }
 }  // namespace
-ZINCCLEAT_FUZZ_TARGET(counters, takeAnything, counterExamples)
+ZINCCLEAT_FUZZ_TARGET(counters, fuzzCounters, counterExamples)
