--- a/tests/fuzz/frames_fuzzer.cpp
+++ b/tests/fuzz/frames_fuzzer.cpp
@@ -8,7 +8,7 @@
 using namespace zinccleat;
 using namespace zinccleat::transport;
 /// Encoding a decoded envelope and decoding the result must yield the same envelope.
-void requireSameWhenEncodedAgain(const Envelope& envelope) {
+void requireEncodingRoundTrip(const Envelope& envelope) {
   const auto frame = encodeFrame(envelope);
   auto received = frame;
   const auto decoded = decodeFrames(received);
@@ -31,16 +31,16 @@
     if (!envelopes)
       return;
     for (const auto& envelope : *envelopes)
-      requireSameWhenEncodedAgain(envelope);
+      requireEncodingRoundTrip(envelope);
   }
 }
 /// Splits a frame into fragments of 40 bytes, far smaller than the fragments that the fleet sends.
 std::string smallFragmentsOf(const std::string& frame) {
-  constexpr std::size_t kPartBytes = 40;
+  constexpr std::size_t kFragmentBytes = 40;
   std::string fragments;
-  for (std::size_t offset = 0; offset < frame.size(); offset += kPartBytes) {
-    const auto part = frame.substr(offset, kPartBytes);
-    const bool last = offset + kPartBytes >= frame.size();
+  for (std::size_t offset = 0; offset < frame.size(); offset += kFragmentBytes) {
+    const auto part = frame.substr(offset, kFragmentBytes);
+    const bool last = offset + kFragmentBytes >= frame.size();
     const auto length = static_cast<char>(part.size() + 2);
     fragments += std::string("\0\0\0", 3) + length + '\3' + (last ? '\1' : '\0') + part;
   }
