--- a/tests/fuzz/requests_fuzzer.cpp
+++ b/tests/fuzz/requests_fuzzer.cpp
@@ -46,18 +46,18 @@
 }
 // Checks the header that the proxy forwards for a request: it contains exactly one empty line, at its end, every line
 // ends with CR LF, and parsing it yields the same method, target and body, framed by Content-Length.
-void checkOutboundHead(const RequestParser::value_type& request) {
+void checkForwardedHeader(const RequestParser::value_type& request) {
   ForwardingOptions options;
   options.expectedInstance = "i-1";
   options.timeLeft = Duration(500);
-  const auto head = forwardedRequestHeader(request, options, request.body().size());
-  fuzz::require(head.size() >= 4 && head.substr(head.size() - 4) == "\r\n\r\n");
-  fuzz::require(count(head, "\r\n\r\n") == 1);
-  fuzz::require(count(head, "\n") == count(head, "\r\n"));
+  const auto header = forwardedRequestHeader(request, options, request.body().size());
+  fuzz::require(header.size() >= 4 && header.substr(header.size() - 4) == "\r\n\r\n");
+  fuzz::require(count(header, "\r\n\r\n") == 1);
+  fuzz::require(count(header, "\n") == count(header, "\r\n"));
   RequestParser again;
   again.header_limit(64 * 1024);
   again.body_limit(kBodyLimit);
-  const auto message = head + request.body();
+  const auto message = header + request.body();
   boost::system::error_code error;
   again.eager(true);
   std::string_view rest = message;
@@ -78,15 +78,15 @@
   if (!parseInReads(parser, input, readLength))
     return;
   fuzz::require(parser.get().body().size() <= kBodyLimit);
-  checkOutboundHead(parser.get());
+  checkForwardedHeader(parser.get());
 }
-void readAnyAnswer(std::string_view input, std::size_t readLength) {
+void readAnyResponse(std::string_view input, std::size_t readLength) {
   http::response_parser<http::string_body> parser;
   if (!parseInReads(parser, input, readLength))
     return;
-  const auto head = forwardedResponseHeader(parser.get());
-  fuzz::require(count(head, "\r\n\r\n") <= 1);
-  fuzz::require(count(head, "\n") == count(head, "\r\n"));
+  const auto header = forwardedResponseHeader(parser.get());
+  fuzz::require(count(header, "\r\n\r\n") <= 1);
+  fuzz::require(count(header, "\n") == count(header, "\r\n"));
 }
 // The bytes that the scanner returned and the bytes that it buffers must together be the input. After an empty line the
 // whole input must be returned, and the last event id must not depend on how the stream was split into reads. (A
@@ -108,31 +108,31 @@
   fuzz::require(atOnce.lastEventId() == scan.lastEventId());
 }
 // The first byte of the input selects the length of the reads.
-void readAnything(std::string_view input) {
+void fuzzRequests(std::string_view input) {
   if (input.empty())
     return;
   const auto readLength = 1 + static_cast<std::size_t>(static_cast<unsigned char>(input.front()));
   input.remove_prefix(1);
   readAnyRequest(input, readLength);
-  readAnyAnswer(input, readLength);
+  readAnyResponse(input, readLength);
   scanEvents(input, readLength);
 }
 std::vector<std::string> requestExamples() {
-  const std::string fast(1, '\xff');
-  const std::string slow(1, '\0');
-  return {fast +
+  const std::string longReads(1, '\xff');
+  const std::string singleByteReads(1, '\0');
+  return {longReads +
               "POST /p/x?q=1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k\r\nX-Attempt-Id: a-1\r\n"
               "X-Deadline-Ms: 900\r\nConnection: keep-alive, x-hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nbody",
-          slow +
+          singleByteReads +
               "POST /p/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nExpect: 100-continue\r\n\r\n"
               "4\r\nbody\r\n3;x=y\r\nabc\r\n0\r\nTrailer: t\r\n\r\n",
-          fast + "GET / HTTP/1.0\r\n\r\n",
-          fast + "GET http://h/p HTTP/1.1\r\nHost: h\r\nHost: g\r\n\r\n",
-          fast + "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok",
-          slow +
+          longReads + "GET / HTTP/1.0\r\n\r\n",
+          longReads + "GET http://h/p HTTP/1.1\r\nHost: h\r\nHost: g\r\n\r\n",
+          longReads + "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok",
+          singleByteReads +
               "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
               "10\r\nid: 1\ndata: x\n\n\n\r\n0\r\n\r\n",
-          slow + "id: 1\ndata: x\n\nid: 22\r\ndata: y\r\n\r\n: comment\n\nid: 3\rdata"};
+          singleByteReads + "id: 1\ndata: x\n\nid: 22\r\ndata: y\r\n\r\n: comment\n\nid: 3\rdata"};
 }
 }  // namespace
-ZINCCLEAT_FUZZ_TARGET(requests, readAnything, requestExamples)
+ZINCCLEAT_FUZZ_TARGET(requests, fuzzRequests, requestExamples)
