--- a/tests/fuzz/snapshots_fuzzer.cpp
+++ b/tests/fuzz/snapshots_fuzzer.cpp
@@ -31,10 +31,10 @@
   return replica;
 }
 void restoreFrom(std::string_view input) {
-  static const auto kBefore = replicaWith(2);
-  auto replica = kBefore;
+  static const auto kInitialReplica = replicaWith(2);
+  auto replica = kInitialReplica;
   if (!replica.restore(input)) {
-    fuzz::require(replica.snapshot() == kBefore.snapshot());
+    fuzz::require(replica.snapshot() == kInitialReplica.snapshot());
     return;
   }
   ReplicatedState again;
