--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -12,10 +12,10 @@
 namespace {
 using zinccleat::fuzz::Target;
 constexpr std::uint64_t kSeed = 14;
-constexpr int kMutationsOfEachTarget = 4000;
-constexpr std::size_t kLongestInput = 8192;
+constexpr int kMutationsPerTarget = 4000;
+constexpr std::size_t kMaxInputBytes = 8192;
 
-std::vector<std::string> keptInputs(const Target& target) {
+std::vector<std::string> corpusInputs(const Target& target) {
   std::vector<std::filesystem::path> files;
   const auto folder = std::filesystem::path("tests/fuzz/corpus") / target.name;
   if (std::filesystem::exists(folder))
@@ -55,8 +55,8 @@
       input.insert(position, other.empty() ? "x" : other.substr(random() % other.size(), 4 * length));
       break;
   }
-  if (input.size() > kLongestInput)
-    input.resize(kLongestInput);
+  if (input.size() > kMaxInputBytes)
+    input.resize(kMaxInputBytes);
 }
 class FuzzTargets : public testing::TestWithParam<std::size_t> {
  protected:
@@ -68,17 +68,17 @@
 }  // namespace
 
 TEST_P(FuzzTargets, BearsKeptInputs) {
-  for (auto& input : keptInputs(target()))
+  for (auto& input : corpusInputs(target()))
     target().run(input);
   for (auto& input : target().examples())
     target().run(input);
 }
 TEST_P(FuzzTargets, BearsMutatedInputs) {
-  auto pool = keptInputs(target());
+  auto pool = corpusInputs(target());
   for (auto& example : target().examples())
     pool.push_back(example);
   std::mt19937_64 random(kSeed);
-  for (int i = 0; i < kMutationsOfEachTarget; ++i) {
+  for (int i = 0; i < kMutationsPerTarget; ++i) {
     auto input = pool[random() % pool.size()];
     for (auto changes = 1 + random() % 4; changes > 0; --changes)
       mutate(input, pool[random() % pool.size()], random);
