--- a/tests/preload/fault_library.cpp
+++ b/tests/preload/fault_library.cpp
@@ -58,10 +58,10 @@
   int resets = 0;  // value of the table's reset counter for this link when it was last read
 };
 
-class Faults {
+class FaultInjector {
  public:
-  static Faults& instance() {
-    static auto* faults = new Faults;  // never destroyed: other threads may still use it while the process ends
+  static FaultInjector& instance() {
+    static auto* faults = new FaultInjector;  // never destroyed: other threads may still use it while the process ends
     return *faults;
   }
   bool active() const { return table_ != nullptr && self_ != kNoMachine; }
@@ -120,7 +120,7 @@
   sockaddr_in blackHole() const { return blackHole_; }
 
  private:
-  Faults() : descriptors_(new Descriptor[kMaxDescriptors]) {
+  FaultInjector() : descriptors_(new Descriptor[kMaxDescriptors]) {
     const char* path = std::getenv(kFaultTableVariable);
     if (!path)
       return;
@@ -134,8 +134,8 @@
     self_ = ownMachine();
     if (self_ == kNoMachine)
       return;
-    digBlackHole();
-    startWatch();
+    openBlackHole();
+    startPolling();
   }
   /// Finds the own machine in the table by the name of the settings file on the command line.
   int ownMachine() const {
@@ -153,7 +153,7 @@
     return kNoMachine;
   }
   // Opens a listening socket and fills its queue of pending connections; the kernel then drops further SYN packets.
-  void digBlackHole() {
+  void openBlackHole() {
     const auto realConnect = realFunction<int(int, const sockaddr*, socklen_t)>("connect");
     blackHole_.sin_family = AF_INET;
     blackHole_.sin_addr.s_addr = ::htonl(INADDR_LOOPBACK);
@@ -168,21 +168,21 @@
   }
   // Starts the thread that polls the fault table. The thread blocks all signals, so that the kernel delivers them to
   // the threads of the program.
-  void startWatch() {
+  void startPolling() {
     sigset_t all;
     sigset_t before;
     ::sigfillset(&all);
     ::pthread_sigmask(SIG_SETMASK, &all, &before);
     std::thread([this] {
       for (;; ::usleep(kPollMicroseconds))
-        watch();
+        applyTableChanges();
     }).detach();
     ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
   }
   // Checks every open connection for changes in the fault table. When packets are no longer lost, the descriptor is
   // registered at epoll again: the event loop uses edge-triggered events and would otherwise miss data that arrived
   // during the fault. When the reset counter has changed, the connection is shut down.
-  void watch() {
+  void applyTableChanges() {
     static const auto realControl = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
     const std::lock_guard lock(mutex_);
     for (int number = 0; number < kMaxDescriptors; ++number) {
@@ -207,7 +207,7 @@
 };
 
 /// Consumes one of the remaining faults of a counter. Returns false if none remains.
-bool takeOne(std::atomic<std::int32_t>& left) {
+bool consumeFault(std::atomic<std::int32_t>& left) {
   if (left.load() <= 0)
     return false;
   return left.fetch_sub(1) > 0;
@@ -222,14 +222,14 @@
 // NOLINTBEGIN(readability-inconsistent-declaration-parameter-name)
 extern "C" {
 __attribute__((constructor)) void zinccleatSoakFaultsBegin() {
-  (void)Faults::instance();
+  (void)FaultInjector::instance();
 }
 
 // --- sockets ---
 
 int connect(int number, const sockaddr* address, socklen_t size) {
   static const auto real = realFunction<int(int, const sockaddr*, socklen_t)>("connect");
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   const int peer = faults.active() ? faults.machineAt(address) : kNoMachine;
   if (peer == kNoMachine || !faults.descriptor(number))
     return real(number, address, size);
@@ -241,29 +241,29 @@
 }
 int close(int number) {
   static const auto real = realFunction<int(int)>("close");
-  Faults::instance().closed(number);
+  FaultInjector::instance().closed(number);
   return real(number);
 }
 int epoll_ctl(int epoll, int operation, int number, epoll_event* event) {
   static const auto real = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
-  Faults::instance().registered(epoll, number, event);
+  FaultInjector::instance().registered(epoll, number, event);
   return real(epoll, operation, number, event);
 }
 ssize_t send(int number, const void* bytes, size_t size, int flags) {
   static const auto real = realFunction<ssize_t(int, const void*, size_t, int)>("send");
-  return Faults::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
+  return FaultInjector::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
 }
 ssize_t sendmsg(int number, const msghdr* message, int flags) {
   static const auto real = realFunction<ssize_t(int, const msghdr*, int)>("sendmsg");
-  return Faults::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
+  return FaultInjector::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
 }
 ssize_t recv(int number, void* bytes, size_t size, int flags) {
   static const auto real = realFunction<ssize_t(int, void*, size_t, int)>("recv");
-  return Faults::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
+  return FaultInjector::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
 }
 ssize_t recvmsg(int number, msghdr* message, int flags) {
   static const auto real = realFunction<ssize_t(int, msghdr*, int)>("recvmsg");
-  return Faults::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
+  return FaultInjector::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
 }
 
 // --- files ---
@@ -278,31 +278,31 @@
     va_end(arguments);
   }
   const int number = real(path, flags, mode);
-  if (auto* known = Faults::instance().descriptor(number))
+  if (auto* known = FaultInjector::instance().descriptor(number))
     known->isFile = (flags & O_CREAT) != 0 && (flags & O_ACCMODE) == O_WRONLY && (flags & O_APPEND) == 0;
   return number;
 }
 ssize_t write(int number, const void* bytes, size_t size) {
   static const auto real = realFunction<ssize_t(int, const void*, size_t)>("write");
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   const auto* known = faults.descriptor(number);
   if (known && known->isFile) {
     if (faults.machine().full.load() != 0)
       return fail(ENOSPC);
-    if (takeOne(faults.machine().refusedWrites))
+    if (consumeFault(faults.machine().refusedWrites))
       return fail(EIO);
   }
   return real(number, bytes, size);
 }
 int fsync(int number) {
   static const auto real = realFunction<int(int)>("fsync");
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   if (faults.active()) {
     auto& machine = faults.machine();
     ::usleep(static_cast<useconds_t>(machine.syncMs.load()) * kMicrosecondsPerMillisecond);
     while (machine.stalled.load() != 0)
       ::usleep(kPollMicroseconds);
-    if (takeOne(machine.refusedSyncs))
+    if (consumeFault(machine.refusedSyncs))
       return fail(EIO);
   }
   return real(number);
@@ -315,7 +315,7 @@
 int clock_gettime(clockid_t clock, timespec* time) {
   static const auto real = realFunction<int(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, time);
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   if (result != 0 || clock != CLOCK_MONOTONIC || !faults.active())
     return result;
   constexpr std::int64_t kNanoseconds = 1'000'000'000;
