--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -87,7 +87,7 @@
   std::int64_t counted = 0;
   for (const auto& [counter, amount] : run.acknowledgedIncrements)
     counted += amount;
-  auto violations = brokenRules(seen);
+  auto violations = findViolations(seen);
   addCoordination(run, violations);
   std::printf(
       "seed %ju: core %d, access %d, processes %zu; requests %zu: 200 %td, 404 %td, 503 %td; changes %zu, acknowledged "
--- a/tests/soak/observations.cpp
+++ b/tests/soak/observations.cpp
@@ -177,7 +177,7 @@
     return concerns && !each.planned && each.at >= from - bounds.contact && each.at <= to;
   });
 }
-std::vector<Violation> brokenRules(const Observations& seen) {
+std::vector<Violation> findViolations(const Observations& seen) {
   return Checker(seen).check();
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/observations.hpp
+++ b/tests/soak/observations.hpp
@@ -96,5 +96,5 @@
   std::string what;
 };
 /// Returns the violations that the observations show.
-std::vector<Violation> brokenRules(const Observations& seen);
+std::vector<Violation> findViolations(const Observations& seen);
 }  // namespace zinccleat::soak
--- a/tests/soak_observations_test.cpp
+++ b/tests/soak_observations_test.cpp
@@ -25,7 +25,7 @@
 }
 std::string rulesBrokenBy(const Observations& seen) {
   std::string rules;
-  for (const auto& violation : brokenRules(seen))
+  for (const auto& violation : findViolations(seen))
     rules += violation.rule + " ";
   return rules;
 }
