--- a/tests/soak/observations.cpp
+++ b/tests/soak/observations.cpp
@@ -49,7 +49,8 @@
   }
 
   void checkLoss(const ClientRequest& request) {
-    if (request.end == RequestEnd::answered || !seen_.calm(request.machine, request.sentAt, request.endedAt))
+    if (request.end == RequestEnd::answered ||
+        !seen_.hasNoUnplannedDisturbance(request.machine, request.sentAt, request.endedAt))
       return;
     const auto openFor = toDuration(request.endedAt - request.sentAt);
     const bool passedOn = !executionsOf(request).empty();
@@ -78,7 +79,7 @@
   }
   void checkEvacuation(const ClientRequest& request, const Execution& execution) {
     const auto zone = seen_.runnerZones.find(execution.runner);
-    if (zone == seen_.runnerZones.end() || !seen_.inTouch(request.machine, execution.at))
+    if (zone == seen_.runnerZones.end() || !seen_.mustBeConnected(request.machine, execution.at))
       return;
     for (const auto& evacuation : seen_.evacuations) {
       const bool binds = evacuation.zone == zone->second &&
@@ -91,7 +92,7 @@
   void checkDrain(const ClientRequest& request, const Execution& execution) {
     const auto left = seen_.departures.find(execution.runner);
     if (left == seen_.departures.end() || request.sentAt <= left->second + seen_.bounds.drain ||
-        !seen_.inTouch(request.machine, execution.at))
+        !seen_.mustBeConnected(request.machine, execution.at))
       return;
     report("DRAIN", nameOf(request) + " reached " + execution.runner + " " +
                         millisecondsText(toDuration(execution.at - left->second)) + " after it had left");
@@ -115,7 +116,7 @@
   }
   void checkRoute(const ClientRequest& request) {
     if (request.route.empty() || request.end != RequestEnd::answered ||
-        !seen_.inTouch(request.machine, request.endedAt))
+        !seen_.mustBeConnected(request.machine, request.endedAt))
       return;
     const auto possible = possibleAt(request.sentAt, request.endedAt);
     const auto has = [&](const Change* change) { return change->routes.contains(request.route); };
@@ -165,13 +166,13 @@
 };
 }  // namespace
 
-bool Observations::inTouch(int machine, TimePoint at) const {
+bool Observations::mustBeConnected(int machine, TimePoint at) const {
   return std::none_of(disturbances.begin(), disturbances.end(), [&](const Disturbance& each) {
     const bool concerns = each.machine == Disturbance::kCore || each.machine == machine;
     return concerns && each.at <= at && at - each.at < bounds.contact;
   });
 }
-bool Observations::calm(int machine, TimePoint from, TimePoint to) const {
+bool Observations::hasNoUnplannedDisturbance(int machine, TimePoint from, TimePoint to) const {
   return std::none_of(disturbances.begin(), disturbances.end(), [&](const Disturbance& each) {
     const bool concerns = each.machine == Disturbance::kCore || each.machine == machine;
     return concerns && !each.planned && each.at >= from - bounds.contact && each.at <= to;
--- a/tests/soak/observations.hpp
+++ b/tests/soak/observations.hpp
@@ -85,10 +85,10 @@
 
   /// Whether a machine must be connected to the core at a time: neither the machine nor the core was disturbed within
   /// `Bounds::contact` before `at`.
-  bool inTouch(int machine, TimePoint at) const;
+  bool mustBeConnected(int machine, TimePoint at) const;
   /// Whether neither a machine nor the core had an unplanned disturbance between `from` minus `Bounds::contact` and
   /// `to`.
-  bool calm(int machine, TimePoint from, TimePoint to) const;
+  bool hasNoUnplannedDisturbance(int machine, TimePoint from, TimePoint to) const;
 };
 /// One violation of a rule.
 struct Violation {
