--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -98,7 +98,7 @@
       connection_.reset();
     else
       connection_->clearDeadline();
-    run_.seen.requests.push_back(std::move(request));
+    run_.observations.requests.push_back(std::move(request));
   }
   std::optional<Answer> receive(const ClientRequest& request, runtime::SocketError& ec) {
     http::response_parser<http::string_body> parser;
--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -46,7 +46,7 @@
     return process < core ? Disturbance::kCore : static_cast<int>((process - core) / 2);
   }
   void disturb(std::size_t process, bool planned) {
-    run_.seen.disturbances.push_back({machineOf(process), Clock::now(), planned});
+    run_.observations.disturbances.push_back({machineOf(process), Clock::now(), planned});
   }
   /// Whether a process already blocks or handles SIGTERM. Before that, while the dynamic linker is active (10 ms, up to
   /// 180 ms on a busy machine), SIGTERM terminates the process regardless of the program's code.
@@ -83,8 +83,8 @@
     for (std::size_t process = 0; process < states_.size(); ++process) {
       auto& state = states_[process];
       if (const auto status = run_.fleet.takeExit(process)) {
-        run_.seen.exits.push_back({run_.fleet.processes()[process].name, *status, state.terminatedAt, state.killed,
-                                   state.startedAt, now, state.masks});
+        run_.observations.exits.push_back({run_.fleet.processes()[process].name, *status, state.terminatedAt,
+                                           state.killed, state.startedAt, now, state.masks});
         disturb(process, state.terminatedAt.has_value());
         state = {};
         state.startAt = now + run_.drawDuration(kLeastRestartDelay, kMostRestartDelay);
@@ -97,7 +97,7 @@
       }
       // The platform sends SIGKILL when the grace period is over. A process that is killed here counts as a violation,
       // because of its exit status.
-      if (state.terminatedAt && now - *state.terminatedAt > run_.seen.bounds.grace)
+      if (state.terminatedAt && now - *state.terminatedAt > run_.observations.bounds.grace)
         (void)run_.fleet.signal(process, SIGKILL);
     }
   }
--- a/tests/soak/link_and_disk_faults.cpp
+++ b/tests/soak/link_and_disk_faults.cpp
@@ -45,7 +45,7 @@
       mark(machine);
     mark(machine);
   }
-  void mark(int machine) { run_.seen.disturbances.push_back({machine, Clock::now(), false}); }
+  void mark(int machine) { run_.observations.disturbances.push_back({machine, Clock::now(), false}); }
   Machines controllers() const {
     Machines all(run_.fleet.core().size());
     std::iota(all.begin(), all.end(), 0);
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -74,28 +74,29 @@
   }
 }
 int report(const SoakRun& run) {
-  const auto& seen = run.seen;
+  const auto& observations = run.observations;
   const auto count = [&](int status) {
-    return std::count_if(seen.requests.begin(), seen.requests.end(), [status](const ClientRequest& request) {
-      return request.end == RequestEnd::answered && request.status == status;
-    });
+    return std::count_if(observations.requests.begin(), observations.requests.end(),
+                         [status](const ClientRequest& request) {
+                           return request.end == RequestEnd::answered && request.status == status;
+                         });
   };
-  const auto acknowledged = std::count_if(seen.changes.begin(), seen.changes.end(),
+  const auto acknowledged = std::count_if(observations.changes.begin(), observations.changes.end(),
                                           [](const Change& change) { return change.acknowledgedAt.has_value(); });
   const auto served = std::count_if(run.applicationCalls.begin(), run.applicationCalls.end(),
                                     [](const auto& call) { return call.succeeded(); });
   std::int64_t counted = 0;
   for (const auto& [counter, amount] : run.acknowledgedIncrements)
     counted += amount;
-  auto violations = findViolations(seen);
+  auto violations = findViolations(observations);
   addCoordination(run, violations);
   std::printf(
       "seed %ju: core %d, access %d, processes %zu; requests %zu: 200 %td, 404 %td, 503 %td; changes %zu, acknowledged "
       "%td; runners left %zu; ends of processes %zu; calls for coordination %zu, 200 %td; counted %jd; broken rules "
       "%zu\n",
       static_cast<std::uintmax_t>(run.plan.seed), run.plan.core, run.plan.access, run.fleet.processes().size(),
-      seen.requests.size(), count(200), count(404), count(503), seen.changes.size(), acknowledged,
-      seen.departures.size(), seen.exits.size(), run.applicationCalls.size(), served,
+      observations.requests.size(), count(200), count(404), count(503), observations.changes.size(), acknowledged,
+      observations.departures.size(), observations.exits.size(), run.applicationCalls.size(), served,
       static_cast<std::intmax_t>(counted), violations.size());
   for (std::size_t i = 0; i < std::min(violations.size(), kPrintedViolations); ++i)
     std::printf("  %s: %s\n", violations[i].rule.c_str(), violations[i].what.c_str());
@@ -129,7 +130,7 @@
   run.disturbed = false;
   if (run.faults)
     run.faults->endAll();
-  loop.sleepFor(run.seen.bounds.contact);
+  loop.sleepFor(run.observations.bounds.contact);
   run.loaded = false;
   if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
     return fail("clients or operations on the fleet did not end in time");
--- a/tests/soak/observations.cpp
+++ b/tests/soak/observations.cpp
@@ -22,7 +22,7 @@
 
 class Checker {
  public:
-  explicit Checker(const Observations& seen) : observations_(seen) {}
+  explicit Checker(const Observations& observations) : observations_(observations) {}
   std::vector<Violation> check() {
     for (const auto& request : observations_.requests) {
       checkLoss(request);
@@ -182,7 +182,7 @@
     return concerns && !each.planned && each.at >= from - bounds.contact && each.at <= to;
   });
 }
-std::vector<Violation> findViolations(const Observations& seen) {
-  return Checker(seen).check();
+std::vector<Violation> findViolations(const Observations& observations) {
+  return Checker(observations).check();
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/observations.hpp
+++ b/tests/soak/observations.hpp
@@ -96,5 +96,5 @@
   std::string what;
 };
 /// Returns the violations that the observations show.
-std::vector<Violation> findViolations(const Observations& seen);
+std::vector<Violation> findViolations(const Observations& observations);
 }  // namespace zinccleat::soak
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -51,10 +51,10 @@
 
 bool installFirstConfiguration(SoakRun& run) {
   const std::set<std::string> routes{"t0", "t1", "t2"};
-  run.seen.changes.push_back({1, routes, Clock::now(), std::nullopt, false});
+  run.observations.changes.push_back({1, routes, Clock::now(), std::nullopt, false});
   if (sendChange(run, 0, 1, routes, kFirstAttempts) != kOk)
     return false;
-  run.seen.changes.back().acknowledgedAt = Clock::now();
+  run.observations.changes.back().acknowledgedAt = Clock::now();
   run.version = 1;
   run.routes = routes;
   return true;
@@ -63,10 +63,10 @@
   const auto base = run.version;
   const auto version = base + 1 + static_cast<std::int64_t>(run.draw(3));
   const auto routes = toggled(run);
-  const auto index = run.seen.changes.size();
-  run.seen.changes.push_back({version, routes, Clock::now(), std::nullopt, false});
+  const auto index = run.observations.changes.size();
+  run.observations.changes.push_back({version, routes, Clock::now(), std::nullopt, false});
   const int status = sendChange(run, base, version, routes, kChangeAttempts);
-  auto& change = run.seen.changes[index];
+  auto& change = run.observations.changes[index];
   change.refused = status == kConflict;
   if (status != kOk)
     return;
@@ -92,22 +92,22 @@
 void evacuateZone(SoakRun& run) {
   const auto& zone = kZones[run.draw(kZones.size())];
   const bool acknowledged = sendZoneOrder(run, "Begin", zone);
-  const auto index = run.seen.evacuations.size();
+  const auto index = run.observations.evacuations.size();
   if (acknowledged)
-    run.seen.evacuations.push_back({zone, Clock::now(), std::nullopt});
-  runtime::EventLoop::get().sleepFor(run.seen.bounds.evacuate + run.drawDuration(0ms, 2500ms));
+    run.observations.evacuations.push_back({zone, Clock::now(), std::nullopt});
+  runtime::EventLoop::get().sleepFor(run.observations.bounds.evacuate + run.drawDuration(0ms, 2500ms));
   if (acknowledged)
-    run.seen.evacuations[index].releasedAt = Clock::now();
+    run.observations.evacuations[index].releasedAt = Clock::now();
   (void)sendZoneOrder(run, "Release", zone);
 }
 void readBack(SoakRun& run) {
-  for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end && !run.seen.finalVersion;
+  for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end && !run.observations.finalVersion;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
     const auto answer = operations::callOne(run.anyController(), simulation::retrieveCall(), kCallTimeout);
     if (!answer || answer->status != kOk)
       continue;
     if (const auto version = operations::fieldOf(answer->body, "configVersion"))
-      run.seen.finalVersion = std::atoll(version->c_str());
+      run.observations.finalVersion = std::atoll(version->c_str());
   }
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -26,7 +26,7 @@
         id(std::move(runnerId)),
         acceptor(runtime::EventLoop::get().io(), tcp::endpoint(asio::ip::make_address(run.fleet.ip(7, 1)), 0)) {}
   std::string address() const { return run.fleet.ip(7, 1) + ":" + std::to_string(acceptor.local_endpoint().port()); }
-  const std::string& zone() const { return run.seen.runnerZones[id]; }
+  const std::string& zone() const { return run.observations.runnerZones[id]; }
   void acceptNext();
   void serve(runtime::Connection& connection);
   void answer(const RequestParser::value_type& request, runtime::Connection& connection, runtime::SocketError& ec);
@@ -67,7 +67,7 @@
     connection.write(asio::buffer("HTTP/1.1 421 Misdirected Request\r\n" + head + "Content-Length: 0\r\n\r\n"), ec);
     return;
   }
-  run.seen.executions[attemptId].push_back({id, Clock::now()});
+  run.observations.executions[attemptId].push_back({id, Clock::now()});
   const bool stream = request.target().starts_with("/stream/");
   if (!stream) {
     runtime::EventLoop::get().sleepFor(run.drawDuration(1ms, 60ms));
@@ -117,8 +117,8 @@
   while (!announce() && ++calls < kMaxDetachCalls)
     runtime::EventLoop::get().sleepFor(50ms);
   if (calls < kMaxDetachCalls)
-    run.seen.departures[id] = Clock::now();
-  runtime::EventLoop::get().sleepFor(run.seen.bounds.drain + run.drawDuration(kServesOn, kServesOn * 3));
+    run.observations.departures[id] = Clock::now();
+  runtime::EventLoop::get().sleepFor(run.observations.bounds.drain + run.drawDuration(kServesOn, kServesOn * 3));
   if (saysSo)
     (void)operations::callOne(run.anyController(), simulation::detachCall(id), kCallTimeout);
   ended = true;
@@ -130,7 +130,7 @@
 void startRunner(SoakRun& run, const std::string& id) {
   auto runner = std::make_shared<SoakRunner>(run, id);
   runners()[id] = runner;
-  run.seen.runnerZones[id] = kZones[run.draw(kZones.size())];
+  run.observations.runnerZones[id] = kZones[run.draw(kZones.size())];
   runner->acceptNext();
   runtime::EventLoop::get().spawn([runner] { runner->keepAlive(); });
 }
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -39,7 +39,7 @@
   std::mt19937_64 random;
   simulation::LocalFleet fleet;
   std::optional<FaultControl> faults;  ///< empty if the plan has no faults of disks, links or clocks
-  Observations seen;
+  Observations observations;
   std::vector<char> inService;   ///< by access machine: whether the platform sends it new connections
   bool loaded = true;            ///< whether clients send requests
   bool disturbed = true;         ///< whether operations on the fleet and faults continue
