--- a/tests/soak_observations_test.cpp
+++ b/tests/soak_observations_test.cpp
@@ -15,7 +15,7 @@
   return {id, RequestKind::unsafe, "", kMachine, at, at + 20ms, RequestEnd::answered, status, true};
 }
 /// Observations of a run without violations: enough requests were served and the newest configuration was read back.
-Observations quietRun() {
+Observations observationsWithoutViolation() {
   Observations observations;
   for (int i = 0; i < 60; ++i)
     observations.requests.push_back(answered("r" + std::to_string(i), kStart + 1s));
@@ -23,7 +23,7 @@
   observations.finalVersion = 1;
   return observations;
 }
-std::string rulesBrokenBy(const Observations& observations) {
+std::string violatedRules(const Observations& observations) {
   std::string rules;
   for (const auto& violation : findViolations(observations))
     rules += violation.rule + " ";
@@ -32,95 +32,95 @@
 }  // namespace
 
 TEST(SoakObservations, AQuietRunBreaksNothing) {
-  EXPECT_EQ(rulesBrokenBy(quietRun()), "");
+  EXPECT_EQ(violatedRules(observationsWithoutViolation()), "");
 }
 TEST(SoakObservations, ARequestThatWasPassedOnMustBeAnswered) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   auto lost = answered("lost", kStart + 9s);
   lost.end = RequestEnd::connectionClosed;
   lost.endedAt = lost.sentAt + 100ms;
   observations.requests.push_back(lost);
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the connection may have been closed before the request arrived";
+  EXPECT_EQ(violatedRules(observations), "") << "the connection may have been closed before the request arrived";
   observations.requests.back().endedAt = lost.sentAt + 300ms;
-  EXPECT_EQ(rulesBrokenBy(observations), "LOST ");
+  EXPECT_EQ(violatedRules(observations), "LOST ");
   observations.requests.back() = lost;
   observations.executions["lost"] = {{"i1", kStart + 9s}};
-  EXPECT_EQ(rulesBrokenBy(observations), "LOST ");
+  EXPECT_EQ(violatedRules(observations), "LOST ");
   observations.disturbances = {{kMachine, kStart + 8s, true}};
-  EXPECT_EQ(rulesBrokenBy(observations), "LOST ") << "a planned disturbance does not permit lost requests";
+  EXPECT_EQ(violatedRules(observations), "LOST ") << "a planned disturbance does not permit lost requests";
   observations.disturbances = {{kMachine, kStart + 8s, false}};
-  EXPECT_EQ(rulesBrokenBy(observations), "");
+  EXPECT_EQ(violatedRules(observations), "");
 }
 TEST(SoakObservations, NothingReachesARunnerLongAfterItLeft) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   observations.requests.push_back(answered("late", kStart + 10s));
   observations.executions["late"] = {{"i1", kStart + 10s + 5ms}};
   observations.departures["i1"] = kStart + 8s;
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the request was sent within the bound of the drain";
+  EXPECT_EQ(violatedRules(observations), "") << "the request was sent within the bound of the drain";
   observations.departures["i1"] = kStart + 8s - 1ms;
-  EXPECT_EQ(rulesBrokenBy(observations), "DRAIN ");
+  EXPECT_EQ(violatedRules(observations), "DRAIN ");
   observations.disturbances = {{Disturbance::kCore, kStart + 9s, true}};
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the access machine may have no connection to the core";
+  EXPECT_EQ(violatedRules(observations), "") << "the access machine may have no connection to the core";
 }
 TEST(SoakObservations, NothingReachesAnEvacuatedZoneAfterItsBound) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   observations.requests.push_back(answered("late", kStart + 10s));
   observations.executions["late"] = {{"i1", kStart + 10s}};
   observations.runnerZones["i1"] = "a";
   observations.evacuations = {{"a", kStart + 8s, std::nullopt}};
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the request was executed within the bound of the evacuation";
+  EXPECT_EQ(violatedRules(observations), "") << "the request was executed within the bound of the evacuation";
   observations.evacuations[0].acknowledgedAt = kStart + 8s - 1ms;
-  EXPECT_EQ(rulesBrokenBy(observations), "EVAC ");
+  EXPECT_EQ(violatedRules(observations), "EVAC ");
   observations.evacuations[0].releasedAt = kStart + 9s;
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the evacuation was released";
+  EXPECT_EQ(violatedRules(observations), "") << "the evacuation was released";
   observations.evacuations[0] = {"b", kStart + 7s, std::nullopt};
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the runner is in another zone";
+  EXPECT_EQ(violatedRules(observations), "") << "the runner is in another zone";
 }
 TEST(SoakObservations, WhatMayRunOnceRunsOnceAndARefusalIsTrue) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   observations.requests.push_back(answered("a", kStart + 9s));
   observations.executions["a"] = {{"i1", kStart + 9s}, {"i2", kStart + 9s}};
-  EXPECT_EQ(rulesBrokenBy(observations), "TWICE ");
+  EXPECT_EQ(violatedRules(observations), "TWICE ");
   observations.executions["a"].pop_back();
   observations.requests.back().status = 503;
-  EXPECT_EQ(rulesBrokenBy(observations), "REFUSED ");
+  EXPECT_EQ(violatedRules(observations), "REFUSED ");
   observations.requests.back() = answered("a", kStart + 9s);
   observations.requests.back().bodyMatches = false;
-  EXPECT_EQ(rulesBrokenBy(observations), "MIXED ");
+  EXPECT_EQ(violatedRules(observations), "MIXED ");
 }
 TEST(SoakObservations, ARouteIsThereWhileEveryPossibleConfigurationHasIt) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   auto probe = answered("p", kStart + 5s, 404);
   probe.route = "t1";
   observations.requests.push_back(probe);
-  EXPECT_EQ(rulesBrokenBy(observations), "CONFIG ");
+  EXPECT_EQ(violatedRules(observations), "CONFIG ");
   observations.changes.push_back({2, {}, kStart + 4s, kStart + 4s + 50ms, false});
   observations.finalVersion = 2;
-  EXPECT_EQ(rulesBrokenBy(observations), "") << "the change that removes the route may be effective";
+  EXPECT_EQ(violatedRules(observations), "") << "the change that removes the route may be effective";
   observations.changes.back().refused = true;
   observations.changes.back().acknowledgedAt.reset();
-  EXPECT_EQ(rulesBrokenBy(observations), "CONFIG ") << "a rejected change never becomes effective";
+  EXPECT_EQ(violatedRules(observations), "CONFIG ") << "a rejected change never becomes effective";
   observations.changes.back() = {2, {}, kStart + 2s, kStart + 2s + 50ms, false};
-  EXPECT_EQ(rulesBrokenBy(observations), "");
+  EXPECT_EQ(violatedRules(observations), "");
   observations.requests.back().status = 200;
-  EXPECT_EQ(rulesBrokenBy(observations), "CONFIG ") << "the route was removed long before";
+  EXPECT_EQ(violatedRules(observations), "CONFIG ") << "the route was removed long before";
 }
 TEST(SoakObservations, WhatWasAcknowledgedIsReadBack) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   observations.finalVersion = 0;
-  EXPECT_EQ(rulesBrokenBy(observations), "CONFIG ");
+  EXPECT_EQ(violatedRules(observations), "CONFIG ");
   observations.finalVersion.reset();
-  EXPECT_EQ(rulesBrokenBy(observations), "CONFIG ");
+  EXPECT_EQ(violatedRules(observations), "CONFIG ");
 }
 TEST(SoakObservations, ProcessesEndOnlyWhenAskedAndInTime) {
-  auto observations = quietRun();
+  auto observations = observationsWithoutViolation();
   observations.exits = {{"proxy", 0, kStart, false, {}, kStart + 3s}, {"agent", 9, std::nullopt, true, {}, kStart}};
-  EXPECT_EQ(rulesBrokenBy(observations), "");
+  EXPECT_EQ(violatedRules(observations), "");
   observations.exits[0].endedAt = kStart + 9s;
-  EXPECT_EQ(rulesBrokenBy(observations), "Fault ") << "the process exited long after its grace period";
+  EXPECT_EQ(violatedRules(observations), "Fault ") << "the process exited long after its grace period";
   observations.exits[0] = {"proxy", 0, std::nullopt, false, {}, kStart};
-  EXPECT_EQ(rulesBrokenBy(observations), "Fault ") << "the process exited without SIGTERM";
+  EXPECT_EQ(violatedRules(observations), "Fault ") << "the process exited without SIGTERM";
   observations.exits.clear();
   observations.requests.resize(10);
-  EXPECT_EQ(rulesBrokenBy(observations), "Fault ") << "the run has too few requests";
+  EXPECT_EQ(violatedRules(observations), "Fault ") << "the run has too few requests";
 }
