--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -132,15 +132,15 @@
     run.faults->endAll();
   loop.sleepFor(run.observations.bounds.contact);
   run.loaded = false;
-  if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
+  if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
     return fail("clients or operations on the fleet did not end in time");
   readBack(run);
   readBackApplications(run);
   readBackCounters(run);
-  if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
+  if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
     return fail("the final reads of the applications did not end in time");
   const int status = report(run);
-  if (status != 0 && run.plan.keepsLogs)
+  if (status != 0 && run.plan.keepLogsOnViolation)
     keepLogs(run);
   return status;
 }
@@ -170,7 +170,7 @@
     else if (std::strncmp(argument, kPlant, std::strlen(kPlant)) == 0)
       plan.planted = argument + std::strlen(kPlant);
     else if (std::strcmp(argument, "--keep") == 0)
-      plan.keepsLogs = true;
+      plan.keepLogsOnViolation = true;
     else if (!parse(argument, "--seed=", plan.seed) && !parse(argument, "--seconds=", plan.seconds) &&
              !parse(argument, "--core=", plan.core) && !parse(argument, "--access=", plan.access) &&
              !parse(argument, "--runners=", plan.runners) && !parse(argument, "--clients=", plan.clients) &&
@@ -190,10 +190,10 @@
             simulation::FleetOptions{.core = soakPlan.core, .zones = kZones, .timers = timersJson(Bounds{})}),
       inService(static_cast<std::size_t>(soakPlan.access), 0) {}
 void SoakRun::spawn(std::function<void()> body) {
-  ++busy;
+  ++activeFibers;
   runtime::EventLoop::get().spawn([this, body = std::move(body)] {
     body();
-    --busy;
+    --activeFibers;
   });
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -29,7 +29,7 @@
   std::string planted;   ///< a fault beyond what the fleet tolerates, injected to show that the checks find violations;
                          ///< see `startFaults`
   std::string library;   ///< path of the library that the processes preload to inject faults
-  bool keepsLogs = false;  ///< whether the folder with the logs is kept after a violation
+  bool keepLogsOnViolation = false;  ///< whether the folder with the logs is kept after a violation
 };
 
 /// State shared by the parts of a run. Must outlive the fibers that refer to it, which run until the process exits.
@@ -43,7 +43,7 @@
   std::vector<char> inService;   ///< by access machine: whether the platform sends it new connections
   bool loaded = true;            ///< whether clients send requests
   bool disturbed = true;         ///< whether operations on the fleet and faults continue
-  int busy = 0;                  ///< number of fibers started by `spawn` that have not ended
+  int activeFibers = 0;          ///< number of fibers started by `spawn` that have not ended
   std::set<std::string> routes;  ///< optional routes of the newest acknowledged configuration
   std::int64_t version = 0;      ///< version of the newest acknowledged configuration
   std::vector<coordination_history::Call> applicationCalls;
@@ -56,7 +56,7 @@
   Duration drawDuration(Duration least, Duration most) {
     return least + Duration(static_cast<std::int64_t>(draw(static_cast<std::uint64_t>((most - least).count()) + 1)));
   }
-  /// Runs `body` on a new fiber, which counts in `busy` until `body` returns.
+  /// Runs `body` on a new fiber, which counts in `activeFibers` until `body` returns.
   void spawn(std::function<void()> body);
   std::string anyController() { return fleet.control(draw(fleet.core().size())); }
 };
@@ -81,11 +81,12 @@
 void startClients(SoakRun& run);
 void startApplications(SoakRun& run);
 /// Requests every lock, number, cell and watch until a controller answers, for up to three seconds each, on fibers that
-/// count in `SoakRun::busy`.
+/// count in `SoakRun::activeFibers`.
 void readBackApplications(SoakRun& run);
 /// Starts applications that increment replicated counters until the load ends.
 void startCounting(SoakRun& run);
-/// Reads every counter from every controller for up to five seconds each, on fibers that count in `SoakRun::busy`.
+/// Reads every counter from every controller for up to five seconds each, on fibers that count in
+/// `SoakRun::activeFibers`.
 void readBackCounters(SoakRun& run);
 /// Sends the first configuration until it is acknowledged. @return false if no controller acknowledged it.
 bool installFirstConfiguration(SoakRun& run);
