--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -160,7 +160,7 @@
   runtime::tune(connection->socket());
   return connection;
 }
-void startPlatform(SoakRun& run) {
+void startReadinessPolling(SoakRun& run) {
   for (int machine = 0; machine < run.plan.access; ++machine)
     runtime::EventLoop::get().spawn([&run, machine] { poll(run, machine); });
 }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -118,7 +118,7 @@
     return fail("the fleet did not start");
   for (int i = 0; i < run.plan.runners; ++i)
     startRunner(run, "runner-" + std::to_string(i) + "-" + std::to_string(run.plan.seed));
-  startPlatform(run);
+  startReadinessPolling(run);
   if (!waitUntil(kReadyTimeout, [&run] { return allInService(run); }))
     return fail("the access machines did not become ready in time");
   startClients(run);
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -77,7 +77,7 @@
 /// Returns the ids of the runners that are not leaving.
 std::vector<std::string> runnersInService(const SoakRun& run);
 /// Polls the readiness of each access machine every second, as the platform's load balancer does.
-void startPlatform(SoakRun& run);
+void startReadinessPolling(SoakRun& run);
 void startClients(SoakRun& run);
 void startApplications(SoakRun& run);
 /// Requests every lock, number, cell and watch until a controller answers, for up to three seconds each, on fibers that
