--- a/tests/soak/link_and_disk_faults.cpp
+++ b/tests/soak/link_and_disk_faults.cpp
@@ -21,9 +21,9 @@
       repeat([this] { cutAccess(); });
       repeat([this] { resetConnections(); });
     }
-    if (run_.plan.planted == "slow-clock")
+    if (run_.plan.plantedFault == "slow-clock")
       repeat([this] { slowClock(); });
-    if (run_.plan.planted == "lost-disks")
+    if (run_.plan.plantedFault == "lost-disks")
       run_.spawn([this] { loseAllDisks(); });
   }
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -52,7 +52,7 @@
   faults.preload();
 }
 bool start(SoakRun& run) {
-  if (run.plan.disks || run.plan.cuts || !run.plan.planted.empty())
+  if (run.plan.disks || run.plan.cuts || !run.plan.plantedFault.empty())
     prepareFaults(run);
   if (!run.fleet.startCore())
     return false;
@@ -168,7 +168,7 @@
     else if (std::strcmp(argument, "--cuts") == 0)
       plan.cuts = true;
     else if (std::strncmp(argument, kPlant, std::strlen(kPlant)) == 0)
-      plan.planted = argument + std::strlen(kPlant);
+      plan.plantedFault = argument + std::strlen(kPlant);
     else if (std::strcmp(argument, "--keep") == 0)
       plan.keepLogsOnViolation = true;
     else if (!parse(argument, "--seed=", plan.seed) && !parse(argument, "--seconds=", plan.seconds) &&
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -26,9 +26,9 @@
   bool kills = false;    ///< whether processes are also killed with SIGKILL
   bool disks = false;    ///< whether disks are slow, stall, are full or fail single operations
   bool cuts = false;     ///< whether packets are lost or delayed and connections are reset
-  std::string planted;   ///< a fault beyond what the fleet tolerates, injected to show that the checks find violations;
-                         ///< see `startFaults`
-  std::string library;   ///< path of the library that the processes preload to inject faults
+  std::string plantedFault;  ///< a fault beyond what the fleet tolerates, injected to show that the checks find
+                             ///< violations; see `startFaults`
+  std::string library;               ///< path of the library that the processes preload to inject faults
   bool keepLogsOnViolation = false;  ///< whether the folder with the logs is kept after a violation
 };
 
@@ -98,7 +98,7 @@
 void readBack(SoakRun& run);
 /// Starts the supervisor, which restarts processes that have exited, and the series of operations on the fleet.
 void startDisturbances(SoakRun& run);
-/// Starts the series of disk and network faults that the plan enables, and the fault of `SoakPlan::planted`:
+/// Starts the series of disk and network faults that the plan enables, and the fault of `SoakPlan::plantedFault`:
 /// - `slow-clock`: a controller is partitioned while its clock runs slowly, so that its leases last too long;
 /// - `lost-disks`: all controllers lose their disks at once, which is more than the fleet tolerates.
 void startFaults(SoakRun& run);
