--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -173,7 +173,7 @@
  public:
   Application(SoakRun& run, int number) : run_(run), name_("application" + std::to_string(number)), connection_(run) {}
   void use() {
-    while (run_.loaded) {
+    while (run_.loadActive) {
       pause();
       act();
     }
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -23,9 +23,9 @@
  public:
   SoakClient(SoakRun& run, int number) : run_(run), number_(number) {}
   void use() {
-    while (run_.loaded) {
+    while (run_.loadActive) {
       pause();
-      if (!run_.loaded)
+      if (!run_.loadActive)
         return;
       if (!connection_ && !connect())
         continue;
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -49,7 +49,7 @@
   }
 }
 void use(SoakRun& run, int number) {
-  for (int increment = 0; run.loaded; ++increment) {
+  for (int increment = 0; run.loadActive; ++increment) {
     runtime::EventLoop::get().sleepFor(run.drawDuration(5ms, 120ms));
     addOne(run, "application" + std::to_string(number) + "-" + std::to_string(increment));
   }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -131,7 +131,7 @@
   if (run.faults)
     run.faults->endAll();
   loop.sleepFor(run.observations.bounds.contact);
-  run.loaded = false;
+  run.loadActive = false;
   if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
     return fail("clients or operations on the fleet did not end in time");
   readBack(run);
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -26,8 +26,8 @@
   bool kills = false;    ///< whether processes are also killed with SIGKILL
   bool disks = false;    ///< whether disks are slow, stall, are full or fail single operations
   bool cuts = false;     ///< whether packets are lost or delayed and connections are reset
-  std::string plantedFault;  ///< a fault beyond what the fleet tolerates, injected to show that the checks find
-                             ///< violations; see `startFaults`
+  std::string plantedFault;          ///< a fault beyond what the fleet tolerates, injected to show that the checks find
+                                     ///< violations; see `startFaults`
   std::string library;               ///< path of the library that the processes preload to inject faults
   bool keepLogsOnViolation = false;  ///< whether the folder with the logs is kept after a violation
 };
@@ -41,7 +41,7 @@
   std::optional<FaultControl> faults;  ///< empty if the plan has no faults of disks, links or clocks
   Observations observations;
   std::vector<char> inService;   ///< by access machine: whether the platform sends it new connections
-  bool loaded = true;            ///< whether clients send requests
+  bool loadActive = true;        ///< whether clients send requests
   bool disturbed = true;         ///< whether operations on the fleet and faults continue
   int activeFibers = 0;          ///< number of fibers started by `spawn` that have not ended
   std::set<std::string> routes;  ///< optional routes of the newest acknowledged configuration
