--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -128,9 +128,9 @@
   static void sleepFor(Duration duration) { runtime::EventLoop::get().sleepFor(duration); }
   void repeat(std::function<void()> series) {
     run_.spawn([this, series = std::move(series)] {
-      while (run_.disturbed) {
+      while (run_.disturbancesActive) {
         sleepFor(run_.drawDuration(100ms, kMostSeriesPause));
-        if (run_.disturbed)
+        if (run_.disturbancesActive)
           series();
       }
     });
@@ -142,7 +142,7 @@
   int drawMachine() { return static_cast<int>(run_.draw(static_cast<std::uint64_t>(run_.plan.access))); }
   // Sends SIGTERM to both processes of an access machine, sometimes twice, and sometimes SIGHUP afterwards.
   void restartAccessMachines() {
-    for (int i = drawLength(); i > 0 && run_.disturbed; --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
+    for (int i = drawLength(); i > 0 && run_.disturbancesActive; --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
       const auto first = firstProcessOf(drawMachine());
       if (!supervisor_.runs(first) || !supervisor_.runs(first + 1))
         continue;
@@ -180,7 +180,7 @@
   // Two of these series run at once, so that two changes are sometimes based on the same version and the second one is
   // sent before the response to the first.
   void changeInSeries() {
-    for (int i = 3 * drawLength(); i > 0 && run_.disturbed; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
+    for (int i = 3 * drawLength(); i > 0 && run_.disturbancesActive; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
       changeConfiguration(run_);
   }
   // Replaces runners: a new runner starts before the old one leaves.
--- a/tests/soak/link_and_disk_faults.cpp
+++ b/tests/soak/link_and_disk_faults.cpp
@@ -32,9 +32,9 @@
   FaultControl& faults() { return *run_.faults; }
   void repeat(std::function<void()> series) {
     run_.spawn([this, series = std::move(series)] {
-      while (run_.disturbed) {
+      while (run_.disturbancesActive) {
         sleepFor(run_.drawDuration(200ms, kMostPause));
-        if (run_.disturbed)
+        if (run_.disturbancesActive)
           series();
       }
     });
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -127,7 +127,7 @@
   startDisturbances(run);
   startFaults(run);
   loop.sleepFor(std::chrono::seconds(run.plan.seconds));
-  run.disturbed = false;
+  run.disturbancesActive = false;
   if (run.faults)
     run.faults->endAll();
   loop.sleepFor(run.observations.bounds.contact);
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -40,12 +40,12 @@
   simulation::LocalFleet fleet;
   std::optional<FaultControl> faults;  ///< empty if the plan has no faults of disks, links or clocks
   Observations observations;
-  std::vector<char> inService;   ///< by access machine: whether the platform sends it new connections
-  bool loadActive = true;        ///< whether clients send requests
-  bool disturbed = true;         ///< whether operations on the fleet and faults continue
-  int activeFibers = 0;          ///< number of fibers started by `spawn` that have not ended
-  std::set<std::string> routes;  ///< optional routes of the newest acknowledged configuration
-  std::int64_t version = 0;      ///< version of the newest acknowledged configuration
+  std::vector<char> inService;     ///< by access machine: whether the platform sends it new connections
+  bool loadActive = true;          ///< whether clients send requests
+  bool disturbancesActive = true;  ///< whether operations on the fleet and faults continue
+  int activeFibers = 0;            ///< number of fibers started by `spawn` that have not ended
+  std::set<std::string> routes;    ///< optional routes of the newest acknowledged configuration
+  std::int64_t version = 0;        ///< version of the newest acknowledged configuration
   std::vector<coordination_history::Call> applicationCalls;
   std::vector<std::string> unansweredAtTheEnd;                 ///< names that no controller answered for at the end
   std::map<std::string, std::int64_t> sentIncrements;          ///< by counter: sum of all increments that were sent
