--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -273,7 +273,7 @@
     if (status == kOk || status == kNotFound)
       return;
   }
-  run.unansweredAtTheEnd.push_back(call.name);
+  run.failedFinalReads.push_back(call.name);
 }
 }  // namespace
 
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -55,7 +55,7 @@
   }
 }
 /// Reads a counter from one controller until the total is between the acknowledged and the sent sum. After
-/// `kReadBackTime` the counter is recorded in `SoakRun::unansweredAtTheEnd`.
+/// `kReadBackTime` the counter is recorded in `SoakRun::failedFinalReads`.
 void readBackOne(SoakRun& run, const std::string& address, const std::string& counter) {
   const auto sent = run.sentIncrements[counter];
   const auto acknowledged = run.acknowledgedIncrements[counter];
@@ -66,8 +66,8 @@
     if (total && *total >= acknowledged && *total <= sent)
       return;
   }
-  run.unansweredAtTheEnd.push_back(counter + " at " + address + ": " + (total ? std::to_string(*total) : "nothing") +
-                                   ", acknowledged " + std::to_string(acknowledged) + ", sent " + std::to_string(sent));
+  run.failedFinalReads.push_back(counter + " at " + address + ": " + (total ? std::to_string(*total) : "nothing") +
+                                 ", acknowledged " + std::to_string(acknowledged) + ", sent " + std::to_string(sent));
 }
 }  // namespace
 
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -66,7 +66,7 @@
 }
 /// Adds the violations that the applications observed.
 void addCoordination(const SoakRun& run, std::vector<Violation>& violations) {
-  for (const auto& name : run.unansweredAtTheEnd)
+  for (const auto& name : run.failedFinalReads)
     violations.push_back({"LOST", "at the end no answer for " + name});
   for (const auto& broken : coordination_history::violationsIn(run.applicationCalls)) {
     const auto colon = broken.find(": ");
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -47,7 +47,7 @@
   std::set<std::string> routes;    ///< optional routes of the newest acknowledged configuration
   std::int64_t version = 0;        ///< version of the newest acknowledged configuration
   std::vector<coordination_history::Call> applicationCalls;
-  std::vector<std::string> unansweredAtTheEnd;                 ///< names that no controller answered for at the end
+  std::vector<std::string> failedFinalReads;                   ///< names that no controller answered for at the end
   std::map<std::string, std::int64_t> sentIncrements;          ///< by counter: sum of all increments that were sent
   std::map<std::string, std::int64_t> acknowledgedIncrements;  ///< by counter: sum of the acknowledged increments
   std::function<void(std::size_t)> killForFault;  ///< kills a process, by index; the process is then restarted
