--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -110,7 +110,7 @@
   explicit Disturber(SoakRun& run) : run_(run), supervisor_(run) {}
   void start() {
     supervisor_.start();
-    run_.killForFault = [this](std::size_t process) { supervisor_.kill(process); };
+    run_.killProcess = [this](std::size_t process) { supervisor_.kill(process); };
     // Each kind of operation has its own series, so that operations overlap.
     repeat([this] { restartAccessMachines(); });
     repeat([this] { restartAccessMachines(); });
--- a/tests/soak/link_and_disk_faults.cpp
+++ b/tests/soak/link_and_disk_faults.cpp
@@ -152,7 +152,7 @@
     sleepFor(std::chrono::seconds(run_.plan.seconds) * 2 / 3);
     mark(Disturbance::kCore);
     for (const auto each : controllers())
-      run_.killForFault(each);
+      run_.killProcess(each);
     for (const auto each : controllers())
       for (const auto& file :
            std::filesystem::directory_iterator(run_.fleet.folder() + "/core-" + std::to_string(each + 1)))
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -50,7 +50,7 @@
   std::vector<std::string> failedFinalReads;                   ///< names that no controller answered for at the end
   std::map<std::string, std::int64_t> sentIncrements;          ///< by counter: sum of all increments that were sent
   std::map<std::string, std::int64_t> acknowledgedIncrements;  ///< by counter: sum of the acknowledged increments
-  std::function<void(std::size_t)> killForFault;  ///< kills a process, by index; the process is then restarted
+  std::function<void(std::size_t)> killProcess;  ///< kills a process, by index; the process is then restarted
 
   std::uint64_t draw(std::uint64_t below) { return random() % below; }
   Duration drawDuration(Duration least, Duration most) {
