--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -141,7 +141,7 @@
 
  private:
   bool connect() {
-    connection_ = openConnection(run_.anyController());
+    connection_ = openConnection(run_.randomControllerAddress());
     buffer_.clear();
     return connection_ != nullptr;
   }
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -36,8 +36,8 @@
   run.sentIncrements[counter] += amount;
   bool acknowledged = false;
   for (int attempt = 0; attempt < kAttempts; ++attempt) {
-    const auto answer =
-        operations::callOne(run.anyController(), {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kPatience);
+    const auto answer = operations::callOne(run.randomControllerAddress(),
+                                            {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kPatience);
     if (answer && answer->status == kOk) {
       if (!std::exchange(acknowledged, true))
         run.acknowledgedIncrements[counter] += amount;
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -33,7 +33,7 @@
                int attempts) {
   const auto call = simulation::replaceCall(configurationJson(version, routes), base);
   for (int attempt = 0; attempt < attempts; ++attempt) {
-    const auto answer = operations::callOne(run.anyController(), call, kCallTimeout);
+    const auto answer = operations::callOne(run.randomControllerAddress(), call, kCallTimeout);
     if (answer && (answer->status == kOk || answer->status == kConflict))
       return answer->status;
     runtime::EventLoop::get().sleepFor(kRetryInterval);
@@ -80,7 +80,7 @@
 /// Sends an evacuation order for a zone until it is acknowledged. @return false if no attempt was acknowledged.
 bool sendZoneOrder(SoakRun& run, const std::string& order, const std::string& zone) {
   for (int attempt = 0; attempt < kZoneOrderAttempts; ++attempt) {
-    const auto answer = operations::callOne(run.anyController(),
+    const auto answer = operations::callOne(run.randomControllerAddress(),
                                             {"POST", "/v1/Evacuation." + order + "/" + zone, "", {}}, kCallTimeout);
     if (answer && answer->status == kOk)
       return true;
@@ -103,7 +103,7 @@
 void readBack(SoakRun& run) {
   for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end && !run.observations.finalVersion;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
-    const auto answer = operations::callOne(run.anyController(), simulation::retrieveCall(), kCallTimeout);
+    const auto answer = operations::callOne(run.randomControllerAddress(), simulation::retrieveCall(), kCallTimeout);
     if (!answer || answer->status != kOk)
       continue;
     if (const auto version = operations::fieldOf(answer->body, "configVersion"))
--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -96,7 +96,7 @@
                       zone() + R"(","capacity":16,"state":")" + (leaving ? "draining" : "in_service") +
                       R"(","sequence":)" + std::to_string(++sequence) + "}";
   return simulation::isAcknowledged(
-      operations::callOne(run.anyController(), simulation::heartbeatCall(id, report), kCallTimeout));
+      operations::callOne(run.randomControllerAddress(), simulation::heartbeatCall(id, report), kCallTimeout));
 }
 void SoakRunner::keepAlive() {
   while (!ended && !leaving) {
@@ -111,7 +111,7 @@
   const auto announce = [&] {
     return saysSo ? sendHeartbeat()
                   : simulation::isAcknowledged(
-                        operations::callOne(run.anyController(), simulation::detachCall(id), kCallTimeout));
+                        operations::callOne(run.randomControllerAddress(), simulation::detachCall(id), kCallTimeout));
   };
   int calls = 0;
   while (!announce() && ++calls < kMaxDetachCalls)
@@ -120,7 +120,7 @@
     run.observations.departures[id] = Clock::now();
   runtime::EventLoop::get().sleepFor(run.observations.bounds.drain + run.drawDuration(kServesOn, kServesOn * 3));
   if (saysSo)
-    (void)operations::callOne(run.anyController(), simulation::detachCall(id), kCallTimeout);
+    (void)operations::callOne(run.randomControllerAddress(), simulation::detachCall(id), kCallTimeout);
   ended = true;
   runtime::SocketError ec;
   acceptor.close(ec);
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -58,7 +58,7 @@
   }
   /// Runs `body` on a new fiber, which counts in `activeFibers` until `body` returns.
   void spawn(std::function<void()> body);
-  std::string anyController() { return fleet.control(draw(fleet.core().size())); }
+  std::string randomControllerAddress() { return fleet.control(draw(fleet.core().size())); }
 };
 
 /// Opens a connection and blocks the calling fiber meanwhile. @return null if the connection was refused or timed out.
