--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -56,7 +56,7 @@
     const auto kind = run_.draw(10);
     request.kind = kind < 4 ? RequestKind::safe : kind < 7 ? RequestKind::unsafe : RequestKind::stream;
     if (request.kind == RequestKind::safe && run_.draw(2) == 0)
-      request.route = "t" + std::to_string(run_.draw(kOptionalRoutes));
+      request.route = "t" + std::to_string(run_.draw(kOptionalRouteCount));
     return request;
   }
   static std::string pathOf(const ClientRequest& request) {
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -42,7 +42,7 @@
 }
 std::set<std::string> toggled(SoakRun& run) {
   auto routes = run.routes;
-  const auto route = "t" + std::to_string(run.draw(kOptionalRoutes));
+  const auto route = "t" + std::to_string(run.draw(kOptionalRouteCount));
   if (routes.erase(route) == 0)
     routes.insert(route);
   return routes;
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -68,7 +68,7 @@
 inline const std::vector<std::string> kZones = {"a", "b", "c"};
 
 /// Number of optional routes that the operators add and remove.
-constexpr int kOptionalRoutes = 6;
+constexpr int kOptionalRouteCount = 6;
 
 /// Starts a runner. After `requestDeparture`, the runner announces that it leaves, keeps serving for a while and stops.
 void startRunner(SoakRun& run, const std::string& id);
