--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -134,7 +134,7 @@
   run.loadActive = false;
   if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
     return fail("clients or operations on the fleet did not end in time");
-  readBack(run);
+  readBackConfiguration(run);
   readBackApplications(run);
   readBackCounters(run);
   if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -100,7 +100,7 @@
     run.observations.evacuations[index].releasedAt = Clock::now();
   (void)sendZoneOrder(run, "Release", zone);
 }
-void readBack(SoakRun& run) {
+void readBackConfiguration(SoakRun& run) {
   for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end && !run.observations.finalVersion;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
     const auto answer = operations::callOne(run.randomControllerAddress(), simulation::retrieveCall(), kCallTimeout);
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -95,7 +95,7 @@
 /// Evacuates a random zone of runners, and releases it after a random time.
 void evacuateZone(SoakRun& run);
 /// Reads the configuration version from any controller, with retries for up to three seconds.
-void readBack(SoakRun& run);
+void readBackConfiguration(SoakRun& run);
 /// Starts the supervisor, which restarts processes that have exited, and the series of operations on the fleet.
 void startDisturbances(SoakRun& run);
 /// Starts the series of disk and network faults that the plan enables, and the fault of `SoakPlan::plantedFault`:
