--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -71,7 +71,7 @@
 }
 }  // namespace
 
-void startCounting(SoakRun& run) {
+void startCounterApplications(SoakRun& run) {
   for (int number = 0; number < run.plan.applications / 2; ++number)
     run.spawn([&run, number] { use(run, number); });
 }
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -123,7 +123,7 @@
     return fail("the access machines did not become ready in time");
   startClients(run);
   startApplications(run);
-  startCounting(run);
+  startCounterApplications(run);
   startDisturbances(run);
   startFaults(run);
   loop.sleepFor(std::chrono::seconds(run.plan.seconds));
--- a/tests/soak/soak_run.hpp
+++ b/tests/soak/soak_run.hpp
@@ -84,7 +84,7 @@
 /// count in `SoakRun::activeFibers`.
 void readBackApplications(SoakRun& run);
 /// Starts applications that increment replicated counters until the load ends.
-void startCounting(SoakRun& run);
+void startCounterApplications(SoakRun& run);
 /// Reads every counter from every controller for up to five seconds each, on fibers that count in
 /// `SoakRun::activeFibers`.
 void readBackCounters(SoakRun& run);
