--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -15,13 +15,13 @@
 
 namespace zinccleat::soak {
 namespace {
-constexpr const char* kPlant = "--plant=";
+constexpr const char* kPlantOption = "--plant=";
 constexpr const char* kFolderInMemory = "/dev/shm";
 constexpr Duration kReadyTimeout{30000};
-constexpr Duration kPoll{50};
+constexpr Duration kPollInterval{50};
 constexpr Duration kEndTimeout{12000};
-constexpr Duration kLogTime{500};
-constexpr std::size_t kPrintedViolations = 12;
+constexpr Duration kLogFlushTime{500};
+constexpr std::size_t kMaxPrintedViolations = 12;
 
 std::string timersJson(const Bounds& bounds) {
   return R"({"graceS":)" + std::to_string(bounds.grace.count() / 1000) + R"(,"drainMs":)" +
@@ -30,7 +30,7 @@
          std::to_string(bounds.contact.count()) + "}";
 }
 bool waitUntil(Duration timeout, const std::function<bool()>& condition) {
-  for (const auto end = Clock::now() + timeout; Clock::now() < end; runtime::EventLoop::get().sleepFor(kPoll))
+  for (const auto end = Clock::now() + timeout; Clock::now() < end; runtime::EventLoop::get().sleepFor(kPollInterval))
     if (condition())
       return true;
   return false;
@@ -65,7 +65,7 @@
   return std::all_of(run.inService.begin(), run.inService.end(), [](char in) { return in != 0; });
 }
 /// Adds the violations that the applications observed.
-void addCoordination(const SoakRun& run, std::vector<Violation>& violations) {
+void addApplicationViolations(const SoakRun& run, std::vector<Violation>& violations) {
   for (const auto& name : run.failedFinalReads)
     violations.push_back({"LOST", "at the end no answer for " + name});
   for (const auto& broken : coordination_history::violationsIn(run.applicationCalls)) {
@@ -89,7 +89,7 @@
   for (const auto& [counter, amount] : run.acknowledgedIncrements)
     counted += amount;
   auto violations = findViolations(observations);
-  addCoordination(run, violations);
+  addApplicationViolations(run, violations);
   std::printf(
       "seed %ju: core %d, access %d, processes %zu; requests %zu: 200 %td, 404 %td, 503 %td; changes %zu, acknowledged "
       "%td; runners left %zu; ends of processes %zu; calls for coordination %zu, 200 %td; counted %jd; broken rules "
@@ -98,7 +98,7 @@
       observations.requests.size(), count(200), count(404), count(503), observations.changes.size(), acknowledged,
       observations.departures.size(), observations.exits.size(), run.applicationCalls.size(), served,
       static_cast<std::intmax_t>(counted), violations.size());
-  for (std::size_t i = 0; i < std::min(violations.size(), kPrintedViolations); ++i)
+  for (std::size_t i = 0; i < std::min(violations.size(), kMaxPrintedViolations); ++i)
     std::printf("  %s: %s\n", violations[i].rule.c_str(), violations[i].what.c_str());
   std::fflush(stdout);
   return violations.empty() ? 0 : 1;
@@ -107,12 +107,12 @@
 [[noreturn]] void keepLogs(const SoakRun& run) {
   for (std::size_t process = 0; process < run.fleet.processes().size(); ++process)
     (void)run.fleet.signal(process, SIGUSR1);
-  runtime::EventLoop::get().sleepFor(kLogTime);
+  runtime::EventLoop::get().sleepFor(kLogFlushTime);
   std::printf("  logs: %s\n", run.fleet.folder().c_str());
   std::fflush(stdout);
   std::_Exit(1);
 }
-int play(SoakRun& run) {
+int executeRun(SoakRun& run) {
   auto& loop = runtime::EventLoop::get();
   if (!start(run))
     return fail("the fleet did not start");
@@ -154,7 +154,7 @@
   number = static_cast<Number>(std::strtoull(argument + length, nullptr, 10));
   return true;
 }
-std::optional<SoakPlan> planOf(int argc, char** argv) {
+std::optional<SoakPlan> parsePlan(int argc, char** argv) {
   if (argc < 2)
     return std::nullopt;
   SoakPlan plan;
@@ -167,8 +167,8 @@
       plan.disks = true;
     else if (std::strcmp(argument, "--cuts") == 0)
       plan.cuts = true;
-    else if (std::strncmp(argument, kPlant, std::strlen(kPlant)) == 0)
-      plan.plantedFault = argument + std::strlen(kPlant);
+    else if (std::strncmp(argument, kPlantOption, std::strlen(kPlantOption)) == 0)
+      plan.plantedFault = argument + std::strlen(kPlantOption);
     else if (std::strcmp(argument, "--keep") == 0)
       plan.keepLogsOnViolation = true;
     else if (!parse(argument, "--seed=", plan.seed) && !parse(argument, "--seconds=", plan.seconds) &&
@@ -200,7 +200,7 @@
 
 int main(int argc, char** argv) {
   using namespace zinccleat;
-  const auto plan = soak::planOf(argc, argv);
+  const auto plan = soak::parsePlan(argc, argv);
   if (!plan) {
     std::fprintf(stderr,
                  "usage: zinccleat_soak PROGRAM [--seed=N] [--seconds=N] [--core=N] [--access=N] "
@@ -217,7 +217,7 @@
   {
     soak::SoakRun run(*plan);
     loop.spawn([&] {
-      status = soak::play(run);
+      status = soak::executeRun(run);
       runtime::EventLoop::get().stop();
     });
     loop.run();
