--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -8,9 +8,9 @@
 namespace zinccleat::soak {
 namespace {
 constexpr Duration kSupervisionInterval{20};
-constexpr Duration kLeastRestartDelay{50};
-constexpr Duration kMostRestartDelay{600};
-constexpr Duration kMostSeriesPause{1500};
+constexpr Duration kMinRestartDelay{50};
+constexpr Duration kMaxRestartDelay{600};
+constexpr Duration kMaxSeriesPause{1500};
 constexpr int kMaxSeriesLength = 5;
 
 /// The signals that a process blocks and handles, as /proc/PID/status shows them.
@@ -45,27 +45,27 @@
     const auto core = run_.fleet.core().size();
     return process < core ? Disturbance::kCore : static_cast<int>((process - core) / 2);
   }
-  void disturb(std::size_t process, bool planned) {
+  void recordDisturbance(std::size_t process, bool planned) {
     run_.observations.disturbances.push_back({machineOf(process), Clock::now(), planned});
   }
   /// Whether a process already blocks or handles SIGTERM. Before that, while the dynamic linker is active (10 ms, up to
   /// 180 ms on a busy machine), SIGTERM terminates the process regardless of the program's code.
-  bool mayBeSignalled(std::size_t process) const { return masksOf(process).handles(SIGTERM); }
+  bool handlesTermination(std::size_t process) const { return masksOf(process).handles(SIGTERM); }
   void terminate(std::size_t process) {
     const auto masks = masksOf(process);
     if (!masks.handles(SIGTERM))
       return;
-    disturb(process, true);
+    recordDisturbance(process, true);
     states_[process].masks = masks.text();
     if (run_.fleet.signal(process, SIGTERM) && !states_[process].terminatedAt)
       states_[process].terminatedAt = Clock::now();
   }
   void kill(std::size_t process) {
-    disturb(process, false);
+    recordDisturbance(process, false);
     states_[process].killed = true;
     (void)run_.fleet.signal(process, SIGKILL);
   }
-  bool runs(std::size_t process) const {
+  bool isRunning(std::size_t process) const {
     return run_.fleet.processes()[process].pid > 0 && !states_[process].terminatedAt;
   }
 
@@ -73,7 +73,7 @@
   struct State {
     std::optional<TimePoint> terminatedAt;
     bool killed = false;
-    TimePoint startAt = TimePoint::max();
+    TimePoint restartAt = TimePoint::max();
     TimePoint startedAt{};
     std::string masks;
   };
@@ -85,13 +85,13 @@
       if (const auto status = run_.fleet.takeExit(process)) {
         run_.observations.exits.push_back({run_.fleet.processes()[process].name, *status, state.terminatedAt,
                                            state.killed, state.startedAt, now, state.masks});
-        disturb(process, state.terminatedAt.has_value());
+        recordDisturbance(process, state.terminatedAt.has_value());
         state = {};
-        state.startAt = now + run_.drawDuration(kLeastRestartDelay, kMostRestartDelay);
+        state.restartAt = now + run_.drawDuration(kMinRestartDelay, kMaxRestartDelay);
       }
-      if (now >= state.startAt) {
-        state.startAt = TimePoint::max();
-        disturb(process, true);
+      if (now >= state.restartAt) {
+        state.restartAt = TimePoint::max();
+        recordDisturbance(process, true);
         state.startedAt = now;
         (void)run_.fleet.startAgain(process);
       }
@@ -105,9 +105,9 @@
   std::vector<State> states_;
 };
 
-class Disturber {
+class FleetOperations {
  public:
-  explicit Disturber(SoakRun& run) : run_(run), supervisor_(run) {}
+  explicit FleetOperations(SoakRun& run) : run_(run), supervisor_(run) {}
   void start() {
     supervisor_.start();
     run_.killProcess = [this](std::size_t process) { supervisor_.kill(process); };
@@ -116,8 +116,8 @@
     repeat([this] { restartAccessMachines(); });
     repeat([this] { restartController(); });
     repeat([this] { reloadSettings(); });
-    repeat([this] { changeInSeries(); });
-    repeat([this] { changeInSeries(); });
+    repeat([this] { sendConfigurationChanges(); });
+    repeat([this] { sendConfigurationChanges(); });
     repeat([this] { replaceRunners(); });
     repeat([this] { evacuateZone(run_); });
     if (run_.plan.kills)
@@ -129,7 +129,7 @@
   void repeat(std::function<void()> series) {
     run_.spawn([this, series = std::move(series)] {
       while (run_.disturbancesActive) {
-        sleepFor(run_.drawDuration(100ms, kMostSeriesPause));
+        sleepFor(run_.drawDuration(100ms, kMaxSeriesPause));
         if (run_.disturbancesActive)
           series();
       }
@@ -138,13 +138,14 @@
   std::size_t firstProcessOf(int machine) const {
     return run_.fleet.core().size() + 2 * static_cast<std::size_t>(machine);
   }
-  int drawLength() { return 1 + static_cast<int>(run_.draw(kMaxSeriesLength)); }
+  int drawSeriesLength() { return 1 + static_cast<int>(run_.draw(kMaxSeriesLength)); }
   int drawMachine() { return static_cast<int>(run_.draw(static_cast<std::uint64_t>(run_.plan.access))); }
   // Sends SIGTERM to both processes of an access machine, sometimes twice, and sometimes SIGHUP afterwards.
   void restartAccessMachines() {
-    for (int i = drawLength(); i > 0 && run_.disturbancesActive; --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
+    for (int i = drawSeriesLength(); i > 0 && run_.disturbancesActive;
+         --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
       const auto first = firstProcessOf(drawMachine());
-      if (!supervisor_.runs(first) || !supervisor_.runs(first + 1))
+      if (!supervisor_.isRunning(first) || !supervisor_.isRunning(first + 1))
         continue;
       const auto times = 1 + run_.draw(2);
       for (std::uint64_t time = 0; time < times; ++time) {
@@ -153,40 +154,40 @@
         sleepFor(run_.drawDuration(1ms, 200ms));
       }
       if (run_.draw(3) == 0)
-        hangUp(first);
+        sendHangup(first);
     }
   }
   void restartController() {
     const auto controllers = run_.fleet.core().size();
     std::size_t running = 0;
     for (std::size_t i = 0; i < controllers; ++i)
-      running += supervisor_.runs(i);
+      running += supervisor_.isRunning(i);
     // At most one controller is down at a time, because a planned restart must leave the other controllers running.
     if (running == controllers)
       supervisor_.terminate(run_.draw(controllers));
     sleepFor(run_.drawDuration(1500ms, 4000ms));
   }
-  void hangUp(std::size_t process) {
-    if (!supervisor_.mayBeSignalled(process))
+  void sendHangup(std::size_t process) {
+    if (!supervisor_.handlesTermination(process))
       return;
     run_.fleet.touchSettings(process);
-    supervisor_.disturb(process, true);
+    supervisor_.recordDisturbance(process, true);
     (void)run_.fleet.signal(process, SIGHUP);
   }
   void reloadSettings() {
-    for (int i = drawLength(); i > 0; --i, sleepFor(run_.drawDuration(1ms, 150ms)))
-      hangUp(run_.draw(run_.fleet.processes().size()));
+    for (int i = drawSeriesLength(); i > 0; --i, sleepFor(run_.drawDuration(1ms, 150ms)))
+      sendHangup(run_.draw(run_.fleet.processes().size()));
   }
   // Two of these series run at once, so that two changes are sometimes based on the same version and the second one is
   // sent before the response to the first.
-  void changeInSeries() {
-    for (int i = 3 * drawLength(); i > 0 && run_.disturbancesActive; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
+  void sendConfigurationChanges() {
+    for (int i = 3 * drawSeriesLength(); i > 0 && run_.disturbancesActive; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
       changeConfiguration(run_);
   }
   // Replaces runners: a new runner starts before the old one leaves.
   void replaceRunners() {
     const auto leaving = runnersInService(run_);
-    for (int i = drawLength(); i > 0; --i) {
+    for (int i = drawSeriesLength(); i > 0; --i) {
       startRunner(run_, "runner-" + std::to_string(++startedRunners_) + "-" + std::to_string(run_.plan.seed));
       sleepFor(run_.drawDuration(300ms, 900ms));
       requestDeparture(run_, leaving[run_.draw(leaving.size())]);
@@ -194,7 +195,7 @@
   }
   void killProcesses() {
     const auto process = run_.draw(run_.fleet.processes().size());
-    if (supervisor_.runs(process))
+    if (supervisor_.isRunning(process))
       supervisor_.kill(process);
     sleepFor(run_.drawDuration(500ms, 3000ms));
   }
@@ -206,8 +207,8 @@
 }  // namespace
 
 void startDisturbances(SoakRun& run) {
-  static std::unique_ptr<Disturber> disturber;
-  disturber = std::make_unique<Disturber>(run);
-  disturber->start();
+  static std::unique_ptr<FleetOperations> fleetOperations;
+  fleetOperations = std::make_unique<FleetOperations>(run);
+  fleetOperations->start();
 }
 }  // namespace zinccleat::soak
