--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -13,9 +13,9 @@
 using coordination_history::Call;
 using coordination_history::CallKind;
 
-constexpr Duration kPatience{1000};
+constexpr Duration kResponseTimeout{1000};
 constexpr Duration kWatchWait{700};
-constexpr Duration kWatchPatience{kWatchWait + kPatience};
+constexpr Duration kWatchPatience{kWatchWait + kResponseTimeout};
 constexpr Duration kRetryInterval{30};
 constexpr Duration kReadBackTime{3000};
 constexpr int kLocks = 4;
@@ -147,7 +147,7 @@
   }
   void exchange(Call& call) {
     runtime::SocketError ec;
-    connection_->setDeadline(Clock::now() + (call.kind == CallKind::watch ? kWatchPatience : kPatience));
+    connection_->setDeadline(Clock::now() + (call.kind == CallKind::watch ? kWatchPatience : kResponseTimeout));
     connection_->write(asio::buffer(requestOf(call)), ec);
     http::response_parser<http::string_body> parser;
     parser.eager(true);
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kConnectTimeout{900};
 constexpr int kMissesUntilOut = 2;
 constexpr Duration kDeadline{4000};            // value of X-Deadline-Ms
-constexpr Duration kPatience{5500};            // time that a client waits for the response
+constexpr Duration kResponseTimeout{5500};     // time that a client waits for the response
 constexpr std::uint64_t kLongPauseOneIn = 12;  // one of so many pauses lasts seconds, on an open connection
 constexpr int kOk = 200;
 
@@ -78,7 +78,7 @@
                       " HTTP/1.1\r\nHost: soak.example\r\nX-Attempt-Id: " + request.attemptId +
                       "\r\nX-Deadline-Ms: " + std::to_string(kDeadline.count()) + "\r\nContent-Length: 4\r\n\r\nbody";
     runtime::SocketError ec;
-    connection_->setDeadline(Clock::now() + kPatience);
+    connection_->setDeadline(Clock::now() + kResponseTimeout);
     const auto written = connection_->write(asio::buffer(text), ec);
     request.sentAt = Clock::now();
     if (ec || written < text.size()) {
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -6,7 +6,7 @@
 
 namespace zinccleat::soak {
 namespace {
-constexpr Duration kPatience{1000};
+constexpr Duration kResponseTimeout{1000};
 constexpr Duration kRetryInterval{30};
 constexpr Duration kReadBackTime{5000};
 constexpr int kCounters = 3;
@@ -18,7 +18,8 @@
   return "counter" + std::to_string(number);
 }
 std::optional<std::int64_t> totalAt(const std::string& address, const std::string& counter) {
-  const auto answer = operations::callOne(address, {"GET", "/v1/Tallies.Retrieve/" + counter, "", {}}, kPatience);
+  const auto answer =
+      operations::callOne(address, {"GET", "/v1/Tallies.Retrieve/" + counter, "", {}}, kResponseTimeout);
   if (!answer || answer->status != kOk)
     return std::nullopt;
   config::JsonDocument document(answer->body);
@@ -37,7 +38,7 @@
   bool acknowledged = false;
   for (int attempt = 0; attempt < kAttempts; ++attempt) {
     const auto answer = operations::callOne(run.randomControllerAddress(),
-                                            {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kPatience);
+                                            {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kResponseTimeout);
     if (answer && answer->status == kOk) {
       if (!std::exchange(acknowledged, true))
         run.acknowledgedIncrements[counter] += amount;
