--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kWatchWait{700};
 constexpr Duration kWatchPatience{kWatchWait + kResponseTimeout};
 constexpr Duration kRetryInterval{30};
-constexpr Duration kReadBackTime{3000};
+constexpr Duration kReadBackTimeout{3000};
 constexpr int kLocks = 4;
 constexpr int kNumbers = 2;
 constexpr int kGroups = 3;
@@ -264,10 +264,10 @@
   std::map<std::string, std::int64_t> watched_;    // last revision seen, by group
   int puts_ = 0;
 };
-/// Repeats one call at random controllers until a response is 200 or 404, for at most `kReadBackTime`.
+/// Repeats one call at random controllers until a response is 200 or 404, for at most `kReadBackTimeout`.
 void readBackOne(SoakRun& run, const Call& call) {
   ControllerConnection connection(run);
-  for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end;
+  for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
     const auto status = connection.send(call).status;
     if (status == kOk || status == kNotFound)
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr Duration kResponseTimeout{1000};
 constexpr Duration kRetryInterval{30};
-constexpr Duration kReadBackTime{5000};
+constexpr Duration kReadBackTimeout{5000};
 constexpr int kCounters = 3;
 constexpr int kAttempts = 8;
 constexpr int kOk = 200;
@@ -56,12 +56,12 @@
   }
 }
 /// Reads a counter from one controller until the total is between the acknowledged and the sent sum. After
-/// `kReadBackTime` the counter is recorded in `SoakRun::failedFinalReads`.
+/// `kReadBackTimeout` the counter is recorded in `SoakRun::failedFinalReads`.
 void readBackOne(SoakRun& run, const std::string& address, const std::string& counter) {
   const auto sent = run.sentIncrements[counter];
   const auto acknowledged = run.acknowledgedIncrements[counter];
   std::optional<std::int64_t> total;
-  for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end;
+  for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
     total = totalAt(address, counter);
     if (total && *total >= acknowledged && *total <= sent)
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -11,7 +11,7 @@
 constexpr int kFirstAttempts = 200;
 constexpr int kChangeAttempts = 12;
 constexpr int kZoneOrderAttempts = 20;
-constexpr Duration kReadBackTime{3000};
+constexpr Duration kReadBackTimeout{3000};
 constexpr int kOk = 200;
 constexpr int kConflict = 412;
 
@@ -101,7 +101,7 @@
   (void)sendZoneOrder(run, "Release", zone);
 }
 void readBackConfiguration(SoakRun& run) {
-  for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end && !run.observations.finalVersion;
+  for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end && !run.observations.finalVersion;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
     const auto answer = operations::callOne(run.randomControllerAddress(), simulation::retrieveCall(), kCallTimeout);
     if (!answer || answer->status != kOk)
