--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -180,10 +180,10 @@
   }
 
  private:
-  static constexpr std::uint64_t kLongPauseOneIn = 25;
+  static constexpr std::uint64_t kPausesPerLongPause = 25;
 
   void pause() const {
-    const bool isLong = run_.draw(kLongPauseOneIn) == 0;
+    const bool isLong = run_.draw(kPausesPerLongPause) == 0;
     runtime::EventLoop::get().sleepFor(isLong ? run_.drawDuration(500ms, 2500ms) : run_.drawDuration(2ms, 60ms));
   }
   Call callOf(CallKind kind, const std::string& name) const {
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -9,9 +9,9 @@
 constexpr Duration kPollTimeout{900};
 constexpr Duration kConnectTimeout{900};
 constexpr int kMissesUntilOut = 2;
-constexpr Duration kDeadline{4000};            // value of X-Deadline-Ms
-constexpr Duration kResponseTimeout{5500};     // time that a client waits for the response
-constexpr std::uint64_t kLongPauseOneIn = 12;  // one of so many pauses lasts seconds, on an open connection
+constexpr Duration kDeadline{4000};                // value of X-Deadline-Ms
+constexpr Duration kResponseTimeout{5500};         // time that a client waits for the response
+constexpr std::uint64_t kPausesPerLongPause = 12;  // one of so many pauses lasts seconds, on an open connection
 constexpr int kOk = 200;
 
 struct Answer {
@@ -35,7 +35,7 @@
 
  private:
   void pause() const {
-    const bool isLong = run_.draw(kLongPauseOneIn) == 0;
+    const bool isLong = run_.draw(kPausesPerLongPause) == 0;
     runtime::EventLoop::get().sleepFor(isLong ? run_.drawDuration(500ms, 3500ms) : run_.drawDuration(5ms, 120ms));
   }
   bool connect() {
