--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -14,15 +14,15 @@
 using coordination_history::CallKind;
 
 constexpr Duration kResponseTimeout{1000};
-constexpr Duration kWatchWait{700};
-constexpr Duration kWatchPatience{kWatchWait + kResponseTimeout};
+constexpr Duration kWatchWaitTime{700};
+constexpr Duration kWatchTimeout{kWatchWaitTime + kResponseTimeout};
 constexpr Duration kRetryInterval{30};
 constexpr Duration kReadBackTimeout{3000};
 constexpr int kLocks = 4;
 constexpr int kNumbers = 2;
 constexpr int kGroups = 3;
-constexpr int kCellsOfAGroup = 5;
-constexpr int kPutCopies = 6;
+constexpr int kCellsPerGroup = 5;
+constexpr int kMaxPutAttempts = 6;
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
@@ -43,24 +43,24 @@
 std::string cellName(std::uint64_t group, std::uint64_t cell) {
   return groupName(group) + "cell" + std::to_string(cell);
 }
-std::string field(const char* name, const std::string& text) {
+std::string jsonField(const char* name, const std::string& text) {
   return "\"" + std::string(name) + "\":\"" + text + "\"";
 }
-std::string field(const char* name, std::int64_t number) {
+std::string jsonField(const char* name, std::int64_t number) {
   return "\"" + std::string(name) + "\":" + std::to_string(number);
 }
 std::string bodyOf(const Call& call) {
   switch (call.kind) {
     case CallKind::beginLock:
-      return "{" + field("holder", call.caller) + "," + field("holdMs", call.holdMs) + "}";
+      return "{" + jsonField("holder", call.caller) + "," + jsonField("holdMs", call.holdMs) + "}";
     case CallKind::renewLock:
-      return "{" + field("holder", call.caller) + "," + field("fenceNumber", call.fence) + "," +
-             field("holdMs", call.holdMs) + "}";
+      return "{" + jsonField("holder", call.caller) + "," + jsonField("fenceNumber", call.fence) + "," +
+             jsonField("holdMs", call.holdMs) + "}";
     case CallKind::releaseLock:
-      return "{" + field("holder", call.caller) + "," + field("fenceNumber", call.fence) + "}";
+      return "{" + jsonField("holder", call.caller) + "," + jsonField("fenceNumber", call.fence) + "}";
     case CallKind::put:
-      return "{" + field("value", call.value) +
-             (call.appliesTo < 0 ? std::string() : "," + field("appliesTo", call.appliesTo)) + "}";
+      return "{" + jsonField("value", call.value) +
+             (call.appliesTo < 0 ? std::string() : "," + jsonField("appliesTo", call.appliesTo)) + "}";
     case CallKind::number:
       return "{}";
     case CallKind::read:
@@ -87,7 +87,7 @@
       break;
   }
   return "/v1/watch/" + call.name + "?after=" + std::to_string(call.after) +
-         "&waitMs=" + std::to_string(kWatchWait.count());
+         "&waitMs=" + std::to_string(kWatchWaitTime.count());
 }
 std::string requestOf(const Call& call) {
   const auto body = bodyOf(call);
@@ -95,7 +95,7 @@
          " HTTP/1.1\r\nHost: control\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 /// Fills in the result fields of a call from the body of a 200 or 412 response.
-void readAnswer(Call& call, const std::string& body) {
+void readResponse(Call& call, const std::string& body) {
   config::JsonDocument document(body);
   config::JsonObject root;
   if (!document.object(root))
@@ -147,7 +147,7 @@
   }
   void exchange(Call& call) {
     runtime::SocketError ec;
-    connection_->setDeadline(Clock::now() + (call.kind == CallKind::watch ? kWatchPatience : kResponseTimeout));
+    connection_->setDeadline(Clock::now() + (call.kind == CallKind::watch ? kWatchTimeout : kResponseTimeout));
     connection_->write(asio::buffer(requestOf(call)), ec);
     http::response_parser<http::string_body> parser;
     parser.eager(true);
@@ -159,7 +159,7 @@
     call.answeredAt = nowInMicroseconds();
     call.status = static_cast<int>(parser.get().result_int());
     if (call.status == kOk || call.status == kPreconditionFailed)
-      readAnswer(call, parser.get().body());
+      readResponse(call, parser.get().body());
     if (!parser.get().keep_alive())
       connection_.reset();
   }
@@ -175,7 +175,7 @@
   void use() {
     while (run_.loadActive) {
       pause();
-      act();
+      executeRandomCall();
     }
   }
 
@@ -186,20 +186,20 @@
     const bool isLong = run_.draw(kPausesPerLongPause) == 0;
     runtime::EventLoop::get().sleepFor(isLong ? run_.drawDuration(500ms, 2500ms) : run_.drawDuration(2ms, 60ms));
   }
-  Call callOf(CallKind kind, const std::string& name) const {
+  Call makeCall(CallKind kind, const std::string& name) const {
     Call call;
     call.kind = kind;
     call.caller = name_;
     call.name = name;
     return call;
   }
-  void act() {
+  void executeRandomCall() {
     switch (run_.draw(7)) {
       case 0:
       case 1:
         return useLock(lockName(run_.draw(kLocks)));
       case 2:
-        (void)connection_.send(callOf(CallKind::number, numberName(run_.draw(kNumbers))));
+        (void)connection_.send(makeCall(CallKind::number, numberName(run_.draw(kNumbers))));
         return;
       case 3:
         return read(drawCell());
@@ -210,13 +210,13 @@
         return watch(groupName(run_.draw(kGroups)));
     }
   }
-  std::string drawCell() { return cellName(run_.draw(kGroups), run_.draw(kCellsOfAGroup)); }
+  std::string drawCell() { return cellName(run_.draw(kGroups), run_.draw(kCellsPerGroup)); }
   void useLock(const std::string& lock) {
     const auto taken = fences_.find(lock);
     if (taken == fences_.end())
       return beginLock(lock);
     const bool renews = run_.draw(3) != 0;
-    auto call = callOf(renews ? CallKind::renewLock : CallKind::releaseLock, lock);
+    auto call = makeCall(renews ? CallKind::renewLock : CallKind::releaseLock, lock);
     call.fence = taken->second;
     call.holdMs = renews ? drawHold() : 0;
     if (!renews)
@@ -225,22 +225,22 @@
       fences_.erase(lock);
   }
   void beginLock(const std::string& lock) {
-    auto call = callOf(CallKind::beginLock, lock);
+    auto call = makeCall(CallKind::beginLock, lock);
     call.holdMs = drawHold();
     const auto answered = connection_.send(call);
     if (answered.succeeded())
       fences_[lock] = answered.number;
   }
   std::int64_t drawHold() { return run_.drawDuration(100ms, 2500ms).count(); }
-  void read(const std::string& cell) { revisions_[cell] = connection_.send(callOf(CallKind::read, cell)).number; }
-  // Sends a put. Without a definite response the same put is sent again, up to `kPutCopies` times in all. After a 5xx
-  // response the put is abandoned half of the time.
+  void read(const std::string& cell) { revisions_[cell] = connection_.send(makeCall(CallKind::read, cell)).number; }
+  // Sends a put. Without a definite response the same put is sent again, up to `kMaxPutAttempts` times in all. After a
+  // 5xx response the put is abandoned half of the time.
   void put(const std::string& cell) {
-    auto call = callOf(CallKind::put, cell);
-    call.value = name_ + "-" + std::to_string(++puts_);
+    auto call = makeCall(CallKind::put, cell);
+    call.value = name_ + "-" + std::to_string(++putCount_);
     if (const auto known = revisions_.find(cell); known != revisions_.end() && run_.draw(2) == 0)
       call.appliesTo = known->second;
-    for (int copy = 0; copy < kPutCopies; ++copy) {
+    for (int attempt = 0; attempt < kMaxPutAttempts; ++attempt) {
       const auto answered = connection_.send(call);
       const bool refused = answered.status == kPreconditionFailed || answered.status >= 500;
       if (answered.succeeded() || answered.status == kPreconditionFailed || (refused && run_.draw(2) == 0))
@@ -249,23 +249,23 @@
     }
   }
   void watch(const std::string& group) {
-    auto call = callOf(CallKind::watch, group);
-    call.after = watched_[group];
+    auto call = makeCall(CallKind::watch, group);
+    call.after = watchedRevisions_[group];
     const auto answered = connection_.send(call);
     if (answered.succeeded())
-      watched_[group] = answered.number;
+      watchedRevisions_[group] = answered.number;
   }
 
   SoakRun& run_;
   std::string name_;
   ControllerConnection connection_;
-  std::map<std::string, std::int64_t> fences_;     // by lock name
-  std::map<std::string, std::int64_t> revisions_;  // by cell name
-  std::map<std::string, std::int64_t> watched_;    // last revision seen, by group
-  int puts_ = 0;
+  std::map<std::string, std::int64_t> fences_;            // by lock name
+  std::map<std::string, std::int64_t> revisions_;         // by cell name
+  std::map<std::string, std::int64_t> watchedRevisions_;  // last revision seen, by group
+  int putCount_ = 0;
 };
 /// Repeats one call at random controllers until a response is 200 or 404, for at most `kReadBackTimeout`.
-void readBackOne(SoakRun& run, const Call& call) {
+void readUntilAnswered(SoakRun& run, const Call& call) {
   ControllerConnection connection(run);
   for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
@@ -285,19 +285,19 @@
   Call call;
   call.caller = "reader";
   call.holdMs = 1;
-  const auto ask = [&](CallKind kind, const std::string& name) {
+  const auto spawnRead = [&](CallKind kind, const std::string& name) {
     call.kind = kind;
     call.name = name;
-    run.spawn([&run, call] { readBackOne(run, call); });
+    run.spawn([&run, call] { readUntilAnswered(run, call); });
   };
   for (int lock = 0; lock < kLocks; ++lock)
-    ask(CallKind::beginLock, lockName(static_cast<std::uint64_t>(lock)));
+    spawnRead(CallKind::beginLock, lockName(static_cast<std::uint64_t>(lock)));
   for (int number = 0; number < kNumbers; ++number)
-    ask(CallKind::number, numberName(static_cast<std::uint64_t>(number)));
+    spawnRead(CallKind::number, numberName(static_cast<std::uint64_t>(number)));
   for (std::uint64_t group = 0; group < kGroups; ++group) {
-    ask(CallKind::watch, groupName(group));
-    for (std::uint64_t cell = 0; cell < kCellsOfAGroup; ++cell)
-      ask(CallKind::read, cellName(group, cell));
+    spawnRead(CallKind::watch, groupName(group));
+    for (std::uint64_t cell = 0; cell < kCellsPerGroup; ++cell)
+      spawnRead(CallKind::read, cellName(group, cell));
   }
 }
 }  // namespace zinccleat::soak
