--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -8,13 +8,13 @@
 constexpr Duration kPollInterval{1000};
 constexpr Duration kPollTimeout{900};
 constexpr Duration kConnectTimeout{900};
-constexpr int kMissesUntilOut = 2;
-constexpr Duration kDeadline{4000};                // value of X-Deadline-Ms
+constexpr int kFailedPollsUntilOutOfService = 2;
+constexpr Duration kRequestDeadline{4000};         // value of X-Deadline-Ms
 constexpr Duration kResponseTimeout{5500};         // time that a client waits for the response
 constexpr std::uint64_t kPausesPerLongPause = 12;  // one of so many pauses lasts seconds, on an open connection
 constexpr int kOk = 200;
 
-struct Answer {
+struct Response {
   int status = 0;
   bool bodyMatches = false;
   bool closes = false;
@@ -74,9 +74,9 @@
   }
   void send() {
     auto request = nextRequest();
-    const auto text = "POST " + pathOf(request) +
-                      " HTTP/1.1\r\nHost: soak.example\r\nX-Attempt-Id: " + request.attemptId +
-                      "\r\nX-Deadline-Ms: " + std::to_string(kDeadline.count()) + "\r\nContent-Length: 4\r\n\r\nbody";
+    const auto text =
+        "POST " + pathOf(request) + " HTTP/1.1\r\nHost: soak.example\r\nX-Attempt-Id: " + request.attemptId +
+        "\r\nX-Deadline-Ms: " + std::to_string(kRequestDeadline.count()) + "\r\nContent-Length: 4\r\n\r\nbody";
     runtime::SocketError ec;
     connection_->setDeadline(Clock::now() + kResponseTimeout);
     const auto written = connection_->write(asio::buffer(text), ec);
@@ -100,14 +100,14 @@
       connection_->clearDeadline();
     run_.observations.requests.push_back(std::move(request));
   }
-  std::optional<Answer> receive(const ClientRequest& request, runtime::SocketError& ec) {
+  std::optional<Response> receive(const ClientRequest& request, runtime::SocketError& ec) {
     http::response_parser<http::string_body> parser;
     parser.eager(true);
     proxy::readIntoParser(*connection_, buffer_, parser, false, ec);
     if (ec || !parser.is_done())
       return std::nullopt;
     const auto& message = parser.get();
-    Answer answer;
+    Response answer;
     answer.status = static_cast<int>(message.result_int());
     answer.closes = !message.keep_alive();
     const auto& body = message.body();
@@ -140,11 +140,11 @@
     proxy::readIntoParser(connection, buffer, parser, true, ec);
   return !ec && parser.get().result_int() == kOk;
 }
-void poll(SoakRun& run, int machine) {
-  int misses = kMissesUntilOut;
+void pollReadiness(SoakRun& run, int machine) {
+  int failedPolls = kFailedPollsUntilOutOfService;
   for (;; runtime::EventLoop::get().sleepFor(kPollInterval)) {
-    misses = isReady(run.fleet.readiness(machine)) ? 0 : misses + 1;
-    run.inService[static_cast<std::size_t>(machine)] = misses < kMissesUntilOut ? 1 : 0;
+    failedPolls = isReady(run.fleet.readiness(machine)) ? 0 : failedPolls + 1;
+    run.inService[static_cast<std::size_t>(machine)] = failedPolls < kFailedPollsUntilOutOfService ? 1 : 0;
   }
 }
 }  // namespace
@@ -162,7 +162,7 @@
 }
 void startReadinessPolling(SoakRun& run) {
   for (int machine = 0; machine < run.plan.access; ++machine)
-    runtime::EventLoop::get().spawn([&run, machine] { poll(run, machine); });
+    runtime::EventLoop::get().spawn([&run, machine] { pollReadiness(run, machine); });
 }
 void startClients(SoakRun& run) {
   for (int number = 0; number < run.plan.clients; ++number)
