--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -10,14 +10,14 @@
 constexpr Duration kRetryInterval{30};
 constexpr Duration kReadBackTimeout{5000};
 constexpr int kCounters = 3;
-constexpr int kAttempts = 8;
+constexpr int kMaxAttempts = 8;
 constexpr int kOk = 200;
-constexpr std::uint64_t kLargestAmount = 9;
+constexpr std::uint64_t kMaxAmount = 9;
 
 std::string counterName(std::uint64_t number) {
   return "counter" + std::to_string(number);
 }
-std::optional<std::int64_t> totalAt(const std::string& address, const std::string& counter) {
+std::optional<std::int64_t> readTotal(const std::string& address, const std::string& counter) {
   const auto answer =
       operations::callOne(address, {"GET", "/v1/Tallies.Retrieve/" + counter, "", {}}, kResponseTimeout);
   if (!answer || answer->status != kOk)
@@ -30,13 +30,13 @@
     reader.integer(root, "total", total, config::Presence::required);
   return total;
 }
-void addOne(SoakRun& run, const std::string& instanceId) {
+void sendIncrement(SoakRun& run, const std::string& instanceId) {
   const auto counter = counterName(run.draw(kCounters));
-  const auto amount = static_cast<std::int64_t>(1 + run.draw(kLargestAmount));
+  const auto amount = static_cast<std::int64_t>(1 + run.draw(kMaxAmount));
   const auto body = "{\"instanceId\":\"" + instanceId + "\",\"actor\":" + std::to_string(amount) + "}";
   run.sentIncrements[counter] += amount;
   bool acknowledged = false;
-  for (int attempt = 0; attempt < kAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const auto answer = operations::callOne(run.randomControllerAddress(),
                                             {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kResponseTimeout);
     if (answer && answer->status == kOk) {
@@ -52,18 +52,18 @@
 void use(SoakRun& run, int number) {
   for (int increment = 0; run.loadActive; ++increment) {
     runtime::EventLoop::get().sleepFor(run.drawDuration(5ms, 120ms));
-    addOne(run, "application" + std::to_string(number) + "-" + std::to_string(increment));
+    sendIncrement(run, "application" + std::to_string(number) + "-" + std::to_string(increment));
   }
 }
 /// Reads a counter from one controller until the total is between the acknowledged and the sent sum. After
 /// `kReadBackTimeout` the counter is recorded in `SoakRun::failedFinalReads`.
-void readBackOne(SoakRun& run, const std::string& address, const std::string& counter) {
+void readUntilConsistent(SoakRun& run, const std::string& address, const std::string& counter) {
   const auto sent = run.sentIncrements[counter];
   const auto acknowledged = run.acknowledgedIncrements[counter];
   std::optional<std::int64_t> total;
   for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
-    total = totalAt(address, counter);
+    total = readTotal(address, counter);
     if (total && *total >= acknowledged && *total <= sent)
       return;
   }
@@ -80,7 +80,7 @@
   for (std::size_t controller = 0; controller < run.fleet.core().size(); ++controller)
     for (std::uint64_t counter = 0; counter < kCounters; ++counter)
       run.spawn([&run, address = run.fleet.control(controller), name = counterName(counter)] {
-        readBackOne(run, address, name);
+        readUntilConsistent(run, address, name);
       });
 }
 }  // namespace zinccleat::soak
