--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -8,12 +8,12 @@
 namespace {
 constexpr Duration kCallTimeout{1500};
 constexpr Duration kRetryInterval{60};
-constexpr int kFirstAttempts = 200;
-constexpr int kChangeAttempts = 12;
-constexpr int kZoneOrderAttempts = 20;
+constexpr int kMaxFirstChangeAttempts = 200;
+constexpr int kMaxChangeAttempts = 12;
+constexpr int kMaxZoneOrderAttempts = 20;
 constexpr Duration kReadBackTimeout{3000};
 constexpr int kOk = 200;
-constexpr int kConflict = 412;
+constexpr int kPreconditionFailed = 412;
 
 std::string routeJson(const std::string& label, const char* type) {
   return R"({"label":")" + label + R"(","authority":"soak.example","pathPrefix":"/)" + label + R"(/","routeType":")" +
@@ -34,13 +34,13 @@
   const auto call = simulation::replaceCall(configurationJson(version, routes), base);
   for (int attempt = 0; attempt < attempts; ++attempt) {
     const auto answer = operations::callOne(run.randomControllerAddress(), call, kCallTimeout);
-    if (answer && (answer->status == kOk || answer->status == kConflict))
+    if (answer && (answer->status == kOk || answer->status == kPreconditionFailed))
       return answer->status;
     runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
   return 0;
 }
-std::set<std::string> toggled(SoakRun& run) {
+std::set<std::string> withRandomRouteToggled(SoakRun& run) {
   auto routes = run.routes;
   const auto route = "t" + std::to_string(run.draw(kOptionalRouteCount));
   if (routes.erase(route) == 0)
@@ -52,7 +52,7 @@
 bool installFirstConfiguration(SoakRun& run) {
   const std::set<std::string> routes{"t0", "t1", "t2"};
   run.observations.changes.push_back({1, routes, Clock::now(), std::nullopt, false});
-  if (sendChange(run, 0, 1, routes, kFirstAttempts) != kOk)
+  if (sendChange(run, 0, 1, routes, kMaxFirstChangeAttempts) != kOk)
     return false;
   run.observations.changes.back().acknowledgedAt = Clock::now();
   run.version = 1;
@@ -62,12 +62,12 @@
 void changeConfiguration(SoakRun& run) {
   const auto base = run.version;
   const auto version = base + 1 + static_cast<std::int64_t>(run.draw(3));
-  const auto routes = toggled(run);
+  const auto routes = withRandomRouteToggled(run);
   const auto index = run.observations.changes.size();
   run.observations.changes.push_back({version, routes, Clock::now(), std::nullopt, false});
-  const int status = sendChange(run, base, version, routes, kChangeAttempts);
+  const int status = sendChange(run, base, version, routes, kMaxChangeAttempts);
   auto& change = run.observations.changes[index];
-  change.refused = status == kConflict;
+  change.refused = status == kPreconditionFailed;
   if (status != kOk)
     return;
   change.acknowledgedAt = Clock::now();
@@ -79,7 +79,7 @@
 namespace {
 /// Sends an evacuation order for a zone until it is acknowledged. @return false if no attempt was acknowledged.
 bool sendZoneOrder(SoakRun& run, const std::string& order, const std::string& zone) {
-  for (int attempt = 0; attempt < kZoneOrderAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kMaxZoneOrderAttempts; ++attempt) {
     const auto answer = operations::callOne(run.randomControllerAddress(),
                                             {"POST", "/v1/Evacuation." + order + "/" + zone, "", {}}, kCallTimeout);
     if (answer && answer->status == kOk)
