--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -9,7 +9,7 @@
 using proxy::RequestParser;
 constexpr Duration kHeartbeatInterval{400};
 constexpr Duration kCallTimeout{1000};
-constexpr Duration kServesOn{700};  // added to `Bounds::drain`, before a leaving runner stops
+constexpr Duration kMinServingAfterDrain{700};  // added to `Bounds::drain`, before a leaving runner stops
 constexpr Duration kEventInterval{25};
 constexpr int kMaxDetachCalls = 20;
 
@@ -31,7 +31,7 @@
   void serve(runtime::Connection& connection);
   void answer(const RequestParser::value_type& request, runtime::Connection& connection, runtime::SocketError& ec);
   bool sendHeartbeat();
-  void keepAlive();
+  void sendHeartbeats();
   void leave();
 };
 std::map<std::string, std::shared_ptr<SoakRunner>>& runners() {
@@ -98,7 +98,7 @@
   return simulation::isAcknowledged(
       operations::callOne(run.randomControllerAddress(), simulation::heartbeatCall(id, report), kCallTimeout));
 }
-void SoakRunner::keepAlive() {
+void SoakRunner::sendHeartbeats() {
   while (!ended && !leaving) {
     sendHeartbeat();
     runtime::EventLoop::get().sleepFor(kHeartbeatInterval);
@@ -106,20 +106,21 @@
 }
 void SoakRunner::leave() {
   // A quarter of the runners detach at once, without announcing a drain, and then keep serving for the same time.
-  const bool saysSo = run.draw(4) != 0;
+  const bool announcesDrain = run.draw(4) != 0;
   leaving = true;
   const auto announce = [&] {
-    return saysSo ? sendHeartbeat()
-                  : simulation::isAcknowledged(
-                        operations::callOne(run.randomControllerAddress(), simulation::detachCall(id), kCallTimeout));
+    return announcesDrain ? sendHeartbeat()
+                          : simulation::isAcknowledged(operations::callOne(run.randomControllerAddress(),
+                                                                           simulation::detachCall(id), kCallTimeout));
   };
   int calls = 0;
   while (!announce() && ++calls < kMaxDetachCalls)
     runtime::EventLoop::get().sleepFor(50ms);
   if (calls < kMaxDetachCalls)
     run.observations.departures[id] = Clock::now();
-  runtime::EventLoop::get().sleepFor(run.observations.bounds.drain + run.drawDuration(kServesOn, kServesOn * 3));
-  if (saysSo)
+  runtime::EventLoop::get().sleepFor(run.observations.bounds.drain +
+                                     run.drawDuration(kMinServingAfterDrain, kMinServingAfterDrain * 3));
+  if (announcesDrain)
     (void)operations::callOne(run.randomControllerAddress(), simulation::detachCall(id), kCallTimeout);
   ended = true;
   runtime::SocketError ec;
@@ -132,7 +133,7 @@
   runners()[id] = runner;
   run.observations.runnerZones[id] = kZones[run.draw(kZones.size())];
   runner->acceptNext();
-  runtime::EventLoop::get().spawn([runner] { runner->keepAlive(); });
+  runtime::EventLoop::get().spawn([runner] { runner->sendHeartbeats(); });
 }
 void requestDeparture(SoakRun& run, const std::string& id) {
   const auto found = runners().find(id);
