--- a/tests/preload/fault_library.cpp
+++ b/tests/preload/fault_library.cpp
@@ -2,10 +2,10 @@
 // library replaces functions of the C library for sockets, files and the clock. If the file of the fault table is not
 // set, the library changes nothing.
 //
-// Network faults: only the process that opened a connection applies faults to it, for both directions, so that exactly
-// one process is responsible for each connection. While packets are lost, calls that send or receive fail with EAGAIN,
-// as on a network that transmits nothing, and a new connection hangs as if its SYN packet had no reply. When the fault
-// ends, the delayed data is sent and received.
+// Network faults: only the process that initiated a connection applies faults to it, for both directions, so that
+// exactly one process is responsible for each connection. While packets are lost, calls that send or receive fail with
+// EAGAIN, as on a network that transmits nothing, and a new connection hangs as if its SYN packet had no reply. When
+// the fault ends, the delayed data is sent and received.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -50,9 +50,9 @@
 
 /// State of one file descriptor.
 struct Descriptor {
-  std::atomic<int> peer{kNoMachine};  // index of the remote machine, for a connection that this process opened
-  std::atomic<bool> isFile{false};    // a file opened with O_CREAT for writing, not for appending
-  std::atomic<int> epoll{-1};         // epoll descriptor at which the descriptor is registered; -1: none
+  std::atomic<int> peer{kNoMachine};  // index of the remote machine, for a connection that this process initiated
+  std::atomic<bool> isFile{false};    // a file created for writing, not for appending
+  std::atomic<int> epoll{-1};         // epoll instance that monitors the descriptor; -1: none
   epoll_event event{};
   bool wasCut = false;
   int resets = 0;  // value of the table's reset counter for this link when it was last read
@@ -179,9 +179,9 @@
     }).detach();
     ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
   }
-  // Checks every open connection for changes in the fault table. When packets are no longer lost, the descriptor is
-  // registered at epoll again: the event loop uses edge-triggered events and would otherwise miss data that arrived
-  // during the fault. When the reset counter has changed, the connection is shut down.
+  // Checks every open connection for changes in the fault table. When packets are no longer lost, EPOLL_CTL_MOD
+  // makes epoll report the descriptor's state again: the event loop uses edge-triggered events and would otherwise miss
+  // data that arrived during the fault. When the reset counter has changed, the connection is shut down.
   void applyTableChanges() {
     static const auto realControl = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
     const std::lock_guard lock(mutex_);
--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -1,6 +1,6 @@
-// Applications that use locks, numbers, cells and watches. Each application keeps one connection to a controller and
-// uses the connection until the controller closes it, also while the controller shuts down. The application then
-// connects to another controller.
+// Applications that acquire locks, draw numbers, and read, write and watch cells. Each application keeps one connection
+// to a controller and uses the connection until the controller closes it, also while the controller shuts down. The
+// application then connects to another controller.
 #include <boost/asio/buffer.hpp>
 
 #include "config/json.hpp"
--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -1,5 +1,5 @@
 // Applications that increment replicated counters. Each increment has a unique id and is repeated until it is
-// acknowledged. At the end of the run, the totals of all controllers are checked.
+// acknowledged, up to `kMaxAttempts` times. At the end of the run, the totals of all controllers are checked.
 #include "config/json.hpp"
 #include "operations/call.hpp"
 #include "soak_run.hpp"
