--- a/tests/preload/fault_library.cpp
+++ b/tests/preload/fault_library.cpp
@@ -74,13 +74,13 @@
     return table_->cut[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)].load() != 0;
   }
   bool sendIsCut(int number) {
-    const auto* known = descriptor(number);
-    const int peer = known ? known->peer.load() : kNoMachine;
+    const auto* descriptorState = descriptor(number);
+    const int peer = descriptorState ? descriptorState->peer.load() : kNoMachine;
     return peer != kNoMachine && isCut(self_, peer);
   }
   bool receiveIsCut(int number) {
-    const auto* known = descriptor(number);
-    const int peer = known ? known->peer.load() : kNoMachine;
+    const auto* descriptorState = descriptor(number);
+    const int peer = descriptorState ? descriptorState->peer.load() : kNoMachine;
     return peer != kNoMachine && isCut(peer, self_);
   }
   /// Returns the index of the machine with this address, or `kNoMachine` if the table has no such machine or the
@@ -95,25 +95,25 @@
         return static_cast<int>(i);
     return kNoMachine;
   }
-  void opened(int number, int peer) {
-    auto* known = descriptor(number);
-    known->resets = table_->resets[static_cast<std::size_t>(self_)][static_cast<std::size_t>(peer)].load();
-    known->wasCut = false;
-    known->peer = peer;
+  void recordConnect(int number, int peer) {
+    auto* descriptorState = descriptor(number);
+    descriptorState->resets = table_->resets[static_cast<std::size_t>(self_)][static_cast<std::size_t>(peer)].load();
+    descriptorState->wasCut = false;
+    descriptorState->peer = peer;
   }
-  void closed(int number) {
-    if (auto* known = descriptor(number)) {
+  void recordClose(int number) {
+    if (auto* descriptorState = descriptor(number)) {
       const std::lock_guard lock(mutex_);
-      known->peer = kNoMachine;
-      known->isFile = false;
-      known->epoll = -1;
+      descriptorState->peer = kNoMachine;
+      descriptorState->isFile = false;
+      descriptorState->epoll = -1;
     }
   }
-  void registered(int epoll, int number, const epoll_event* event) {
-    if (auto* known = descriptor(number); known && event) {
+  void recordEpollEvents(int epoll, int number, const epoll_event* event) {
+    if (auto* descriptorState = descriptor(number); descriptorState && event) {
       const std::lock_guard lock(mutex_);
-      known->epoll = epoll;
-      known->event = *event;
+      descriptorState->epoll = epoll;
+      descriptorState->event = *event;
     }
   }
   /// Returns an address at which a connection attempt is neither accepted nor refused, so that it hangs.
@@ -186,15 +186,15 @@
     static const auto realControl = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
     const std::lock_guard lock(mutex_);
     for (int number = 0; number < kMaxDescriptors; ++number) {
-      auto& known = descriptors_[static_cast<std::size_t>(number)];
-      const int peer = known.peer.load();
+      auto& descriptorState = descriptors_[static_cast<std::size_t>(number)];
+      const int peer = descriptorState.peer.load();
       if (peer == kNoMachine)
         continue;
       const bool cut = isCut(self_, peer) || isCut(peer, self_);
-      if (std::exchange(known.wasCut, cut) && !cut && known.epoll >= 0)
-        realControl(known.epoll, EPOLL_CTL_MOD, number, &known.event);
+      if (std::exchange(descriptorState.wasCut, cut) && !cut && descriptorState.epoll >= 0)
+        realControl(descriptorState.epoll, EPOLL_CTL_MOD, number, &descriptorState.event);
       const int resets = table_->resets[static_cast<std::size_t>(self_)][static_cast<std::size_t>(peer)].load();
-      if (std::exchange(known.resets, resets) != resets)
+      if (std::exchange(descriptorState.resets, resets) != resets)
         ::shutdown(number, SHUT_RDWR);
     }
   }
@@ -233,7 +233,7 @@
   const int peer = faults.active() ? faults.machineAt(address) : kNoMachine;
   if (peer == kNoMachine || !faults.descriptor(number))
     return real(number, address, size);
-  faults.opened(number, peer);
+  faults.recordConnect(number, peer);
   if (!faults.sendIsCut(number) && !faults.receiveIsCut(number))
     return real(number, address, size);
   const auto nowhere = faults.blackHole();
@@ -241,12 +241,12 @@
 }
 int close(int number) {
   static const auto real = realFunction<int(int)>("close");
-  FaultInjector::instance().closed(number);
+  FaultInjector::instance().recordClose(number);
   return real(number);
 }
 int epoll_ctl(int epoll, int operation, int number, epoll_event* event) {
   static const auto real = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
-  FaultInjector::instance().registered(epoll, number, event);
+  FaultInjector::instance().recordEpollEvents(epoll, number, event);
   return real(epoll, operation, number, event);
 }
 ssize_t send(int number, const void* bytes, size_t size, int flags) {
@@ -278,15 +278,15 @@
     va_end(arguments);
   }
   const int number = real(path, flags, mode);
-  if (auto* known = FaultInjector::instance().descriptor(number))
-    known->isFile = (flags & O_CREAT) != 0 && (flags & O_ACCMODE) == O_WRONLY && (flags & O_APPEND) == 0;
+  if (auto* descriptorState = FaultInjector::instance().descriptor(number))
+    descriptorState->isFile = (flags & O_CREAT) != 0 && (flags & O_ACCMODE) == O_WRONLY && (flags & O_APPEND) == 0;
   return number;
 }
 ssize_t write(int number, const void* bytes, size_t size) {
   static const auto real = realFunction<ssize_t(int, const void*, size_t)>("write");
   auto& faults = FaultInjector::instance();
-  const auto* known = faults.descriptor(number);
-  if (known && known->isFile) {
+  const auto* descriptorState = faults.descriptor(number);
+  if (descriptorState && descriptorState->isFile) {
     if (faults.machine().full.load() != 0)
       return fail(ENOSPC);
     if (consumeFault(faults.machine().refusedWrites))
