--- a/tests/soak/applications.cpp
+++ b/tests/soak/applications.cpp
@@ -172,7 +172,7 @@
 class Application {
  public:
   Application(SoakRun& run, int number) : run_(run), name_("application" + std::to_string(number)), connection_(run) {}
-  void use() {
+  void sendCallsUntilLoadEnds() {
     while (run_.loadActive) {
       pause();
       executeRandomCall();
@@ -279,7 +279,7 @@
 
 void startApplications(SoakRun& run) {
   for (int number = 0; number < run.plan.applications; ++number)
-    run.spawn([&run, number] { Application(run, number).use(); });
+    run.spawn([&run, number] { Application(run, number).sendCallsUntilLoadEnds(); });
 }
 void readBackApplications(SoakRun& run) {
   Call call;
