--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -22,7 +22,7 @@
 class SoakClient {
  public:
   SoakClient(SoakRun& run, int number) : run_(run), number_(number) {}
-  void use() {
+  void sendRequestsUntilLoadEnds() {
     while (run_.loadActive) {
       pause();
       if (!run_.loadActive)
@@ -85,16 +85,16 @@
       connection_.reset();  // the request is incomplete, so that the proxy cannot have read it
       return;
     }
-    const auto answer = receive(request, ec);
+    const auto response = receive(request, ec);
     request.endedAt = Clock::now();
-    if (answer) {
+    if (response) {
       request.end = RequestEnd::answered;
-      request.status = answer->status;
-      request.bodyMatches = answer->bodyMatches;
+      request.status = response->status;
+      request.bodyMatches = response->bodyMatches;
     } else {
       request.end = connection_->deadlineExceeded() ? RequestEnd::unanswered : RequestEnd::connectionClosed;
     }
-    if (!answer || answer->closes)
+    if (!response || response->closes)
       connection_.reset();
     else
       connection_->clearDeadline();
@@ -107,15 +107,15 @@
     if (ec || !parser.is_done())
       return std::nullopt;
     const auto& message = parser.get();
-    Response answer;
-    answer.status = static_cast<int>(message.result_int());
-    answer.closes = !message.keep_alive();
+    Response response;
+    response.status = static_cast<int>(message.result_int());
+    response.closes = !message.keep_alive();
     const auto& body = message.body();
     const bool stream = request.kind == RequestKind::stream;
-    answer.bodyMatches = message["X-Server-Seal"] == "soak" &&
-                         (stream ? body.starts_with("id: 1\n") && body.ends_with("last " + request.attemptId + "\n\n")
-                                 : body == "done " + request.attemptId);
-    return answer;
+    response.bodyMatches = message["X-Server-Seal"] == "soak" &&
+                           (stream ? body.starts_with("id: 1\n") && body.ends_with("last " + request.attemptId + "\n\n")
+                                   : body == "done " + request.attemptId);
+    return response;
   }
 
   SoakRun& run_;
@@ -166,6 +166,6 @@
 }
 void startClients(SoakRun& run) {
   for (int number = 0; number < run.plan.clients; ++number)
-    run.spawn([&run, number] { SoakClient(run, number).use(); });
+    run.spawn([&run, number] { SoakClient(run, number).sendRequestsUntilLoadEnds(); });
 }
 }  // namespace zinccleat::soak
