--- a/tests/soak/counters.cpp
+++ b/tests/soak/counters.cpp
@@ -18,11 +18,11 @@
   return "counter" + std::to_string(number);
 }
 std::optional<std::int64_t> readTotal(const std::string& address, const std::string& counter) {
-  const auto answer =
+  const auto response =
       operations::callOne(address, {"GET", "/v1/Tallies.Retrieve/" + counter, "", {}}, kResponseTimeout);
-  if (!answer || answer->status != kOk)
+  if (!response || response->status != kOk)
     return std::nullopt;
-  config::JsonDocument document(answer->body);
+  config::JsonDocument document(response->body);
   config::JsonObject root;
   std::int64_t total = -1;
   config::JsonReader reader;
@@ -37,9 +37,9 @@
   run.sentIncrements[counter] += amount;
   bool acknowledged = false;
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
-    const auto answer = operations::callOne(run.randomControllerAddress(),
-                                            {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kResponseTimeout);
-    if (answer && answer->status == kOk) {
+    const auto response = operations::callOne(run.randomControllerAddress(),
+                                              {"POST", "/v1/Tallies.Modify/" + counter, body, {}}, kResponseTimeout);
+    if (response && response->status == kOk) {
       if (!std::exchange(acknowledged, true))
         run.acknowledgedIncrements[counter] += amount;
       // Sometimes sends an acknowledged increment again, like a caller that did not receive the response.
@@ -49,7 +49,7 @@
     runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
 }
-void use(SoakRun& run, int number) {
+void sendIncrementsUntilLoadEnds(SoakRun& run, int number) {
   for (int increment = 0; run.loadActive; ++increment) {
     runtime::EventLoop::get().sleepFor(run.drawDuration(5ms, 120ms));
     sendIncrement(run, "application" + std::to_string(number) + "-" + std::to_string(increment));
@@ -74,7 +74,7 @@
 
 void startCounterApplications(SoakRun& run) {
   for (int number = 0; number < run.plan.applications / 2; ++number)
-    run.spawn([&run, number] { use(run, number); });
+    run.spawn([&run, number] { sendIncrementsUntilLoadEnds(run, number); });
 }
 void readBackCounters(SoakRun& run) {
   for (std::size_t controller = 0; controller < run.fleet.core().size(); ++controller)
