--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -33,9 +33,9 @@
                int attempts) {
   const auto call = simulation::replaceCall(configurationJson(version, routes), base);
   for (int attempt = 0; attempt < attempts; ++attempt) {
-    const auto answer = operations::callOne(run.randomControllerAddress(), call, kCallTimeout);
-    if (answer && (answer->status == kOk || answer->status == kPreconditionFailed))
-      return answer->status;
+    const auto response = operations::callOne(run.randomControllerAddress(), call, kCallTimeout);
+    if (response && (response->status == kOk || response->status == kPreconditionFailed))
+      return response->status;
     runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
   return 0;
@@ -80,9 +80,9 @@
 /// Sends an evacuation order for a zone until it is acknowledged. @return false if no attempt was acknowledged.
 bool sendZoneOrder(SoakRun& run, const std::string& order, const std::string& zone) {
   for (int attempt = 0; attempt < kMaxZoneOrderAttempts; ++attempt) {
-    const auto answer = operations::callOne(run.randomControllerAddress(),
-                                            {"POST", "/v1/Evacuation." + order + "/" + zone, "", {}}, kCallTimeout);
-    if (answer && answer->status == kOk)
+    const auto response = operations::callOne(run.randomControllerAddress(),
+                                              {"POST", "/v1/Evacuation." + order + "/" + zone, "", {}}, kCallTimeout);
+    if (response && response->status == kOk)
       return true;
     runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
@@ -103,10 +103,10 @@
 void readBackConfiguration(SoakRun& run) {
   for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end && !run.observations.finalVersion;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
-    const auto answer = operations::callOne(run.randomControllerAddress(), simulation::retrieveCall(), kCallTimeout);
-    if (!answer || answer->status != kOk)
+    const auto response = operations::callOne(run.randomControllerAddress(), simulation::retrieveCall(), kCallTimeout);
+    if (!response || response->status != kOk)
       continue;
-    if (const auto version = operations::fieldOf(answer->body, "configVersion"))
+    if (const auto version = operations::fieldOf(response->body, "configVersion"))
       run.observations.finalVersion = std::atoll(version->c_str());
   }
 }
