--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -29,7 +29,7 @@
   const std::string& zone() const { return run.observations.runnerZones[id]; }
   void acceptNext();
   void serve(runtime::Connection& connection);
-  void answer(const RequestParser::value_type& request, runtime::Connection& connection, runtime::SocketError& ec);
+  void respond(const RequestParser::value_type& request, runtime::Connection& connection, runtime::SocketError& ec);
   bool sendHeartbeat();
   void sendHeartbeats();
   void leave();
@@ -56,15 +56,16 @@
     RequestParser parser;
     if (proxy::readRequest(connection, buffer, parser, {}).outcome != proxy::ReadOutcome::complete)
       return;
-    answer(parser.get(), connection, ec);
+    respond(parser.get(), connection, ec);
   }
 }
-void SoakRunner::answer(const RequestParser::value_type& request, runtime::Connection& connection,
-                        runtime::SocketError& ec) {
+void SoakRunner::respond(const RequestParser::value_type& request, runtime::Connection& connection,
+                         runtime::SocketError& ec) {
   const std::string attemptId(request["X-Attempt-Id"]);
-  const std::string head = "X-Attempt-Id: " + attemptId + "\r\nX-Server-Seal: soak\r\n";
+  const std::string commonHeaders = "X-Attempt-Id: " + attemptId + "\r\nX-Server-Seal: soak\r\n";
   if (request["X-Expected-Instance"] != id) {
-    connection.write(asio::buffer("HTTP/1.1 421 Misdirected Request\r\n" + head + "Content-Length: 0\r\n\r\n"), ec);
+    connection.write(asio::buffer("HTTP/1.1 421 Misdirected Request\r\n" + commonHeaders + "Content-Length: 0\r\n\r\n"),
+                     ec);
     return;
   }
   run.observations.executions[attemptId].push_back({id, Clock::now()});
@@ -72,12 +73,12 @@
   if (!stream) {
     runtime::EventLoop::get().sleepFor(run.drawDuration(1ms, 60ms));
     const auto body = "done " + attemptId;
-    connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + head + "Content-Length: " + std::to_string(body.size()) +
-                                  "\r\n\r\n" + body),
+    connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + commonHeaders +
+                                  "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body),
                      ec);
     return;
   }
-  connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + head +
+  connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + commonHeaders +
                                 "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"),
                    ec);
   const auto events = 2 + run.draw(20);
