--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -81,8 +81,9 @@
                            return request.end == RequestEnd::answered && request.status == status;
                          });
   };
-  const auto acknowledged = std::count_if(observations.changes.begin(), observations.changes.end(),
-                                          [](const Change& change) { return change.acknowledgedAt.has_value(); });
+  const auto acknowledged =
+      std::count_if(observations.changes.begin(), observations.changes.end(),
+                    [](const ConfigurationChange& change) { return change.acknowledgedAt.has_value(); });
   const auto served = std::count_if(run.applicationCalls.begin(), run.applicationCalls.end(),
                                     [](const auto& call) { return call.succeeded(); });
   std::int64_t counted = 0;
--- a/tests/soak/observations.cpp
+++ b/tests/soak/observations.cpp
@@ -101,26 +101,26 @@
   /// Returns the changes whose configuration a connected machine may have used between `sent` and `ended`: the newest
   /// one that must be effective by then, and newer ones that were sent and not rejected. Empty if none must be
   /// effective yet.
-  std::vector<const Change*> possiblyEffectiveChanges(TimePoint sent, TimePoint ended) const {
-    const Change* newestEffective = nullptr;
+  std::vector<const ConfigurationChange*> possiblyEffectiveChanges(TimePoint sent, TimePoint ended) const {
+    const ConfigurationChange* newestEffective = nullptr;
     for (const auto& change : observations_.changes) {
       const bool binds = change.acknowledgedAt && *change.acknowledgedAt + observations_.bounds.configApply < sent;
       if (binds && (!newestEffective || change.version > newestEffective->version))
         newestEffective = &change;
     }
-    std::vector<const Change*> possible;
+    std::vector<const ConfigurationChange*> possible;
     for (const auto& change : observations_.changes)
       if (&change == newestEffective || (!change.refused && change.sentAt <= ended &&
                                          (!newestEffective || change.version > newestEffective->version)))
         possible.push_back(&change);
-    return newestEffective ? possible : std::vector<const Change*>{};
+    return newestEffective ? possible : std::vector<const ConfigurationChange*>{};
   }
   void checkRoute(const ClientRequest& request) {
     if (request.route.empty() || request.end != RequestEnd::answered ||
         !observations_.mustBeConnected(request.machine, request.endedAt))
       return;
     const auto possible = possiblyEffectiveChanges(request.sentAt, request.endedAt);
-    const auto has = [&](const Change* change) { return change->routes.contains(request.route); };
+    const auto has = [&](const ConfigurationChange* change) { return change->routes.contains(request.route); };
     const bool inNone = !possible.empty() && std::none_of(possible.begin(), possible.end(), has);
     const bool inAll = !possible.empty() && std::all_of(possible.begin(), possible.end(), has);
     if (inAll && request.status == kNotFound)
--- a/tests/soak/observations.hpp
+++ b/tests/soak/observations.hpp
@@ -39,7 +39,7 @@
   TimePoint at{};
 };
 /// A change of the configuration, as observed by the operator who sent it.
-struct Change {
+struct ConfigurationChange {
   std::int64_t version = 0;
   std::set<std::string> routes;  ///< labels of the optional routes in the new configuration
   TimePoint sentAt{};
@@ -78,7 +78,7 @@
   std::map<std::string, TimePoint> departures;     ///< key: runner; when its drain or detachment was acknowledged
   std::map<std::string, std::string> runnerZones;  ///< key: runner
   std::vector<ZoneEvacuation> evacuations;
-  std::vector<Change> changes;
+  std::vector<ConfigurationChange> changes;
   std::vector<Disturbance> disturbances;
   std::vector<ProcessExit> exits;
   std::optional<std::int64_t> finalVersion;  ///< configuration version that was read at the end of the run
