--- a/tests/soak/observations.cpp
+++ b/tests/soak/observations.cpp
@@ -82,10 +82,10 @@
     if (zone == observations_.runnerZones.end() || !observations_.mustBeConnected(request.machine, execution.at))
       return;
     for (const auto& evacuation : observations_.evacuations) {
-      const bool binds = evacuation.zone == zone->second &&
-                         execution.at > evacuation.acknowledgedAt + observations_.bounds.evacuate &&
-                         (!evacuation.releasedAt || execution.at < *evacuation.releasedAt);
-      if (binds)
+      const bool mustBeEffective = evacuation.zone == zone->second &&
+                                   execution.at > evacuation.acknowledgedAt + observations_.bounds.evacuate &&
+                                   (!evacuation.releasedAt || execution.at < *evacuation.releasedAt);
+      if (mustBeEffective)
         report("EVAC",
                describeRequest(request) + " reached " + execution.runner + " in the evacuated zone " + zone->second);
     }
@@ -104,8 +104,9 @@
   std::vector<const ConfigurationChange*> possiblyEffectiveChanges(TimePoint sent, TimePoint ended) const {
     const ConfigurationChange* newestEffective = nullptr;
     for (const auto& change : observations_.changes) {
-      const bool binds = change.acknowledgedAt && *change.acknowledgedAt + observations_.bounds.configApply < sent;
-      if (binds && (!newestEffective || change.version > newestEffective->version))
+      const bool mustBeEffective =
+          change.acknowledgedAt && *change.acknowledgedAt + observations_.bounds.configApply < sent;
+      if (mustBeEffective && (!newestEffective || change.version > newestEffective->version))
         newestEffective = &change;
     }
     std::vector<const ConfigurationChange*> possible;
