--- a/tests/fuzz_test.cpp
+++ b/tests/fuzz_test.cpp
@@ -1,5 +1,6 @@
-// The fuzz targets without clang: every input kept under tests/fuzz/corpus is replayed, then a seeded mutation of these
-// and of the targets' own examples is tried, as many as take a second or so. tools/fuzz.sh goes further, by coverage.
+// Runs the fuzz targets without libFuzzer: first on every input under tests/fuzz/corpus and on the examples of each
+// target, then on seeded random mutations of these inputs. The number of mutations is chosen so that a target takes
+// about a second. tools/fuzz.sh runs the same targets with libFuzzer, which is guided by coverage.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -11,10 +12,10 @@
 namespace {
 using zinccleat::fuzz::Target;
 constexpr std::uint64_t kSeed = 14;
-constexpr int kMutationsOfEachTarget = 4000;
-constexpr std::size_t kLongestInput = 8192;
+constexpr int kMutationsPerTarget = 4000;
+constexpr std::size_t kMaxInputBytes = 8192;
 
-std::vector<std::string> keptInputs(const Target& target) {
+std::vector<std::string> corpusInputs(const Target& target) {
   std::vector<std::filesystem::path> files;
   const auto folder = std::filesystem::path("tests/fuzz/corpus") / target.name;
   if (std::filesystem::exists(folder))
@@ -28,8 +29,8 @@
   }
   return inputs;
 }
-// One change of the kinds that find most: a bit, a byte, a boundary number, a run of bytes left out, doubled or taken
-// from another input.
+// Applies one random mutation of a kind that finds most faults: flips a bit, replaces a byte by a random or a boundary
+// value, or removes, duplicates or copies in from another input a run of bytes.
 void mutate(std::string& input, const std::string& other, std::mt19937_64& random) {
   static constexpr unsigned char kBoundaries[] = {0x00, 0x01, 0x7f, 0x80, 0xfe, 0xff, '\r', '\n', '"', '}'};
   const auto position = input.empty() ? 0 : random() % input.size();
@@ -54,8 +55,8 @@
       input.insert(position, other.empty() ? "x" : other.substr(random() % other.size(), 4 * length));
       break;
   }
-  if (input.size() > kLongestInput)
-    input.resize(kLongestInput);
+  if (input.size() > kMaxInputBytes)
+    input.resize(kMaxInputBytes);
 }
 class FuzzTargets : public testing::TestWithParam<std::size_t> {
  protected:
@@ -67,24 +68,25 @@
 }  // namespace
 
 TEST_P(FuzzTargets, BearsKeptInputs) {
-  for (auto& input : keptInputs(target()))
+  for (auto& input : corpusInputs(target()))
     target().run(input);
   for (auto& input : target().examples())
     target().run(input);
 }
 TEST_P(FuzzTargets, BearsMutatedInputs) {
-  auto pool = keptInputs(target());
+  auto pool = corpusInputs(target());
   for (auto& example : target().examples())
     pool.push_back(example);
   std::mt19937_64 random(kSeed);
-  for (int i = 0; i < kMutationsOfEachTarget; ++i) {
+  for (int i = 0; i < kMutationsPerTarget; ++i) {
     auto input = pool[random() % pool.size()];
     for (auto changes = 1 + random() % 4; changes > 0; --changes)
       mutate(input, pool[random() % pool.size()], random);
     target().run(input);
   }
 }
-// Why by number: the targets enter their table while the program starts, in no certain order.
+// The parameter is an index, because the targets are added to the table during static initialization, in an unspecified
+// order.
 INSTANTIATE_TEST_SUITE_P(All, FuzzTargets, testing::Range<std::size_t>(0, 7), nameOfTarget);
 TEST(FuzzTargetTable, HoldsAllTargets) {
   EXPECT_EQ(zinccleat::fuzz::targets().size(), 8U);
--- a/tests/preload/fault_library.cpp
+++ b/tests/preload/fault_library.cpp
@@ -1,9 +1,11 @@
-// A library that is preloaded into the programs of a soak run and plays the faults of `soak/fault_table.hpp`: it takes
-// the place of the C library's calls for sockets, files and the clock. Without the table's file it changes nothing.
+// A library that is preloaded into the programs of a soak run and injects the faults of `soak/fault_table.hpp`. The
+// library replaces functions of the C library for sockets, files and the clock. If the file of the fault table is not
+// set, the library changes nothing.
 //
-// Links. Only the machine that has opened a connection acts on it, for both directions; so each connection has one
-// owner. While packets are lost, what would be sent is not taken and what arrives is not shown, as if the network did
-// not move; a new connection hangs, as without an answer to its first packet. Afterwards both go on, late.
+// Network faults: only the process that initiated a connection applies faults to it, for both directions, so that
+// exactly one process is responsible for each connection. While packets are lost, calls that send or receive fail with
+// EAGAIN, as on a network that transmits nothing, and a new connection hangs as if its SYN packet had no reply. When
+// the fault ends, the delayed data is sent and received.
 #include <arpa/inet.h>
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -40,26 +42,26 @@
 constexpr useconds_t kPollMicroseconds = 5'000;
 constexpr useconds_t kMicrosecondsPerMillisecond = 1'000;
 
-/// The C library's own function of a name.
+/// Returns the C library's function with this name, which the function of this library replaces.
 template <class Function>
 Function* realFunction(const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-/// What is known of one descriptor.
+/// State of one file descriptor.
 struct Descriptor {
-  std::atomic<int> peer{kNoMachine};  // of a connection that this process has opened
-  std::atomic<bool> isFile{false};    // a file that is open for writing
-  std::atomic<int> epoll{-1};         // where it is registered
+  std::atomic<int> peer{kNoMachine};  // index of the remote machine, for a connection that this process initiated
+  std::atomic<bool> isFile{false};    // a file created for writing, not for appending
+  std::atomic<int> epoll{-1};         // epoll instance that monitors the descriptor; -1: none
   epoll_event event{};
   bool wasCut = false;
-  int resets = 0;  // that it has lived through
+  int resets = 0;  // value of the table's reset counter for this link when it was last read
 };
 
-class Faults {
+class FaultInjector {
  public:
-  static Faults& instance() {
-    static auto* faults = new Faults;  // never destroyed: other threads may still use it while the process ends
+  static FaultInjector& instance() {
+    static auto* faults = new FaultInjector;  // never destroyed: other threads may still use it while the process ends
     return *faults;
   }
   bool active() const { return table_ != nullptr && self_ != kNoMachine; }
@@ -72,16 +74,17 @@
     return table_->cut[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)].load() != 0;
   }
   bool sendIsCut(int number) {
-    const auto* known = descriptor(number);
-    const int peer = known ? known->peer.load() : kNoMachine;
+    const auto* descriptorState = descriptor(number);
+    const int peer = descriptorState ? descriptorState->peer.load() : kNoMachine;
     return peer != kNoMachine && isCut(self_, peer);
   }
   bool receiveIsCut(int number) {
-    const auto* known = descriptor(number);
-    const int peer = known ? known->peer.load() : kNoMachine;
+    const auto* descriptorState = descriptor(number);
+    const int peer = descriptorState ? descriptorState->peer.load() : kNoMachine;
     return peer != kNoMachine && isCut(peer, self_);
   }
-  /// The machine at an address; `kNoMachine`: none of the table, or this one.
+  /// Returns the index of the machine with this address, or `kNoMachine` if the table has no such machine or the
+  /// address is the own one.
   int machineAt(const sockaddr* address) const {
     if (address->sa_family != AF_INET)
       return kNoMachine;
@@ -92,32 +95,32 @@
         return static_cast<int>(i);
     return kNoMachine;
   }
-  void opened(int number, int peer) {
-    auto* known = descriptor(number);
-    known->resets = table_->resets[static_cast<std::size_t>(self_)][static_cast<std::size_t>(peer)].load();
-    known->wasCut = false;
-    known->peer = peer;
+  void recordConnect(int number, int peer) {
+    auto* descriptorState = descriptor(number);
+    descriptorState->resets = table_->resets[static_cast<std::size_t>(self_)][static_cast<std::size_t>(peer)].load();
+    descriptorState->wasCut = false;
+    descriptorState->peer = peer;
   }
-  void closed(int number) {
-    if (auto* known = descriptor(number)) {
+  void recordClose(int number) {
+    if (auto* descriptorState = descriptor(number)) {
       const std::lock_guard lock(mutex_);
-      known->peer = kNoMachine;
-      known->isFile = false;
-      known->epoll = -1;
+      descriptorState->peer = kNoMachine;
+      descriptorState->isFile = false;
+      descriptorState->epoll = -1;
     }
   }
-  void registered(int epoll, int number, const epoll_event* event) {
-    if (auto* known = descriptor(number); known && event) {
+  void recordEpollEvents(int epoll, int number, const epoll_event* event) {
+    if (auto* descriptorState = descriptor(number); descriptorState && event) {
       const std::lock_guard lock(mutex_);
-      known->epoll = epoll;
-      known->event = *event;
+      descriptorState->epoll = epoll;
+      descriptorState->event = *event;
     }
   }
-  /// An address at which no connection is ever accepted or refused.
+  /// Returns an address at which a connection attempt is neither accepted nor refused, so that it hangs.
   sockaddr_in blackHole() const { return blackHole_; }
 
  private:
-  Faults() : descriptors_(new Descriptor[kMaxDescriptors]) {
+  FaultInjector() : descriptors_(new Descriptor[kMaxDescriptors]) {
     const char* path = std::getenv(kFaultTableVariable);
     if (!path)
       return;
@@ -131,10 +134,10 @@
     self_ = ownMachine();
     if (self_ == kNoMachine)
       return;
-    digBlackHole();
-    startWatch();
+    openBlackHole();
+    startPolling();
   }
-  /// By the settings file on the command line.
+  /// Finds the own machine in the table by the name of the settings file on the command line.
   int ownMachine() const {
     std::string line(4096, '\0');
     std::FILE* file = std::fopen("/proc/self/cmdline", "r");
@@ -149,8 +152,8 @@
     }
     return kNoMachine;
   }
-  // A listener whose queue is full: the kernel drops what else asks for a connection.
-  void digBlackHole() {
+  // Opens a listening socket and fills its queue of pending connections; the kernel then drops further SYN packets.
+  void openBlackHole() {
     const auto realConnect = realFunction<int(int, const sockaddr*, socklen_t)>("connect");
     blackHole_.sin_family = AF_INET;
     blackHole_.sin_addr.s_addr = ::htonl(INADDR_LOOPBACK);
@@ -163,33 +166,35 @@
     for (int i = 0; i < 3; ++i)
       (void)realConnect(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0), address, size);
   }
-  // Its thread takes no signals: they are the program's.
-  void startWatch() {
+  // Starts the thread that polls the fault table. The thread blocks all signals, so that the kernel delivers them to
+  // the threads of the program.
+  void startPolling() {
     sigset_t all;
     sigset_t before;
     ::sigfillset(&all);
     ::pthread_sigmask(SIG_SETMASK, &all, &before);
     std::thread([this] {
       for (;; ::usleep(kPollMicroseconds))
-        watch();
+        applyTableChanges();
     }).detach();
     ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
   }
-  // What became possible while a link was cut is announced again, since the program waits for a change; resets come
-  // here.
-  void watch() {
+  // Checks every open connection for changes in the fault table. When packets are no longer lost, EPOLL_CTL_MOD
+  // makes epoll report the descriptor's state again: the event loop uses edge-triggered events and would otherwise miss
+  // data that arrived during the fault. When the reset counter has changed, the connection is shut down.
+  void applyTableChanges() {
     static const auto realControl = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
     const std::lock_guard lock(mutex_);
     for (int number = 0; number < kMaxDescriptors; ++number) {
-      auto& known = descriptors_[static_cast<std::size_t>(number)];
-      const int peer = known.peer.load();
+      auto& descriptorState = descriptors_[static_cast<std::size_t>(number)];
+      const int peer = descriptorState.peer.load();
       if (peer == kNoMachine)
         continue;
       const bool cut = isCut(self_, peer) || isCut(peer, self_);
-      if (std::exchange(known.wasCut, cut) && !cut && known.epoll >= 0)
-        realControl(known.epoll, EPOLL_CTL_MOD, number, &known.event);
+      if (std::exchange(descriptorState.wasCut, cut) && !cut && descriptorState.epoll >= 0)
+        realControl(descriptorState.epoll, EPOLL_CTL_MOD, number, &descriptorState.event);
       const int resets = table_->resets[static_cast<std::size_t>(self_)][static_cast<std::size_t>(peer)].load();
-      if (std::exchange(known.resets, resets) != resets)
+      if (std::exchange(descriptorState.resets, resets) != resets)
         ::shutdown(number, SHUT_RDWR);
     }
   }
@@ -201,8 +206,8 @@
   sockaddr_in blackHole_{};
 };
 
-/// Takes one of a number of faults that are still to come.
-bool takeOne(std::atomic<std::int32_t>& left) {
+/// Consumes one of the remaining faults of a counter. Returns false if none remains.
+bool consumeFault(std::atomic<std::int32_t>& left) {
   if (left.load() <= 0)
     return false;
   return left.fetch_sub(1) > 0;
@@ -213,22 +218,22 @@
 }
 }  // namespace
 
-// The C library names its parameters with two underscores, which are its own.
+// The C library declares the parameters with names that start with two underscores; such names are reserved.
 // NOLINTBEGIN(readability-inconsistent-declaration-parameter-name)
 extern "C" {
 __attribute__((constructor)) void zinccleatSoakFaultsBegin() {
-  (void)Faults::instance();
+  (void)FaultInjector::instance();
 }
 
 // --- sockets ---
 
 int connect(int number, const sockaddr* address, socklen_t size) {
   static const auto real = realFunction<int(int, const sockaddr*, socklen_t)>("connect");
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   const int peer = faults.active() ? faults.machineAt(address) : kNoMachine;
   if (peer == kNoMachine || !faults.descriptor(number))
     return real(number, address, size);
-  faults.opened(number, peer);
+  faults.recordConnect(number, peer);
   if (!faults.sendIsCut(number) && !faults.receiveIsCut(number))
     return real(number, address, size);
   const auto nowhere = faults.blackHole();
@@ -236,29 +241,29 @@
 }
 int close(int number) {
   static const auto real = realFunction<int(int)>("close");
-  Faults::instance().closed(number);
+  FaultInjector::instance().recordClose(number);
   return real(number);
 }
 int epoll_ctl(int epoll, int operation, int number, epoll_event* event) {
   static const auto real = realFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
-  Faults::instance().registered(epoll, number, event);
+  FaultInjector::instance().recordEpollEvents(epoll, number, event);
   return real(epoll, operation, number, event);
 }
 ssize_t send(int number, const void* bytes, size_t size, int flags) {
   static const auto real = realFunction<ssize_t(int, const void*, size_t, int)>("send");
-  return Faults::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
+  return FaultInjector::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
 }
 ssize_t sendmsg(int number, const msghdr* message, int flags) {
   static const auto real = realFunction<ssize_t(int, const msghdr*, int)>("sendmsg");
-  return Faults::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
+  return FaultInjector::instance().sendIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
 }
 ssize_t recv(int number, void* bytes, size_t size, int flags) {
   static const auto real = realFunction<ssize_t(int, void*, size_t, int)>("recv");
-  return Faults::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
+  return FaultInjector::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, bytes, size, flags);
 }
 ssize_t recvmsg(int number, msghdr* message, int flags) {
   static const auto real = realFunction<ssize_t(int, msghdr*, int)>("recvmsg");
-  return Faults::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
+  return FaultInjector::instance().receiveIsCut(number) ? fail(EAGAIN) : real(number, message, flags);
 }
 
 // --- files ---
@@ -273,43 +278,44 @@
     va_end(arguments);
   }
   const int number = real(path, flags, mode);
-  if (auto* known = Faults::instance().descriptor(number))
-    known->isFile = (flags & O_CREAT) != 0 && (flags & O_ACCMODE) == O_WRONLY && (flags & O_APPEND) == 0;
+  if (auto* descriptorState = FaultInjector::instance().descriptor(number))
+    descriptorState->isFile = (flags & O_CREAT) != 0 && (flags & O_ACCMODE) == O_WRONLY && (flags & O_APPEND) == 0;
   return number;
 }
 ssize_t write(int number, const void* bytes, size_t size) {
   static const auto real = realFunction<ssize_t(int, const void*, size_t)>("write");
-  auto& faults = Faults::instance();
-  const auto* known = faults.descriptor(number);
-  if (known && known->isFile) {
+  auto& faults = FaultInjector::instance();
+  const auto* descriptorState = faults.descriptor(number);
+  if (descriptorState && descriptorState->isFile) {
     if (faults.machine().full.load() != 0)
       return fail(ENOSPC);
-    if (takeOne(faults.machine().refusedWrites))
+    if (consumeFault(faults.machine().refusedWrites))
       return fail(EIO);
   }
   return real(number, bytes, size);
 }
 int fsync(int number) {
   static const auto real = realFunction<int(int)>("fsync");
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   if (faults.active()) {
     auto& machine = faults.machine();
     ::usleep(static_cast<useconds_t>(machine.syncMs.load()) * kMicrosecondsPerMillisecond);
     while (machine.stalled.load() != 0)
       ::usleep(kPollMicroseconds);
-    if (takeOne(machine.refusedSyncs))
+    if (consumeFault(machine.refusedSyncs))
       return fail(EIO);
   }
   return real(number);
 }
 
-// --- the clock ---
+// --- clock ---
 
-// While it runs slowly it shows less than has passed; it never goes back, and what it lost stays lost.
+// While the clock is slowed down, it advances by the real elapsed time divided by `clockDivisor`. The clock never goes
+// backwards, and it does not catch up when the slowdown ends.
 int clock_gettime(clockid_t clock, timespec* time) {
   static const auto real = realFunction<int(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, time);
-  auto& faults = Faults::instance();
+  auto& faults = FaultInjector::instance();
   if (result != 0 || clock != CLOCK_MONOTONIC || !faults.active())
     return result;
   constexpr std::int64_t kNanoseconds = 1'000'000'000;
--- a/tests/soak/clients.cpp
+++ b/tests/soak/clients.cpp
@@ -1,4 +1,5 @@
-// Clients: each keeps one connection and uses it until the other end closes it, also while the machine shuts down.
+// Clients of the access machines. Each client keeps one connection and uses the connection until the proxy closes it,
+// also while the access machine shuts down.
 #include "proxy/http.hpp"
 #include "soak_run.hpp"
 
@@ -7,13 +8,13 @@
 constexpr Duration kPollInterval{1000};
 constexpr Duration kPollTimeout{900};
 constexpr Duration kConnectTimeout{900};
-constexpr int kMissesUntilOut = 2;
-constexpr Duration kDeadline{4000};            // what clients tell the fleet
-constexpr Duration kPatience{5500};            // what they wait
-constexpr std::uint64_t kLongPauseOneIn = 12;  // pauses of seconds on an open connection
+constexpr int kFailedPollsUntilOutOfService = 2;
+constexpr Duration kRequestDeadline{4000};         // value of X-Deadline-Ms
+constexpr Duration kResponseTimeout{5500};         // time that a client waits for the response
+constexpr std::uint64_t kPausesPerLongPause = 12;  // one of so many pauses lasts seconds, on an open connection
 constexpr int kOk = 200;
 
-struct Answer {
+struct Response {
   int status = 0;
   bool bodyMatches = false;
   bool closes = false;
@@ -21,10 +22,10 @@
 class SoakClient {
  public:
   SoakClient(SoakRun& run, int number) : run_(run), number_(number) {}
-  void use() {
-    while (run_.loaded) {
+  void sendRequestsUntilLoadEnds() {
+    while (run_.loadActive) {
       pause();
-      if (!run_.loaded)
+      if (!run_.loadActive)
         return;
       if (!connection_ && !connect())
         continue;
@@ -34,7 +35,7 @@
 
  private:
   void pause() const {
-    const bool isLong = run_.draw(kLongPauseOneIn) == 0;
+    const bool isLong = run_.draw(kPausesPerLongPause) == 0;
     runtime::EventLoop::get().sleepFor(isLong ? run_.drawDuration(500ms, 3500ms) : run_.drawDuration(5ms, 120ms));
   }
   bool connect() {
@@ -55,7 +56,7 @@
     const auto kind = run_.draw(10);
     request.kind = kind < 4 ? RequestKind::safe : kind < 7 ? RequestKind::unsafe : RequestKind::stream;
     if (request.kind == RequestKind::safe && run_.draw(2) == 0)
-      request.route = "t" + std::to_string(run_.draw(kOptionalRoutes));
+      request.route = "t" + std::to_string(run_.draw(kOptionalRouteCount));
     return request;
   }
   static std::string pathOf(const ClientRequest& request) {
@@ -73,48 +74,48 @@
   }
   void send() {
     auto request = nextRequest();
-    const auto text = "POST " + pathOf(request) +
-                      " HTTP/1.1\r\nHost: soak.example\r\nX-Attempt-Id: " + request.attemptId +
-                      "\r\nX-Deadline-Ms: " + std::to_string(kDeadline.count()) + "\r\nContent-Length: 4\r\n\r\nbody";
+    const auto text =
+        "POST " + pathOf(request) + " HTTP/1.1\r\nHost: soak.example\r\nX-Attempt-Id: " + request.attemptId +
+        "\r\nX-Deadline-Ms: " + std::to_string(kRequestDeadline.count()) + "\r\nContent-Length: 4\r\n\r\nbody";
     runtime::SocketError ec;
-    connection_->setDeadline(Clock::now() + kPatience);
+    connection_->setDeadline(Clock::now() + kResponseTimeout);
     const auto written = connection_->write(asio::buffer(text), ec);
     request.sentAt = Clock::now();
     if (ec || written < text.size()) {
-      connection_.reset();  // not a whole request: nothing was read
+      connection_.reset();  // the request is incomplete, so that the proxy cannot have read it
       return;
     }
-    const auto answer = receive(request, ec);
+    const auto response = receive(request, ec);
     request.endedAt = Clock::now();
-    if (answer) {
+    if (response) {
       request.end = RequestEnd::answered;
-      request.status = answer->status;
-      request.bodyMatches = answer->bodyMatches;
+      request.status = response->status;
+      request.bodyMatches = response->bodyMatches;
     } else {
       request.end = connection_->deadlineExceeded() ? RequestEnd::unanswered : RequestEnd::connectionClosed;
     }
-    if (!answer || answer->closes)
+    if (!response || response->closes)
       connection_.reset();
     else
       connection_->clearDeadline();
-    run_.seen.requests.push_back(std::move(request));
+    run_.observations.requests.push_back(std::move(request));
   }
-  std::optional<Answer> receive(const ClientRequest& request, runtime::SocketError& ec) {
+  std::optional<Response> receive(const ClientRequest& request, runtime::SocketError& ec) {
     http::response_parser<http::string_body> parser;
     parser.eager(true);
     proxy::readIntoParser(*connection_, buffer_, parser, false, ec);
     if (ec || !parser.is_done())
       return std::nullopt;
     const auto& message = parser.get();
-    Answer answer;
-    answer.status = static_cast<int>(message.result_int());
-    answer.closes = !message.keep_alive();
+    Response response;
+    response.status = static_cast<int>(message.result_int());
+    response.closes = !message.keep_alive();
     const auto& body = message.body();
     const bool stream = request.kind == RequestKind::stream;
-    answer.bodyMatches = message["X-Server-Seal"] == "soak" &&
-                         (stream ? body.starts_with("id: 1\n") && body.ends_with("last " + request.attemptId + "\n\n")
-                                 : body == "done " + request.attemptId);
-    return answer;
+    response.bodyMatches = message["X-Server-Seal"] == "soak" &&
+                           (stream ? body.starts_with("id: 1\n") && body.ends_with("last " + request.attemptId + "\n\n")
+                                   : body == "done " + request.attemptId);
+    return response;
   }
 
   SoakRun& run_;
@@ -139,11 +140,11 @@
     proxy::readIntoParser(connection, buffer, parser, true, ec);
   return !ec && parser.get().result_int() == kOk;
 }
-void poll(SoakRun& run, int machine) {
-  int misses = kMissesUntilOut;
+void pollReadiness(SoakRun& run, int machine) {
+  int failedPolls = kFailedPollsUntilOutOfService;
   for (;; runtime::EventLoop::get().sleepFor(kPollInterval)) {
-    misses = isReady(run.fleet.readiness(machine)) ? 0 : misses + 1;
-    run.inService[static_cast<std::size_t>(machine)] = misses < kMissesUntilOut ? 1 : 0;
+    failedPolls = isReady(run.fleet.readiness(machine)) ? 0 : failedPolls + 1;
+    run.inService[static_cast<std::size_t>(machine)] = failedPolls < kFailedPollsUntilOutOfService ? 1 : 0;
   }
 }
 }  // namespace
@@ -159,12 +160,12 @@
   runtime::setConnectionOptions(connection->socket());
   return connection;
 }
-void startPlatform(SoakRun& run) {
+void startReadinessPolling(SoakRun& run) {
   for (int machine = 0; machine < run.plan.access; ++machine)
-    runtime::EventLoop::get().spawn([&run, machine] { poll(run, machine); });
+    runtime::EventLoop::get().spawn([&run, machine] { pollReadiness(run, machine); });
 }
 void startClients(SoakRun& run) {
   for (int number = 0; number < run.plan.clients; ++number)
-    run.spawn([&run, number] { SoakClient(run, number).use(); });
+    run.spawn([&run, number] { SoakClient(run, number).sendRequestsUntilLoadEnds(); });
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -1,4 +1,5 @@
-// Work on the fleet, in series that overlap: signals, restarts, changes, runners that are replaced, and kills.
+// Operations on the fleet, in overlapping series: signals, restarts, configuration changes, replacement of runners, and
+// kills. Also the supervisor that restarts processes.
 #include <csignal>
 #include <fstream>
 
@@ -7,12 +8,12 @@
 namespace zinccleat::soak {
 namespace {
 constexpr Duration kSupervisionInterval{20};
-constexpr Duration kLeastRestartDelay{50};
-constexpr Duration kMostRestartDelay{600};
-constexpr Duration kMostSeriesPause{1500};
+constexpr Duration kMinRestartDelay{50};
+constexpr Duration kMaxRestartDelay{600};
+constexpr Duration kMaxSeriesPause{1500};
 constexpr int kMaxSeriesLength = 5;
 
-/// What a process blocks and catches, by its status in /proc.
+/// The signals that a process blocks and handles, as /proc/PID/status shows them.
 struct SignalMasks {
   std::uint64_t blocked = 0, caught = 0;
   bool handles(int signal) const { return ((blocked | caught) >> (signal - 1) & 1U) != 0; }
@@ -31,39 +32,40 @@
   return masks;
 }
 
-/// Watches the processes as the platform does: ends that take longer than the grace, starts after each end.
+/// Supervises the processes as the platform does: sends SIGKILL to a process that does not exit within the grace
+/// period, and restarts each process after its exit.
 class Supervisor {
  public:
   explicit Supervisor(SoakRun& run) : run_(run), states_(run.fleet.processes().size()) {}
   void start() {
     runtime::EventLoop::get().callEvery(kSupervisionInterval, [this] { check(); });
   }
-  /// The access machine of a process, or `Disturbance::kCore`.
+  /// Returns the access machine of a process, or `Disturbance::kCore`.
   int machineOf(std::size_t process) const {
     const auto core = run_.fleet.core().size();
     return process < core ? Disturbance::kCore : static_cast<int>((process - core) / 2);
   }
-  void disturb(std::size_t process, bool planned) {
-    run_.seen.disturbances.push_back({machineOf(process), Clock::now(), planned});
+  void recordDisturbance(std::size_t process, bool planned) {
+    run_.observations.disturbances.push_back({machineOf(process), Clock::now(), planned});
   }
-  /// Whether a process has begun to hold back or handle SIGTERM. Before that, while the dynamic linker works (10 ms, up
-  /// to 180 ms on a busy machine), the kernel ends it whatever the program does.
-  bool mayBeSignalled(std::size_t process) const { return masksOf(process).handles(SIGTERM); }
+  /// Whether a process already blocks or handles SIGTERM. Before that, while the dynamic linker is active (10 ms, up to
+  /// 180 ms on a busy machine), SIGTERM terminates the process regardless of the program's code.
+  bool handlesTermination(std::size_t process) const { return masksOf(process).handles(SIGTERM); }
   void terminate(std::size_t process) {
     const auto masks = masksOf(process);
     if (!masks.handles(SIGTERM))
       return;
-    disturb(process, true);
+    recordDisturbance(process, true);
     states_[process].masks = masks.text();
     if (run_.fleet.signal(process, SIGTERM) && !states_[process].terminatedAt)
       states_[process].terminatedAt = Clock::now();
   }
   void kill(std::size_t process) {
-    disturb(process, false);
+    recordDisturbance(process, false);
     states_[process].killed = true;
     (void)run_.fleet.signal(process, SIGKILL);
   }
-  bool runs(std::size_t process) const {
+  bool isRunning(std::size_t process) const {
     return run_.fleet.processes()[process].pid > 0 && !states_[process].terminatedAt;
   }
 
@@ -71,7 +73,7 @@
   struct State {
     std::optional<TimePoint> terminatedAt;
     bool killed = false;
-    TimePoint startAt = TimePoint::max();
+    TimePoint restartAt = TimePoint::max();
     TimePoint startedAt{};
     std::string masks;
   };
@@ -81,20 +83,21 @@
     for (std::size_t process = 0; process < states_.size(); ++process) {
       auto& state = states_[process];
       if (const auto status = run_.fleet.pollExitStatus(process)) {
-        run_.seen.exits.push_back({run_.fleet.processes()[process].name, *status, state.terminatedAt, state.killed,
-                                   state.startedAt, now, state.masks});
-        disturb(process, state.terminatedAt.has_value());
+        run_.observations.exits.push_back({run_.fleet.processes()[process].name, *status, state.terminatedAt,
+                                           state.killed, state.startedAt, now, state.masks});
+        recordDisturbance(process, state.terminatedAt.has_value());
         state = {};
-        state.startAt = now + run_.drawDuration(kLeastRestartDelay, kMostRestartDelay);
+        state.restartAt = now + run_.drawDuration(kMinRestartDelay, kMaxRestartDelay);
       }
-      if (now >= state.startAt) {
-        state.startAt = TimePoint::max();
-        disturb(process, true);
+      if (now >= state.restartAt) {
+        state.restartAt = TimePoint::max();
+        recordDisturbance(process, true);
         state.startedAt = now;
         (void)run_.fleet.restartProcess(process);
       }
-      // As the platform: its grace is over. A process that needs this is reported by its exit's status.
-      if (state.terminatedAt && now - *state.terminatedAt > run_.seen.bounds.grace)
+      // The platform sends SIGKILL when the grace period is over. A process that is killed here counts as a violation,
+      // because of its exit status.
+      if (state.terminatedAt && now - *state.terminatedAt > run_.observations.bounds.grace)
         (void)run_.fleet.signal(process, SIGKILL);
     }
   }
@@ -102,19 +105,19 @@
   std::vector<State> states_;
 };
 
-class Disturber {
+class FleetOperations {
  public:
-  explicit Disturber(SoakRun& run) : run_(run), supervisor_(run) {}
+  explicit FleetOperations(SoakRun& run) : run_(run), supervisor_(run) {}
   void start() {
     supervisor_.start();
-    run_.killForFault = [this](std::size_t process) { supervisor_.kill(process); };
-    // Each kind in a series of its own, so that they overlap.
+    run_.killProcess = [this](std::size_t process) { supervisor_.kill(process); };
+    // Each kind of operation has its own series, so that operations overlap.
     repeat([this] { restartAccessMachines(); });
     repeat([this] { restartAccessMachines(); });
     repeat([this] { restartController(); });
     repeat([this] { reloadSettings(); });
-    repeat([this] { changeInSeries(); });
-    repeat([this] { changeInSeries(); });
+    repeat([this] { sendConfigurationChanges(); });
+    repeat([this] { sendConfigurationChanges(); });
     repeat([this] { replaceRunners(); });
     repeat([this] { evacuateZone(run_); });
     if (run_.plan.kills)
@@ -125,9 +128,9 @@
   static void sleepFor(Duration duration) { runtime::EventLoop::get().sleepFor(duration); }
   void repeat(std::function<void()> series) {
     run_.spawn([this, series = std::move(series)] {
-      while (run_.disturbed) {
-        sleepFor(run_.drawDuration(100ms, kMostSeriesPause));
-        if (run_.disturbed)
+      while (run_.disturbancesActive) {
+        sleepFor(run_.drawDuration(100ms, kMaxSeriesPause));
+        if (run_.disturbancesActive)
           series();
       }
     });
@@ -135,13 +138,14 @@
   std::size_t firstProcessOf(int machine) const {
     return run_.fleet.core().size() + 2 * static_cast<std::size_t>(machine);
   }
-  int drawLength() { return 1 + static_cast<int>(run_.draw(kMaxSeriesLength)); }
+  int drawSeriesLength() { return 1 + static_cast<int>(run_.draw(kMaxSeriesLength)); }
   int drawMachine() { return static_cast<int>(run_.draw(static_cast<std::uint64_t>(run_.plan.access))); }
-  // A machine's processes get the signal together, sometimes twice, and SIGHUP may follow it.
+  // Sends SIGTERM to both processes of an access machine, sometimes twice, and sometimes SIGHUP afterwards.
   void restartAccessMachines() {
-    for (int i = drawLength(); i > 0 && run_.disturbed; --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
+    for (int i = drawSeriesLength(); i > 0 && run_.disturbancesActive;
+         --i, sleepFor(run_.drawDuration(100ms, 1300ms))) {
       const auto first = firstProcessOf(drawMachine());
-      if (!supervisor_.runs(first) || !supervisor_.runs(first + 1))
+      if (!supervisor_.isRunning(first) || !supervisor_.isRunning(first + 1))
         continue;
       const auto times = 1 + run_.draw(2);
       for (std::uint64_t time = 0; time < times; ++time) {
@@ -150,39 +154,40 @@
         sleepFor(run_.drawDuration(1ms, 200ms));
       }
       if (run_.draw(3) == 0)
-        hangUp(first);
+        sendHangup(first);
     }
   }
   void restartController() {
     const auto controllers = run_.fleet.core().size();
     std::size_t running = 0;
     for (std::size_t i = 0; i < controllers; ++i)
-      running += supervisor_.runs(i);
-    // One at a time: more is not planned work.
+      running += supervisor_.isRunning(i);
+    // At most one controller is down at a time, because a planned restart must leave the other controllers running.
     if (running == controllers)
       supervisor_.terminate(run_.draw(controllers));
     sleepFor(run_.drawDuration(1500ms, 4000ms));
   }
-  void hangUp(std::size_t process) {
-    if (!supervisor_.mayBeSignalled(process))
+  void sendHangup(std::size_t process) {
+    if (!supervisor_.handlesTermination(process))
       return;
     run_.fleet.touchSettings(process);
-    supervisor_.disturb(process, true);
+    supervisor_.recordDisturbance(process, true);
     (void)run_.fleet.signal(process, SIGHUP);
   }
   void reloadSettings() {
-    for (int i = drawLength(); i > 0; --i, sleepFor(run_.drawDuration(1ms, 150ms)))
-      hangUp(run_.draw(run_.fleet.processes().size()));
+    for (int i = drawSeriesLength(); i > 0; --i, sleepFor(run_.drawDuration(1ms, 150ms)))
+      sendHangup(run_.draw(run_.fleet.processes().size()));
   }
-  // Pairs of operators change the same version now and then: the second change goes out before the first is answered.
-  void changeInSeries() {
-    for (int i = 3 * drawLength(); i > 0 && run_.disturbed; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
+  // Two of these series run at once, so that two changes are sometimes based on the same version and the second one is
+  // sent before the response to the first.
+  void sendConfigurationChanges() {
+    for (int i = 3 * drawSeriesLength(); i > 0 && run_.disturbancesActive; --i, sleepFor(run_.drawDuration(5ms, 150ms)))
       changeConfiguration(run_);
   }
-  // The new ones start first.
+  // Replaces runners: a new runner starts before the old one leaves.
   void replaceRunners() {
     const auto leaving = runnersInService(run_);
-    for (int i = drawLength(); i > 0; --i) {
+    for (int i = drawSeriesLength(); i > 0; --i) {
       startRunner(run_, "runner-" + std::to_string(++startedRunners_) + "-" + std::to_string(run_.plan.seed));
       sleepFor(run_.drawDuration(300ms, 900ms));
       requestDeparture(run_, leaving[run_.draw(leaving.size())]);
@@ -190,7 +195,7 @@
   }
   void killProcesses() {
     const auto process = run_.draw(run_.fleet.processes().size());
-    if (supervisor_.runs(process))
+    if (supervisor_.isRunning(process))
       supervisor_.kill(process);
     sleepFor(run_.drawDuration(500ms, 3000ms));
   }
@@ -202,8 +207,8 @@
 }  // namespace
 
 void startDisturbances(SoakRun& run) {
-  static std::unique_ptr<Disturber> disturber;
-  disturber = std::make_unique<Disturber>(run);
-  disturber->start();
+  static std::unique_ptr<FleetOperations> fleetOperations;
+  fleetOperations = std::make_unique<FleetOperations>(run);
+  fleetOperations->start();
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -1,8 +1,9 @@
 // zinccleat_soak PROGRAM [--seed=N] [--seconds=N] [--core=N] [--access=N] [--runners=N] [--clients=N]
-//     [--applications=N] [--kills] [--keep]
+//     [--applications=N] [--kills] [--disks] [--cuts] [--plant=slow-clock|lost-disks] [--keep]
 //
-// One soak run; --keep leaves its folder with the processes' logs where a rule is broken. Prints what was seen and each
-// broken rule; exit status 0: none, 1: some, 2: it could not be played.
+// Performs one soak run, and prints a summary and the violated rules. With --keep, the folder with the logs of the
+// processes is kept after a violation. Exit status: 0 without violations, 1 with violations, 2 if the run failed to
+// start or to end.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -14,13 +15,13 @@
 
 namespace zinccleat::soak {
 namespace {
-constexpr const char* kPlant = "--plant=";
+constexpr const char* kPlantOption = "--plant=";
 constexpr const char* kFolderInMemory = "/dev/shm";
 constexpr Duration kReadyTimeout{30000};
-constexpr Duration kPoll{50};
+constexpr Duration kPollInterval{50};
 constexpr Duration kEndTimeout{12000};
-constexpr Duration kLogTime{500};
-constexpr std::size_t kPrintedViolations = 12;
+constexpr Duration kLogFlushTime{500};
+constexpr std::size_t kMaxPrintedViolations = 12;
 
 std::string timersJson(const Bounds& bounds) {
   return R"({"graceS":)" + std::to_string(bounds.grace.count() / 1000) + R"(,"drainMs":)" +
@@ -29,7 +30,7 @@
          std::to_string(bounds.contact.count()) + "}";
 }
 bool waitUntil(Duration timeout, const std::function<bool()>& condition) {
-  for (const auto end = Clock::now() + timeout; Clock::now() < end; runtime::EventLoop::get().sleepFor(kPoll))
+  for (const auto end = Clock::now() + timeout; Clock::now() < end; runtime::EventLoop::get().sleepFor(kPollInterval))
     if (condition())
       return true;
   return false;
@@ -38,7 +39,7 @@
   std::printf("soak: %s\n", what.c_str());
   return 2;
 }
-/// Places of the table: the controllers, the access machines, the runners.
+/// Fills the fault table: first the controllers, then the access machines, then one entry for all runners.
 void prepareFaults(SoakRun& run) {
   auto& faults = run.faults.emplace(run.plan.library, run.fleet.folder());
   for (std::size_t i = 0; i < run.fleet.core().size(); ++i)
@@ -51,7 +52,7 @@
   faults.preload();
 }
 bool start(SoakRun& run) {
-  if (run.plan.disks || run.plan.cuts || !run.plan.planted.empty())
+  if (run.plan.disks || run.plan.cuts || !run.plan.plantedFault.empty())
     prepareFaults(run);
   if (!run.fleet.startCore())
     return false;
@@ -63,9 +64,9 @@
 bool allInService(const SoakRun& run) {
   return std::all_of(run.inService.begin(), run.inService.end(), [](char in) { return in != 0; });
 }
-/// What applications saw.
-void addCoordination(const SoakRun& run, std::vector<Violation>& violations) {
-  for (const auto& name : run.unansweredAtTheEnd)
+/// Adds the violations that the applications observed.
+void addApplicationViolations(const SoakRun& run, std::vector<Violation>& violations) {
+  for (const auto& name : run.failedFinalReads)
     violations.push_back({"LOST", "at the end no answer for " + name});
   for (const auto& broken : coordination_history::violationsIn(run.applicationCalls)) {
     const auto colon = broken.find(": ");
@@ -73,76 +74,79 @@
   }
 }
 int report(const SoakRun& run) {
-  const auto& seen = run.seen;
+  const auto& observations = run.observations;
   const auto count = [&](int status) {
-    return std::count_if(seen.requests.begin(), seen.requests.end(), [status](const ClientRequest& request) {
-      return request.end == RequestEnd::answered && request.status == status;
-    });
+    return std::count_if(observations.requests.begin(), observations.requests.end(),
+                         [status](const ClientRequest& request) {
+                           return request.end == RequestEnd::answered && request.status == status;
+                         });
   };
-  const auto acknowledged = std::count_if(seen.changes.begin(), seen.changes.end(),
-                                          [](const Change& change) { return change.acknowledgedAt.has_value(); });
+  const auto acknowledged =
+      std::count_if(observations.changes.begin(), observations.changes.end(),
+                    [](const ConfigurationChange& change) { return change.acknowledgedAt.has_value(); });
   const auto served = std::count_if(run.applicationCalls.begin(), run.applicationCalls.end(),
                                     [](const auto& call) { return call.succeeded(); });
   std::int64_t counted = 0;
   for (const auto& [counter, amount] : run.acknowledgedIncrements)
     counted += amount;
-  auto violations = brokenRules(seen);
-  addCoordination(run, violations);
+  auto violations = findViolations(observations);
+  addApplicationViolations(run, violations);
   std::printf(
       "seed %ju: core %d, access %d, processes %zu; requests %zu: 200 %td, 404 %td, 503 %td; changes %zu, acknowledged "
       "%td; runners left %zu; ends of processes %zu; calls for coordination %zu, 200 %td; counted %jd; broken rules "
       "%zu\n",
       static_cast<std::uintmax_t>(run.plan.seed), run.plan.core, run.plan.access, run.fleet.processes().size(),
-      seen.requests.size(), count(200), count(404), count(503), seen.changes.size(), acknowledged,
-      seen.departures.size(), seen.exits.size(), run.applicationCalls.size(), served,
+      observations.requests.size(), count(200), count(404), count(503), observations.changes.size(), acknowledged,
+      observations.departures.size(), observations.exits.size(), run.applicationCalls.size(), served,
       static_cast<std::intmax_t>(counted), violations.size());
-  for (std::size_t i = 0; i < std::min(violations.size(), kPrintedViolations); ++i)
+  for (std::size_t i = 0; i < std::min(violations.size(), kMaxPrintedViolations); ++i)
     std::printf("  %s: %s\n", violations[i].rule.c_str(), violations[i].what.c_str());
   std::fflush(stdout);
   return violations.empty() ? 0 : 1;
 }
-/// Has every process write its log out, and ends this one without removing the folder.
+/// Makes every process write its log to its file, and exits without removing the fleet's folder.
 [[noreturn]] void keepLogs(const SoakRun& run) {
   for (std::size_t process = 0; process < run.fleet.processes().size(); ++process)
     (void)run.fleet.signal(process, SIGUSR1);
-  runtime::EventLoop::get().sleepFor(kLogTime);
+  runtime::EventLoop::get().sleepFor(kLogFlushTime);
   std::printf("  logs: %s\n", run.fleet.folder().c_str());
   std::fflush(stdout);
   std::_Exit(1);
 }
-int play(SoakRun& run) {
+int executeRun(SoakRun& run) {
   auto& loop = runtime::EventLoop::get();
   if (!start(run))
-    return fail("the fleet does not start");
+    return fail("the fleet did not start");
   for (int i = 0; i < run.plan.runners; ++i)
     startRunner(run, "runner-" + std::to_string(i) + "-" + std::to_string(run.plan.seed));
-  startPlatform(run);
+  startReadinessPolling(run);
   if (!waitUntil(kReadyTimeout, [&run] { return allInService(run); }))
-    return fail("the access machines do not get ready");
+    return fail("the access machines did not become ready in time");
   startClients(run);
   startApplications(run);
-  startCounting(run);
+  startCounterApplications(run);
   startDisturbances(run);
   startFaults(run);
   loop.sleepFor(std::chrono::seconds(run.plan.seconds));
-  run.disturbed = false;
+  run.disturbancesActive = false;
   if (run.faults)
     run.faults->endAll();
-  loop.sleepFor(run.seen.bounds.contact);
-  run.loaded = false;
-  if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
-    return fail("clients or work on the fleet do not end");
-  readBack(run);
+  loop.sleepFor(run.observations.bounds.contact);
+  run.loadActive = false;
+  if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
+    return fail("clients or operations on the fleet did not end in time");
+  readBackConfiguration(run);
   readBackApplications(run);
   readBackCounters(run);
-  if (!waitUntil(kEndTimeout, [&run] { return run.busy == 0; }))
-    return fail("applications do not end");
+  if (!waitUntil(kEndTimeout, [&run] { return run.activeFibers == 0; }))
+    return fail("the final reads of the applications did not end in time");
   const int status = report(run);
-  if (status != 0 && run.plan.keepsLogs)
+  if (status != 0 && run.plan.keepLogsOnViolation)
     keepLogs(run);
   return status;
 }
-/// @return whether the argument has this form; the number is set then.
+/// Parses an argument that consists of `name` and a number.
+/// @return false if the argument does not begin with `name`; `number` is then unchanged.
 template <class Number>
 bool parse(const char* argument, const char* name, Number& number) {
   const auto length = std::strlen(name);
@@ -151,7 +155,7 @@
   number = static_cast<Number>(std::strtoull(argument + length, nullptr, 10));
   return true;
 }
-std::optional<SoakPlan> planOf(int argc, char** argv) {
+std::optional<SoakPlan> parsePlan(int argc, char** argv) {
   if (argc < 2)
     return std::nullopt;
   SoakPlan plan;
@@ -164,10 +168,10 @@
       plan.disks = true;
     else if (std::strcmp(argument, "--cuts") == 0)
       plan.cuts = true;
-    else if (std::strncmp(argument, kPlant, std::strlen(kPlant)) == 0)
-      plan.planted = argument + std::strlen(kPlant);
+    else if (std::strncmp(argument, kPlantOption, std::strlen(kPlantOption)) == 0)
+      plan.plantedFault = argument + std::strlen(kPlantOption);
     else if (std::strcmp(argument, "--keep") == 0)
-      plan.keepsLogs = true;
+      plan.keepLogsOnViolation = true;
     else if (!parse(argument, "--seed=", plan.seed) && !parse(argument, "--seconds=", plan.seconds) &&
              !parse(argument, "--core=", plan.core) && !parse(argument, "--access=", plan.access) &&
              !parse(argument, "--runners=", plan.runners) && !parse(argument, "--clients=", plan.clients) &&
@@ -187,17 +191,17 @@
             simulation::FleetOptions{.core = soakPlan.core, .zones = kZones, .timers = timersJson(Bounds{})}),
       inService(static_cast<std::size_t>(soakPlan.access), 0) {}
 void SoakRun::spawn(std::function<void()> body) {
-  ++busy;
+  ++activeFibers;
   runtime::EventLoop::get().spawn([this, body = std::move(body)] {
     body();
-    --busy;
+    --activeFibers;
   });
 }
 }  // namespace zinccleat::soak
 
 int main(int argc, char** argv) {
   using namespace zinccleat;
-  const auto plan = soak::planOf(argc, argv);
+  const auto plan = soak::parsePlan(argc, argv);
   if (!plan) {
     std::fprintf(stderr,
                  "usage: zinccleat_soak PROGRAM [--seed=N] [--seconds=N] [--core=N] [--access=N] "
@@ -205,7 +209,8 @@
                  "[--plant=slow-clock|lost-disks] [--keep]\n");
     return 2;
   }
-  // In memory where there is such a folder: what the run measures is not to depend on who else uses the disk.
+  // Uses a folder in memory if the system has one, so that other users of the disk don't influence the timing of the
+  // run.
   if (std::filesystem::is_directory(soak::kFolderInMemory))
     ::setenv("TMPDIR", soak::kFolderInMemory, 0);
   runtime::EventLoop loop;
@@ -213,10 +218,10 @@
   {
     soak::SoakRun run(*plan);
     loop.spawn([&] {
-      status = soak::play(run);
+      status = soak::executeRun(run);
       runtime::EventLoop::get().stop();
     });
     loop.run();
   }
-  std::_Exit(status);  // parked fibers would hold an ordinary exit up
+  std::_Exit(status);  // an ordinary exit would wait for fibers that are still blocked
 }
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -1,4 +1,5 @@
-// The operators: changes of the configuration, repeated until the answer is clear, and the reading back at the end.
+// Operators: they change the configuration and evacuate zones, with retries until the response is definite, and read
+// the configuration at the end of the run.
 #include "control_calls.hpp"
 #include "operations/json_path.hpp"
 #include "soak_run.hpp"
@@ -7,12 +8,12 @@
 namespace {
 constexpr Duration kCallTimeout{1500};
 constexpr Duration kRetryInterval{60};
-constexpr int kFirstAttempts = 200;
-constexpr int kChangeAttempts = 12;
-constexpr int kZoneOrderAttempts = 20;
-constexpr Duration kReadBackTime{3000};
+constexpr int kMaxFirstChangeAttempts = 200;
+constexpr int kMaxChangeAttempts = 12;
+constexpr int kMaxZoneOrderAttempts = 20;
+constexpr Duration kReadBackTimeout{3000};
 constexpr int kOk = 200;
-constexpr int kConflict = 412;
+constexpr int kPreconditionFailed = 412;
 
 std::string routeJson(const std::string& label, const char* type) {
   return R"({"label":")" + label + R"(","authority":"soak.example","pathPrefix":"/)" + label + R"(/","routeType":")" +
@@ -26,21 +27,22 @@
   return R"({"configVersion":)" + std::to_string(version) + R"(,"routeTable":[)" + table +
          R"(],"serviceTable":[{"label":"models"}]})";
 }
-/// Sends one change until its answer is clear. @return its status; 0 if there was none.
+/// Sends one change until the response is definite (200 or 412). @return the response status; 0 without such a
+/// response.
 int sendChange(SoakRun& run, std::int64_t base, std::int64_t version, const std::set<std::string>& routes,
                int attempts) {
   const auto call = simulation::replaceCall(configurationJson(version, routes), base);
   for (int attempt = 0; attempt < attempts; ++attempt) {
-    const auto answer = operations::callOne(run.anyController(), call, kCallTimeout);
-    if (answer && (answer->status == kOk || answer->status == kConflict))
-      return answer->status;
+    const auto response = operations::callOne(run.randomControllerAddress(), call, kCallTimeout);
+    if (response && (response->status == kOk || response->status == kPreconditionFailed))
+      return response->status;
     runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
   return 0;
 }
-std::set<std::string> toggled(SoakRun& run) {
+std::set<std::string> withRandomRouteToggled(SoakRun& run) {
   auto routes = run.routes;
-  const auto route = "t" + std::to_string(run.draw(kOptionalRoutes));
+  const auto route = "t" + std::to_string(run.draw(kOptionalRouteCount));
   if (routes.erase(route) == 0)
     routes.insert(route);
   return routes;
@@ -49,10 +51,10 @@
 
 bool installFirstConfiguration(SoakRun& run) {
   const std::set<std::string> routes{"t0", "t1", "t2"};
-  run.seen.changes.push_back({1, routes, Clock::now(), std::nullopt, false});
-  if (sendChange(run, 0, 1, routes, kFirstAttempts) != kOk)
+  run.observations.changes.push_back({1, routes, Clock::now(), std::nullopt, false});
+  if (sendChange(run, 0, 1, routes, kMaxFirstChangeAttempts) != kOk)
     return false;
-  run.seen.changes.back().acknowledgedAt = Clock::now();
+  run.observations.changes.back().acknowledgedAt = Clock::now();
   run.version = 1;
   run.routes = routes;
   return true;
@@ -60,12 +62,12 @@
 void changeConfiguration(SoakRun& run) {
   const auto base = run.version;
   const auto version = base + 1 + static_cast<std::int64_t>(run.draw(3));
-  const auto routes = toggled(run);
-  const auto index = run.seen.changes.size();
-  run.seen.changes.push_back({version, routes, Clock::now(), std::nullopt, false});
-  const int status = sendChange(run, base, version, routes, kChangeAttempts);
-  auto& change = run.seen.changes[index];
-  change.refused = status == kConflict;
+  const auto routes = withRandomRouteToggled(run);
+  const auto index = run.observations.changes.size();
+  run.observations.changes.push_back({version, routes, Clock::now(), std::nullopt, false});
+  const int status = sendChange(run, base, version, routes, kMaxChangeAttempts);
+  auto& change = run.observations.changes[index];
+  change.refused = status == kPreconditionFailed;
   if (status != kOk)
     return;
   change.acknowledgedAt = Clock::now();
@@ -75,12 +77,12 @@
   }
 }
 namespace {
-/// Sends an order on a zone until it is acknowledged. @return whether it was.
+/// Sends an evacuation order for a zone until it is acknowledged. @return false if no attempt was acknowledged.
 bool sendZoneOrder(SoakRun& run, const std::string& order, const std::string& zone) {
-  for (int attempt = 0; attempt < kZoneOrderAttempts; ++attempt) {
-    const auto answer = operations::callOne(run.anyController(),
-                                            {"POST", "/v1/Evacuation." + order + "/" + zone, "", {}}, kCallTimeout);
-    if (answer && answer->status == kOk)
+  for (int attempt = 0; attempt < kMaxZoneOrderAttempts; ++attempt) {
+    const auto response = operations::callOne(run.randomControllerAddress(),
+                                              {"POST", "/v1/Evacuation." + order + "/" + zone, "", {}}, kCallTimeout);
+    if (response && response->status == kOk)
       return true;
     runtime::EventLoop::get().sleepFor(kRetryInterval);
   }
@@ -90,22 +92,22 @@
 void evacuateZone(SoakRun& run) {
   const auto& zone = kZones[run.draw(kZones.size())];
   const bool acknowledged = sendZoneOrder(run, "Begin", zone);
-  const auto index = run.seen.evacuations.size();
+  const auto index = run.observations.evacuations.size();
   if (acknowledged)
-    run.seen.evacuations.push_back({zone, Clock::now(), std::nullopt});
-  runtime::EventLoop::get().sleepFor(run.seen.bounds.evacuate + run.drawDuration(0ms, 2500ms));
+    run.observations.evacuations.push_back({zone, Clock::now(), std::nullopt});
+  runtime::EventLoop::get().sleepFor(run.observations.bounds.evacuate + run.drawDuration(0ms, 2500ms));
   if (acknowledged)
-    run.seen.evacuations[index].releasedAt = Clock::now();
+    run.observations.evacuations[index].releasedAt = Clock::now();
   (void)sendZoneOrder(run, "Release", zone);
 }
-void readBack(SoakRun& run) {
-  for (const auto end = Clock::now() + kReadBackTime; Clock::now() < end && !run.seen.finalVersion;
+void readBackConfiguration(SoakRun& run) {
+  for (const auto end = Clock::now() + kReadBackTimeout; Clock::now() < end && !run.observations.finalVersion;
        runtime::EventLoop::get().sleepFor(kRetryInterval)) {
-    const auto answer = operations::callOne(run.anyController(), simulation::retrieveCall(), kCallTimeout);
-    if (!answer || answer->status != kOk)
+    const auto response = operations::callOne(run.randomControllerAddress(), simulation::retrieveCall(), kCallTimeout);
+    if (!response || response->status != kOk)
       continue;
-    if (const auto version = operations::fieldOf(answer->body, "configVersion"))
-      run.seen.finalVersion = std::atoll(version->c_str());
+    if (const auto version = operations::fieldOf(response->body, "configVersion"))
+      run.observations.finalVersion = std::atoll(version->c_str());
   }
 }
 }  // namespace zinccleat::soak
--- a/tests/soak/runners.cpp
+++ b/tests/soak/runners.cpp
@@ -1,4 +1,4 @@
-// Runners: HTTP servers that record what they run, send heartbeats and leave in order.
+// Runners: HTTP servers that record the requests that they execute, send heartbeats and announce when they leave.
 #include "control_calls.hpp"
 #include "proxy/http.hpp"
 #include "soak_run.hpp"
@@ -9,7 +9,7 @@
 using proxy::RequestParser;
 constexpr Duration kHeartbeatInterval{400};
 constexpr Duration kCallTimeout{1000};
-constexpr Duration kServesOn{700};  // beyond the bound of the drain
+constexpr Duration kMinServingAfterDrain{700};  // added to `Bounds::drain`, before a leaving runner stops
 constexpr Duration kEventInterval{25};
 constexpr int kMaxDetachCalls = 20;
 
@@ -26,12 +26,12 @@
         id(std::move(runnerId)),
         acceptor(runtime::EventLoop::get().io(), tcp::endpoint(asio::ip::make_address(run.fleet.ip(7, 1)), 0)) {}
   std::string address() const { return run.fleet.ip(7, 1) + ":" + std::to_string(acceptor.local_endpoint().port()); }
-  const std::string& zone() const { return run.seen.runnerZones[id]; }
+  const std::string& zone() const { return run.observations.runnerZones[id]; }
   void acceptNext();
   void serve(runtime::Connection& connection);
-  void answer(const RequestParser::value_type& request, runtime::Connection& connection, runtime::SocketError& ec);
+  void respond(const RequestParser::value_type& request, runtime::Connection& connection, runtime::SocketError& ec);
   bool sendHeartbeat();
-  void keepAlive();
+  void sendHeartbeats();
   void leave();
 };
 std::map<std::string, std::shared_ptr<SoakRunner>>& runners() {
@@ -56,28 +56,29 @@
     RequestParser parser;
     if (proxy::readRequest(connection, buffer, parser, {}).outcome != proxy::ReadOutcome::complete)
       return;
-    answer(parser.get(), connection, ec);
+    respond(parser.get(), connection, ec);
   }
 }
-void SoakRunner::answer(const RequestParser::value_type& request, runtime::Connection& connection,
-                        runtime::SocketError& ec) {
+void SoakRunner::respond(const RequestParser::value_type& request, runtime::Connection& connection,
+                         runtime::SocketError& ec) {
   const std::string attemptId(request["X-Attempt-Id"]);
-  const std::string head = "X-Attempt-Id: " + attemptId + "\r\nX-Server-Seal: soak\r\n";
+  const std::string commonHeaders = "X-Attempt-Id: " + attemptId + "\r\nX-Server-Seal: soak\r\n";
   if (request["X-Expected-Instance"] != id) {
-    connection.write(asio::buffer("HTTP/1.1 421 Misdirected Request\r\n" + head + "Content-Length: 0\r\n\r\n"), ec);
+    connection.write(asio::buffer("HTTP/1.1 421 Misdirected Request\r\n" + commonHeaders + "Content-Length: 0\r\n\r\n"),
+                     ec);
     return;
   }
-  run.seen.executions[attemptId].push_back({id, Clock::now()});
+  run.observations.executions[attemptId].push_back({id, Clock::now()});
   const bool stream = request.target().starts_with("/stream/");
   if (!stream) {
     runtime::EventLoop::get().sleepFor(run.drawDuration(1ms, 60ms));
     const auto body = "done " + attemptId;
-    connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + head + "Content-Length: " + std::to_string(body.size()) +
-                                  "\r\n\r\n" + body),
+    connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + commonHeaders +
+                                  "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body),
                      ec);
     return;
   }
-  connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + head +
+  connection.write(asio::buffer("HTTP/1.1 200 OK\r\n" + commonHeaders +
                                 "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"),
                    ec);
   const auto events = 2 + run.draw(20);
@@ -96,31 +97,32 @@
                       zone() + R"(","capacity":16,"state":")" + (leaving ? "draining" : "in_service") +
                       R"(","sequence":)" + std::to_string(++sequence) + "}";
   return simulation::isAcknowledged(
-      operations::callOne(run.anyController(), simulation::heartbeatCall(id, report), kCallTimeout));
+      operations::callOne(run.randomControllerAddress(), simulation::heartbeatCall(id, report), kCallTimeout));
 }
-void SoakRunner::keepAlive() {
+void SoakRunner::sendHeartbeats() {
   while (!ended && !leaving) {
     sendHeartbeat();
     runtime::EventLoop::get().sleepFor(kHeartbeatInterval);
   }
 }
 void SoakRunner::leave() {
-  // Some never say that they drain: they detach at once, and serve on as long.
-  const bool saysSo = run.draw(4) != 0;
+  // A quarter of the runners detach at once, without announcing a drain, and then keep serving for the same time.
+  const bool announcesDrain = run.draw(4) != 0;
   leaving = true;
   const auto announce = [&] {
-    return saysSo ? sendHeartbeat()
-                  : simulation::isAcknowledged(
-                        operations::callOne(run.anyController(), simulation::detachCall(id), kCallTimeout));
+    return announcesDrain ? sendHeartbeat()
+                          : simulation::isAcknowledged(operations::callOne(run.randomControllerAddress(),
+                                                                           simulation::detachCall(id), kCallTimeout));
   };
   int calls = 0;
   while (!announce() && ++calls < kMaxDetachCalls)
     runtime::EventLoop::get().sleepFor(50ms);
   if (calls < kMaxDetachCalls)
-    run.seen.departures[id] = Clock::now();
-  runtime::EventLoop::get().sleepFor(run.seen.bounds.drain + run.drawDuration(kServesOn, kServesOn * 3));
-  if (saysSo)
-    (void)operations::callOne(run.anyController(), simulation::detachCall(id), kCallTimeout);
+    run.observations.departures[id] = Clock::now();
+  runtime::EventLoop::get().sleepFor(run.observations.bounds.drain +
+                                     run.drawDuration(kMinServingAfterDrain, kMinServingAfterDrain * 3));
+  if (announcesDrain)
+    (void)operations::callOne(run.randomControllerAddress(), simulation::detachCall(id), kCallTimeout);
   ended = true;
   runtime::SocketError ec;
   acceptor.close(ec);
@@ -130,9 +132,9 @@
 void startRunner(SoakRun& run, const std::string& id) {
   auto runner = std::make_shared<SoakRunner>(run, id);
   runners()[id] = runner;
-  run.seen.runnerZones[id] = kZones[run.draw(kZones.size())];
+  run.observations.runnerZones[id] = kZones[run.draw(kZones.size())];
   runner->acceptNext();
-  runtime::EventLoop::get().spawn([runner] { runner->keepAlive(); });
+  runtime::EventLoop::get().spawn([runner] { runner->sendHeartbeats(); });
 }
 void requestDeparture(SoakRun& run, const std::string& id) {
   const auto found = runners().find(id);
--- a/tests/soak_observations_test.cpp
+++ b/tests/soak_observations_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The rules that a soak run is held to: each is broken once here, and what is allowed is not reported.
+/// Tests the rules that soak runs are checked against: a violation of each rule is reported, and allowed behaviour is
+/// not.
 #include <gtest/gtest.h>
 
 #include "soak/observations.hpp"
@@ -13,113 +14,113 @@
 ClientRequest answered(const std::string& id, TimePoint at, int status = 200) {
   return {id, RequestKind::unsafe, "", kMachine, at, at + 20ms, RequestEnd::answered, status, true};
 }
-/// A run in which enough was served and the newest configuration is read back.
-Observations quietRun() {
-  Observations seen;
+/// Observations of a run without violations: enough requests were served and the newest configuration was read back.
+Observations observationsWithoutViolation() {
+  Observations observations;
   for (int i = 0; i < 60; ++i)
-    seen.requests.push_back(answered("r" + std::to_string(i), kStart + 1s));
-  seen.changes = {{1, {"t1"}, kStart, kStart + 50ms, false}};
-  seen.finalVersion = 1;
-  return seen;
+    observations.requests.push_back(answered("r" + std::to_string(i), kStart + 1s));
+  observations.changes = {{1, {"t1"}, kStart, kStart + 50ms, false}};
+  observations.finalVersion = 1;
+  return observations;
 }
-std::string rulesBrokenBy(const Observations& seen) {
+std::string violatedRules(const Observations& observations) {
   std::string rules;
-  for (const auto& violation : brokenRules(seen))
+  for (const auto& violation : findViolations(observations))
     rules += violation.rule + " ";
   return rules;
 }
 }  // namespace
 
 TEST(SoakObservations, AQuietRunBreaksNothing) {
-  EXPECT_EQ(rulesBrokenBy(quietRun()), "");
+  EXPECT_EQ(violatedRules(observationsWithoutViolation()), "");
 }
 TEST(SoakObservations, ARequestThatWasPassedOnMustBeAnswered) {
-  auto seen = quietRun();
+  auto observations = observationsWithoutViolation();
   auto lost = answered("lost", kStart + 9s);
   lost.end = RequestEnd::connectionClosed;
   lost.endedAt = lost.sentAt + 100ms;
-  seen.requests.push_back(lost);
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "it crossed the end of the connection";
-  seen.requests.back().endedAt = lost.sentAt + 300ms;
-  EXPECT_EQ(rulesBrokenBy(seen), "LOST ");
-  seen.requests.back() = lost;
-  seen.executions["lost"] = {{"i1", kStart + 9s}};
-  EXPECT_EQ(rulesBrokenBy(seen), "LOST ");
-  seen.disturbances = {{kMachine, kStart + 8s, true}};
-  EXPECT_EQ(rulesBrokenBy(seen), "LOST ") << "planned work excuses nothing";
-  seen.disturbances = {{kMachine, kStart + 8s, false}};
-  EXPECT_EQ(rulesBrokenBy(seen), "");
+  observations.requests.push_back(lost);
+  EXPECT_EQ(violatedRules(observations), "") << "the connection may have been closed before the request arrived";
+  observations.requests.back().endedAt = lost.sentAt + 300ms;
+  EXPECT_EQ(violatedRules(observations), "LOST ");
+  observations.requests.back() = lost;
+  observations.executions["lost"] = {{"i1", kStart + 9s}};
+  EXPECT_EQ(violatedRules(observations), "LOST ");
+  observations.disturbances = {{kMachine, kStart + 8s, true}};
+  EXPECT_EQ(violatedRules(observations), "LOST ") << "a planned disturbance does not permit lost requests";
+  observations.disturbances = {{kMachine, kStart + 8s, false}};
+  EXPECT_EQ(violatedRules(observations), "");
 }
 TEST(SoakObservations, NothingReachesARunnerLongAfterItLeft) {
-  auto seen = quietRun();
-  seen.requests.push_back(answered("late", kStart + 10s));
-  seen.executions["late"] = {{"i1", kStart + 10s + 5ms}};
-  seen.departures["i1"] = kStart + 8s;
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "sent in time";
-  seen.departures["i1"] = kStart + 8s - 1ms;
-  EXPECT_EQ(rulesBrokenBy(seen), "DRAIN ");
-  seen.disturbances = {{Disturbance::kCore, kStart + 9s, true}};
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "the machine is not in touch";
+  auto observations = observationsWithoutViolation();
+  observations.requests.push_back(answered("late", kStart + 10s));
+  observations.executions["late"] = {{"i1", kStart + 10s + 5ms}};
+  observations.departures["i1"] = kStart + 8s;
+  EXPECT_EQ(violatedRules(observations), "") << "the request was sent within the bound of the drain";
+  observations.departures["i1"] = kStart + 8s - 1ms;
+  EXPECT_EQ(violatedRules(observations), "DRAIN ");
+  observations.disturbances = {{Disturbance::kCore, kStart + 9s, true}};
+  EXPECT_EQ(violatedRules(observations), "") << "the access machine may have no connection to the core";
 }
 TEST(SoakObservations, NothingReachesAnEvacuatedZoneAfterItsBound) {
-  auto seen = quietRun();
-  seen.requests.push_back(answered("late", kStart + 10s));
-  seen.executions["late"] = {{"i1", kStart + 10s}};
-  seen.runnerZones["i1"] = "a";
-  seen.evacuations = {{"a", kStart + 8s, std::nullopt}};
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "within the bound";
-  seen.evacuations[0].acknowledgedAt = kStart + 8s - 1ms;
-  EXPECT_EQ(rulesBrokenBy(seen), "EVAC ");
-  seen.evacuations[0].releasedAt = kStart + 9s;
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "it was taken back";
-  seen.evacuations[0] = {"b", kStart + 7s, std::nullopt};
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "another zone";
+  auto observations = observationsWithoutViolation();
+  observations.requests.push_back(answered("late", kStart + 10s));
+  observations.executions["late"] = {{"i1", kStart + 10s}};
+  observations.runnerZones["i1"] = "a";
+  observations.evacuations = {{"a", kStart + 8s, std::nullopt}};
+  EXPECT_EQ(violatedRules(observations), "") << "the request was executed within the bound of the evacuation";
+  observations.evacuations[0].acknowledgedAt = kStart + 8s - 1ms;
+  EXPECT_EQ(violatedRules(observations), "EVAC ");
+  observations.evacuations[0].releasedAt = kStart + 9s;
+  EXPECT_EQ(violatedRules(observations), "") << "the evacuation was released";
+  observations.evacuations[0] = {"b", kStart + 7s, std::nullopt};
+  EXPECT_EQ(violatedRules(observations), "") << "the runner is in another zone";
 }
 TEST(SoakObservations, WhatMayRunOnceRunsOnceAndARefusalIsTrue) {
-  auto seen = quietRun();
-  seen.requests.push_back(answered("a", kStart + 9s));
-  seen.executions["a"] = {{"i1", kStart + 9s}, {"i2", kStart + 9s}};
-  EXPECT_EQ(rulesBrokenBy(seen), "TWICE ");
-  seen.executions["a"].pop_back();
-  seen.requests.back().status = 503;
-  EXPECT_EQ(rulesBrokenBy(seen), "REFUSED ");
-  seen.requests.back() = answered("a", kStart + 9s);
-  seen.requests.back().bodyMatches = false;
-  EXPECT_EQ(rulesBrokenBy(seen), "MIXED ");
+  auto observations = observationsWithoutViolation();
+  observations.requests.push_back(answered("a", kStart + 9s));
+  observations.executions["a"] = {{"i1", kStart + 9s}, {"i2", kStart + 9s}};
+  EXPECT_EQ(violatedRules(observations), "TWICE ");
+  observations.executions["a"].pop_back();
+  observations.requests.back().status = 503;
+  EXPECT_EQ(violatedRules(observations), "REFUSED ");
+  observations.requests.back() = answered("a", kStart + 9s);
+  observations.requests.back().bodyMatches = false;
+  EXPECT_EQ(violatedRules(observations), "MIXED ");
 }
 TEST(SoakObservations, ARouteIsThereWhileEveryPossibleConfigurationHasIt) {
-  auto seen = quietRun();
+  auto observations = observationsWithoutViolation();
   auto probe = answered("p", kStart + 5s, 404);
   probe.route = "t1";
-  seen.requests.push_back(probe);
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ");
-  seen.changes.push_back({2, {}, kStart + 4s, kStart + 4s + 50ms, false});
-  seen.finalVersion = 2;
-  EXPECT_EQ(rulesBrokenBy(seen), "") << "the change that drops it may be in force";
-  seen.changes.back().refused = true;
-  seen.changes.back().acknowledgedAt.reset();
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ") << "a refused one never is";
-  seen.changes.back() = {2, {}, kStart + 2s, kStart + 2s + 50ms, false};
-  EXPECT_EQ(rulesBrokenBy(seen), "");
-  seen.requests.back().status = 200;
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ") << "it was dropped long before";
+  observations.requests.push_back(probe);
+  EXPECT_EQ(violatedRules(observations), "CONFIG ");
+  observations.changes.push_back({2, {}, kStart + 4s, kStart + 4s + 50ms, false});
+  observations.finalVersion = 2;
+  EXPECT_EQ(violatedRules(observations), "") << "the change that removes the route may be effective";
+  observations.changes.back().refused = true;
+  observations.changes.back().acknowledgedAt.reset();
+  EXPECT_EQ(violatedRules(observations), "CONFIG ") << "a rejected change never becomes effective";
+  observations.changes.back() = {2, {}, kStart + 2s, kStart + 2s + 50ms, false};
+  EXPECT_EQ(violatedRules(observations), "");
+  observations.requests.back().status = 200;
+  EXPECT_EQ(violatedRules(observations), "CONFIG ") << "the route was removed long before";
 }
 TEST(SoakObservations, WhatWasAcknowledgedIsReadBack) {
-  auto seen = quietRun();
-  seen.finalVersion = 0;
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ");
-  seen.finalVersion.reset();
-  EXPECT_EQ(rulesBrokenBy(seen), "CONFIG ");
+  auto observations = observationsWithoutViolation();
+  observations.finalVersion = 0;
+  EXPECT_EQ(violatedRules(observations), "CONFIG ");
+  observations.finalVersion.reset();
+  EXPECT_EQ(violatedRules(observations), "CONFIG ");
 }
 TEST(SoakObservations, ProcessesEndOnlyWhenAskedAndInTime) {
-  auto seen = quietRun();
-  seen.exits = {{"proxy", 0, kStart, false, {}, kStart + 3s}, {"agent", 9, std::nullopt, true, {}, kStart}};
-  EXPECT_EQ(rulesBrokenBy(seen), "");
-  seen.exits[0].endedAt = kStart + 9s;
-  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "long after its grace";
-  seen.exits[0] = {"proxy", 0, std::nullopt, false, {}, kStart};
-  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "nobody asked it to end";
-  seen.exits.clear();
-  seen.requests.resize(10);
-  EXPECT_EQ(rulesBrokenBy(seen), "Fault ") << "nearly nothing was asked";
+  auto observations = observationsWithoutViolation();
+  observations.exits = {{"proxy", 0, kStart, false, {}, kStart + 3s}, {"agent", 9, std::nullopt, true, {}, kStart}};
+  EXPECT_EQ(violatedRules(observations), "");
+  observations.exits[0].endedAt = kStart + 9s;
+  EXPECT_EQ(violatedRules(observations), "Fault ") << "the process exited long after its grace period";
+  observations.exits[0] = {"proxy", 0, std::nullopt, false, {}, kStart};
+  EXPECT_EQ(violatedRules(observations), "Fault ") << "the process exited without SIGTERM";
+  observations.exits.clear();
+  observations.requests.resize(10);
+  EXPECT_EQ(violatedRules(observations), "Fault ") << "the run has too few requests";
 }
